--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -42,7 +42,7 @@
     }
 
     /** Whether a request may run more than once: always, within a group that drops repeats, never. */
-    enum Effect {
+    enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
@@ -63,7 +63,7 @@
             long deadline,
             double worth,
             double lateWorth,
-            Effect effect,
+            Idempotency effect,
             RepeatGroup group,
             long window,
             boolean streamed,
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/Vocabulary.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import pumicemoor.RouterApi.ColdStart;
-import pumicemoor.RouterApi.Effect;
+import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Fills;
 import pumicemoor.RouterApi.Limits;
 import pumicemoor.RouterApi.LoadReports;
@@ -25,8 +25,8 @@
 /** The names that one instance's settings define, and the settings and list lines read with them. */
 public final class Vocabulary {
 
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("pure", Effect.SAFE, "token", Effect.KEYED, "side_effect", Effect.UNSAFE);
+    private static final Map<String, Idempotency> EFFECTS =
+            Map.of("pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
     private static final Map<String, RepeatGroup> GROUPS =
             Map.of("all", RepeatGroup.ALL, "zone", RepeatGroup.ZONE, "cell", RepeatGroup.CELL);
     private static final Map<String, SiblingSources> SIBLINGS =
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Cancel;
 import pumicemoor.RouterApi.ColdStart;
-import pumicemoor.RouterApi.Effect;
+import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
@@ -51,7 +51,7 @@
     private static final class Request {
         RequestArrived arrived;
         long deadline;
-        Effect effect;
+        Idempotency effect;
         RepeatGroup group;
         int attempts;
         int finals;
@@ -82,7 +82,7 @@
     void allRulesAreKept(long seed) {
         random = new Random(seed);
         now = 1_000 * SECOND;
-        setup.effect = Effect.values()[random.nextInt(3)];
+        setup.effect = Idempotency.values()[random.nextInt(3)];
         setup.group = RepeatGroup.values()[random.nextInt(3)];
         setup.direct = random.nextBoolean();
         setup.joins = random.nextBoolean();
@@ -165,7 +165,7 @@
                 1_000,
                 left,
                 false);
-        q.effect = type == RouterHarness.WRITE ? Effect.UNSAFE : setup.effect;
+        q.effect = type == RouterHarness.WRITE ? Idempotency.UNSAFE : setup.effect;
         q.group = setup.group;
         q.deadline = now + left;
         requests.put(q.arrived.id(), q);
@@ -233,8 +233,8 @@
             Request q = last(a.id());
             assertTrue(
                     !q.mayHaveRun && q.open.isEmpty()
-                            || q.effect == Effect.SAFE
-                            || q.effect == Effect.KEYED && q.group == RepeatGroup.ALL,
+                            || q.effect == Idempotency.SAFE
+                            || q.effect == Idempotency.KEYED && q.group == RepeatGroup.ALL,
                     "refused what may have run " + q.arrived);
         } else if (action instanceof Fail a) {
             last(a.id());
@@ -266,7 +266,7 @@
     private void sent(String id, long target, long source) {
         Request q = requests.get(id);
         assertTrue(q != null && !q.over, "sent for a request that is over");
-        assertTrue(q.effect == Effect.SAFE || !q.mayHaveRun && q.open.isEmpty(), "may run twice: " + q.arrived);
+        assertTrue(q.effect == Idempotency.SAFE || !q.mayHaveRun && q.open.isEmpty(), "may run twice: " + q.arrived);
         assertTrue(setup.secondCopies || q.open.isEmpty(), "two attempts at once");
         assertTrue(q.attempts < settings.limits().attempts());
         Member m = member(target);
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -6,7 +6,7 @@
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.ColdStart;
-import pumicemoor.RouterApi.Effect;
+import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillNote;
@@ -43,7 +43,7 @@
     static final int WRITE = 1;
 
     /** Settings that a test may vary before it starts the router. */
-    Effect effect = Effect.SAFE;
+    Idempotency effect = Idempotency.SAFE;
 
     RepeatGroup group = RepeatGroup.ALL;
     boolean direct;
@@ -90,7 +90,7 @@
                         3 * SECOND,
                         3,
                         0,
-                        Effect.UNSAFE,
+                        Idempotency.UNSAFE,
                         RepeatGroup.ALL,
                         0,
                         false,
--- a/src/test/java/pumicemoor/RulesTest.java
+++ b/src/test/java/pumicemoor/RulesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import pumicemoor.RouterApi.Action;
-import pumicemoor.RouterApi.Effect;
+import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillNote;
@@ -96,7 +96,7 @@
     @EnumSource(RepeatGroup.class)
     void keyedRequestThatMayHaveRunIsRefusedOnlyWhereAllDropRepeats(RepeatGroup group) {
         RouterHarness r = new RouterHarness();
-        r.effect = Effect.KEYED;
+        r.effect = Idempotency.KEYED;
         r.group = group;
         r.fleet(3, 2).start();
         List<Action> next = r.end(fetch(r.ask("a")), 0, Outcome.RESET, FillNote.NONE);
