--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -295,7 +295,7 @@
                 || job.retry && retryTokens < 1
                 || job.quickFailures > QUICK_FAILURES + 1 // it fails wherever it is sent
                 || now >= job.deadline
-                || job.mayHaveRun && job.type.effect() != Idempotency.SAFE) {
+                || job.mayHaveRun && job.type.idempotency() != Idempotency.SAFE) {
             giveUp(job);
         } else if (job.type.uncacheable() && origin != null && (direct || edge != null)) {
             send(
@@ -782,7 +782,7 @@
     private void giveUp(Job job) {
         Node edge = job.stale
                         || job.type.grace() == 0
-                        || job.mayHaveRun && job.type.effect() != Idempotency.SAFE
+                        || job.mayHaveRun && job.type.idempotency() != Idempotency.SAFE
                         || job.attempts >= settings.limits().attempts()
                         || now >= job.deadline
                         || job.closed
@@ -795,8 +795,8 @@
             return;
         }
         boolean harmless = !job.mayHaveRun
-                || job.type.effect() == Idempotency.SAFE
-                || job.type.effect() == Idempotency.KEYED && job.type.group() == RepeatGroup.ALL;
+                || job.type.idempotency() == Idempotency.SAFE
+                || job.type.idempotency() == Idempotency.KEYED && job.type.group() == RepeatGroup.ALL;
         if (!job.closed) {
             long after = (long) Math.min(settings.limits().longestRetryAfter(), RETRY_AFTER_AIM * job.type.aim());
             out.accept(
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -63,7 +63,7 @@
             long deadline,
             double worth,
             double lateWorth,
-            Idempotency effect,
+            Idempotency idempotency,
             RepeatGroup group,
             long window,
             boolean streamed,
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -358,7 +358,7 @@
             act(stream, stream.state.adopt(ready.name().attempt()));
             return;
         }
-        if (type.effect() != RouterApi.Idempotency.SAFE) {
+        if (type.idempotency() != RouterApi.Idempotency.SAFE) {
             if (!book.mayBegin(loop.clock(), stream.id, repeat)) {
                 count(Count.REPEATS_FAILED); // it may have run, so nothing is named for it again
                 act(stream, stream.state.answered(CallState.Code.FAILED, 0));
