--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -49,7 +49,7 @@
     }
 
     /** The members that drop the repeats of a keyed request. */
-    enum RepeatGroup {
+    enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
@@ -64,7 +64,7 @@
             double worth,
             double lateWorth,
             Idempotency idempotency,
-            RepeatGroup group,
+            DeduplicationScope group,
             long window,
             boolean streamed,
             boolean uncacheable,
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/Vocabulary.java
@@ -12,7 +12,7 @@
 import pumicemoor.RouterApi.Notes;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Prices;
-import pumicemoor.RouterApi.RepeatGroup;
+import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.ReportBy;
 import pumicemoor.RouterApi.RequestClass;
 import pumicemoor.RouterApi.Role;
@@ -27,8 +27,8 @@
 
     private static final Map<String, Idempotency> EFFECTS =
             Map.of("pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
-    private static final Map<String, RepeatGroup> GROUPS =
-            Map.of("all", RepeatGroup.ALL, "zone", RepeatGroup.ZONE, "cell", RepeatGroup.CELL);
+    private static final Map<String, DeduplicationScope> GROUPS =
+            Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
     private static final Map<String, SiblingSources> SIBLINGS =
             Map.of("none", SiblingSources.NONE, "location", SiblingSources.LOCATION, "any", SiblingSources.ANY);
     private static final Map<String, Notes> NOTES = Map.of("none", Notes.NONE, "hit", Notes.HIT_ONLY, "all", Notes.ALL);
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -29,7 +29,7 @@
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
-import pumicemoor.RouterApi.RepeatGroup;
+import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestGone;
 import pumicemoor.RouterApi.Role;
@@ -52,7 +52,7 @@
         RequestArrived arrived;
         long deadline;
         Idempotency effect;
-        RepeatGroup group;
+        DeduplicationScope group;
         int attempts;
         int finals;
         boolean over;
@@ -83,7 +83,7 @@
         random = new Random(seed);
         now = 1_000 * SECOND;
         setup.effect = Idempotency.values()[random.nextInt(3)];
-        setup.group = RepeatGroup.values()[random.nextInt(3)];
+        setup.group = DeduplicationScope.values()[random.nextInt(3)];
         setup.direct = random.nextBoolean();
         setup.joins = random.nextBoolean();
         setup.cancel = random.nextBoolean();
@@ -234,7 +234,7 @@
             assertTrue(
                     !q.mayHaveRun && q.open.isEmpty()
                             || q.effect == Idempotency.SAFE
-                            || q.effect == Idempotency.KEYED && q.group == RepeatGroup.ALL,
+                            || q.effect == Idempotency.KEYED && q.group == DeduplicationScope.ALL,
                     "refused what may have run " + q.arrived);
         } else if (action instanceof Fail a) {
             last(a.id());
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.Notes;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Prices;
-import pumicemoor.RouterApi.RepeatGroup;
+import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.ReportBy;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestClass;
@@ -45,7 +45,7 @@
     /** Settings that a test may vary before it starts the router. */
     Idempotency effect = Idempotency.SAFE;
 
-    RepeatGroup group = RepeatGroup.ALL;
+    DeduplicationScope group = DeduplicationScope.ALL;
     boolean direct;
     boolean joins = true;
     boolean cancel = true;
@@ -91,7 +91,7 @@
                         3,
                         0,
                         Idempotency.UNSAFE,
-                        RepeatGroup.ALL,
+                        DeduplicationScope.ALL,
                         0,
                         false,
                         true,
--- a/src/test/java/pumicemoor/RulesTest.java
+++ b/src/test/java/pumicemoor/RulesTest.java
@@ -24,7 +24,7 @@
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
-import pumicemoor.RouterApi.RepeatGroup;
+import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.RequestGone;
 import pumicemoor.RouterApi.State;
 
@@ -93,16 +93,16 @@
     }
 
     @ParameterizedTest
-    @EnumSource(RepeatGroup.class)
-    void keyedRequestThatMayHaveRunIsRefusedOnlyWhereAllDropRepeats(RepeatGroup group) {
+    @EnumSource(DeduplicationScope.class)
+    void keyedRequestThatMayHaveRunIsRefusedOnlyWhereAllDropRepeats(DeduplicationScope group) {
         RouterHarness r = new RouterHarness();
         r.effect = Idempotency.KEYED;
         r.group = group;
         r.fleet(3, 2).start();
         List<Action> next = r.end(fetch(r.ask("a")), 0, Outcome.RESET, FillNote.NONE);
         assertEquals(0, only(Fetch.class, next).size());
-        assertEquals(group == RepeatGroup.ALL ? 1 : 0, only(Refuse.class, next).size());
-        assertEquals(group == RepeatGroup.ALL ? 0 : 1, only(Fail.class, next).size());
+        assertEquals(group == DeduplicationScope.ALL ? 1 : 0, only(Refuse.class, next).size());
+        assertEquals(group == DeduplicationScope.ALL ? 0 : 1, only(Fail.class, next).size());
     }
 
     @Test
