--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -796,7 +796,7 @@
         }
         boolean harmless = !job.mayHaveRun
                 || job.type.idempotency() == Idempotency.SAFE
-                || job.type.idempotency() == Idempotency.KEYED && job.type.group() == DeduplicationScope.ALL;
+                || job.type.idempotency() == Idempotency.KEYED && job.type.deduplicationScope() == DeduplicationScope.ALL;
         if (!job.closed) {
             long after = (long) Math.min(settings.limits().longestRetryAfter(), RETRY_AFTER_AIM * job.type.aim());
             out.accept(
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -64,7 +64,7 @@
             double worth,
             double lateWorth,
             Idempotency idempotency,
-            DeduplicationScope group,
+            DeduplicationScope deduplicationScope,
             long window,
             boolean streamed,
             boolean uncacheable,
