--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -65,7 +65,7 @@
             double lateWorth,
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
-            long window,
+            long deduplicationWindow,
             boolean streamed,
             boolean uncacheable,
             boolean parts,
