--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -154,7 +154,7 @@
         this.retryTokens = Math.max(1, RETRY_BURST / crew);
         this.weighted = settings.weights() == Weights.NOMINAL || settings.weights() == Weights.ROUGH;
         this.tightestAim =
-                settings.classes().stream().mapToLong(RequestClass::aim).min().orElse(0);
+                settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(0);
         this.meanWork = new double[settings.classes().size()];
     }
 
@@ -241,7 +241,7 @@
         job.key = r.object() + '#' + r.part();
         job.number = arrivals++;
         double mean = meanWork[r.requestClass()];
-        job.work = mean > 0 ? mean : job.type.aim(); // guesses too small make all seem late
+        job.work = mean > 0 ? mean : job.type.latencyTarget(); // guesses too small make all seem late
         if (r.sizeKb() > 0 && settings.fills().transferKbPerSecond() > 0) {
             job.work = r.sizeKb() / settings.fills().transferKbPerSecond() * SECOND;
             meanWork[r.requestClass()] = mean == 0 ? job.work : mean + MEAN_GAIN * (job.work - mean);
@@ -251,7 +251,7 @@
         job.deadline = now + r.timeLeft();
         job.startBy = Math.min(
                 job.deadline - 2 * TICK,
-                now + (long) (job.type.aim() + (job.type.aimStretch() - 1) * job.work - fillWait));
+                now + (long) (job.type.latencyTarget() + (job.type.aimStretch() - 1) * job.work - fillWait));
         jobs.put(r.id(), job);
         retryTokens = Math.min(Math.max(1, RETRY_BURST / crew), retryTokens + RETRY_SHARE);
         entry(job).seen++;
@@ -516,7 +516,7 @@
         a.look = source == target && target.member.role() == Role.CACHE;
         a.lookAtParent = action instanceof Fetch f && f.onlyIfHeld();
         a.expectHit = a.look || holds(entry(job), job, target);
-        a.lateFrom = now + (a.expectHit ? job.type.aim() : tightestAim) + (long) (job.type.aimStretch() * job.work);
+        a.lateFrom = now + (a.expectHit ? job.type.latencyTarget() : tightestAim) + (long) (job.type.aimStretch() * job.work);
         a.due = now + PATIENCE + (long) (PATIENCE_WORK * (job.work + (a.expectHit ? 0 : fillWait)));
         a.charges.put(target, 1.0);
         if (source != target) {
@@ -798,7 +798,7 @@
                 || job.type.idempotency() == Idempotency.SAFE
                 || job.type.idempotency() == Idempotency.KEYED && job.type.deduplicationScope() == DeduplicationScope.ALL;
         if (!job.closed) {
-            long after = (long) Math.min(settings.limits().longestRetryAfter(), RETRY_AFTER_AIM * job.type.aim());
+            long after = (long) Math.min(settings.limits().longestRetryAfter(), RETRY_AFTER_AIM * job.type.latencyTarget());
             out.accept(
                     !harmless
                             ? new Fail(job.request.id())
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -58,7 +58,7 @@
     /** A class of requests; fresh 0 means that a copy is good until it is purged. */
     record RequestClass(
             String name,
-            long aim,
+            long latencyTarget,
             double aimStretch,
             long deadline,
             double worth,
