--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -251,7 +251,7 @@
         job.deadline = now + r.timeLeft();
         job.startBy = Math.min(
                 job.deadline - 2 * TICK,
-                now + (long) (job.type.latencyTarget() + (job.type.aimStretch() - 1) * job.work - fillWait));
+                now + (long) (job.type.latencyTarget() + (job.type.latencyTargetStretch() - 1) * job.work - fillWait));
         jobs.put(r.id(), job);
         retryTokens = Math.min(Math.max(1, RETRY_BURST / crew), retryTokens + RETRY_SHARE);
         entry(job).seen++;
@@ -516,7 +516,7 @@
         a.look = source == target && target.member.role() == Role.CACHE;
         a.lookAtParent = action instanceof Fetch f && f.onlyIfHeld();
         a.expectHit = a.look || holds(entry(job), job, target);
-        a.lateFrom = now + (a.expectHit ? job.type.latencyTarget() : tightestAim) + (long) (job.type.aimStretch() * job.work);
+        a.lateFrom = now + (a.expectHit ? job.type.latencyTarget() : tightestAim) + (long) (job.type.latencyTargetStretch() * job.work);
         a.due = now + PATIENCE + (long) (PATIENCE_WORK * (job.work + (a.expectHit ? 0 : fillWait)));
         a.charges.put(target, 1.0);
         if (source != target) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -59,7 +59,7 @@
     record RequestClass(
             String name,
             long latencyTarget,
-            double aimStretch,
+            double latencyTargetStretch,
             long deadline,
             double worth,
             double lateWorth,
