--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -246,7 +246,7 @@
             job.work = r.sizeKb() / settings.fills().transferKbPerSecond() * SECOND;
             meanWork[r.requestClass()] = mean == 0 ? job.work : mean + MEAN_GAIN * (job.work - mean);
         }
-        job.priority = job.type.worth() / job.work;
+        job.priority = job.type.value() / job.work;
         meanPriority += (meanPriority == 0 ? 1 : MEAN_GAIN) * (job.priority - meanPriority);
         job.deadline = now + r.timeLeft();
         job.startBy = Math.min(
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -61,7 +61,7 @@
             long latencyTarget,
             double latencyTargetStretch,
             long deadline,
-            double worth,
+            double value,
             double lateWorth,
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
