--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -62,7 +62,7 @@
             double latencyTargetStretch,
             long deadline,
             double value,
-            double lateWorth,
+            double lateValue,
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
             long deduplicationWindow,
