--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -71,7 +71,7 @@
             boolean parts,
             long fresh,
             long grace,
-            double staleWorth) {}
+            double staleValue) {}
 
     /** What the site allows. */
     record Limits(
