--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -360,7 +360,7 @@
                 settings.fills().joins(),
                 onlyIfHeld,
                 false,
-                job.type.fresh() > 0 && source != target && !onlyIfHeld,
+                job.type.freshFor() > 0 && source != target && !onlyIfHeld,
                 0,
                 source == target || onlyIfHeld
                         ? List.of()
@@ -848,7 +848,7 @@
         return h.until > now
                 && h.started == h.node.member.started()
                 && (h.since < 0
-                        || h.since > purgedAt(job) && (job.type.fresh() == 0 || now - h.since < job.type.fresh()));
+                        || h.since > purgedAt(job) && (job.type.freshFor() == 0 || now - h.since < job.type.freshFor()));
     }
 
     private void tellPeers(Job job, Node node) {
@@ -896,7 +896,7 @@
         boolean unheard = now - heardAt > TOLD_BY - SECOND; // signs of life are a second apart
         long since = Math.min(
                 at == Long.MIN_VALUE ? Long.MAX_VALUE : Math.max(1, now - at), unheard ? TOLD_BY : Long.MAX_VALUE);
-        long fresh = job.type.fresh() + (job.stale ? job.type.grace() : 0);
+        long fresh = job.type.freshFor() + (job.stale ? job.type.grace() : 0);
         return fresh > 0 ? Math.min(fresh, since) : since == Long.MAX_VALUE ? 0 : since;
     }
 
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -69,7 +69,7 @@
             boolean streamed,
             boolean uncacheable,
             boolean parts,
-            long fresh,
+            long freshFor,
             long grace,
             double staleValue) {}
 
