--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -781,7 +781,7 @@
     /** Answers at once: refused where harmless, else failed; before that a copy within grace will do. */
     private void giveUp(Job job) {
         Node edge = job.stale
-                        || job.type.grace() == 0
+                        || job.type.staleGrace() == 0
                         || job.mayHaveRun && job.type.idempotency() != Idempotency.SAFE
                         || job.attempts >= settings.limits().attempts()
                         || now >= job.deadline
@@ -896,7 +896,7 @@
         boolean unheard = now - heardAt > TOLD_BY - SECOND; // signs of life are a second apart
         long since = Math.min(
                 at == Long.MIN_VALUE ? Long.MAX_VALUE : Math.max(1, now - at), unheard ? TOLD_BY : Long.MAX_VALUE);
-        long fresh = job.type.freshFor() + (job.stale ? job.type.grace() : 0);
+        long fresh = job.type.freshFor() + (job.stale ? job.type.staleGrace() : 0);
         return fresh > 0 ? Math.min(fresh, since) : since == Long.MAX_VALUE ? 0 : since;
     }
 
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -70,7 +70,7 @@
             boolean uncacheable,
             boolean parts,
             long freshFor,
-            long grace,
+            long staleGrace,
             double staleValue) {}
 
     /** What the site allows. */
