--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -291,7 +291,7 @@
         }
         boolean direct = settings.fills().direct();
         Node edge = edge(job);
-        if (job.attempts >= Math.min(ATTEMPTS, settings.limits().attempts())
+        if (job.attempts >= Math.min(ATTEMPTS, settings.limits().maxAttempts())
                 || job.retry && retryTokens < 1
                 || job.quickFailures > QUICK_FAILURES + 1 // it fails wherever it is sent
                 || now >= job.deadline
@@ -783,7 +783,7 @@
         Node edge = job.stale
                         || job.type.staleGrace() == 0
                         || job.mayHaveRun && job.type.idempotency() != Idempotency.SAFE
-                        || job.attempts >= settings.limits().attempts()
+                        || job.attempts >= settings.limits().maxAttempts()
                         || now >= job.deadline
                         || job.closed
                 ? null
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -75,7 +75,7 @@
 
     /** What the site allows. */
     record Limits(
-            int attempts,
+            int maxAttempts,
             int openRequests,
             boolean probes,
             boolean peerNotes,
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -465,7 +465,7 @@
         if (request.over
                 || f.timeout() < 0
                 || until <= now
-                || request.sent > settings.limits().attempts()) {
+                || request.sent > settings.limits().maxAttempts()) {
             end(attempt, Outcome.MOOT);
             return;
         }
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -268,7 +268,7 @@
         assertTrue(q != null && !q.over, "sent for a request that is over");
         assertTrue(q.effect == Idempotency.SAFE || !q.mayHaveRun && q.open.isEmpty(), "may run twice: " + q.arrived);
         assertTrue(setup.secondCopies || q.open.isEmpty(), "two attempts at once");
-        assertTrue(q.attempts < settings.limits().attempts());
+        assertTrue(q.attempts < settings.limits().maxAttempts());
         Member m = member(target);
         assertTrue(m.role() == Role.CACHE ? m.zone() == RouterHarness.HOME : setup.direct, "no way to " + m);
         for (long id2 : new long[] {target, source}) {
