--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -76,7 +76,7 @@
     /** What the site allows. */
     record Limits(
             int maxAttempts,
-            int openRequests,
+            int maxOpenRequests,
             boolean probes,
             boolean peerNotes,
             boolean cancel,
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -78,7 +78,7 @@
                 .mapToLong(RequestClass::deadline)
                 .max()
                 .orElse(0);
-        int opens = settings.limits().openRequests() > 0 ? settings.limits().openRequests() : 20_000;
+        int opens = settings.limits().maxOpenRequests() > 0 ? settings.limits().maxOpenRequests() : 20_000;
         long pushback = settings.limits().retryAfter() ? settings.limits().longestRetryAfter() / MILLI : 0;
         return new ResourceLimits(
                 Math.min(opens, 8_192),
