--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -798,7 +798,7 @@
                 || job.type.idempotency() == Idempotency.SAFE
                 || job.type.idempotency() == Idempotency.KEYED && job.type.deduplicationScope() == DeduplicationScope.ALL;
         if (!job.closed) {
-            long after = (long) Math.min(settings.limits().longestRetryAfter(), RETRY_AFTER_AIM * job.type.latencyTarget());
+            long after = (long) Math.min(settings.limits().maxRetryAfter(), RETRY_AFTER_AIM * job.type.latencyTarget());
             out.accept(
                     !harmless
                             ? new Fail(job.request.id())
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -82,7 +82,7 @@
             boolean cancel,
             boolean secondCopies,
             boolean retryAfter,
-            long longestRetryAfter,
+            long maxRetryAfter,
             long connectTimeout) {}
 
     /** The figures of the rules; those of cold members once for caches and once for parents. */
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -79,7 +79,7 @@
                 .max()
                 .orElse(0);
         int opens = settings.limits().maxOpenRequests() > 0 ? settings.limits().maxOpenRequests() : 20_000;
-        long pushback = settings.limits().retryAfter() ? settings.limits().longestRetryAfter() / MILLI : 0;
+        long pushback = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MILLI : 0;
         return new ResourceLimits(
                 Math.min(opens, 8_192),
                 32,
