--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -854,7 +854,7 @@
     private void tellPeers(Job job, Node node) {
         byte[] key = job.key.getBytes(StandardCharsets.UTF_8);
         Entry entry = entry(job);
-        if (!settings.limits().peerNotes() || key.length + Long.BYTES > NOTE_BYTES) {
+        if (!settings.limits().peerMessages() || key.length + Long.BYTES > NOTE_BYTES) {
             return;
         }
         if (now - entry.noteMinute >= 60 * SECOND) {
@@ -872,7 +872,7 @@
     }
 
     private void peerNote(PeerNote e) {
-        if (settings.limits().peerNotes() && e.text().length > Long.BYTES) {
+        if (settings.limits().peerMessages() && e.text().length > Long.BYTES) {
             ByteBuffer text = ByteBuffer.wrap(e.text());
             Node node = nodes.get(text.getLong());
             String key = StandardCharsets.UTF_8.decode(text).toString();
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -78,7 +78,7 @@
             int maxAttempts,
             int maxOpenRequests,
             boolean probes,
-            boolean peerNotes,
+            boolean peerMessages,
             boolean cancel,
             boolean secondCopies,
             boolean retryAfter,
