--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -26,7 +26,7 @@
             List<RequestClass> classes,
             Limits limits,
             Rules rules,
-            Prices prices,
+            Costs prices,
             Fills fills,
             LoadReports loadReports,
             boolean watchList,
@@ -102,7 +102,7 @@
     record ColdStart(double share, long warmAfter, double multiple) {}
 
     /** Points taken off the result, each times its rate. */
-    record Prices(
+    record Costs(
             double crossZone, double waste, double probe, double peer, double lateFail, double origin, double linkIn) {}
 
     /** Which caches may be the source of a fill. */
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/Vocabulary.java
@@ -11,7 +11,7 @@
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.Notes;
 import pumicemoor.RouterApi.Outcome;
-import pumicemoor.RouterApi.Prices;
+import pumicemoor.RouterApi.Costs;
 import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.ReportBy;
 import pumicemoor.RouterApi.RequestClass;
@@ -113,7 +113,7 @@
                         specifics.integer("notice-time-us", 0),
                         specifics.integer("purge-settles-us", 0),
                         rules.integer("ask-within-us", 0)),
-                new Prices(
+                new Costs(
                         prices.number("cross-zone", 0),
                         prices.number("waste", 0),
                         prices.number("probe", 0),
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -19,7 +19,7 @@
 import pumicemoor.RouterApi.MembersListed;
 import pumicemoor.RouterApi.Notes;
 import pumicemoor.RouterApi.Outcome;
-import pumicemoor.RouterApi.Prices;
+import pumicemoor.RouterApi.Costs;
 import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.ReportBy;
 import pumicemoor.RouterApi.RequestArrived;
@@ -117,7 +117,7 @@
                         SECOND,
                         6 * SECOND,
                         10 * SECOND),
-                new Prices(0.01, 0.1, 0.01, 0, 0.03, 0.1, 0.05),
+                new Costs(0.01, 0.1, 0.01, 0, 0.03, 0.1, 0.05),
                 new Fills(direct, joins, SiblingSources.LOCATION, notes, 10_000, 0, 0, List.of(0.0, 0.0)),
                 new LoadReports(ReportBy.NONE, List.of()),
                 false,
