--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -26,7 +26,7 @@
             List<RequestClass> classes,
             Limits limits,
             Rules rules,
-            Costs prices,
+            Costs costs,
             Fills fills,
             LoadReports loadReports,
             boolean watchList,
