--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -165,7 +165,7 @@
         if (!ticking) {
             ticking = true;
             out.accept(new SetTimer(TICK, 0));
-            if (settings.watchList()) {
+            if (settings.watchMembers()) {
                 out.accept(new WatchList(true));
             }
         }
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -29,7 +29,7 @@
             Costs costs,
             Fills fills,
             LoadReports loadReports,
-            boolean watchList,
+            boolean watchMembers,
             Weights weights,
             boolean clientsMarkRepeats) {}
 
