--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -31,7 +31,7 @@
             LoadReports loadReports,
             boolean watchMembers,
             Weights weights,
-            boolean clientsMarkRepeats) {}
+            boolean clientsMarkRetries) {}
 
     /** What a weight in the list of members stands for. */
     enum Weights {
