--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -932,7 +932,7 @@
             return true;
         }
         boolean parent = n.member.role() == Role.PARENT;
-        ColdStart cold = parent ? settings.rules().parent() : settings.rules().cache();
+        SlowStart cold = parent ? settings.rules().parent() : settings.rules().cache();
         int routers = parent ? Math.max(1, settings.routers()) : crew;
         double width = weighted
                 ? n.member.weight() / routers
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -89,8 +89,8 @@
     record Rules(
             long answerSlack,
             long drainGrace,
-            ColdStart cache,
-            ColdStart parent,
+            SlowStart cache,
+            SlowStart parent,
             long overloadSpan,
             long purgeGrace,
             long purgeDone,
@@ -99,7 +99,7 @@
     /**
      * A member starts with this share of its capacity, has all by warmAfter, falls over past the multiple.
      */
-    record ColdStart(double share, long warmAfter, double multiple) {}
+    record SlowStart(double share, long warmAfter, double multiple) {}
 
     /** Points taken off the result, each times its rate. */
     record Costs(
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/Vocabulary.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import pumicemoor.RouterApi.ColdStart;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Fills;
 import pumicemoor.RouterApi.Limits;
@@ -101,11 +101,11 @@
                 new Rules(
                         rules.integer("answer-slack-us", 0),
                         rules.integer("stop-sending-within-us", 0),
-                        new ColdStart(
+                        new SlowStart(
                                 rules.number("cold-from", 0),
                                 rules.integer("cold-us", 0),
                                 rules.number("tip-multiple", 0)),
-                        new ColdStart(
+                        new SlowStart(
                                 specifics.number("parent-starts-at", 0),
                                 specifics.integer("upper-cold-us", 0),
                                 specifics.number("parent-fall-multiple", 0)),
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
-import pumicemoor.RouterApi.ColdStart;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillNote;
 import pumicemoor.RouterApi.ListKind;
@@ -171,7 +171,7 @@
 
     private void bookCold() {
         Rules rules = setup.settings().rules();
-        ColdStart start = cold == COLD ? rules.cache() : rules.parent();
+        SlowStart start = cold == COLD ? rules.cache() : rules.parent();
         toCold.add(now);
         while (toCold.peekFirst() <= now - rules.overloadSpan()) {
             toCold.removeFirst();
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
-import pumicemoor.RouterApi.ColdStart;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillNote;
@@ -187,7 +187,7 @@
 
     private void bookCold() {
         Rules rules = oldShape.settings().rules();
-        ColdStart start = rules.cache();
+        SlowStart start = rules.cache();
         toCold.add(now);
         while (toCold.peekFirst() <= now - rules.overloadSpan()) {
             toCold.removeFirst();
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -15,7 +15,7 @@
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Cancel;
-import pumicemoor.RouterApi.ColdStart;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fail;
@@ -331,7 +331,7 @@
     private void checkCold(Member m) {
         List<Long> sent = coldWork.get(m.id());
         boolean parent = m.role() == Role.PARENT;
-        ColdStart cold = parent ? settings.rules().parent() : settings.rules().cache();
+        SlowStart cold = parent ? settings.rules().parent() : settings.rules().cache();
         if (sent == null || m.role() == Role.ORIGIN || now - m.started() > cold.warmAfter()) {
             return;
         }
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
-import pumicemoor.RouterApi.ColdStart;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fetch;
@@ -111,8 +111,8 @@
                 new Rules(
                         8 * MILLI,
                         2 * SECOND,
-                        new ColdStart(0.2, 10 * SECOND, 2.5),
-                        new ColdStart(0.1, 20 * SECOND, 2),
+                        new SlowStart(0.2, 10 * SECOND, 2.5),
+                        new SlowStart(0.1, 20 * SECOND, 2),
                         SECOND,
                         SECOND,
                         6 * SECOND,
