--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -943,7 +943,7 @@
             n.creditAt = now;
             n.credit = -random.nextDouble() * work;
         }
-        double share = cold.share() + (1 - cold.share()) * (n.creditAt - n.coldFrom) / cold.warmAfter();
+        double share = cold.initialShare() + (1 - cold.initialShare()) * (n.creditAt - n.coldFrom) / cold.warmAfter();
         double rate = COLD_SAFETY * cold.multiple() * share * width;
         n.credit = Math.min(n.credit + rate * (now - n.creditAt), rate * span * COLD_BURST);
         n.creditAt = now;
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -192,7 +192,7 @@
         while (toCold.peekFirst() <= now - rules.overloadSpan()) {
             toCold.removeFirst();
         }
-        double share = start.share() + (1 - start.share()) * (now - coldFrom) / start.warmAfter();
+        double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.warmAfter();
         worstCold =
                 Math.max(worstCold, toCold.size() * WORK / (start.multiple() * share * WIDTH * rules.overloadSpan()));
     }
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -338,7 +338,7 @@
         long span = settings.rules().overloadSpan();
         sent.removeIf(at -> at <= now - span);
         sent.add(now);
-        double share = cold.share() + (1 - cold.share()) * (now - m.started()) / cold.warmAfter();
+        double share = cold.initialShare() + (1 - cold.initialShare()) * (now - m.started()) / cold.warmAfter();
         double budget = cold.multiple() * share * m.weight() * span / (parent ? settings.routers() : setup.routersHere);
         assertTrue(sent.size() * WORK <= budget + WORK, "pushed over " + m + ": " + sent.size());
     }
