--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -943,7 +943,7 @@
             n.creditAt = now;
             n.credit = -random.nextDouble() * work;
         }
-        double share = cold.initialShare() + (1 - cold.initialShare()) * (n.creditAt - n.coldFrom) / cold.warmAfter();
+        double share = cold.initialShare() + (1 - cold.initialShare()) * (n.creditAt - n.coldFrom) / cold.rampDuration();
         double rate = COLD_SAFETY * cold.multiple() * share * width;
         n.credit = Math.min(n.credit + rate * (now - n.creditAt), rate * span * COLD_BURST);
         n.creditAt = now;
@@ -960,7 +960,7 @@
         Rules rules = settings.rules();
         return n.member.role() == Role.ORIGIN
                 || n.coldFrom == 0
-                || now - n.coldFrom >= (n.member.role() == Role.PARENT ? rules.parent() : rules.cache()).warmAfter();
+                || now - n.coldFrom >= (n.member.role() == Role.PARENT ? rules.parent() : rules.cache()).rampDuration();
     }
 
     /** What a warm member of this kind serves this router, in transfers, lately. */
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -176,7 +176,7 @@
         while (toCold.peekFirst() <= now - rules.overloadSpan()) {
             toCold.removeFirst();
         }
-        double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.warmAfter();
+        double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.rampDuration();
         double budget = start.multiple() * share * coldWidth * rules.overloadSpan();
         worst = Math.max(worst, toCold.size() * WORK / budget);
     }
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -163,7 +163,7 @@
         int attempt = attemptsOf.merge(id, 1, Integer::sum) - 1;
         boolean pastGrace = drainedAt > 0 && now > drainedAt + 2 * SECOND;
         afterDrain += (member == DRAINING || source == DRAINING) && pastGrace ? 1 : 0;
-        long warmAt = coldFrom + oldShape.settings().rules().cache().warmAfter(); // the rule ends there
+        long warmAt = coldFrom + oldShape.settings().rules().cache().rampDuration(); // the rule ends there
         if ((member == COLD || source == COLD) && now >= coldFrom && now < warmAt) {
             bookCold();
         }
@@ -192,7 +192,7 @@
         while (toCold.peekFirst() <= now - rules.overloadSpan()) {
             toCold.removeFirst();
         }
-        double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.warmAfter();
+        double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.rampDuration();
         worstCold =
                 Math.max(worstCold, toCold.size() * WORK / (start.multiple() * share * WIDTH * rules.overloadSpan()));
     }
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -332,13 +332,13 @@
         List<Long> sent = coldWork.get(m.id());
         boolean parent = m.role() == Role.PARENT;
         SlowStart cold = parent ? settings.rules().parent() : settings.rules().cache();
-        if (sent == null || m.role() == Role.ORIGIN || now - m.started() > cold.warmAfter()) {
+        if (sent == null || m.role() == Role.ORIGIN || now - m.started() > cold.rampDuration()) {
             return;
         }
         long span = settings.rules().overloadSpan();
         sent.removeIf(at -> at <= now - span);
         sent.add(now);
-        double share = cold.initialShare() + (1 - cold.initialShare()) * (now - m.started()) / cold.warmAfter();
+        double share = cold.initialShare() + (1 - cold.initialShare()) * (now - m.started()) / cold.rampDuration();
         double budget = cold.multiple() * share * m.weight() * span / (parent ? settings.routers() : setup.routersHere);
         assertTrue(sent.size() * WORK <= budget + WORK, "pushed over " + m + ": " + sent.size());
     }
