--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -944,7 +944,7 @@
             n.credit = -random.nextDouble() * work;
         }
         double share = cold.initialShare() + (1 - cold.initialShare()) * (n.creditAt - n.coldFrom) / cold.rampDuration();
-        double rate = COLD_SAFETY * cold.multiple() * share * width;
+        double rate = COLD_SAFETY * cold.overloadFactor() * share * width;
         n.credit = Math.min(n.credit + rate * (now - n.creditAt), rate * span * COLD_BURST);
         n.creditAt = now;
         return n.credit > 0 && work <= rate * routers * span;
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -99,7 +99,7 @@
     /**
      * A member starts with this share of its capacity, has all by warmAfter, falls over past the multiple.
      */
-    record SlowStart(double initialShare, long rampDuration, double multiple) {}
+    record SlowStart(double initialShare, long rampDuration, double overloadFactor) {}
 
     /** Points taken off the result, each times its rate. */
     record Costs(
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -177,7 +177,7 @@
             toCold.removeFirst();
         }
         double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.rampDuration();
-        double budget = start.multiple() * share * coldWidth * rules.overloadSpan();
+        double budget = start.overloadFactor() * share * coldWidth * rules.overloadSpan();
         worst = Math.max(worst, toCold.size() * WORK / budget);
     }
 
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -194,7 +194,7 @@
         }
         double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.rampDuration();
         worstCold =
-                Math.max(worstCold, toCold.size() * WORK / (start.multiple() * share * WIDTH * rules.overloadSpan()));
+                Math.max(worstCold, toCold.size() * WORK / (start.overloadFactor() * share * WIDTH * rules.overloadSpan()));
     }
 
     @Test
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -339,7 +339,7 @@
         sent.removeIf(at -> at <= now - span);
         sent.add(now);
         double share = cold.initialShare() + (1 - cold.initialShare()) * (now - m.started()) / cold.rampDuration();
-        double budget = cold.multiple() * share * m.weight() * span / (parent ? settings.routers() : setup.routersHere);
+        double budget = cold.overloadFactor() * share * m.weight() * span / (parent ? settings.routers() : setup.routersHere);
         assertTrue(sent.size() * WORK <= budget + WORK, "pushed over " + m + ": " + sent.size());
     }
 }
