--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -89,7 +89,7 @@
     record Rules(
             long answerSlack,
             long drainGrace,
-            SlowStart cache,
+            SlowStart cacheSlowStart,
             SlowStart parent,
             long overloadSpan,
             long purgeGrace,
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -163,7 +163,7 @@
         int attempt = attemptsOf.merge(id, 1, Integer::sum) - 1;
         boolean pastGrace = drainedAt > 0 && now > drainedAt + 2 * SECOND;
         afterDrain += (member == DRAINING || source == DRAINING) && pastGrace ? 1 : 0;
-        long warmAt = coldFrom + oldShape.settings().rules().cache().rampDuration(); // the rule ends there
+        long warmAt = coldFrom + oldShape.settings().rules().cacheSlowStart().rampDuration(); // the rule ends there
         if ((member == COLD || source == COLD) && now >= coldFrom && now < warmAt) {
             bookCold();
         }
@@ -187,7 +187,7 @@
 
     private void bookCold() {
         Rules rules = oldShape.settings().rules();
-        SlowStart start = rules.cache();
+        SlowStart start = rules.cacheSlowStart();
         toCold.add(now);
         while (toCold.peekFirst() <= now - rules.overloadSpan()) {
             toCold.removeFirst();
