--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -932,7 +932,7 @@
             return true;
         }
         boolean parent = n.member.role() == Role.PARENT;
-        SlowStart cold = parent ? settings.rules().parent() : settings.rules().cacheSlowStart();
+        SlowStart cold = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
         int routers = parent ? Math.max(1, settings.routers()) : crew;
         double width = weighted
                 ? n.member.weight() / routers
@@ -960,7 +960,7 @@
         Rules rules = settings.rules();
         return n.member.role() == Role.ORIGIN
                 || n.coldFrom == 0
-                || now - n.coldFrom >= (n.member.role() == Role.PARENT ? rules.parent() : rules.cacheSlowStart()).rampDuration();
+                || now - n.coldFrom >= (n.member.role() == Role.PARENT ? rules.parentSlowStart() : rules.cacheSlowStart()).rampDuration();
     }
 
     /** What a warm member of this kind serves this router, in transfers, lately. */
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -90,7 +90,7 @@
             long answerSlack,
             long drainGrace,
             SlowStart cacheSlowStart,
-            SlowStart parent,
+            SlowStart parentSlowStart,
             long overloadSpan,
             long purgeGrace,
             long purgeDone,
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -742,7 +742,7 @@
             drained = fleet.filter(FleetPart::drains).map(x -> new DrainedMembers());
         });
         set.hierarchy().ifPresent(h -> {
-            long coldTime = settings.rules().parent().rampDuration();
+            long coldTime = settings.rules().parentSlowStart().rampDuration();
             Hierarchy.Setup setup =
                     new Hierarchy.Setup(h.depot().isEmpty() ? location : h.depot(), h.news(), h.timing(), coldTime);
             hierarchy = Optional.of(Hierarchy.start(
--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -43,7 +43,7 @@
                 limits,
                 verdicts,
                 drains.map(
-                        d -> d.warming(rules.cacheSlowStart().rampDuration(), rules.parent().rampDuration())),
+                        d -> d.warming(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
                 cells);
     }
 }
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -171,7 +171,7 @@
 
     private void bookCold() {
         Rules rules = setup.settings().rules();
-        SlowStart start = cold == COLD ? rules.cacheSlowStart() : rules.parent();
+        SlowStart start = cold == COLD ? rules.cacheSlowStart() : rules.parentSlowStart();
         toCold.add(now);
         while (toCold.peekFirst() <= now - rules.overloadSpan()) {
             toCold.removeFirst();
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -331,7 +331,7 @@
     private void checkCold(Member m) {
         List<Long> sent = coldWork.get(m.id());
         boolean parent = m.role() == Role.PARENT;
-        SlowStart cold = parent ? settings.rules().parent() : settings.rules().cacheSlowStart();
+        SlowStart cold = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
         if (sent == null || m.role() == Role.ORIGIN || now - m.started() > cold.rampDuration()) {
             return;
         }
