--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -937,7 +937,7 @@
         double width = weighted
                 ? n.member.weight() / routers
                 : Math.max(COLD_WIDTH / routers, COLD_SMALLER * usualFlow(parent ? parents : caches));
-        double span = settings.rules().overloadSpan();
+        double span = settings.rules().overloadWindow();
         double work = countedWork(n, job);
         if (n.creditAt < n.coldFrom) {
             n.creditAt = now;
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -91,7 +91,7 @@
             long drainGrace,
             SlowStart cacheSlowStart,
             SlowStart parentSlowStart,
-            long overloadSpan,
+            long overloadWindow,
             long purgeGrace,
             long purgeDone,
             long askWithin) {}
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -173,11 +173,11 @@
         Rules rules = setup.settings().rules();
         SlowStart start = cold == COLD ? rules.cacheSlowStart() : rules.parentSlowStart();
         toCold.add(now);
-        while (toCold.peekFirst() <= now - rules.overloadSpan()) {
+        while (toCold.peekFirst() <= now - rules.overloadWindow()) {
             toCold.removeFirst();
         }
         double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.rampDuration();
-        double budget = start.overloadFactor() * share * coldWidth * rules.overloadSpan();
+        double budget = start.overloadFactor() * share * coldWidth * rules.overloadWindow();
         worst = Math.max(worst, toCold.size() * WORK / budget);
     }
 
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -189,12 +189,12 @@
         Rules rules = oldShape.settings().rules();
         SlowStart start = rules.cacheSlowStart();
         toCold.add(now);
-        while (toCold.peekFirst() <= now - rules.overloadSpan()) {
+        while (toCold.peekFirst() <= now - rules.overloadWindow()) {
             toCold.removeFirst();
         }
         double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.rampDuration();
         worstCold =
-                Math.max(worstCold, toCold.size() * WORK / (start.overloadFactor() * share * WIDTH * rules.overloadSpan()));
+                Math.max(worstCold, toCold.size() * WORK / (start.overloadFactor() * share * WIDTH * rules.overloadWindow()));
     }
 
     @Test
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -335,7 +335,7 @@
         if (sent == null || m.role() == Role.ORIGIN || now - m.started() > cold.rampDuration()) {
             return;
         }
-        long span = settings.rules().overloadSpan();
+        long span = settings.rules().overloadWindow();
         sent.removeIf(at -> at <= now - span);
         sent.add(now);
         double share = cold.initialShare() + (1 - cold.initialShare()) * (now - m.started()) / cold.rampDuration();
