--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -278,7 +278,7 @@
             }
         }
         Predicate<Long> settled =
-                at -> at < now - PURGE_LIVES * settings.rules().purgeDone();
+                at -> at < now - PURGE_LIVES * settings.rules().purgeSettleTime();
         purgedObjects.values().removeIf(settled);
         purgedGroups.values().removeIf(settled);
     }
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -93,7 +93,7 @@
             SlowStart parentSlowStart,
             long overloadWindow,
             long purgeGrace,
-            long purgeDone,
+            long purgeSettleTime,
             long askWithin) {}
 
     /**
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -139,7 +139,7 @@
         router = new Logic(settings, random.nextLong());
         handle(new MembersListed(ListKind.REMEMBERED, 1, List.copyOf(setup.members)));
         purges.forEach((key, at) -> {
-            if (now - at[0] < settings.rules().purgeDone()) {
+            if (now - at[0] < settings.rules().purgeSettleTime()) {
                 tell(key, at);
             }
         });
@@ -320,7 +320,7 @@
         RequestArrived q = requests.get(f.id()).arrived;
         for (String key : List.of(q.object(), "group " + q.group())) {
             long[] at = purges.get(key);
-            if (at != null && now - at[0] < settings.rules().purgeDone() && q.requestClass() == RouterHarness.PAGE) {
+            if (at != null && now - at[0] < settings.rules().purgeSettleTime() && q.requestClass() == RouterHarness.PAGE) {
                 long oldest = f.oldest() > 0 ? f.oldest() : setup.fresh > 0 ? setup.fresh : Long.MAX_VALUE;
                 assertTrue(oldest <= Math.max(1, now - at[0]), "may be answered from before the purge of " + key);
             }
