--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -391,7 +391,7 @@
      * that is late and full goes what another, neither late nor full, can take: one may be slow by itself. */
     private Node source(Job job, Node edge) {
         Predicate<Node> usable = n -> up(n) && !job.failed.contains(n.member.id()) && coldRoom(n, job);
-        if (edge != null && settings.fills().siblings() != SiblingSources.NONE) {
+        if (edge != null && settings.fills().siblings() != SiblingScope.NONE) {
             for (Holder h : entry(job).holders) {
                 if (h.node != edge && alive(h, job) && usable.test(h.node) && mayWait(job, edge, h)) {
                     return h.node;
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -106,7 +106,7 @@
             double crossZone, double waste, double probe, double peer, double lateFail, double origin, double linkIn) {}
 
     /** Which caches may be the source of a fill. */
-    enum SiblingSources {
+    enum SiblingScope {
         NONE,
         LOCATION,
         ANY
@@ -123,7 +123,7 @@
     record Fills(
             boolean direct,
             boolean joins,
-            SiblingSources siblings,
+            SiblingScope siblings,
             Notes notes,
             double transferKbPerSecond,
             double originFallMultiple,
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/Vocabulary.java
@@ -18,7 +18,7 @@
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.Rules;
 import pumicemoor.RouterApi.Settings;
-import pumicemoor.RouterApi.SiblingSources;
+import pumicemoor.RouterApi.SiblingScope;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.Weights;
 
@@ -29,8 +29,8 @@
             Map.of("pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
     private static final Map<String, DeduplicationScope> GROUPS =
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
-    private static final Map<String, SiblingSources> SIBLINGS =
-            Map.of("none", SiblingSources.NONE, "location", SiblingSources.LOCATION, "any", SiblingSources.ANY);
+    private static final Map<String, SiblingScope> SIBLINGS =
+            Map.of("none", SiblingScope.NONE, "location", SiblingScope.LOCATION, "any", SiblingScope.ANY);
     private static final Map<String, Notes> NOTES = Map.of("none", Notes.NONE, "hit", Notes.HIT_ONLY, "all", Notes.ALL);
     private static final Map<String, ReportBy> REPORTS =
             Map.of("none", ReportBy.NONE, "probe", ReportBy.PROBE, "answers", ReportBy.ANSWER);
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -27,7 +27,7 @@
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.Rules;
 import pumicemoor.RouterApi.Settings;
-import pumicemoor.RouterApi.SiblingSources;
+import pumicemoor.RouterApi.SiblingScope;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.Weights;
@@ -118,7 +118,7 @@
                         6 * SECOND,
                         10 * SECOND),
                 new Costs(0.01, 0.1, 0.01, 0, 0.03, 0.1, 0.05),
-                new Fills(direct, joins, SiblingSources.LOCATION, notes, 10_000, 0, 0, List.of(0.0, 0.0)),
+                new Fills(direct, joins, SiblingScope.LOCATION, notes, 10_000, 0, 0, List.of(0.0, 0.0)),
                 new LoadReports(ReportBy.NONE, List.of()),
                 false,
                 weights,
