--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -113,7 +113,7 @@
     }
 
     /** What an outcome tells of how a request was served. */
-    enum Notes {
+    enum FillReporting {
         NONE,
         HIT_ONLY,
         ALL
@@ -124,7 +124,7 @@
             boolean direct,
             boolean joins,
             SiblingScope siblings,
-            Notes notes,
+            FillReporting notes,
             double transferKbPerSecond,
             double originFallMultiple,
             long originBears,
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/Vocabulary.java
@@ -9,7 +9,7 @@
 import pumicemoor.RouterApi.Limits;
 import pumicemoor.RouterApi.LoadReports;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.Notes;
+import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Costs;
 import pumicemoor.RouterApi.DeduplicationScope;
@@ -31,7 +31,7 @@
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
     private static final Map<String, SiblingScope> SIBLINGS =
             Map.of("none", SiblingScope.NONE, "location", SiblingScope.LOCATION, "any", SiblingScope.ANY);
-    private static final Map<String, Notes> NOTES = Map.of("none", Notes.NONE, "hit", Notes.HIT_ONLY, "all", Notes.ALL);
+    private static final Map<String, FillReporting> NOTES = Map.of("none", FillReporting.NONE, "hit", FillReporting.HIT_ONLY, "all", FillReporting.ALL);
     private static final Map<String, ReportBy> REPORTS =
             Map.of("none", ReportBy.NONE, "probe", ReportBy.PROBE, "answers", ReportBy.ANSWER);
     private static final Map<String, Weights> WEIGHTS =
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -414,7 +414,7 @@
     void fillsSpareAnOriginThatTurnsDirectRequestsAway() {
         RouterHarness r = new RouterHarness().fleet(1, 1);
         r.direct = true;
-        r.notes = RouterApi.Notes.HIT_ONLY;
+        r.notes = RouterApi.FillReporting.HIT_ONLY;
         r.start();
         for (int i = 0; i < 30; i++) {
             r.now += 10 * MILLI;
@@ -468,7 +468,7 @@
     /** Caches and parents that bear much, before an origin whose weight is one. */
     private static RouterHarness hitsAloneAreTold() {
         RouterHarness r = new RouterHarness().fleet(16, 4);
-        r.notes = RouterApi.Notes.HIT_ONLY;
+        r.notes = RouterApi.FillReporting.HIT_ONLY;
         r.weights = RouterApi.Weights.ROUGH;
         r.members.replaceAll(m -> m.role() == RouterApi.Role.ORIGIN
                 ? m
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -25,7 +25,7 @@
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MembersListed;
-import pumicemoor.RouterApi.Notes;
+import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
@@ -93,7 +93,7 @@
         setup.fresh = random.nextBoolean() ? 0 : 2 * SECOND;
         setup.grace = setup.fresh;
         setup.routersHere = 1 + random.nextInt(3);
-        setup.notes = Notes.values()[random.nextInt(3)];
+        setup.notes = FillReporting.values()[random.nextInt(3)];
         setup.weights = random.nextBoolean() ? Weights.NONE : Weights.NOMINAL;
         settings = setup.settings();
         for (int i = 1; i <= 4; i++) {
@@ -308,8 +308,8 @@
         if (outcome == Outcome.OK) {
             q.over = true;
         }
-        FillNote told = settings.fills().notes() == Notes.ALL
-                        || settings.fills().notes() == Notes.HIT_ONLY
+        FillNote told = settings.fills().notes() == FillReporting.ALL
+                        || settings.fills().notes() == FillReporting.HIT_ONLY
                                 && note.ordinal() < FillNote.SOURCE_REFUSED.ordinal()
                 ? note
                 : FillNote.NONE;
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MembersListed;
-import pumicemoor.RouterApi.Notes;
+import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.RequestArrived;
@@ -58,7 +58,7 @@
         Random random = new Random(seed);
         RouterHarness setup = new RouterHarness();
         setup.direct = seed % 2 == 0;
-        setup.notes = Notes.values()[seed % 3];
+        setup.notes = FillReporting.values()[seed % 3];
         setup.weights = seed % 4 == 0 ? Weights.NOMINAL : Weights.NONE;
         setup.routersHere = 1 + seed % 3;
         setup.fresh = seed % 5 == 0 ? 3_000_000 : 0;
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -17,7 +17,7 @@
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MembersListed;
-import pumicemoor.RouterApi.Notes;
+import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Costs;
 import pumicemoor.RouterApi.DeduplicationScope;
@@ -56,7 +56,7 @@
     long fresh;
     int routersHere = 1;
     int attempts = 8;
-    Notes notes = Notes.ALL;
+    FillReporting notes = FillReporting.ALL;
     Weights weights = Weights.NONE;
     long grace;
 
