--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -675,7 +675,7 @@
 
     /** Counts an attempt late: for whom a note names, else once for the likely cache, source or origin. */
     private void tooMuch(Attempt a, Node known) {
-        boolean behindParent = settings.fills().notes() == FillReporting.ALL
+        boolean behindParent = settings.fills().fillReporting() == FillReporting.ALL
                 && origin != null
                 && a.source.member.role() == Role.PARENT
                 && origin.lateShare >= a.source.lateShare;
@@ -692,7 +692,7 @@
 
     /** Whether a parent's fill may have come from the origin with no note to tell. */
     private boolean unnamedBehind(Attempt a) {
-        return settings.fills().notes() != FillReporting.ALL && origin != null && a.source.member.role() == Role.PARENT;
+        return settings.fills().fillReporting() != FillReporting.ALL && origin != null && a.source.member.role() == Role.PARENT;
     }
 
     /** The limit of what a member has of ours, against any jam: it falls when an attempt sent after the last
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -124,7 +124,7 @@
             boolean direct,
             boolean joins,
             SiblingScope siblings,
-            FillReporting notes,
+            FillReporting fillReporting,
             double transferKbPerSecond,
             double originFallMultiple,
             long originBears,
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -308,8 +308,8 @@
         if (outcome == Outcome.OK) {
             q.over = true;
         }
-        FillNote told = settings.fills().notes() == FillReporting.ALL
-                        || settings.fills().notes() == FillReporting.HIT_ONLY
+        FillNote told = settings.fills().fillReporting() == FillReporting.ALL
+                        || settings.fills().fillReporting() == FillReporting.HIT_ONLY
                                 && note.ordinal() < FillNote.SOURCE_REFUSED.ordinal()
                 ? note
                 : FillNote.NONE;
