--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -284,7 +284,7 @@
     }
 
     /** What an outcome may tell of a fill. */
-    enum FillNote {
+    enum FillResult {
         NONE,
         HIT,
         FILLED,
@@ -309,7 +309,7 @@
             Outcome outcome,
             long latency,
             boolean closed,
-            FillNote note,
+            FillResult note,
             long waited,
             Map<String, Double> load,
             double kb)
@@ -323,7 +323,7 @@
                 Outcome outcome,
                 long latency,
                 boolean closed,
-                FillNote note,
+                FillResult note,
                 long waited,
                 Map<String, Double> load) {
             this(id, attempt, member, outcome, latency, closed, note, waited, load, 0);
@@ -331,7 +331,7 @@
 
         /** Whether this attempt has brought a fill itself; where that is not told, whether one was expected. */
         public boolean filled(boolean expected) {
-            return note == FillNote.FILLED || note == FillNote.FILLED_BY_ORIGIN || note == FillNote.NONE && expected;
+            return note == FillResult.FILLED || note == FillResult.FILLED_BY_ORIGIN || note == FillResult.NONE && expected;
         }
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -26,7 +26,7 @@
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Log;
@@ -72,17 +72,17 @@
     private static final Logger LOG = LoggerFactory.getLogger(Reducer.class);
     private static final long MILLI = 1_000;
     private static final long CLOCKS_AGREE = 1_000_000; // microseconds; machines' clocks are never closer than some
-    private static final Map<String, FillNote> NOTES = Map.ofEntries(
-            Map.entry("mem", FillNote.HIT),
-            Map.entry("parent", FillNote.FILLED),
-            Map.entry("origin", FillNote.FILLED_BY_ORIGIN),
-            Map.entry("shared", FillNote.JOINED),
-            Map.entry("old", FillNote.STALE),
-            Map.entry("denied", FillNote.SOURCE_REFUSED),
-            Map.entry("unreached", FillNote.SOURCE_FAILED),
-            Map.entry("absent", FillNote.SOURCE_LACKS),
-            Map.entry("crowded", FillNote.NO_PLACE),
-            Map.entry("behind", FillNote.ORIGIN_FAILED));
+    private static final Map<String, FillResult> NOTES = Map.ofEntries(
+            Map.entry("mem", FillResult.HIT),
+            Map.entry("parent", FillResult.FILLED),
+            Map.entry("origin", FillResult.FILLED_BY_ORIGIN),
+            Map.entry("shared", FillResult.JOINED),
+            Map.entry("old", FillResult.STALE),
+            Map.entry("denied", FillResult.SOURCE_REFUSED),
+            Map.entry("unreached", FillResult.SOURCE_FAILED),
+            Map.entry("absent", FillResult.SOURCE_LACKS),
+            Map.entry("crowded", FillResult.NO_PLACE),
+            Map.entry("behind", FillResult.ORIGIN_FAILED));
     private static final Map<Word, Outcome> OUTCOMES = Map.of(
             Word.DATA,
             Outcome.OK,
@@ -549,16 +549,16 @@
         end(
                 attempt,
                 outcome,
-                a.note() == null ? FillNote.NONE : NOTES.getOrDefault(a.note(), FillNote.NONE),
+                a.note() == null ? FillResult.NONE : NOTES.getOrDefault(a.note(), FillResult.NONE),
                 a.load(),
                 kb);
     }
 
     private void end(Attempt attempt, Outcome outcome) {
-        end(attempt, outcome, FillNote.NONE, Map.of(), 0);
+        end(attempt, outcome, FillResult.NONE, Map.of(), 0);
     }
 
-    private void end(Attempt attempt, Outcome outcome, FillNote note, Map<String, Double> load, double kb) {
+    private void end(Attempt attempt, Outcome outcome, FillResult note, Map<String, Double> load, double kb) {
         if (attempt == null) {
             return;
         }
@@ -568,7 +568,7 @@
         counters.add(Name.valueOf(outcome.name()));
         RequestTrace.attemptEnded(
                 request.asked.call(), attempt.number, outcome, note, attempt.written, now - attempt.sentAt);
-        if (drained.isPresent() && note == FillNote.HIT) {
+        if (drained.isPresent() && note == FillResult.HIT) {
             hits.add(now, attempt.member);
         }
         events.add(new AttemptEnded(
--- a/src/main/java/pumicemoor/node/RequestTrace.java
+++ b/src/main/java/pumicemoor/node/RequestTrace.java
@@ -2,7 +2,7 @@
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Outcome;
 
 /**
@@ -43,7 +43,7 @@
         }
     }
 
-    static void attemptEnded(String call, int number, Outcome outcome, FillNote note, boolean written, long micros) {
+    static void attemptEnded(String call, int number, Outcome outcome, FillResult note, boolean written, long micros) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "request {} attempt {} ended {} {} written {} after {} us",
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/Drill.java
@@ -18,7 +18,7 @@
 import pumicemoor.RouterApi.AnswerStarted;
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MembersListed;
@@ -42,7 +42,7 @@
             ListKind.REMEMBERED,
             "failed",
             ListKind.FAILED);
-    private static final FillNote[] FILL_NOTES = FillNote.values();
+    private static final FillResult[] FILL_NOTES = FillResult.values();
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -227,9 +227,9 @@
         return new MembersListed(kind, m.integer("gen", 0), members);
     }
 
-    private static FillNote note(Message m) throws WireException {
+    private static FillResult note(Message m) throws WireException {
         long note = m.integer("info", 0);
-        return note >= 0 && note < FILL_NOTES.length ? FILL_NOTES[(int) note] : FillNote.NONE;
+        return note >= 0 && note < FILL_NOTES.length ? FILL_NOTES[(int) note] : FillResult.NONE;
     }
 
     private static byte[] bytes(String text) throws WireException {
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -17,7 +17,7 @@
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Cancel;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Log;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Outcome;
@@ -61,7 +61,7 @@
         assertEquals(look.member(), look.source(), "asks the cache alone");
         assertEquals(
                 0,
-                only(Fetch.class, r.end(look, 0, Outcome.MISS, FillNote.NONE)).stream()
+                only(Fetch.class, r.end(look, 0, Outcome.MISS, FillResult.NONE)).stream()
                         .filter(f -> f.id().equals(look.id()))
                         .count(),
                 "waits for room at the source");
@@ -72,10 +72,10 @@
         RouterHarness r = new RouterHarness().fleet(5, 1).start();
         List<Fetch> sent = crowd(r, CROWD);
         Fetch look = sent.get(sent.size() - 1);
-        r.end(look, 0, Outcome.MISS, FillNote.NONE);
+        r.end(look, 0, Outcome.MISS, FillResult.NONE);
         List<Action> next = new ArrayList<>();
         for (Fetch f : sent.subList(0, 8)) {
-            next.addAll(r.end(f, 0, Outcome.OK, FillNote.FILLED));
+            next.addAll(r.end(f, 0, Outcome.OK, FillResult.FILLED));
         }
         assertTrue(only(Fetch.class, next).stream().anyMatch(f -> f.id().equals(look.id())));
     }
@@ -97,7 +97,7 @@
         for (int round = 0; round < 8; round++) {
             List<Fetch> sent = only(Fetch.class, r.ask("late" + round));
             r.now += 2 * SECOND;
-            sent.forEach(f -> r.end(f, 0, Outcome.OK, FillNote.HIT));
+            sent.forEach(f -> r.end(f, 0, Outcome.OK, FillResult.HIT));
         }
         assertTrue(crowd(r, 40).size() < before);
     }
@@ -112,7 +112,7 @@
             List<Cancel> cancels = only(Cancel.class, r.handle(new RequestGone(sent.id())));
             assertEquals(1, cancels.size());
             r.handle(new AttemptEnded(
-                    sent.id(), 0, sent.member(), Outcome.CANCELLED, 30 * MILLI, true, FillNote.NONE, 0, Map.of()));
+                    sent.id(), 0, sent.member(), Outcome.CANCELLED, 30 * MILLI, true, FillResult.NONE, 0, Map.of()));
         }
         assertEquals(before, crowd(r, 40).size());
     }
@@ -122,7 +122,7 @@
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
         Fetch sent = fetch(r.ask("a"));
         Fetch again = fetch(r.handle(new AttemptEnded(
-                sent.id(), 0, sent.member(), Outcome.ERROR, 2 * MILLI, false, FillNote.NONE, 0, Map.of())));
+                sent.id(), 0, sent.member(), Outcome.ERROR, 2 * MILLI, false, FillResult.NONE, 0, Map.of())));
         assertEquals(sent.member(), again.member());
     }
 
@@ -130,7 +130,7 @@
     void brokenConnectionMovesTheRequestToAnotherCache() {
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
         Fetch sent = fetch(r.ask("a"));
-        Fetch next = fetch(r.end(sent, 0, Outcome.RESET, FillNote.NONE));
+        Fetch next = fetch(r.end(sent, 0, Outcome.RESET, FillResult.NONE));
         assertNotEquals(sent.member(), next.member());
     }
 
@@ -138,7 +138,7 @@
     void aRequestThatFailsWhereverItIsSentIsGivenUpAndTakesNoMemberOut() {
         RouterHarness r = new RouterHarness().fleet(4, 2).start();
         for (int i = 0; i < 30; i++) {
-            r.serve("good" + i, FillNote.FILLED);
+            r.serve("good" + i, FillResult.FILLED);
         }
         for (int i = 0; i < 4; i++) {
             List<Action> actions = r.ask("bad");
@@ -146,7 +146,7 @@
                 assertTrue(attempt < 4, "sent a fifth time");
                 Fetch sent = fetch(actions);
                 actions = r.handle(new AttemptEnded(
-                        sent.id(), attempt, sent.member(), Outcome.ERROR, MILLI, false, FillNote.NONE, 0, Map.of()));
+                        sent.id(), attempt, sent.member(), Outcome.ERROR, MILLI, false, FillResult.NONE, 0, Map.of()));
                 assertEquals(List.of(), only(Log.class, actions));
             }
             assertEquals(1, only(Refuse.class, actions).size());
@@ -162,30 +162,30 @@
         }
         r.now += 100 * MILLI;
         List<Action> all = new ArrayList<>();
-        sent.forEach(f -> all.addAll(r.end(f, 0, Outcome.RESET, FillNote.NONE)));
+        sent.forEach(f -> all.addAll(r.end(f, 0, Outcome.RESET, FillResult.NONE)));
         assertEquals(List.of(), only(Log.class, all), "one connection has broken, the cache is not out");
         r.now += 100 * MILLI;
         Fetch next = fetch(r.ask("a"));
         r.now += 100 * MILLI;
         assertEquals(
-                1, only(Log.class, r.end(next, 0, Outcome.RESET, FillNote.NONE)).size(), "but after another");
+                1, only(Log.class, r.end(next, 0, Outcome.RESET, FillResult.NONE)).size(), "but after another");
     }
 
     @Test
     void aCacheLeftForResetsAloneIsAsWarmAsBeforeWhenItIsBack() {
         RouterHarness r = new RouterHarness().fleet(2, 2).start();
-        long home = r.serve("a", FillNote.FILLED).member();
+        long home = r.serve("a", FillResult.FILLED).member();
         for (int i = 0; i < 2; i++) {
             Fetch sent = fetch(r.ask("a"));
             assertEquals(home, sent.member());
             r.now += 10 * MILLI;
-            r.end(sent, 0, Outcome.RESET, FillNote.NONE);
+            r.end(sent, 0, Outcome.RESET, FillResult.NONE);
             r.now += 10 * MILLI;
         }
         assertNotEquals(home, fetch(r.ask("a")).member(), "out");
         r.now += 2 * SECOND;
         for (int i = 0; i < 4; i++) {
-            assertEquals(home, r.serve("a", FillNote.HIT).member(), "no share of a cold budget is waited for");
+            assertEquals(home, r.serve("a", FillResult.HIT).member(), "no share of a cold budget is waited for");
         }
     }
 
@@ -196,7 +196,7 @@
         for (int i = 0; i < 2; i++) {
             Fetch sent = fetch(r.ask("a"));
             gone = sent.member();
-            r.end(sent, 0, Outcome.CONNECT_FAILED, FillNote.NONE);
+            r.end(sent, 0, Outcome.CONNECT_FAILED, FillResult.NONE);
         }
         assertNotEquals(gone, fetch(r.ask("a")).member());
         r.now += 15 * SECOND;
@@ -206,7 +206,7 @@
     @Test
     void silentCacheIsLeftWhileOthersAnswer() {
         RouterHarness r = new RouterHarness().fleet(2, 1).start();
-        Fetch first = r.serve("a", FillNote.FILLED);
+        Fetch first = r.serve("a", FillResult.FILLED);
         r.now += MILLI;
         List<Action> later = new ArrayList<>(r.ask("a"));
         later.addAll(r.ask("a"));
@@ -221,7 +221,7 @@
     void sourcesAreNotBlamedWhileAllOfThemAreSilent() {
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
         Fetch sent = fetch(r.ask("a"));
-        r.serve("other", FillNote.HIT);
+        r.serve("other", FillResult.HIT);
         List<Action> later = r.pass(3 * SECOND);
         assertEquals(0, only(Cancel.class, later).size(), "waits for " + sent);
     }
@@ -236,7 +236,7 @@
             for (int attempt = 0; !next.isEmpty(); attempt++) {
                 sent++;
                 Fetch f = next.get(0);
-                next = only(Fetch.class, r.end(f, attempt, Outcome.MISS, FillNote.SOURCE_LACKS));
+                next = only(Fetch.class, r.end(f, attempt, Outcome.MISS, FillResult.SOURCE_LACKS));
             }
         }
         assertTrue(sent <= requests * 1.2 + 41, sent + " attempts");
@@ -279,24 +279,24 @@
         Fetch sent = fetch(r.ask("a"));
         r.now += 600 * MILLI;
         int attempt = 0;
-        List<Action> next = r.end(sent, attempt, Outcome.FULL, FillNote.SOURCE_FAILED);
+        List<Action> next = r.end(sent, attempt, Outcome.FULL, FillResult.SOURCE_FAILED);
         while (!only(Fetch.class, next).isEmpty() && fetch(next).oldest() == 2 * SECOND) {
-            next = r.end(fetch(next), ++attempt, Outcome.FULL, FillNote.SOURCE_FAILED);
+            next = r.end(fetch(next), ++attempt, Outcome.FULL, FillResult.SOURCE_FAILED);
         }
         Fetch stale = fetch(next);
         assertEquals(5 * SECOND, stale.oldest());
         assertTrue(stale.onlyIfHeld());
         assertEquals(
                 1,
-                only(Refuse.class, r.end(stale, ++attempt, Outcome.MISS, FillNote.NONE))
+                only(Refuse.class, r.end(stale, ++attempt, Outcome.MISS, FillResult.NONE))
                         .size());
     }
 
     @Test
     void objectsAskedForAgainAreKeptAboveOneTimeObjects() {
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
-        assertEquals(1, r.serve("a", FillNote.FILLED).keepRank());
-        assertEquals(2, r.serve("a", FillNote.HIT).keepRank());
+        assertEquals(1, r.serve("a", FillResult.FILLED).keepRank());
+        assertEquals(2, r.serve("a", FillResult.HIT).keepRank());
     }
 
     @Test
@@ -305,7 +305,7 @@
         int notes = 0;
         for (int i = 0; i < 20; i++) {
             Fetch f = fetch(r.ask("a"));
-            notes += only(TellPeer.class, r.end(f, 0, Outcome.OK, FillNote.FILLED))
+            notes += only(TellPeer.class, r.end(f, 0, Outcome.OK, FillResult.FILLED))
                     .size();
         }
         assertEquals(12, notes);
@@ -313,7 +313,7 @@
         Fetch f = fetch(quiet.ask("a"));
         assertEquals(
                 0,
-                only(TellPeer.class, quiet.end(f, 0, Outcome.OK, FillNote.FILLED))
+                only(TellPeer.class, quiet.end(f, 0, Outcome.OK, FillResult.FILLED))
                         .size());
     }
 
@@ -323,7 +323,7 @@
         long home = fetch(teller.ask("a")).member();
         teller.change(home, State.DRAINING, 0);
         Fetch f = fetch(teller.ask("a"));
-        TellPeer note = only(TellPeer.class, teller.end(f, 0, Outcome.OK, FillNote.FILLED))
+        TellPeer note = only(TellPeer.class, teller.end(f, 0, Outcome.OK, FillResult.FILLED))
                 .get(0);
         RouterHarness hearer = noting(1);
         hearer.handle(new PeerNote(1, note.text()));
@@ -341,18 +341,18 @@
         Fetch first = fetch(r.ask("a"));
         assertEquals(
                 -1,
-                only(TellPeer.class, r.end(first, 0, Outcome.OK, FillNote.FILLED))
+                only(TellPeer.class, r.end(first, 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
                         .router());
         r.handle(new PeerNote(
                 7,
-                only(TellPeer.class, r.end(fetch(r.ask("b")), 0, Outcome.OK, FillNote.FILLED))
+                only(TellPeer.class, r.end(fetch(r.ask("b")), 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
                         .text()));
-        List<TellPeer> told = only(TellPeer.class, r.end(fetch(r.ask("c")), 0, Outcome.OK, FillNote.FILLED));
+        List<TellPeer> told = only(TellPeer.class, r.end(fetch(r.ask("c")), 0, Outcome.OK, FillResult.FILLED));
         assertEquals(List.of(7), told.stream().map(TellPeer::router).toList());
         RouterHarness alone = noting(1);
-        assertTrue(only(TellPeer.class, alone.end(fetch(alone.ask("a")), 0, Outcome.OK, FillNote.FILLED))
+        assertTrue(only(TellPeer.class, alone.end(fetch(alone.ask("a")), 0, Outcome.OK, FillResult.FILLED))
                 .isEmpty());
     }
 
@@ -380,7 +380,7 @@
             Fetch fetch = fetch(r.ask("o" + i, RouterHarness.PAGE, 0));
             r.pass(1_200 * MILLI);
             r.handle(new AttemptEnded(
-                    fetch.id(), 0, fetch.member(), Outcome.OK, 1_200 * MILLI, true, FillNote.HIT, 0, Map.of()));
+                    fetch.id(), 0, fetch.member(), Outcome.OK, 1_200 * MILLI, true, FillResult.HIT, 0, Map.of()));
         }
         for (int i = 0; i < 6; i++) {
             assertEquals(
@@ -396,7 +396,7 @@
         for (int i = 0; i < 40; i++) {
             Fetch fetch = fetch(r.ask("o" + i));
             r.pass(fetch.source() == slow ? 4 * SECOND : 100 * MILLI);
-            r.end(fetch, 0, Outcome.OK, fetch.source() == slow ? FillNote.FILLED : FillNote.FILLED_BY_ORIGIN);
+            r.end(fetch, 0, Outcome.OK, fetch.source() == slow ? FillResult.FILLED : FillResult.FILLED_BY_ORIGIN);
         }
         int wentPast = 0;
         for (int i = 0; i < 30; i++) {
@@ -419,7 +419,7 @@
         for (int i = 0; i < 30; i++) {
             r.now += 10 * MILLI;
             RouterApi.Lookup write = RouterHarness.lookup(r.ask("w" + i, RouterHarness.WRITE, 100));
-            r.end(write.id(), 0, write.member(), Outcome.FULL, FillNote.NONE);
+            r.end(write.id(), 0, write.member(), Outcome.FULL, FillResult.NONE);
         }
         long looks = 0;
         for (int i = 0; i < 6; i++) {
@@ -431,7 +431,7 @@
     }
 
     /** Answers all that is out, 0.1 s after it left, and what follows from that; looks find nothing. */
-    private static int answerAll(RouterHarness r, List<Fetch> out, FillNote note) {
+    private static int answerAll(RouterHarness r, List<Fetch> out, FillResult note) {
         java.util.Deque<Fetch> open = new java.util.ArrayDeque<>(out);
         java.util.Map<String, Integer> attempts = new java.util.HashMap<>();
         int filled = 0;
@@ -446,7 +446,7 @@
                             f,
                             attempts.merge(f.id(), 1, Integer::sum) - 1,
                             look ? Outcome.MISS : Outcome.OK,
-                            look ? FillNote.NONE : note)));
+                            look ? FillResult.NONE : note)));
         }
         return filled;
     }
@@ -481,15 +481,15 @@
     void fillsSpareTheOriginBehindParentsThatAreAllLate() {
         RouterHarness r = hitsAloneAreTold();
         for (int round = 0; round < 20; round++) {
-            answerAll(r, askAll(r, "intime" + round + "-", 12), FillNote.NONE);
+            answerAll(r, askAll(r, "intime" + round + "-", 12), FillResult.NONE);
         }
         List<Fetch> out = askAll(r, "before", 60);
         long before = fills(out);
-        answerAll(r, out, FillNote.NONE);
+        answerAll(r, out, FillResult.NONE);
         for (int round = 0; round < 12; round++) {
             List<Fetch> late = askAll(r, "late" + round + "-", 16);
             r.pass(4 * SECOND);
-            answerAll(r, late, FillNote.NONE);
+            answerAll(r, late, FillResult.NONE);
         }
         long after = fills(askAll(r, "next", 60));
         assertTrue(after > 0 && after < before / 2, () -> "fills let out at once: " + before + ", then " + after);
@@ -502,7 +502,7 @@
         long first = fills(askAll(r, "first", 12));
         r = hitsAloneAreTold();
         for (int round = 0; round < 20; round++) {
-            answerAll(r, askAll(r, "round" + round + "-", 12), FillNote.NONE);
+            answerAll(r, askAll(r, "round" + round + "-", 12), FillResult.NONE);
         }
         long later = fills(askAll(r, "later", 12));
         assertTrue(first < 8 && later > first, () -> "at first " + first + ", later " + later);
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -13,7 +13,7 @@
 import pumicemoor.RouterApi.Allowance;
 import pumicemoor.RouterApi.AllowancesGiven;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Measure;
@@ -55,9 +55,9 @@
                                     .filter(a -> a instanceof Fetch o && o.id().equals(f.id()))
                                     .count(),
                             Outcome.OK,
-                            FillNote.FILLED));
+                            FillResult.FILLED));
                 } else if (now.get(j) instanceof Lookup l) {
-                    now.addAll(r.end(l.id(), 0, l.member(), Outcome.OK, FillNote.NONE));
+                    now.addAll(r.end(l.id(), 0, l.member(), Outcome.OK, FillResult.NONE));
                 }
             }
             all.addAll(now);
@@ -113,7 +113,7 @@
         }
         assertEquals(2, reach(all, 900));
         Lookup first = RouterHarness.only(Lookup.class, all).get(0);
-        assertEquals(1, reach(r.end(first.id(), 0, 900, Outcome.OK, FillNote.NONE), 900), "the next goes as one ends");
+        assertEquals(1, reach(r.end(first.id(), 0, 900, Outcome.OK, FillResult.NONE), 900), "the next goes as one ends");
         RouterHarness warm = limited(new Allowance(900, Measure.COLD_IN_FLIGHT, 2, Long.MAX_VALUE, 2));
         List<Action> more = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -146,7 +146,7 @@
                         away ? Outcome.OK : Outcome.MISS,
                         MILLI,
                         false,
-                        away ? FillNote.FILLED : FillNote.NONE,
+                        away ? FillResult.FILLED : FillResult.NONE,
                         0,
                         java.util.Map.of(),
                         away ? 10 : 0)));
@@ -173,12 +173,12 @@
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
         List<Fetch> plain = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            plain.add(r.serve("o" + i, FillNote.FILLED));
+            plain.add(r.serve("o" + i, FillResult.FILLED));
         }
         assertTrue(plain.stream().anyMatch(f -> f.member() == 2));
         r.handle(new VerdictsGiven(List.of(new MemberOut(2, 0, r.now + 20 * SECOND))));
         for (int i = 0; i < 60; i++) {
-            Fetch f = r.serve("o" + i, FillNote.FILLED);
+            Fetch f = r.serve("o" + i, FillResult.FILLED);
             assertNotEquals(2, f.member());
             assertNotEquals(2, f.source());
         }
@@ -186,7 +186,7 @@
         assertTrue(
                 Stream.iterate(0, i -> i + 1)
                         .limit(60)
-                        .map(i -> r.serve("o" + i, FillNote.HIT))
+                        .map(i -> r.serve("o" + i, FillResult.HIT))
                         .anyMatch(f -> f.member() == 2),
                 "its time is over");
         r.handle(new VerdictsGiven(List.of(new MemberOut(2, 0, r.now + 60 * SECOND))));
@@ -194,7 +194,7 @@
         assertTrue(
                 Stream.iterate(0, i -> i + 1)
                         .limit(60)
-                        .map(i -> r.serve("o" + i, FillNote.FILLED))
+                        .map(i -> r.serve("o" + i, FillResult.FILLED))
                         .anyMatch(f -> f.member() == 2),
                 "another process is not meant");
     }
@@ -210,7 +210,7 @@
             for (int i = 0; i < 4; i++) {
                 List<Action> sent = r.ask("o" + i);
                 for (Fetch f : RouterHarness.only(Fetch.class, sent)) {
-                    all.addAll(r.end(f, 0, Outcome.CONNECT_FAILED, FillNote.NONE));
+                    all.addAll(r.end(f, 0, Outcome.CONNECT_FAILED, FillResult.NONE));
                 }
                 all.addAll(r.pass(100 * MILLI));
             }
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -17,7 +17,7 @@
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MembersListed;
@@ -164,7 +164,7 @@
                                 fails ? Outcome.TIMEOUT : Outcome.OK,
                                 fails ? 2 * SECOND : WORK,
                                 true,
-                                fails ? FillNote.NONE : cold == COLD ? FillNote.HIT : FillNote.FILLED,
+                                fails ? FillResult.NONE : cold == COLD ? FillResult.HIT : FillResult.FILLED,
                                 0,
                                 Map.of())));
     }
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -17,7 +17,7 @@
 import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
@@ -173,7 +173,7 @@
                     () -> handle(
                             router,
                             new AttemptEnded(
-                                    id, attempt, member, Outcome.FULL, MILLI, false, FillNote.NONE, 0, Map.of())));
+                                    id, attempt, member, Outcome.FULL, MILLI, false, FillResult.NONE, 0, Map.of())));
             return;
         }
         busy.merge(member, 1, Integer::sum);
@@ -181,7 +181,7 @@
             busy.merge(member, -1, Integer::sum);
             served[router.kind]++;
             answered(id);
-            handle(router, new AttemptEnded(id, attempt, member, Outcome.OK, WORK, true, FillNote.HIT, 0, Map.of()));
+            handle(router, new AttemptEnded(id, attempt, member, Outcome.OK, WORK, true, FillResult.HIT, 0, Map.of()));
         });
     }
 
--- a/src/test/java/pumicemoor/OrdinaryPathTest.java
+++ b/src/test/java/pumicemoor/OrdinaryPathTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.State;
@@ -17,8 +17,8 @@
     @Test
     void sameObjectGoesToSameCacheAndParent() {
         RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        Fetch first = r.serve("a", FillNote.FILLED);
-        Fetch second = r.serve("a", FillNote.HIT);
+        Fetch first = r.serve("a", FillResult.FILLED);
+        Fetch second = r.serve("a", FillResult.HIT);
         assertEquals(first.member(), second.member());
         assertEquals(first.source(), second.source());
         assertTrue(first.source() > 100 && first.source() < 900);
@@ -27,13 +27,13 @@
     @Test
     void siblingThatHoldsTheObjectIsTheSourceOnceTheHashedCacheHasChanged() {
         RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        Fetch first = r.serve("a", FillNote.FILLED);
+        Fetch first = r.serve("a", FillResult.FILLED);
         long home = first.member();
         r.change(home, State.DRAINING, 0);
-        Fetch standIn = r.serve("a", FillNote.FILLED);
+        Fetch standIn = r.serve("a", FillResult.FILLED);
         assertNotEquals(home, standIn.member());
         r.change(home, State.READY, 0);
-        Fetch again = r.serve("a", FillNote.FILLED);
+        Fetch again = r.serve("a", FillResult.FILLED);
         assertEquals(home, again.member());
         assertEquals(standIn.member(), again.source());
     }
@@ -41,9 +41,9 @@
     @Test
     void referenceFadesAfterItsLife() {
         RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        long home = r.serve("a", FillNote.FILLED).member();
+        long home = r.serve("a", FillResult.FILLED).member();
         r.change(home, State.DRAINING, 0);
-        r.serve("a", FillNote.FILLED);
+        r.serve("a", FillResult.FILLED);
         r.change(home, State.READY, 0);
         r.now += 31 * RouterHarness.SECOND;
         assertTrue(RouterHarness.fetch(r.ask("a")).source() > 100);
@@ -52,9 +52,9 @@
     @Test
     void restartedSiblingIsForgotten() {
         RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        long home = r.serve("a", FillNote.FILLED).member();
+        long home = r.serve("a", FillResult.FILLED).member();
         r.change(home, State.DRAINING, 0);
-        long standIn = r.serve("a", FillNote.FILLED).member();
+        long standIn = r.serve("a", FillResult.FILLED).member();
         r.change(home, State.READY, 0);
         r.change(standIn, State.READY, r.now - 60 * RouterHarness.SECOND);
         assertTrue(RouterHarness.fetch(r.ask("a")).source() > 100);
@@ -69,12 +69,12 @@
     @Test
     void failedFillFromSiblingMovesOnToTheParent() {
         RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        long home = r.serve("a", FillNote.FILLED).member();
+        long home = r.serve("a", FillResult.FILLED).member();
         r.change(home, State.DRAINING, 0);
-        r.serve("a", FillNote.FILLED);
+        r.serve("a", FillResult.FILLED);
         r.change(home, State.READY, 0);
         Fetch fromSibling = RouterHarness.fetch(r.ask("a"));
-        Fetch next = RouterHarness.fetch(r.end(fromSibling, 0, Outcome.MISS, FillNote.SOURCE_LACKS));
+        Fetch next = RouterHarness.fetch(r.end(fromSibling, 0, Outcome.MISS, FillResult.SOURCE_LACKS));
         assertTrue(next.source() > 100);
     }
 }
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
@@ -241,7 +241,7 @@
         } else if (action instanceof Cancel c) {
             assertTrue(setup.cancel);
             Request q = requests.get(c.id());
-            later(2 * MILLI, () -> end(q, c.attempt(), Outcome.CANCELLED, FillNote.NONE, life));
+            later(2 * MILLI, () -> end(q, c.attempt(), Outcome.CANCELLED, FillResult.NONE, life));
         } else if (action instanceof SetTimer t) {
             int alive = life;
             later(t.delay(), () -> {
@@ -285,8 +285,8 @@
         double draw = random.nextDouble();
         Outcome[] outcomes = Outcome.values();
         Outcome outcome = draw < 0.8 ? Outcome.OK : outcomes[1 + random.nextInt(outcomes.length - 3)];
-        FillNote[] notes = FillNote.values();
-        FillNote note = outcome == Outcome.OK ? notes[random.nextInt(6)] : notes[6 + random.nextInt(5)];
+        FillResult[] notes = FillResult.values();
+        FillResult note = outcome == Outcome.OK ? notes[random.nextInt(6)] : notes[6 + random.nextInt(5)];
         long takes = draw > 0.97 ? 10 * SECOND : (long) (random.nextDouble() * random.nextDouble() * 900 * MILLI);
         later(
                 Math.min(takes, q.deadline - now),
@@ -298,7 +298,7 @@
                         alive));
     }
 
-    private void end(Request q, int attempt, Outcome outcome, FillNote note, int alive) {
+    private void end(Request q, int attempt, Outcome outcome, FillResult note, int alive) {
         if (alive != life || !q.open.remove(attempt)) {
             return;
         }
@@ -308,11 +308,11 @@
         if (outcome == Outcome.OK) {
             q.over = true;
         }
-        FillNote told = settings.fills().fillReporting() == FillReporting.ALL
+        FillResult told = settings.fills().fillReporting() == FillReporting.ALL
                         || settings.fills().fillReporting() == FillReporting.HIT_ONLY
-                                && note.ordinal() < FillNote.SOURCE_REFUSED.ordinal()
+                                && note.ordinal() < FillResult.SOURCE_REFUSED.ordinal()
                 ? note
-                : FillNote.NONE;
+                : FillResult.NONE;
         handle(new AttemptEnded(q.arrived.id(), attempt, 1, outcome, 50 * MILLI, q.over, told, 0, Map.of()));
     }
 
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -15,7 +15,7 @@
 import pumicemoor.RouterApi.Cancel;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
@@ -107,9 +107,9 @@
                         : random.nextInt(8) > 0
                                 ? Outcome.OK
                                 : Outcome.values()[random.nextInt(Outcome.values().length)];
-                FillNote note = outcome == Outcome.OK
-                        ? FillNote.values()[random.nextInt(5)]
-                        : random.nextBoolean() ? FillNote.NONE : FillNote.SOURCE_FAILED;
+                FillResult note = outcome == Outcome.OK
+                        ? FillResult.values()[random.nextInt(5)]
+                        : random.nextBoolean() ? FillResult.NONE : FillResult.SOURCE_FAILED;
                 handle.accept(new AttemptEnded(
                         o.id(),
                         o.attempt(),
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -9,7 +9,7 @@
 import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Fills;
 import pumicemoor.RouterApi.Limits;
 import pumicemoor.RouterApi.ListKind;
@@ -186,17 +186,17 @@
         return handle(new RequestArrived("q" + ++requests, requestClass, object, 0, 4, sizeKb, left, false));
     }
 
-    List<Action> end(Fetch fetch, int attempt, Outcome outcome, FillNote note) {
+    List<Action> end(Fetch fetch, int attempt, Outcome outcome, FillResult note) {
         return end(fetch.id(), attempt, fetch.member(), outcome, note);
     }
 
-    List<Action> end(String id, int attempt, long member, Outcome outcome, FillNote note) {
+    List<Action> end(String id, int attempt, long member, Outcome outcome, FillResult note) {
         return handle(
                 new AttemptEnded(id, attempt, member, outcome, 100 * MILLI, outcome == Outcome.OK, note, 0, Map.of()));
     }
 
     /** Asks for an object and serves it; returns how it was sent. */
-    Fetch serve(String object, FillNote note) {
+    Fetch serve(String object, FillResult note) {
         Fetch fetch = fetch(ask(object));
         now += 100 * MILLI;
         end(fetch, 0, Outcome.OK, note);
--- a/src/test/java/pumicemoor/RulesTest.java
+++ b/src/test/java/pumicemoor/RulesTest.java
@@ -18,7 +18,7 @@
 import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.NewsHeard;
 import pumicemoor.RouterApi.Outcome;
@@ -40,7 +40,7 @@
         RouterHarness r = new RouterHarness().fleet(1, 1).start();
         Fetch sent = fetch(r.ask("a"));
         r.now += 5 * SECOND;
-        assertEquals(1, finals(r.end(sent, 0, Outcome.TIMEOUT, FillNote.NONE)));
+        assertEquals(1, finals(r.end(sent, 0, Outcome.TIMEOUT, FillResult.NONE)));
     }
 
     @Test
@@ -64,7 +64,7 @@
         RouterHarness r = new RouterHarness().fleet(1, 1).start();
         Fetch sent = fetch(r.ask("a"));
         r.handle(new RequestGone(sent.id()));
-        List<Action> later = r.end(sent, 0, Outcome.CANCELLED, FillNote.NONE);
+        List<Action> later = r.end(sent, 0, Outcome.CANCELLED, FillResult.NONE);
         later.addAll(r.pass(6 * SECOND));
         assertEquals(0, finals(later));
         assertEquals(0, only(Fetch.class, later).size());
@@ -81,7 +81,7 @@
         r.fleet(2, 2).start();
         Lookup sent = lookup(r.ask("w", RouterHarness.WRITE, 0));
         assertEquals(900, sent.member());
-        List<Action> next = r.end(sent.id(), 0, 900, outcome, FillNote.NONE);
+        List<Action> next = r.end(sent.id(), 0, 900, outcome, FillResult.NONE);
         if (outcome.provesNotRun) {
             assertEquals(0, only(Fail.class, next).size());
         } else {
@@ -99,7 +99,7 @@
         r.effect = Idempotency.KEYED;
         r.group = group;
         r.fleet(3, 2).start();
-        List<Action> next = r.end(fetch(r.ask("a")), 0, Outcome.RESET, FillNote.NONE);
+        List<Action> next = r.end(fetch(r.ask("a")), 0, Outcome.RESET, FillResult.NONE);
         assertEquals(0, only(Fetch.class, next).size());
         assertEquals(group == DeduplicationScope.ALL ? 1 : 0, only(Refuse.class, next).size());
         assertEquals(group == DeduplicationScope.ALL ? 0 : 1, only(Fail.class, next).size());
@@ -108,14 +108,14 @@
     @Test
     void drainingMemberIsNeitherAskedNorNamed() {
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
-        Fetch first = r.serve("a", FillNote.FILLED);
+        Fetch first = r.serve("a", FillResult.FILLED);
         r.change(first.member(), State.DRAINING, 0);
         r.change(first.source(), State.GONE, 0);
         for (int i = 0; i < 40; i++) {
             for (Fetch sent : only(Fetch.class, r.ask("o" + i))) {
                 assertNotEquals(first.member(), sent.member());
                 assertNotEquals(first.source(), sent.source());
-                r.end(sent, 0, Outcome.OK, FillNote.FILLED);
+                r.end(sent, 0, Outcome.OK, FillResult.FILLED);
             }
         }
     }
@@ -132,7 +132,7 @@
             r.now += 5 * MILLI;
             for (Fetch f : only(Fetch.class, r.ask("o" + i))) {
                 sent += f.member() == 1 ? 1 : 0;
-                r.end(f, 0, Outcome.OK, FillNote.HIT);
+                r.end(f, 0, Outcome.OK, FillResult.HIT);
             }
         }
         // 2.5 times at most 28 % of a cache of six transfers for one second, halved between two routers
@@ -149,7 +149,7 @@
             r.now += 10 * MILLI;
             for (Fetch f : only(Fetch.class, r.ask("o" + i))) {
                 fills += f.source() == 101 ? 1 : 0;
-                r.end(f, 0, Outcome.OK, FillNote.FILLED);
+                r.end(f, 0, Outcome.OK, FillResult.FILLED);
             }
         }
         assertTrue(fills * 0.1 <= 2 * 0.15 * 6 / 2, fills + " fills");
@@ -158,7 +158,7 @@
     @Test
     void copiesFromBeforeAPurgeAreShutOutFromTheMomentItIsTold() {
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
-        r.serve("a", FillNote.FILLED);
+        r.serve("a", FillResult.FILLED);
         r.handle(new Purged("a", 4, 200 * MILLI));
         assertTrue(fetch(r.ask("a")).oldest() <= 200 * MILLI);
         r.now += 3 * SECOND;
--- a/src/test/java/pumicemoor/ShrunkenFleetTest.java
+++ b/src/test/java/pumicemoor/ShrunkenFleetTest.java
@@ -12,7 +12,7 @@
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Refuse;
@@ -28,7 +28,7 @@
         for (int step = 0; step < 60; step++) {
             for (Fetch fetch : only(Fetch.class, all)
                     .subList(attempts, only(Fetch.class, all).size())) {
-                all.addAll(r.end(fetch.id(), attempts++, fetch.member(), Outcome.MISS, FillNote.SOURCE_LACKS));
+                all.addAll(r.end(fetch.id(), attempts++, fetch.member(), Outcome.MISS, FillResult.SOURCE_LACKS));
             }
             all.addAll(r.pass(100 * MILLI));
         }
--- a/src/test/java/pumicemoor/SourcesBenchmark.java
+++ b/src/test/java/pumicemoor/SourcesBenchmark.java
@@ -19,7 +19,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.MembersListed;
 import pumicemoor.RouterApi.Outcome;
@@ -110,7 +110,7 @@
                             Outcome.OK,
                             500,
                             true,
-                            number % 3 == 0 ? FillNote.FILLED : FillNote.HIT,
+                            number % 3 == 0 ? FillResult.FILLED : FillResult.HIT,
                             0,
                             Map.of()),
                     a -> {});
--- a/src/test/java/pumicemoor/SourcesTest.java
+++ b/src/test/java/pumicemoor/SourcesTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Source;
 import pumicemoor.RouterApi.SourceList;
@@ -42,7 +42,7 @@
     private static Fetch ask(RouterHarness r, int object) {
         Fetch fetch = RouterHarness.fetch(r.ask("o" + object));
         r.now += 100_000;
-        r.end(fetch, 0, Outcome.OK, FillNote.FILLED);
+        r.end(fetch, 0, Outcome.OK, FillResult.FILLED);
         return fetch;
     }
 
@@ -87,7 +87,7 @@
                 } else {
                     assertEquals(102, fetch.source());
                 }
-                r.end(fetch, 0, Outcome.OK, FillNote.FILLED);
+                r.end(fetch, 0, Outcome.OK, FillResult.FILLED);
             }
             moved.add(there);
         }
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -21,7 +21,7 @@
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
-import pumicemoor.RouterApi.FillNote;
+import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.MembersListed;
 import pumicemoor.RouterApi.Outcome;
@@ -185,7 +185,7 @@
         AttemptEnded end = of(events, AttemptEnded.class).get(0);
         assertEquals(Outcome.OK, end.outcome());
         assertTrue(end.closed());
-        assertEquals(FillNote.FILLED, end.note());
+        assertEquals(FillResult.FILLED, end.note());
         assertEquals(90 * MILLI, end.latency());
         assertEquals(Map.of("inflight", 7.0), end.load());
         pass(5 * SECOND);
