--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -610,12 +610,12 @@
             good(a.target);
             job.failed.add(a.source.member.id());
             forget(entry(job), a.source);
-        } else if (e.note().ordinal() >= FillResult.SOURCE_REFUSED.ordinal()) {
+        } else if (e.fillResult().ordinal() >= FillResult.SOURCE_REFUSED.ordinal()) {
             good(a.target);
             forget(entry(job), a.source);
             failed(job, a, a.source, e.latency());
-            if (e.note() != FillResult.NO_PLACE) {
-                tooMuch(a, e.note() == FillResult.ORIGIN_FAILED ? null : a.source);
+            if (e.fillResult() != FillResult.NO_PLACE) {
+                tooMuch(a, e.fillResult() == FillResult.ORIGIN_FAILED ? null : a.source);
             }
         } else if (e.outcome() == Outcome.FULL) {
             a.target.lastAnswer = now;
@@ -642,7 +642,7 @@
 
     private void served(Job job, Attempt a, AttemptEnded e) {
         boolean hit =
-                e.note() == FillResult.HIT || e.note() == FillResult.STALE || e.note() == FillResult.NONE && a.expectHit;
+                e.fillResult() == FillResult.HIT || e.fillResult() == FillResult.STALE || e.fillResult() == FillResult.NONE && a.expectHit;
         boolean late = now > a.lateFrom;
         good(a.target);
         flowed(a.target, job);
@@ -659,7 +659,7 @@
             flowed(a.source, job);
             lastFill = now;
             fillWait += MEAN_GAIN * (Math.max(0, e.latency() - job.work) - fillWait);
-            boolean byOrigin = e.note() == FillResult.FILLED_BY_ORIGIN;
+            boolean byOrigin = e.fillResult() == FillResult.FILLED_BY_ORIGIN;
             paced(byOrigin && origin != null ? origin : a.source, a, late);
             if (!late && unnamedBehind(a)) {
                 paced(origin, a, false);
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -309,7 +309,7 @@
             Outcome outcome,
             long latency,
             boolean closed,
-            FillResult note,
+            FillResult fillResult,
             long waited,
             Map<String, Double> load,
             double kb)
@@ -331,7 +331,7 @@
 
         /** Whether this attempt has brought a fill itself; where that is not told, whether one was expected. */
         public boolean filled(boolean expected) {
-            return note == FillResult.FILLED || note == FillResult.FILLED_BY_ORIGIN || note == FillResult.NONE && expected;
+            return fillResult == FillResult.FILLED || fillResult == FillResult.FILLED_BY_ORIGIN || fillResult == FillResult.NONE && expected;
         }
     }
 
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -185,7 +185,7 @@
         AttemptEnded end = of(events, AttemptEnded.class).get(0);
         assertEquals(Outcome.OK, end.outcome());
         assertTrue(end.closed());
-        assertEquals(FillResult.FILLED, end.note());
+        assertEquals(FillResult.FILLED, end.fillResult());
         assertEquals(90 * MILLI, end.latency());
         assertEquals(Map.of("inflight", 7.0), end.load());
         pass(5 * SECOND);
