--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -152,7 +152,7 @@
                 ? settings.routers()
                 : Math.max(1, settings.routersByLocation().get(settings.location()));
         this.retryTokens = Math.max(1, RETRY_BURST / crew);
-        this.weighted = settings.weights() == Weights.NOMINAL || settings.weights() == Weights.ROUGH;
+        this.weighted = settings.weights() == WeightMeaning.NOMINAL || settings.weights() == WeightMeaning.ROUGH;
         this.tightestAim =
                 settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(0);
         this.meanWork = new double[settings.classes().size()];
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -30,11 +30,11 @@
             Fills fills,
             LoadReports loadReports,
             boolean watchMembers,
-            Weights weights,
+            WeightMeaning weights,
             boolean clientsMarkRetries) {}
 
     /** What a weight in the list of members stands for. */
-    enum Weights {
+    enum WeightMeaning {
         NONE,
         NOMINAL,
         ROUGH,
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/Vocabulary.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.SiblingScope;
 import pumicemoor.RouterApi.State;
-import pumicemoor.RouterApi.Weights;
+import pumicemoor.RouterApi.WeightMeaning;
 
 /** The names that one instance's settings define, and the settings and list lines read with them. */
 public final class Vocabulary {
@@ -34,8 +34,8 @@
     private static final Map<String, FillReporting> NOTES = Map.of("none", FillReporting.NONE, "hit", FillReporting.HIT_ONLY, "all", FillReporting.ALL);
     private static final Map<String, ReportBy> REPORTS =
             Map.of("none", ReportBy.NONE, "probe", ReportBy.PROBE, "answers", ReportBy.ANSWER);
-    private static final Map<String, Weights> WEIGHTS =
-            Map.of("none", Weights.NONE, "nominal", Weights.NOMINAL, "rough", Weights.ROUGH, "live", Weights.LIVE);
+    private static final Map<String, WeightMeaning> WEIGHTS =
+            Map.of("none", WeightMeaning.NONE, "nominal", WeightMeaning.NOMINAL, "rough", WeightMeaning.ROUGH, "live", WeightMeaning.LIVE);
     private static final Map<String, State> STATES =
             Map.of("in_service", State.READY, "terminating", State.DRAINING, "terminated", State.GONE);
     private static final Map<Long, Outcome> OUTCOMES = Map.of(
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -469,7 +469,7 @@
     private static RouterHarness hitsAloneAreTold() {
         RouterHarness r = new RouterHarness().fleet(16, 4);
         r.notes = RouterApi.FillReporting.HIT_ONLY;
-        r.weights = RouterApi.Weights.ROUGH;
+        r.weights = RouterApi.WeightMeaning.ROUGH;
         r.members.replaceAll(m -> m.role() == RouterApi.Role.ORIGIN
                 ? m
                 : new RouterApi.Member(m.id(), m.role(), m.zone(), m.cell(), 500, m.started(), m.state()));
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -31,7 +31,7 @@
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TellPeer;
 import pumicemoor.RouterApi.TimerDue;
-import pumicemoor.RouterApi.Weights;
+import pumicemoor.RouterApi.WeightMeaning;
 
 /**
  * During a move, routers of the old shape (sizes told roughly, no peer notes, eight attempts) and of the new one
@@ -80,7 +80,7 @@
     }
 
     private void play(double load) {
-        oldShape.weights = Weights.ROUGH;
+        oldShape.weights = WeightMeaning.ROUGH;
         newShape.peerNotes = true;
         newShape.attempts = 6;
         for (RouterHarness shape : List.of(oldShape, newShape)) {
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -37,7 +37,7 @@
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
-import pumicemoor.RouterApi.Weights;
+import pumicemoor.RouterApi.WeightMeaning;
 
 /** Long random but legal days, on which all five rules are checked from outside, with books of its own. */
 class RandomDaysTest {
@@ -94,7 +94,7 @@
         setup.grace = setup.fresh;
         setup.routersHere = 1 + random.nextInt(3);
         setup.notes = FillReporting.values()[random.nextInt(3)];
-        setup.weights = random.nextBoolean() ? Weights.NONE : Weights.NOMINAL;
+        setup.weights = random.nextBoolean() ? WeightMeaning.NONE : WeightMeaning.NOMINAL;
         settings = setup.settings();
         for (int i = 1; i <= 4; i++) {
             setup.members.add(new Member(i, Role.CACHE, RouterHarness.HOME, i, WIDTH, 0, State.READY));
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -26,7 +26,7 @@
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
-import pumicemoor.RouterApi.Weights;
+import pumicemoor.RouterApi.WeightMeaning;
 
 /**
  * With nothing switched on, choices are those of before, action for action: a digest of all actions of simulated
@@ -59,7 +59,7 @@
         RouterHarness setup = new RouterHarness();
         setup.direct = seed % 2 == 0;
         setup.notes = FillReporting.values()[seed % 3];
-        setup.weights = seed % 4 == 0 ? Weights.NOMINAL : Weights.NONE;
+        setup.weights = seed % 4 == 0 ? WeightMeaning.NOMINAL : WeightMeaning.NONE;
         setup.routersHere = 1 + seed % 3;
         setup.fresh = seed % 5 == 0 ? 3_000_000 : 0;
         setup.grace = setup.fresh;
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -30,7 +30,7 @@
 import pumicemoor.RouterApi.SiblingScope;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
-import pumicemoor.RouterApi.Weights;
+import pumicemoor.RouterApi.WeightMeaning;
 
 /** Drives one router by hand: a clock, a fleet and the actions that come back. */
 final class RouterHarness {
@@ -57,7 +57,7 @@
     int routersHere = 1;
     int attempts = 8;
     FillReporting notes = FillReporting.ALL;
-    Weights weights = Weights.NONE;
+    WeightMeaning weights = WeightMeaning.NONE;
     long grace;
 
     long now = 1_000 * SECOND;
