--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -131,14 +131,14 @@
             List<Double> linkKbPerSecond) {}
 
     /** How load reports come. */
-    enum ReportBy {
+    enum LoadReportSource {
         NONE,
         PROBE,
         ANSWER
     }
 
     /** Load reports and what their two free fields mean. */
-    record LoadReports(ReportBy by, List<String> fields) {}
+    record LoadReports(LoadReportSource by, List<String> fields) {}
 
     // ---- members --------------------------------------------------------------------------------------
 
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/Vocabulary.java
@@ -13,7 +13,7 @@
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Costs;
 import pumicemoor.RouterApi.DeduplicationScope;
-import pumicemoor.RouterApi.ReportBy;
+import pumicemoor.RouterApi.LoadReportSource;
 import pumicemoor.RouterApi.RequestClass;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.Rules;
@@ -32,8 +32,8 @@
     private static final Map<String, SiblingScope> SIBLINGS =
             Map.of("none", SiblingScope.NONE, "location", SiblingScope.LOCATION, "any", SiblingScope.ANY);
     private static final Map<String, FillReporting> NOTES = Map.of("none", FillReporting.NONE, "hit", FillReporting.HIT_ONLY, "all", FillReporting.ALL);
-    private static final Map<String, ReportBy> REPORTS =
-            Map.of("none", ReportBy.NONE, "probe", ReportBy.PROBE, "answers", ReportBy.ANSWER);
+    private static final Map<String, LoadReportSource> REPORTS =
+            Map.of("none", LoadReportSource.NONE, "probe", LoadReportSource.PROBE, "answers", LoadReportSource.ANSWER);
     private static final Map<String, WeightMeaning> WEIGHTS =
             Map.of("none", WeightMeaning.NONE, "nominal", WeightMeaning.NOMINAL, "rough", WeightMeaning.ROUGH, "live", WeightMeaning.LIVE);
     private static final Map<String, State> STATES =
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -21,7 +21,7 @@
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Costs;
 import pumicemoor.RouterApi.DeduplicationScope;
-import pumicemoor.RouterApi.ReportBy;
+import pumicemoor.RouterApi.LoadReportSource;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestClass;
 import pumicemoor.RouterApi.Role;
@@ -119,7 +119,7 @@
                         10 * SECOND),
                 new Costs(0.01, 0.1, 0.01, 0, 0.03, 0.1, 0.05),
                 new Fills(direct, joins, SiblingScope.LOCATION, notes, 10_000, 0, 0, List.of(0.0, 0.0)),
-                new LoadReports(ReportBy.NONE, List.of()),
+                new LoadReports(LoadReportSource.NONE, List.of()),
                 false,
                 weights,
                 false);
