--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -138,7 +138,7 @@
     }
 
     /** Load reports and what their two free fields mean. */
-    record LoadReports(LoadReportSource by, List<String> fields) {}
+    record LoadReports(LoadReportSource source, List<String> fields) {}
 
     // ---- members --------------------------------------------------------------------------------------
 
