--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -177,7 +177,7 @@
             close(jobs.get(e.id()));
         } else if (event instanceof TimerDue) {
             tick();
-        } else if (event instanceof MembersListed e) {
+        } else if (event instanceof MemberListUpdate e) {
             listed(e);
         } else if (event instanceof Purged e && e.object() == null) {
             purgedGroups.merge(e.group(), now - e.age(), Math::max);
@@ -198,7 +198,7 @@
         }
     }
 
-    private void listed(MembersListed e) {
+    private void listed(MemberListUpdate e) {
         if (e.kind() == ListKind.FAILED) {
             watchAgainAt = now + SECOND;
         } else if (e.kind() != ListKind.CHANGES) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -163,7 +163,7 @@
 
     /** What a router may see. */
     sealed interface Event
-            permits MembersListed,
+            permits MemberListUpdate,
                     SourcesGiven,
                     AllowancesGiven,
                     VerdictsGiven,
@@ -186,7 +186,7 @@
     }
 
     /** News of the members. */
-    record MembersListed(ListKind kind, long version, List<Member> members) implements Event {}
+    record MemberListUpdate(ListKind kind, long version, List<Member> members) implements Event {}
 
     /**
      * A member that may be filled from, with the weight of its part of the objects. While objects move to it,
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.MembersListed;
+import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.State;
 import pumicemoor.fleet.drains.Drains;
 
@@ -26,7 +26,7 @@
     private long version;
 
     /** Takes news of the list; what the decisions are to be told of it, if anything. */
-    Optional<MembersListed> listed(MembersListed news) {
+    Optional<MemberListUpdate> listed(MemberListUpdate news) {
         version = news.version();
         if (news.kind() == ListKind.WHOLE) {
             told.keySet().retainAll(news.members().stream().map(Member::id).collect(Collectors.toSet()));
@@ -44,11 +44,11 @@
                 seen.put(m.id(), asSeen(m));
             }
         }
-        return view.settled() ? Optional.of(new MembersListed(news.kind(), version, members)) : Optional.empty();
+        return view.settled() ? Optional.of(new MemberListUpdate(news.kind(), version, members)) : Optional.empty();
     }
 
     /** Goes over to this view; what is new for the decisions, if anything. */
-    Optional<MembersListed> follow(Drains.View next) {
+    Optional<MemberListUpdate> follow(Drains.View next) {
         boolean first = next.settled() && !view.settled();
         view = next;
         List<Member> changed = new ArrayList<>();
@@ -60,7 +60,7 @@
         });
         return !view.settled() || changed.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new MembersListed(first ? ListKind.WHOLE : ListKind.CHANGES, version, changed));
+                : Optional.of(new MemberListUpdate(first ? ListKind.WHOLE : ListKind.CHANGES, version, changed));
     }
 
     private Member asSeen(Member m) {
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -32,7 +32,7 @@
 import pumicemoor.RouterApi.Log;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.MembersListed;
+import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.NewsHeard;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
@@ -1027,7 +1027,7 @@
         fleet.ifPresent(f -> f.members(now, fleetMembers));
         hierarchy.ifPresent(h -> h.members(endpoints.values().stream()
                 .collect(Collectors.toMap(Endpoint::instance, Endpoint::started, Math::max))));
-        MembersListed news = new MembersListed(whole ? ListKind.WHOLE : ListKind.CHANGES, version, members);
+        MemberListUpdate news = new MemberListUpdate(whole ? ListKind.WHOLE : ListKind.CHANGES, version, members);
         if (drained.isEmpty()) {
             events.add(news);
         } else {
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/Drill.java
@@ -21,7 +21,7 @@
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.MembersListed;
+import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.PeerNote;
 import pumicemoor.RouterApi.ProbeEnded;
 import pumicemoor.RouterApi.Purged;
@@ -209,7 +209,7 @@
         };
     }
 
-    private MembersListed members(Message m, Vocabulary words) throws WireException {
+    private MemberListUpdate members(Message m, Vocabulary words) throws WireException {
         ListKind kind = LIST_KINDS.get(m.text("mode"));
         if (kind == null) {
             throw new WireException("field 'mode' has the unknown value '" + m.text("mode") + "'");
@@ -224,7 +224,7 @@
                 members.add(words.member(line));
             }
         }
-        return new MembersListed(kind, m.integer("gen", 0), members);
+        return new MemberListUpdate(kind, m.integer("gen", 0), members);
     }
 
     private static FillResult note(Message m) throws WireException {
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.MembersListed;
+import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Rules;
@@ -73,7 +73,7 @@
         for (int i = 0; i < crew; i++) {
             Logic router = new Logic(setup.settings(), random.nextLong());
             routers.add(router);
-            handle(router, new MembersListed(ListKind.REMEMBERED, 1, List.copyOf(setup.members)));
+            handle(router, new MemberListUpdate(ListKind.REMEMBERED, 1, List.copyOf(setup.members)));
         }
         for (long at = 0;
                 at < 22 * SECOND;
@@ -102,7 +102,7 @@
                         .orElseThrow();
                 routers.forEach(r -> handle(
                         r,
-                        new MembersListed(
+                        new MemberListUpdate(
                                 ListKind.CHANGES,
                                 2,
                                 List.of(new Member(
@@ -118,7 +118,7 @@
                         .orElseThrow();
                 Member young = new Member(id, old.role(), old.zone(), 0, 1, now, State.READY);
                 setup.members.set(setup.members.indexOf(old), young);
-                routers.forEach(r -> handle(r, new MembersListed(ListKind.CHANGES, 2, List.of(young))));
+                routers.forEach(r -> handle(r, new MemberListUpdate(ListKind.CHANGES, 2, List.of(young))));
             }
         });
         while (!agenda.isEmpty() && agenda.peek().at < 1_020 * SECOND) {
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -24,7 +24,7 @@
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.MembersListed;
+import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
@@ -137,7 +137,7 @@
     private void start() {
         life++;
         router = new Logic(settings, random.nextLong());
-        handle(new MembersListed(ListKind.REMEMBERED, 1, List.copyOf(setup.members)));
+        handle(new MemberListUpdate(ListKind.REMEMBERED, 1, List.copyOf(setup.members)));
         purges.forEach((key, at) -> {
             if (now - at[0] < settings.rules().purgeSettleTime()) {
                 tell(key, at);
@@ -203,7 +203,7 @@
         if (started == now) {
             coldWork.put(old.id(), new ArrayList<>());
         }
-        handle(new MembersListed(
+        handle(new MemberListUpdate(
                 whole ? ListKind.WHOLE : ListKind.CHANGES, 2, whole ? List.copyOf(setup.members) : List.of(changed)));
     }
 
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.LoadReports;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.MembersListed;
+import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Costs;
@@ -152,11 +152,11 @@
         Member old = members.stream().filter(m -> m.id() == id).findFirst().orElseThrow();
         Member changed = new Member(id, old.role(), old.zone(), old.cell(), old.weight(), started, state);
         members.set(members.indexOf(old), changed);
-        return handle(new MembersListed(ListKind.CHANGES, 2, List.of(changed)));
+        return handle(new MemberListUpdate(ListKind.CHANGES, 2, List.of(changed)));
     }
 
     List<Action> list(ListKind kind) {
-        return handle(new MembersListed(kind, 1, List.copyOf(members)));
+        return handle(new MemberListUpdate(kind, 1, List.copyOf(members)));
     }
 
     List<Action> handle(Event event) {
--- a/src/test/java/pumicemoor/node/DrainedMembersTest.java
+++ b/src/test/java/pumicemoor/node/DrainedMembersTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.ListKind;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.MembersListed;
+import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.State;
 import pumicemoor.fleet.drains.Drains.View;
@@ -21,8 +21,8 @@
         return new Member(id, Role.CACHE, 0, 0, 8, started, state);
     }
 
-    private static MembersListed list(ListKind kind, Member... members) {
-        return new MembersListed(kind, 4, List.of(members));
+    private static MemberListUpdate list(ListKind kind, Member... members) {
+        return new MemberListUpdate(kind, 4, List.of(members));
     }
 
     @Test
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -23,7 +23,7 @@
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Lookup;
-import pumicemoor.RouterApi.MembersListed;
+import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
@@ -481,8 +481,8 @@
             take(new Input.Update(list.substring(0, list.length() - 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
                     + START / MILLI + "}}"));
             assertEquals(index++, reducer.lastUpdate());
-            assertEquals(1, of(events, MembersListed.class).size(), line);
-            assertEquals(1, of(events, MembersListed.class).get(0).members().size(), line);
+            assertEquals(1, of(events, MemberListUpdate.class).size(), line);
+            assertEquals(1, of(events, MemberListUpdate.class).get(0).members().size(), line);
             assertEquals(1, of(events, Purged.class).size(), line);
             boolean named = line.contains("p-1");
             assertEquals(
@@ -502,7 +502,7 @@
                 "{\"index\":2,\"evict\":{\"unix_ms\":\"soon\"},\"endpoints\":{\"generation\":1,\"reset\":false,"
                         + "\"instances\":[" + NodeTestConfig.member("s-7", "127.0.0.1:17", "box", "active", 0)
                         + "]}}"));
-        assertEquals(1, of(events, MembersListed.class).size());
+        assertEquals(1, of(events, MemberListUpdate.class).size());
         assertTrue(of(events, Purged.class).isEmpty());
         assertEquals(1, counters.get(Counters.Name.BAD_INPUT));
     }
@@ -517,7 +517,7 @@
                 NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START / MILLI),
                 NodeTestConfig.member("s-2", "127.0.0.1:11", "box", "active", START / MILLI))));
         assertEquals(List.of(new Effect.Drop("s-1", START), new Effect.Retire("s-1")), effects);
-        MembersListed last = of(events, MembersListed.class).get(1);
+        MemberListUpdate last = of(events, MemberListUpdate.class).get(1);
         assertEquals(State.GONE, last.members().get(0).state());
         assertFalse(last.members().get(0).id() == last.members().get(1).id());
         fetchOnArrival(0, 0);
@@ -655,12 +655,12 @@
                 2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", (now - SECOND) / MILLI));
         reducer.accept(now, now - 3_600 * SECOND, new Input.Update(list), effects::add);
         assertEquals(
-                now, of(events, MembersListed.class).get(0).members().get(0).started());
+                now, of(events, MemberListUpdate.class).get(0).members().get(0).started());
         long first = now;
         now += 3 * SECOND;
         take(new Input.Update(list.replace("\"index\":2", "\"index\":3")));
         assertEquals(
-                first, of(events, MembersListed.class).get(1).members().get(0).started());
+                first, of(events, MemberListUpdate.class).get(1).members().get(0).started());
     }
 
     @Test
@@ -714,7 +714,7 @@
         take(new Input.Update(two));
         take(new Input.Update(left));
         assertEquals(3, reducer.lastUpdate());
-        assertEquals(2, of(events, MembersListed.class).size());
+        assertEquals(2, of(events, MemberListUpdate.class).size());
         String far = NodeTestConfig.list(9, false);
         take(new Input.Update(far));
         take(new Input.Update(far));
@@ -739,7 +739,7 @@
         take(new Input.Reload(NodeConfig.parse(json), OperatorConfig.NONE, null));
         assertEquals(List.of(new Effect.Follow("127.0.0.1:3")), effects);
         assertEquals(2, counters.get(Counters.Name.RELOADS));
-        assertEquals(List.of(), of(events, MembersListed.class));
+        assertEquals(List.of(), of(events, MemberListUpdate.class));
     }
 
     private static final String OPERATOR =
