--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -199,9 +199,9 @@
     }
 
     private void listed(MemberListUpdate e) {
-        if (e.kind() == ListKind.FAILED) {
+        if (e.kind() == MemberListKind.FAILED) {
             watchAgainAt = now + SECOND;
-        } else if (e.kind() != ListKind.CHANGES) {
+        } else if (e.kind() != MemberListKind.CHANGES) {
             nodes.values().forEach(n -> n.listed = false);
         }
         for (Member m : e.members()) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -178,7 +178,7 @@
                     PeerNote {}
 
     /** How a list has come: as changes, whole, as last held before a start, or not at all. */
-    enum ListKind {
+    enum MemberListKind {
         CHANGES,
         WHOLE,
         REMEMBERED,
@@ -186,7 +186,7 @@
     }
 
     /** News of the members. */
-    record MemberListUpdate(ListKind kind, long version, List<Member> members) implements Event {}
+    record MemberListUpdate(MemberListKind kind, long version, List<Member> members) implements Event {}
 
     /**
      * A member that may be filled from, with the weight of its part of the objects. While objects move to it,
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.State;
@@ -28,7 +28,7 @@
     /** Takes news of the list; what the decisions are to be told of it, if anything. */
     Optional<MemberListUpdate> listed(MemberListUpdate news) {
         version = news.version();
-        if (news.kind() == ListKind.WHOLE) {
+        if (news.kind() == MemberListKind.WHOLE) {
             told.keySet().retainAll(news.members().stream().map(Member::id).collect(Collectors.toSet()));
             seen.keySet().retainAll(told.keySet());
         }
@@ -60,7 +60,7 @@
         });
         return !view.settled() || changed.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new MemberListUpdate(first ? ListKind.WHOLE : ListKind.CHANGES, version, changed));
+                : Optional.of(new MemberListUpdate(first ? MemberListKind.WHOLE : MemberListKind.CHANGES, version, changed));
     }
 
     private Member asSeen(Member m) {
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -28,7 +28,7 @@
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Judged;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Log;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
@@ -1027,7 +1027,7 @@
         fleet.ifPresent(f -> f.members(now, fleetMembers));
         hierarchy.ifPresent(h -> h.members(endpoints.values().stream()
                 .collect(Collectors.toMap(Endpoint::instance, Endpoint::started, Math::max))));
-        MemberListUpdate news = new MemberListUpdate(whole ? ListKind.WHOLE : ListKind.CHANGES, version, members);
+        MemberListUpdate news = new MemberListUpdate(whole ? MemberListKind.WHOLE : MemberListKind.CHANGES, version, members);
         if (drained.isEmpty()) {
             events.add(news);
         } else {
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/Drill.java
@@ -19,7 +19,7 @@
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.PeerNote;
@@ -33,15 +33,15 @@
 /** Hosts the instances of one simulator process: reads batches of events, answers each with one reply. */
 public final class Drill {
 
-    private static final Map<String, ListKind> LIST_KINDS = Map.of(
+    private static final Map<String, MemberListKind> LIST_KINDS = Map.of(
             "delta",
-            ListKind.CHANGES,
+            MemberListKind.CHANGES,
             "full",
-            ListKind.WHOLE,
+            MemberListKind.WHOLE,
             "cached",
-            ListKind.REMEMBERED,
+            MemberListKind.REMEMBERED,
             "failed",
-            ListKind.FAILED);
+            MemberListKind.FAILED);
     private static final FillResult[] FILL_NOTES = FillResult.values();
 
     private final BufferedReader in;
@@ -210,12 +210,12 @@
     }
 
     private MemberListUpdate members(Message m, Vocabulary words) throws WireException {
-        ListKind kind = LIST_KINDS.get(m.text("mode"));
+        MemberListKind kind = LIST_KINDS.get(m.text("mode"));
         if (kind == null) {
             throw new WireException("field 'mode' has the unknown value '" + m.text("mode") + "'");
         }
         List<Member> members = new ArrayList<>();
-        if (kind != ListKind.FAILED) {
+        if (kind != MemberListKind.FAILED) {
             List<Message> lines = lists.get(m.integer("sheet"));
             if (lines == null) {
                 throw new WireException("list " + m.integer("sheet") + " was never sent");
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -18,7 +18,7 @@
 import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
@@ -73,7 +73,7 @@
         for (int i = 0; i < crew; i++) {
             Logic router = new Logic(setup.settings(), random.nextLong());
             routers.add(router);
-            handle(router, new MemberListUpdate(ListKind.REMEMBERED, 1, List.copyOf(setup.members)));
+            handle(router, new MemberListUpdate(MemberListKind.REMEMBERED, 1, List.copyOf(setup.members)));
         }
         for (long at = 0;
                 at < 22 * SECOND;
@@ -103,7 +103,7 @@
                 routers.forEach(r -> handle(
                         r,
                         new MemberListUpdate(
-                                ListKind.CHANGES,
+                                MemberListKind.CHANGES,
                                 2,
                                 List.of(new Member(
                                         out.id(), out.role(), out.zone(), 0, 1, out.started(), State.DRAINING)))));
@@ -118,7 +118,7 @@
                         .orElseThrow();
                 Member young = new Member(id, old.role(), old.zone(), 0, 1, now, State.READY);
                 setup.members.set(setup.members.indexOf(old), young);
-                routers.forEach(r -> handle(r, new MemberListUpdate(ListKind.CHANGES, 2, List.of(young))));
+                routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.CHANGES, 2, List.of(young))));
             }
         });
         while (!agenda.isEmpty() && agenda.peek().at < 1_020 * SECOND) {
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -18,7 +18,7 @@
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
@@ -91,7 +91,7 @@
             RouterHarness shape = i % 2 == 0 ? oldShape : newShape;
             Router router = new Router(new Logic(shape.settings(), random.nextLong()), i % 2, i);
             routers.add(router);
-            handle(router, new MemberListUpdate(ListKind.REMEMBERED, 1, List.copyOf(shape.members)));
+            handle(router, new MemberListUpdate(MemberListKind.REMEMBERED, 1, List.copyOf(shape.members)));
         }
         for (long at = 0;
                 at < 22 * SECOND;
@@ -129,7 +129,7 @@
     private void change(int id, State state, long started) {
         drainedAt = state == State.DRAINING ? now : drainedAt;
         Member young = new Member(id, RouterApi.Role.CACHE, RouterHarness.HOME, 0, 1, started, state);
-        routers.forEach(r -> handle(r, new MemberListUpdate(ListKind.CHANGES, 2, List.of(young))));
+        routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.CHANGES, 2, List.of(young))));
     }
 
     private void handle(Router router, RouterApi.Event event) {
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -21,7 +21,7 @@
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
@@ -137,7 +137,7 @@
     private void start() {
         life++;
         router = new Logic(settings, random.nextLong());
-        handle(new MemberListUpdate(ListKind.REMEMBERED, 1, List.copyOf(setup.members)));
+        handle(new MemberListUpdate(MemberListKind.REMEMBERED, 1, List.copyOf(setup.members)));
         purges.forEach((key, at) -> {
             if (now - at[0] < settings.rules().purgeSettleTime()) {
                 tell(key, at);
@@ -204,7 +204,7 @@
             coldWork.put(old.id(), new ArrayList<>());
         }
         handle(new MemberListUpdate(
-                whole ? ListKind.WHOLE : ListKind.CHANGES, 2, whole ? List.copyOf(setup.members) : List.of(changed)));
+                whole ? MemberListKind.WHOLE : MemberListKind.CHANGES, 2, whole ? List.copyOf(setup.members) : List.of(changed)));
     }
 
     private void purge() {
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
@@ -86,7 +86,7 @@
                         .forEach(o -> out.set(out.indexOf(o), new Out(o.id(), o.attempt(), o.member(), -1)));
             }
         });
-        handle.accept(new MemberListUpdate(ListKind.WHOLE, 1, List.copyOf(setup.members)));
+        handle.accept(new MemberListUpdate(MemberListKind.WHOLE, 1, List.copyOf(setup.members)));
         for (int step = 0; step < 3_000; step++) {
             now[0] += 1_000 + random.nextInt(10_000);
             int what = random.nextInt(100);
@@ -137,7 +137,7 @@
                         restart ? now[0] : m.started(),
                         restart || m.state() == State.DRAINING ? State.READY : State.DRAINING);
                 setup.members.set(at, changed);
-                handle.accept(new MemberListUpdate(ListKind.CHANGES, step, List.of(changed)));
+                handle.accept(new MemberListUpdate(MemberListKind.CHANGES, step, List.of(changed)));
             }
         }
         return lines;
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -12,7 +12,7 @@
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Fills;
 import pumicemoor.RouterApi.Limits;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.LoadReports;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
@@ -128,7 +128,7 @@
     /** A router with the members added so far on its remembered list. */
     RouterHarness start() {
         logic = new Logic(settings(), 7);
-        list(ListKind.REMEMBERED);
+        list(MemberListKind.REMEMBERED);
         return this;
     }
 
@@ -152,10 +152,10 @@
         Member old = members.stream().filter(m -> m.id() == id).findFirst().orElseThrow();
         Member changed = new Member(id, old.role(), old.zone(), old.cell(), old.weight(), started, state);
         members.set(members.indexOf(old), changed);
-        return handle(new MemberListUpdate(ListKind.CHANGES, 2, List.of(changed)));
+        return handle(new MemberListUpdate(MemberListKind.CHANGES, 2, List.of(changed)));
     }
 
-    List<Action> list(ListKind kind) {
+    List<Action> list(MemberListKind kind) {
         return handle(new MemberListUpdate(kind, 1, List.copyOf(members)));
     }
 
--- a/src/test/java/pumicemoor/ShrunkenFleetTest.java
+++ b/src/test/java/pumicemoor/ShrunkenFleetTest.java
@@ -13,7 +13,7 @@
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.Role;
@@ -50,7 +50,7 @@
         r.start();
         r.ask("before");
         r.members.removeIf(m -> m.id() != 7);
-        r.list(ListKind.WHOLE);
+        r.list(MemberListKind.WHOLE);
         List<Action> sent = r.ask("after");
         assertEquals(7, only(Fetch.class, sent).get(0).member());
         assertEquals(1, finals(r, sent));
--- a/src/test/java/pumicemoor/SourcesBenchmark.java
+++ b/src/test/java/pumicemoor/SourcesBenchmark.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.RequestArrived;
@@ -71,7 +71,7 @@
         setup.add(900, Role.ORIGIN, RouterHarness.HUB);
         logic = new Logic(setup.settings(), 7);
         now = setup.now;
-        logic.handle(now, new MemberListUpdate(ListKind.WHOLE, 1, List.copyOf(setup.members)), a -> {});
+        logic.handle(now, new MemberListUpdate(MemberListKind.WHOLE, 1, List.copyOf(setup.members)), a -> {});
         if (!given.equals("none")) {
             Map<Long, SourceList> lists = new HashMap<>();
             List<Source> before = given.equals("moving") ? sources(1_004, 0) : List.of();
--- a/src/test/java/pumicemoor/node/DrainedMembersTest.java
+++ b/src/test/java/pumicemoor/node/DrainedMembersTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pumicemoor.RouterApi.ListKind;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Role;
@@ -21,36 +21,36 @@
         return new Member(id, Role.CACHE, 0, 0, 8, started, state);
     }
 
-    private static MemberListUpdate list(ListKind kind, Member... members) {
+    private static MemberListUpdate list(MemberListKind kind, Member... members) {
         return new MemberListUpdate(kind, 4, List.of(members));
     }
 
     @Test
     void theListIsHeldBackUntilItIsKnownWhoIsOutAndFollowsThePlan() {
         DrainedMembers drained = new DrainedMembers();
-        assertTrue(drained.listed(list(ListKind.WHOLE, box(1, 5, State.READY), box(2, 5, State.READY)))
+        assertTrue(drained.listed(list(MemberListKind.WHOLE, box(1, 5, State.READY), box(2, 5, State.READY)))
                 .isEmpty());
         assertTrue(drained.follow(new View(false, Set.of(2L), Map.of())).isEmpty());
         assertEquals(
-                list(ListKind.WHOLE, box(1, 5, State.READY), box(2, 5, State.DRAINING)),
+                list(MemberListKind.WHOLE, box(1, 5, State.READY), box(2, 5, State.DRAINING)),
                 drained.follow(new View(true, Set.of(2L), Map.of())).orElseThrow());
         assertTrue(drained.follow(new View(true, Set.of(2L), Map.of())).isEmpty());
         // back, and cold whatever the list says, until the list tells of a later start
         assertEquals(
-                list(ListKind.CHANGES, box(2, 90, State.READY)),
+                list(MemberListKind.CHANGES, box(2, 90, State.READY)),
                 drained.follow(new View(true, Set.of(), Map.of(2L, 90L))).orElseThrow());
         assertEquals(
-                list(ListKind.CHANGES, box(2, 95, State.READY), box(1, 5, State.DRAINING)),
-                drained.listed(list(ListKind.CHANGES, box(2, 95, State.READY), box(1, 5, State.DRAINING)))
+                list(MemberListKind.CHANGES, box(2, 95, State.READY), box(1, 5, State.DRAINING)),
+                drained.listed(list(MemberListKind.CHANGES, box(2, 95, State.READY), box(1, 5, State.DRAINING)))
                         .orElseThrow());
         assertEquals(
-                list(ListKind.CHANGES, box(2, 0, State.GONE)),
-                drained.listed(list(ListKind.CHANGES, box(2, 0, State.GONE))).orElseThrow());
+                list(MemberListKind.CHANGES, box(2, 0, State.GONE)),
+                drained.listed(list(MemberListKind.CHANGES, box(2, 0, State.GONE))).orElseThrow());
         assertTrue(
                 drained.follow(new View(true, Set.of(1L, 2L), Map.of())).isEmpty(),
                 "who is gone, or drains by the list");
         assertEquals(
-                list(ListKind.WHOLE, box(2, 99, State.DRAINING)),
-                drained.listed(list(ListKind.WHOLE, box(2, 99, State.READY))).orElseThrow());
+                list(MemberListKind.WHOLE, box(2, 99, State.DRAINING)),
+                drained.listed(list(MemberListKind.WHOLE, box(2, 99, State.READY))).orElseThrow());
     }
 }
