--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -201,7 +201,7 @@
     private void listed(MemberListUpdate e) {
         if (e.kind() == MemberListKind.FAILED) {
             watchAgainAt = now + SECOND;
-        } else if (e.kind() != MemberListKind.CHANGES) {
+        } else if (e.kind() != MemberListKind.DELTA) {
             nodes.values().forEach(n -> n.listed = false);
         }
         for (Member m : e.members()) {
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -60,7 +60,7 @@
         });
         return !view.settled() || changed.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new MemberListUpdate(first ? MemberListKind.WHOLE : MemberListKind.CHANGES, version, changed));
+                : Optional.of(new MemberListUpdate(first ? MemberListKind.WHOLE : MemberListKind.DELTA, version, changed));
     }
 
     private Member asSeen(Member m) {
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/Drill.java
@@ -35,7 +35,7 @@
 
     private static final Map<String, MemberListKind> LIST_KINDS = Map.of(
             "delta",
-            MemberListKind.CHANGES,
+            MemberListKind.DELTA,
             "full",
             MemberListKind.WHOLE,
             "cached",
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -103,7 +103,7 @@
                 routers.forEach(r -> handle(
                         r,
                         new MemberListUpdate(
-                                MemberListKind.CHANGES,
+                                MemberListKind.DELTA,
                                 2,
                                 List.of(new Member(
                                         out.id(), out.role(), out.zone(), 0, 1, out.started(), State.DRAINING)))));
@@ -118,7 +118,7 @@
                         .orElseThrow();
                 Member young = new Member(id, old.role(), old.zone(), 0, 1, now, State.READY);
                 setup.members.set(setup.members.indexOf(old), young);
-                routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.CHANGES, 2, List.of(young))));
+                routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.DELTA, 2, List.of(young))));
             }
         });
         while (!agenda.isEmpty() && agenda.peek().at < 1_020 * SECOND) {
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -129,7 +129,7 @@
     private void change(int id, State state, long started) {
         drainedAt = state == State.DRAINING ? now : drainedAt;
         Member young = new Member(id, RouterApi.Role.CACHE, RouterHarness.HOME, 0, 1, started, state);
-        routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.CHANGES, 2, List.of(young))));
+        routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.DELTA, 2, List.of(young))));
     }
 
     private void handle(Router router, RouterApi.Event event) {
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -137,7 +137,7 @@
                         restart ? now[0] : m.started(),
                         restart || m.state() == State.DRAINING ? State.READY : State.DRAINING);
                 setup.members.set(at, changed);
-                handle.accept(new MemberListUpdate(MemberListKind.CHANGES, step, List.of(changed)));
+                handle.accept(new MemberListUpdate(MemberListKind.DELTA, step, List.of(changed)));
             }
         }
         return lines;
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -152,7 +152,7 @@
         Member old = members.stream().filter(m -> m.id() == id).findFirst().orElseThrow();
         Member changed = new Member(id, old.role(), old.zone(), old.cell(), old.weight(), started, state);
         members.set(members.indexOf(old), changed);
-        return handle(new MemberListUpdate(MemberListKind.CHANGES, 2, List.of(changed)));
+        return handle(new MemberListUpdate(MemberListKind.DELTA, 2, List.of(changed)));
     }
 
     List<Action> list(MemberListKind kind) {
--- a/src/test/java/pumicemoor/node/DrainedMembersTest.java
+++ b/src/test/java/pumicemoor/node/DrainedMembersTest.java
@@ -37,15 +37,15 @@
         assertTrue(drained.follow(new View(true, Set.of(2L), Map.of())).isEmpty());
         // back, and cold whatever the list says, until the list tells of a later start
         assertEquals(
-                list(MemberListKind.CHANGES, box(2, 90, State.READY)),
+                list(MemberListKind.DELTA, box(2, 90, State.READY)),
                 drained.follow(new View(true, Set.of(), Map.of(2L, 90L))).orElseThrow());
         assertEquals(
-                list(MemberListKind.CHANGES, box(2, 95, State.READY), box(1, 5, State.DRAINING)),
-                drained.listed(list(MemberListKind.CHANGES, box(2, 95, State.READY), box(1, 5, State.DRAINING)))
+                list(MemberListKind.DELTA, box(2, 95, State.READY), box(1, 5, State.DRAINING)),
+                drained.listed(list(MemberListKind.DELTA, box(2, 95, State.READY), box(1, 5, State.DRAINING)))
                         .orElseThrow());
         assertEquals(
-                list(MemberListKind.CHANGES, box(2, 0, State.GONE)),
-                drained.listed(list(MemberListKind.CHANGES, box(2, 0, State.GONE))).orElseThrow());
+                list(MemberListKind.DELTA, box(2, 0, State.GONE)),
+                drained.listed(list(MemberListKind.DELTA, box(2, 0, State.GONE))).orElseThrow());
         assertTrue(
                 drained.follow(new View(true, Set.of(1L, 2L), Map.of())).isEmpty(),
                 "who is gone, or drains by the list");
