--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -180,7 +180,7 @@
     /** How a list has come: as changes, whole, as last held before a start, or not at all. */
     enum MemberListKind {
         DELTA,
-        WHOLE,
+        SNAPSHOT,
         REMEMBERED,
         FAILED
     }
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -28,7 +28,7 @@
     /** Takes news of the list; what the decisions are to be told of it, if anything. */
     Optional<MemberListUpdate> listed(MemberListUpdate news) {
         version = news.version();
-        if (news.kind() == MemberListKind.WHOLE) {
+        if (news.kind() == MemberListKind.SNAPSHOT) {
             told.keySet().retainAll(news.members().stream().map(Member::id).collect(Collectors.toSet()));
             seen.keySet().retainAll(told.keySet());
         }
@@ -60,7 +60,7 @@
         });
         return !view.settled() || changed.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new MemberListUpdate(first ? MemberListKind.WHOLE : MemberListKind.DELTA, version, changed));
+                : Optional.of(new MemberListUpdate(first ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, changed));
     }
 
     private Member asSeen(Member m) {
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -1027,7 +1027,7 @@
         fleet.ifPresent(f -> f.members(now, fleetMembers));
         hierarchy.ifPresent(h -> h.members(endpoints.values().stream()
                 .collect(Collectors.toMap(Endpoint::instance, Endpoint::started, Math::max))));
-        MemberListUpdate news = new MemberListUpdate(whole ? MemberListKind.WHOLE : MemberListKind.DELTA, version, members);
+        MemberListUpdate news = new MemberListUpdate(whole ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, members);
         if (drained.isEmpty()) {
             events.add(news);
         } else {
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/Drill.java
@@ -37,7 +37,7 @@
             "delta",
             MemberListKind.DELTA,
             "full",
-            MemberListKind.WHOLE,
+            MemberListKind.SNAPSHOT,
             "cached",
             MemberListKind.REMEMBERED,
             "failed",
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -204,7 +204,7 @@
             coldWork.put(old.id(), new ArrayList<>());
         }
         handle(new MemberListUpdate(
-                whole ? MemberListKind.WHOLE : MemberListKind.DELTA, 2, whole ? List.copyOf(setup.members) : List.of(changed)));
+                whole ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, 2, whole ? List.copyOf(setup.members) : List.of(changed)));
     }
 
     private void purge() {
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -86,7 +86,7 @@
                         .forEach(o -> out.set(out.indexOf(o), new Out(o.id(), o.attempt(), o.member(), -1)));
             }
         });
-        handle.accept(new MemberListUpdate(MemberListKind.WHOLE, 1, List.copyOf(setup.members)));
+        handle.accept(new MemberListUpdate(MemberListKind.SNAPSHOT, 1, List.copyOf(setup.members)));
         for (int step = 0; step < 3_000; step++) {
             now[0] += 1_000 + random.nextInt(10_000);
             int what = random.nextInt(100);
--- a/src/test/java/pumicemoor/ShrunkenFleetTest.java
+++ b/src/test/java/pumicemoor/ShrunkenFleetTest.java
@@ -50,7 +50,7 @@
         r.start();
         r.ask("before");
         r.members.removeIf(m -> m.id() != 7);
-        r.list(MemberListKind.WHOLE);
+        r.list(MemberListKind.SNAPSHOT);
         List<Action> sent = r.ask("after");
         assertEquals(7, only(Fetch.class, sent).get(0).member());
         assertEquals(1, finals(r, sent));
--- a/src/test/java/pumicemoor/SourcesBenchmark.java
+++ b/src/test/java/pumicemoor/SourcesBenchmark.java
@@ -71,7 +71,7 @@
         setup.add(900, Role.ORIGIN, RouterHarness.HUB);
         logic = new Logic(setup.settings(), 7);
         now = setup.now;
-        logic.handle(now, new MemberListUpdate(MemberListKind.WHOLE, 1, List.copyOf(setup.members)), a -> {});
+        logic.handle(now, new MemberListUpdate(MemberListKind.SNAPSHOT, 1, List.copyOf(setup.members)), a -> {});
         if (!given.equals("none")) {
             Map<Long, SourceList> lists = new HashMap<>();
             List<Source> before = given.equals("moving") ? sources(1_004, 0) : List.of();
--- a/src/test/java/pumicemoor/node/DrainedMembersTest.java
+++ b/src/test/java/pumicemoor/node/DrainedMembersTest.java
@@ -28,11 +28,11 @@
     @Test
     void theListIsHeldBackUntilItIsKnownWhoIsOutAndFollowsThePlan() {
         DrainedMembers drained = new DrainedMembers();
-        assertTrue(drained.listed(list(MemberListKind.WHOLE, box(1, 5, State.READY), box(2, 5, State.READY)))
+        assertTrue(drained.listed(list(MemberListKind.SNAPSHOT, box(1, 5, State.READY), box(2, 5, State.READY)))
                 .isEmpty());
         assertTrue(drained.follow(new View(false, Set.of(2L), Map.of())).isEmpty());
         assertEquals(
-                list(MemberListKind.WHOLE, box(1, 5, State.READY), box(2, 5, State.DRAINING)),
+                list(MemberListKind.SNAPSHOT, box(1, 5, State.READY), box(2, 5, State.DRAINING)),
                 drained.follow(new View(true, Set.of(2L), Map.of())).orElseThrow());
         assertTrue(drained.follow(new View(true, Set.of(2L), Map.of())).isEmpty());
         // back, and cold whatever the list says, until the list tells of a later start
@@ -50,7 +50,7 @@
                 drained.follow(new View(true, Set.of(1L, 2L), Map.of())).isEmpty(),
                 "who is gone, or drains by the list");
         assertEquals(
-                list(MemberListKind.WHOLE, box(2, 99, State.DRAINING)),
-                drained.listed(list(MemberListKind.WHOLE, box(2, 99, State.READY))).orElseThrow());
+                list(MemberListKind.SNAPSHOT, box(2, 99, State.DRAINING)),
+                drained.listed(list(MemberListKind.SNAPSHOT, box(2, 99, State.READY))).orElseThrow());
     }
 }
