--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -181,7 +181,7 @@
     enum MemberListKind {
         DELTA,
         SNAPSHOT,
-        REMEMBERED,
+        RESTORED,
         FAILED
     }
 
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/Drill.java
@@ -39,7 +39,7 @@
             "full",
             MemberListKind.SNAPSHOT,
             "cached",
-            MemberListKind.REMEMBERED,
+            MemberListKind.RESTORED,
             "failed",
             MemberListKind.FAILED);
     private static final FillResult[] FILL_NOTES = FillResult.values();
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -73,7 +73,7 @@
         for (int i = 0; i < crew; i++) {
             Logic router = new Logic(setup.settings(), random.nextLong());
             routers.add(router);
-            handle(router, new MemberListUpdate(MemberListKind.REMEMBERED, 1, List.copyOf(setup.members)));
+            handle(router, new MemberListUpdate(MemberListKind.RESTORED, 1, List.copyOf(setup.members)));
         }
         for (long at = 0;
                 at < 22 * SECOND;
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -91,7 +91,7 @@
             RouterHarness shape = i % 2 == 0 ? oldShape : newShape;
             Router router = new Router(new Logic(shape.settings(), random.nextLong()), i % 2, i);
             routers.add(router);
-            handle(router, new MemberListUpdate(MemberListKind.REMEMBERED, 1, List.copyOf(shape.members)));
+            handle(router, new MemberListUpdate(MemberListKind.RESTORED, 1, List.copyOf(shape.members)));
         }
         for (long at = 0;
                 at < 22 * SECOND;
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -137,7 +137,7 @@
     private void start() {
         life++;
         router = new Logic(settings, random.nextLong());
-        handle(new MemberListUpdate(MemberListKind.REMEMBERED, 1, List.copyOf(setup.members)));
+        handle(new MemberListUpdate(MemberListKind.RESTORED, 1, List.copyOf(setup.members)));
         purges.forEach((key, at) -> {
             if (now - at[0] < settings.rules().purgeSettleTime()) {
                 tell(key, at);
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -128,7 +128,7 @@
     /** A router with the members added so far on its remembered list. */
     RouterHarness start() {
         logic = new Logic(settings(), 7);
-        list(MemberListKind.REMEMBERED);
+        list(MemberListKind.RESTORED);
         return this;
     }
 
