--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -189,7 +189,7 @@
             jobs.get(e.id()).streaming = true;
         } else if (event instanceof PeerNote e) {
             peerNote(e);
-        } else if (event instanceof SourcesGiven e) {
+        } else if (event instanceof FillSourcesUpdate e) {
             given = e.lists();
         } else if (event instanceof AllowancesGiven e) {
             quotas.follow(e.allowances(), now);
@@ -426,7 +426,7 @@
         SourceList own = child == null ? null : given.get(child.member.id());
         return own != null || child != null && child.member.role() != Role.CACHE
                 ? own
-                : given.get(SourcesGiven.LOCATION);
+                : given.get(FillSourcesUpdate.LOCATION);
     }
 
     private List<Node> ranked(List<Source> sources, String object) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -164,7 +164,7 @@
     /** What a router may see. */
     sealed interface Event
             permits MemberListUpdate,
-                    SourcesGiven,
+                    FillSourcesUpdate,
                     AllowancesGiven,
                     VerdictsGiven,
                     RequestArrived,
@@ -207,7 +207,7 @@
      * for caches of this location without a list of their own. Who has no list is filled as before, as all are
      * where there are none.
      */
-    record SourcesGiven(long version, Map<Long, SourceList> lists) implements Event {
+    record FillSourcesUpdate(long version, Map<Long, SourceList> lists) implements Event {
         public static final long LOCATION = 0;
     }
 
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -13,7 +13,7 @@
 import java.util.function.ToLongFunction;
 import pumicemoor.RouterApi.Source;
 import pumicemoor.RouterApi.SourceList;
-import pumicemoor.RouterApi.SourcesGiven;
+import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.hierarchy.Shape.Kind;
 import pumicemoor.hierarchy.Shape.Unit;
 import pumicemoor.hierarchy.ShapeCheck.Problem;
@@ -416,7 +416,7 @@
     }
 
     /** What each member may be filled from now; none while the news is too old. */
-    public SourcesGiven sources(ToLongFunction<String> memberId) {
+    public FillSourcesUpdate sources(ToLongFunction<String> memberId) {
         changed = false;
         Map<Long, SourceList> lists = new HashMap<>();
         if (!tooOld) {
@@ -427,7 +427,7 @@
                 boolean own = b.kind != Kind.DEPOT;
                 if ((own || b.name.equals(setup.depot())) && !b.current.isEmpty()) {
                     lists.put(
-                            own ? memberId.applyAsLong(b.name) : SourcesGiven.LOCATION,
+                            own ? memberId.applyAsLong(b.name) : FillSourcesUpdate.LOCATION,
                             new SourceList(
                                     list(b, b.current, memberId),
                                     list(b, b.before, memberId),
@@ -437,7 +437,7 @@
                 }
             }
         }
-        return new SourcesGiven(version, lists);
+        return new FillSourcesUpdate(version, lists);
     }
 
     private List<Source> list(Branch branch, Map<String, Double> parents, ToLongFunction<String> memberId) {
--- a/src/test/java/pumicemoor/SourcesBenchmark.java
+++ b/src/test/java/pumicemoor/SourcesBenchmark.java
@@ -27,7 +27,7 @@
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.Source;
 import pumicemoor.RouterApi.SourceList;
-import pumicemoor.RouterApi.SourcesGiven;
+import pumicemoor.RouterApi.FillSourcesUpdate;
 
 /**
  * What one request costs from its arrival to its end, with so many hubs: all listed hubs as before, or a shape by
@@ -75,7 +75,7 @@
         if (!given.equals("none")) {
             Map<Long, SourceList> lists = new HashMap<>();
             List<Source> before = given.equals("moving") ? sources(1_004, 0) : List.of();
-            lists.put(SourcesGiven.LOCATION, new SourceList(sources(1_000, now), before, before, false, List.of()));
+            lists.put(FillSourcesUpdate.LOCATION, new SourceList(sources(1_000, now), before, before, false, List.of()));
             for (int i = 0; i < hubs; i++) {
                 lists.put(
                         1_000L + i,
@@ -86,7 +86,7 @@
                                 false,
                                 List.of()));
             }
-            logic.handle(now, new SourcesGiven(1, lists), a -> {});
+            logic.handle(now, new FillSourcesUpdate(1, lists), a -> {});
         }
     }
 
--- a/src/test/java/pumicemoor/SourcesTest.java
+++ b/src/test/java/pumicemoor/SourcesTest.java
@@ -15,7 +15,7 @@
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Source;
 import pumicemoor.RouterApi.SourceList;
-import pumicemoor.RouterApi.SourcesGiven;
+import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.RouterApi.State;
 
 /** What the decisions make of the sources that they are given in place of the listed parents. */
@@ -35,7 +35,7 @@
 
     private static RouterHarness given(Map<Long, SourceList> lists) {
         RouterHarness r = new RouterHarness().fleet(4, 4).start();
-        r.handle(new SourcesGiven(1, lists));
+        r.handle(new FillSourcesUpdate(1, lists));
         return r;
     }
 
@@ -48,8 +48,8 @@
 
     @Test
     void onlyGivenSourcesAreNamedAndTheHashDecidesAmongThem() {
-        RouterHarness r = given(Map.of(SourcesGiven.LOCATION, only(101, 103)));
-        RouterHarness other = given(Map.of(SourcesGiven.LOCATION, only(103, 101)));
+        RouterHarness r = given(Map.of(FillSourcesUpdate.LOCATION, only(101, 103)));
+        RouterHarness other = given(Map.of(FillSourcesUpdate.LOCATION, only(103, 101)));
         Set<Long> named = new HashSet<>();
         for (int i = 0; i < 100; i++) {
             long source = ask(r, i).source();
@@ -61,9 +61,9 @@
 
     @Test
     void withoutListsTheListedParentsDecideAgain() {
-        RouterHarness r = given(Map.of(SourcesGiven.LOCATION, only(101)));
+        RouterHarness r = given(Map.of(FillSourcesUpdate.LOCATION, only(101)));
         RouterHarness plain = new RouterHarness().fleet(4, 4).start();
-        r.handle(new SourcesGiven(2, Map.of()));
+        r.handle(new FillSourcesUpdate(2, Map.of()));
         for (int i = 0; i < 50; i++) {
             assertEquals(ask(plain, i), ask(r, i));
         }
@@ -74,8 +74,8 @@
         RouterHarness r = new RouterHarness().fleet(4, 4).start();
         long start = r.now;
         List<Source> now = List.of(new Source(101, 1, from, start, start + 100 * SECOND));
-        r.handle(new SourcesGiven(
-                1, Map.of(SourcesGiven.LOCATION, new SourceList(now, all(102), all(102), back, List.of()))));
+        r.handle(new FillSourcesUpdate(
+                1, Map.of(FillSourcesUpdate.LOCATION, new SourceList(now, all(102), all(102), back, List.of()))));
         List<Set<Integer>> moved = new java.util.ArrayList<>();
         for (int tenth = 0; tenth <= 10; tenth++) {
             Set<Integer> there = new HashSet<>();
@@ -121,7 +121,7 @@
     @Test
     void theWayNamesWhatASourceFillsFrom() {
         Map<Long, SourceList> lists = new HashMap<>();
-        lists.put(SourcesGiven.LOCATION, only(101));
+        lists.put(FillSourcesUpdate.LOCATION, only(101));
         lists.put(101L, only(102));
         lists.put(102L, only(900));
         Fetch fetch = ask(given(lists), 1);
@@ -132,7 +132,7 @@
     @Test
     void aMovedObjectComesFromItsOldHomeByTheNewOne() {
         Map<Long, SourceList> lists = new HashMap<>();
-        lists.put(SourcesGiven.LOCATION, new SourceList(all(101), List.of(), all(102), false, List.of()));
+        lists.put(FillSourcesUpdate.LOCATION, new SourceList(all(101), List.of(), all(102), false, List.of()));
         lists.put(101L, new SourceList(all(900), List.of(), List.of(), false, List.of(102L)));
         lists.put(102L, only(900));
         RouterHarness r = given(lists);
@@ -144,7 +144,7 @@
     @Test
     void aCacheWithAListOfItsOwnFollowsThat() {
         Map<Long, SourceList> lists = new HashMap<>();
-        lists.put(SourcesGiven.LOCATION, only(101));
+        lists.put(FillSourcesUpdate.LOCATION, only(101));
         lists.put(2L, only(104));
         RouterHarness r = given(lists);
         for (int i = 0; i < 60; i++) {
@@ -155,7 +155,7 @@
 
     @Test
     void givenSourcesThatAreAllAwayLeaveTheOrigin() {
-        RouterHarness r = given(Map.of(SourcesGiven.LOCATION, only(101)));
+        RouterHarness r = given(Map.of(FillSourcesUpdate.LOCATION, only(101)));
         r.change(101, State.GONE, 0);
         assertEquals(900, ask(r, 1).source());
     }
@@ -163,7 +163,7 @@
     /** Else two caches could each wait for the other's fill of one object. */
     @Test
     void aFillWaitsForASiblingsOnlyInTheObjectsOrder() {
-        RouterHarness r = given(Map.of(SourcesGiven.LOCATION, only(101)));
+        RouterHarness r = given(Map.of(FillSourcesUpdate.LOCATION, only(101)));
         Fetch first = RouterHarness.fetch(r.ask("a"));
         r.change(first.member(), State.DRAINING, 0);
         Fetch second = RouterHarness.fetch(r.ask("a"));
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pumicemoor.RouterApi.SourceList;
-import pumicemoor.RouterApi.SourcesGiven;
+import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.hierarchy.Hierarchy.News;
 import pumicemoor.hierarchy.Hierarchy.Setup;
 import pumicemoor.hierarchy.Hierarchy.Snapshot;
@@ -39,7 +39,7 @@
 
     private static SourceList home(Hierarchy h, long now) {
         h.advance(now);
-        return h.sources(HierarchyTest::id).lists().get(SourcesGiven.LOCATION);
+        return h.sources(HierarchyTest::id).lists().get(FillSourcesUpdate.LOCATION);
     }
 
     private static Set<Long> now(SourceList list) {
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -30,7 +30,7 @@
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestGone;
 import pumicemoor.RouterApi.SetTimer;
-import pumicemoor.RouterApi.SourcesGiven;
+import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.node.Effect.Code;
@@ -782,11 +782,11 @@
 
     /** The member that the last sources given name for this location; 0 where none are given. */
     private long lastGiven() {
-        SourcesGiven last = of(events, SourcesGiven.class)
-                .get(of(events, SourcesGiven.class).size() - 1);
+        FillSourcesUpdate last = of(events, FillSourcesUpdate.class)
+                .get(of(events, FillSourcesUpdate.class).size() - 1);
         return last.lists().isEmpty()
                 ? 0
-                : last.lists().get(SourcesGiven.LOCATION).now().get(0).member();
+                : last.lists().get(FillSourcesUpdate.LOCATION).now().get(0).member();
     }
 
     @Test
@@ -835,7 +835,7 @@
     void withoutAnOperatorsFileNewsOfAHierarchyIsNoMatter() {
         take(new Input.Update("{\"index\":2,\"shape\":{\"certain_ms\":1,\"piece\":1}}"));
         assertEquals(Map.of(), reducer.state());
-        assertEquals(List.of(), of(events, SourcesGiven.class));
+        assertEquals(List.of(), of(events, FillSourcesUpdate.class));
         assertEquals(2, reducer.lastUpdate());
     }
 
