--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -78,7 +78,7 @@
     private final Map<Long, Node> nodes = new TreeMap<>();
     private List<Node> caches = List.of(), parents = List.of(); // listed, caches of this location only
     private Node origin;
-    private Map<Long, SourceList> given = Map.of(); // who may be filled from whom; empty: by the list alone
+    private Map<Long, FillSources> given = Map.of(); // who may be filled from whom; empty: by the list alone
     private final Quotas quotas = new Quotas(QUOTA_SPAN); // what this router may have of the fleet's limits
     private List<MemberOut> verdicts; // members out by the fleet's word; null: nobody asks for ours
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -411,7 +411,7 @@
 
     /** A cache's parents in the order of the object: all listed, or those given, by how far it has moved. */
     private List<Node> parents(Node child, String object) {
-        SourceList list = list(child);
+        FillSources list = list(child);
         if (list == null) {
             return ranked(parents, object, Map.of());
         }
@@ -422,8 +422,8 @@
         return new ArrayList<>(order);
     }
 
-    private SourceList list(Node child) {
-        SourceList own = child == null ? null : given.get(child.member.id());
+    private FillSources list(Node child) {
+        FillSources own = child == null ? null : given.get(child.member.id());
         return own != null || child != null && child.member.role() != Role.CACHE
                 ? own
                 : given.get(FillSourcesUpdate.LOCATION);
@@ -438,7 +438,7 @@
     }
 
     /** Whether an object has moved to its new home; it does once, at its own place in the rising share. */
-    private boolean moved(SourceList list, Node home, String object) {
+    private boolean moved(FillSources list, Node home, String object) {
         Source s = list.now().stream()
                 .filter(n -> n.member() == home.member.id())
                 .findFirst()
@@ -453,7 +453,7 @@
     private List<Node> way(Job job, Node source, Node child) {
         List<Node> way = new ArrayList<>();
         Predicate<Node> usable = n -> up(n) && !job.failed.contains(n.member.id()) && coldRoom(n, job);
-        SourceList moving = source.member.role() == Role.PARENT ? list(child) : null;
+        FillSources moving = source.member.role() == Role.PARENT ? list(child) : null;
         List<Node> old = moving == null ? List.of() : ranked(moving.earlier(), job.request.object());
         for (Node at = source; at != null && given.containsKey(at.member.id()) && way.size() < LONGEST_WAY; ) {
             Node home = at != source || old.isEmpty() ? null : old.get(0);
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -200,14 +200,14 @@
      * as long as that is remembered. Seeds are the members that this one may fill from instead, for objects
      * that were theirs.
      */
-    record SourceList(List<Source> now, List<Source> before, List<Source> earlier, boolean back, List<Long> seeds) {}
+    record FillSources(List<Source> now, List<Source> before, List<Source> earlier, boolean back, List<Long> seeds) {}
 
     /**
      * What members may be filled from, by member, in place of the listed parents and the origin; under LOCATION
      * for caches of this location without a list of their own. Who has no list is filled as before, as all are
      * where there are none.
      */
-    record FillSourcesUpdate(long version, Map<Long, SourceList> lists) implements Event {
+    record FillSourcesUpdate(long version, Map<Long, FillSources> lists) implements Event {
         public static final long LOCATION = 0;
     }
 
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 import pumicemoor.RouterApi.Source;
-import pumicemoor.RouterApi.SourceList;
+import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.hierarchy.Shape.Kind;
 import pumicemoor.hierarchy.Shape.Unit;
@@ -418,7 +418,7 @@
     /** What each member may be filled from now; none while the news is too old. */
     public FillSourcesUpdate sources(ToLongFunction<String> memberId) {
         changed = false;
-        Map<Long, SourceList> lists = new HashMap<>();
+        Map<Long, FillSources> lists = new HashMap<>();
         if (!tooOld) {
             Map<String, List<Long>> seeds = new HashMap<>();
             timeline.seeds().forEach(l -> seeds.computeIfAbsent(l.unit(), k -> new ArrayList<>())
@@ -428,7 +428,7 @@
                 if ((own || b.name.equals(setup.depot())) && !b.current.isEmpty()) {
                     lists.put(
                             own ? memberId.applyAsLong(b.name) : FillSourcesUpdate.LOCATION,
-                            new SourceList(
+                            new FillSources(
                                     list(b, b.current, memberId),
                                     list(b, b.before, memberId),
                                     list(b, b.earlier, memberId),
--- a/src/test/java/pumicemoor/SourcesBenchmark.java
+++ b/src/test/java/pumicemoor/SourcesBenchmark.java
@@ -26,7 +26,7 @@
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.Source;
-import pumicemoor.RouterApi.SourceList;
+import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
 
 /**
@@ -73,13 +73,13 @@
         now = setup.now;
         logic.handle(now, new MemberListUpdate(MemberListKind.SNAPSHOT, 1, List.copyOf(setup.members)), a -> {});
         if (!given.equals("none")) {
-            Map<Long, SourceList> lists = new HashMap<>();
+            Map<Long, FillSources> lists = new HashMap<>();
             List<Source> before = given.equals("moving") ? sources(1_004, 0) : List.of();
-            lists.put(FillSourcesUpdate.LOCATION, new SourceList(sources(1_000, now), before, before, false, List.of()));
+            lists.put(FillSourcesUpdate.LOCATION, new FillSources(sources(1_000, now), before, before, false, List.of()));
             for (int i = 0; i < hubs; i++) {
                 lists.put(
                         1_000L + i,
-                        new SourceList(
+                        new FillSources(
                                 i < 4 ? sources(1_004, 0) : List.of(new Source(900, 1, 0, 0, 0)),
                                 List.of(),
                                 List.of(),
--- a/src/test/java/pumicemoor/SourcesTest.java
+++ b/src/test/java/pumicemoor/SourcesTest.java
@@ -14,7 +14,7 @@
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Source;
-import pumicemoor.RouterApi.SourceList;
+import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.RouterApi.State;
 
@@ -29,11 +29,11 @@
                 .toList();
     }
 
-    private static SourceList only(long... members) {
-        return new SourceList(all(members), List.of(), List.of(), false, List.of());
+    private static FillSources only(long... members) {
+        return new FillSources(all(members), List.of(), List.of(), false, List.of());
     }
 
-    private static RouterHarness given(Map<Long, SourceList> lists) {
+    private static RouterHarness given(Map<Long, FillSources> lists) {
         RouterHarness r = new RouterHarness().fleet(4, 4).start();
         r.handle(new FillSourcesUpdate(1, lists));
         return r;
@@ -75,7 +75,7 @@
         long start = r.now;
         List<Source> now = List.of(new Source(101, 1, from, start, start + 100 * SECOND));
         r.handle(new FillSourcesUpdate(
-                1, Map.of(FillSourcesUpdate.LOCATION, new SourceList(now, all(102), all(102), back, List.of()))));
+                1, Map.of(FillSourcesUpdate.LOCATION, new FillSources(now, all(102), all(102), back, List.of()))));
         List<Set<Integer>> moved = new java.util.ArrayList<>();
         for (int tenth = 0; tenth <= 10; tenth++) {
             Set<Integer> there = new HashSet<>();
@@ -120,7 +120,7 @@
 
     @Test
     void theWayNamesWhatASourceFillsFrom() {
-        Map<Long, SourceList> lists = new HashMap<>();
+        Map<Long, FillSources> lists = new HashMap<>();
         lists.put(FillSourcesUpdate.LOCATION, only(101));
         lists.put(101L, only(102));
         lists.put(102L, only(900));
@@ -131,9 +131,9 @@
 
     @Test
     void aMovedObjectComesFromItsOldHomeByTheNewOne() {
-        Map<Long, SourceList> lists = new HashMap<>();
-        lists.put(FillSourcesUpdate.LOCATION, new SourceList(all(101), List.of(), all(102), false, List.of()));
-        lists.put(101L, new SourceList(all(900), List.of(), List.of(), false, List.of(102L)));
+        Map<Long, FillSources> lists = new HashMap<>();
+        lists.put(FillSourcesUpdate.LOCATION, new FillSources(all(101), List.of(), all(102), false, List.of()));
+        lists.put(101L, new FillSources(all(900), List.of(), List.of(), false, List.of(102L)));
         lists.put(102L, only(900));
         RouterHarness r = given(lists);
         assertEquals(List.of(102L), ask(r, 1).way());
@@ -143,7 +143,7 @@
 
     @Test
     void aCacheWithAListOfItsOwnFollowsThat() {
-        Map<Long, SourceList> lists = new HashMap<>();
+        Map<Long, FillSources> lists = new HashMap<>();
         lists.put(FillSourcesUpdate.LOCATION, only(101));
         lists.put(2L, only(104));
         RouterHarness r = given(lists);
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pumicemoor.RouterApi.SourceList;
+import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.hierarchy.Hierarchy.News;
 import pumicemoor.hierarchy.Hierarchy.Setup;
@@ -37,12 +37,12 @@
         return name.hashCode();
     }
 
-    private static SourceList home(Hierarchy h, long now) {
+    private static FillSources home(Hierarchy h, long now) {
         h.advance(now);
         return h.sources(HierarchyTest::id).lists().get(FillSourcesUpdate.LOCATION);
     }
 
-    private static Set<Long> now(SourceList list) {
+    private static Set<Long> now(FillSources list) {
         return Set.copyOf(list.now().stream().map(s -> s.member()).toList());
     }
 
@@ -57,7 +57,7 @@
         Hierarchy h = at(News.FILE, "d:h1", "h1:o", "h2:o");
         assertEquals(List.of(), h.take(T0, Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o"), Set.of("h1", "h2", "o")));
         assertEquals(Set.of(id("h1")), now(home(h, T0 + 2 * SECOND - 1)));
-        SourceList moving = home(h, T0 + 2 * SECOND);
+        FillSources moving = home(h, T0 + 2 * SECOND);
         assertEquals(Set.of(id("h2")), now(moving));
         assertEquals(id("h1"), moving.before().get(0).member());
         assertEquals(T0 + 2 * SECOND, moving.now().get(0).opensAt());
@@ -104,7 +104,7 @@
         h.take(T0, Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o"), Set.of());
         h.take(T0 + 5 * SECOND, Shapes.shape(3, T0 + 5 * SECOND, "d:h1", "h1:o", "h2:o"), Set.of());
         // the roll-back acts at 7 s, with half moved; seeds must turn round first, which takes the gap
-        SourceList back = home(h, T0 + 10 * SECOND);
+        FillSources back = home(h, T0 + 10 * SECOND);
         assertEquals(Set.of(id("h1")), now(back));
         assertTrue(back.back());
         assertEquals(0.2, back.now().get(0).share(), 0.001);
@@ -119,7 +119,7 @@
         h.take(T0, Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o", "h3:o"), Set.of());
         h.take(T0 + 4 * SECOND, Shapes.shape(3, T0 + 4 * SECOND, "d:h3", "h1:o", "h2:o", "h3:o"), Set.of());
         assertEquals(Set.of(id("h2")), now(home(h, T0 + 11 * SECOND)));
-        SourceList next = home(h, T0 + 12 * SECOND);
+        FillSources next = home(h, T0 + 12 * SECOND);
         assertEquals(Set.of(id("h3")), now(next));
         assertEquals(id("h2"), next.before().get(0).member());
     }
