--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -415,7 +415,7 @@
         if (list == null) {
             return ranked(parents, object, Map.of());
         }
-        List<Node> to = ranked(list.now(), object), from = ranked(list.before(), object);
+        List<Node> to = ranked(list.current(), object), from = ranked(list.before(), object);
         boolean moved = from.isEmpty() || !to.isEmpty() && moved(list, to.get(0), object);
         Set<Node> order = new LinkedHashSet<>(moved ? to : from);
         order.addAll(moved ? from : to);
@@ -439,7 +439,7 @@
 
     /** Whether an object has moved to its new home; it does once, at its own place in the rising share. */
     private boolean moved(FillSources list, Node home, String object) {
-        Source s = list.now().stream()
+        Source s = list.current().stream()
                 .filter(n -> n.member() == home.member.id())
                 .findFirst()
                 .orElseThrow();
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -43,7 +43,7 @@
     }
 
     private static Set<Long> now(FillSources list) {
-        return Set.copyOf(list.now().stream().map(s -> s.member()).toList());
+        return Set.copyOf(list.current().stream().map(s -> s.member()).toList());
     }
 
     private static Piece piece(long number, long announced, int of, String line) {
@@ -60,8 +60,8 @@
         FillSources moving = home(h, T0 + 2 * SECOND);
         assertEquals(Set.of(id("h2")), now(moving));
         assertEquals(id("h1"), moving.before().get(0).member());
-        assertEquals(T0 + 2 * SECOND, moving.now().get(0).opensAt());
-        assertEquals(T0 + 12 * SECOND, moving.now().get(0).fullAt());
+        assertEquals(T0 + 2 * SECOND, moving.current().get(0).opensAt());
+        assertEquals(T0 + 12 * SECOND, moving.current().get(0).fullAt());
         assertEquals(
                 List.of(id("h1")),
                 h.sources(HierarchyTest::id).lists().get(id("h2")).seeds());
@@ -107,8 +107,8 @@
         FillSources back = home(h, T0 + 10 * SECOND);
         assertEquals(Set.of(id("h1")), now(back));
         assertTrue(back.back());
-        assertEquals(0.2, back.now().get(0).share(), 0.001);
-        assertEquals(T0 + 18 * SECOND, back.now().get(0).fullAt());
+        assertEquals(0.2, back.current().get(0).share(), 0.001);
+        assertEquals(T0 + 18 * SECOND, back.current().get(0).fullAt());
         assertEquals(1, h.snapshot().movesBack());
         assertFalse(home(h, T0 + 60 * SECOND).back());
     }
@@ -143,7 +143,7 @@
         h.advance(T0 + 6 * SECOND);
         h.members(Map.of("h1", 0L, "h2", T0 + 6 * SECOND));
         assertTrue(h.changed());
-        var source = home(h, T0 + 6 * SECOND).now().get(0);
+        var source = home(h, T0 + 6 * SECOND).current().get(0);
         assertEquals(T0 + 6 * SECOND, source.opensAt());
         assertEquals(T0 + 16 * SECOND, source.fullAt());
         assertEquals(0, source.share());
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -786,7 +786,7 @@
                 .get(of(events, FillSourcesUpdate.class).size() - 1);
         return last.lists().isEmpty()
                 ? 0
-                : last.lists().get(FillSourcesUpdate.LOCATION).now().get(0).member();
+                : last.lists().get(FillSourcesUpdate.LOCATION).current().get(0).member();
     }
 
     @Test
