--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -415,7 +415,7 @@
         if (list == null) {
             return ranked(parents, object, Map.of());
         }
-        List<Node> to = ranked(list.current(), object), from = ranked(list.before(), object);
+        List<Node> to = ranked(list.current(), object), from = ranked(list.previous(), object);
         boolean moved = from.isEmpty() || !to.isEmpty() && moved(list, to.get(0), object);
         Set<Node> order = new LinkedHashSet<>(moved ? to : from);
         order.addAll(moved ? from : to);
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -59,7 +59,7 @@
         assertEquals(Set.of(id("h1")), now(home(h, T0 + 2 * SECOND - 1)));
         FillSources moving = home(h, T0 + 2 * SECOND);
         assertEquals(Set.of(id("h2")), now(moving));
-        assertEquals(id("h1"), moving.before().get(0).member());
+        assertEquals(id("h1"), moving.previous().get(0).member());
         assertEquals(T0 + 2 * SECOND, moving.current().get(0).opensAt());
         assertEquals(T0 + 12 * SECOND, moving.current().get(0).fullAt());
         assertEquals(
@@ -68,7 +68,7 @@
         h.advance(T0 + 7 * SECOND);
         assertEquals(0.5, h.snapshot().shareMoved(), 0.001);
         assertEquals(Stage.MOVING, h.snapshot().stage());
-        assertEquals(List.of(), home(h, T0 + 12 * SECOND).before());
+        assertEquals(List.of(), home(h, T0 + 12 * SECOND).previous());
         assertEquals(
                 id("h1"), home(h, T0 + 13 * SECOND).earlier().get(0).member(), "it is remembered for what it held");
         h.advance(T0 + 60 * SECOND);
@@ -121,7 +121,7 @@
         assertEquals(Set.of(id("h2")), now(home(h, T0 + 11 * SECOND)));
         FillSources next = home(h, T0 + 12 * SECOND);
         assertEquals(Set.of(id("h3")), now(next));
-        assertEquals(id("h2"), next.before().get(0).member());
+        assertEquals(id("h2"), next.previous().get(0).member());
     }
 
     @Test
