--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -446,7 +446,7 @@
         double place = (Hashes.mix(~Hashes.fnv(object)) >>> 11) * 0x1.0p-53;
         double span = s.fullAt() - s.opensAt();
         double passed = span <= 0 ? 1 : (now - s.opensAt()) / span;
-        return (list.back() ? 1 - place : place) < s.share() + (1 - s.share()) * Math.max(0, passed);
+        return (list.reverting() ? 1 - place : place) < s.share() + (1 - s.share()) * Math.max(0, passed);
     }
 
     /** What a source is to fill from on its way to the origin; at first, for a moved object, its old home. */
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -200,7 +200,7 @@
      * as long as that is remembered. Seeds are the members that this one may fill from instead, for objects
      * that were theirs.
      */
-    record FillSources(List<Source> current, List<Source> previous, List<Source> earlier, boolean back, List<Long> seeds) {}
+    record FillSources(List<Source> current, List<Source> previous, List<Source> earlier, boolean reverting, List<Long> seeds) {}
 
     /**
      * What members may be filled from, by member, in place of the listed parents and the origin; under LOCATION
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -106,11 +106,11 @@
         // the roll-back acts at 7 s, with half moved; seeds must turn round first, which takes the gap
         FillSources back = home(h, T0 + 10 * SECOND);
         assertEquals(Set.of(id("h1")), now(back));
-        assertTrue(back.back());
+        assertTrue(back.reverting());
         assertEquals(0.2, back.current().get(0).share(), 0.001);
         assertEquals(T0 + 18 * SECOND, back.current().get(0).fullAt());
         assertEquals(1, h.snapshot().movesBack());
-        assertFalse(home(h, T0 + 60 * SECOND).back());
+        assertFalse(home(h, T0 + 60 * SECOND).reverting());
     }
 
     @Test
