--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -429,7 +429,7 @@
                 : given.get(FillSourcesUpdate.LOCATION);
     }
 
-    private List<Node> ranked(List<Source> sources, String object) {
+    private List<Node> ranked(List<FillSource> sources, String object) {
         Map<Node, Double> weights = new LinkedHashMap<>();
         sources.stream()
                 .filter(s -> nodes.containsKey(s.member()) && nodes.get(s.member()).listed)
@@ -439,7 +439,7 @@
 
     /** Whether an object has moved to its new home; it does once, at its own place in the rising share. */
     private boolean moved(FillSources list, Node home, String object) {
-        Source s = list.current().stream()
+        FillSource s = list.current().stream()
                 .filter(n -> n.member() == home.member.id())
                 .findFirst()
                 .orElseThrow();
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -192,7 +192,7 @@
      * A member that may be filled from, with the weight of its part of the objects. While objects move to it,
      * they come as a share that rises evenly, from the given one at opensAt to all of them at fullAt.
      */
-    record Source(long member, double weight, double share, long opensAt, long fullAt) {}
+    record FillSource(long member, double weight, double share, long opensAt, long fullAt) {}
 
     /**
      * What a member may be filled from, and what it was filled from until its objects have moved; back means
@@ -200,7 +200,7 @@
      * as long as that is remembered. Seeds are the members that this one may fill from instead, for objects
      * that were theirs.
      */
-    record FillSources(List<Source> current, List<Source> previous, List<Source> earlier, boolean reverting, List<Long> seeds) {}
+    record FillSources(List<FillSource> current, List<FillSource> previous, List<FillSource> earlier, boolean reverting, List<Long> seeds) {}
 
     /**
      * What members may be filled from, by member, in place of the listed parents and the origin; under LOCATION
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
-import pumicemoor.RouterApi.Source;
+import pumicemoor.RouterApi.FillSource;
 import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.hierarchy.Shape.Kind;
@@ -440,8 +440,8 @@
         return new FillSourcesUpdate(version, lists);
     }
 
-    private List<Source> list(Branch branch, Map<String, Double> parents, ToLongFunction<String> memberId) {
-        List<Source> sources = new ArrayList<>();
+    private List<FillSource> list(Branch branch, Map<String, Double> parents, ToLongFunction<String> memberId) {
+        List<FillSource> sources = new ArrayList<>();
         parents.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(e -> {
             long start = started.getOrDefault(e.getKey(), 0L);
             boolean fresh = start > 0 && branch.moving() && branch.until - start < setup.coldTime()
@@ -450,7 +450,7 @@
             long full = fresh
                     ? Math.max(branch.until, start + Math.max(setup.timing().move(), setup.coldTime()))
                     : branch.until;
-            sources.add(new Source(
+            sources.add(new FillSource(
                     memberId.applyAsLong(e.getKey()),
                     e.getValue(),
                     start > branch.from ? 0 : branch.startShare,
--- a/src/test/java/pumicemoor/SourcesBenchmark.java
+++ b/src/test/java/pumicemoor/SourcesBenchmark.java
@@ -25,7 +25,7 @@
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.Source;
+import pumicemoor.RouterApi.FillSource;
 import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
 
@@ -53,9 +53,9 @@
     private long number;
     private Fetch sent;
 
-    private static List<Source> sources(long first, long opensAt) {
+    private static List<FillSource> sources(long first, long opensAt) {
         return LongStream.range(first, first + 4)
-                .mapToObj(m -> new Source(m, 1, 0, opensAt, opensAt + (1L << 40)))
+                .mapToObj(m -> new FillSource(m, 1, 0, opensAt, opensAt + (1L << 40)))
                 .toList();
     }
 
@@ -74,13 +74,13 @@
         logic.handle(now, new MemberListUpdate(MemberListKind.SNAPSHOT, 1, List.copyOf(setup.members)), a -> {});
         if (!given.equals("none")) {
             Map<Long, FillSources> lists = new HashMap<>();
-            List<Source> before = given.equals("moving") ? sources(1_004, 0) : List.of();
+            List<FillSource> before = given.equals("moving") ? sources(1_004, 0) : List.of();
             lists.put(FillSourcesUpdate.LOCATION, new FillSources(sources(1_000, now), before, before, false, List.of()));
             for (int i = 0; i < hubs; i++) {
                 lists.put(
                         1_000L + i,
                         new FillSources(
-                                i < 4 ? sources(1_004, 0) : List.of(new Source(900, 1, 0, 0, 0)),
+                                i < 4 ? sources(1_004, 0) : List.of(new FillSource(900, 1, 0, 0, 0)),
                                 List.of(),
                                 List.of(),
                                 false,
--- a/src/test/java/pumicemoor/SourcesTest.java
+++ b/src/test/java/pumicemoor/SourcesTest.java
@@ -13,7 +13,7 @@
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Outcome;
-import pumicemoor.RouterApi.Source;
+import pumicemoor.RouterApi.FillSource;
 import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.RouterApi.State;
@@ -23,9 +23,9 @@
 
     private static final long SECOND = RouterHarness.SECOND;
 
-    private static List<Source> all(long... members) {
+    private static List<FillSource> all(long... members) {
         return java.util.Arrays.stream(members)
-                .mapToObj(m -> new Source(m, 1, 0, 0, 0))
+                .mapToObj(m -> new FillSource(m, 1, 0, 0, 0))
                 .toList();
     }
 
@@ -73,7 +73,7 @@
     private static List<Set<Integer>> moving(boolean back, double from) {
         RouterHarness r = new RouterHarness().fleet(4, 4).start();
         long start = r.now;
-        List<Source> now = List.of(new Source(101, 1, from, start, start + 100 * SECOND));
+        List<FillSource> now = List.of(new FillSource(101, 1, from, start, start + 100 * SECOND));
         r.handle(new FillSourcesUpdate(
                 1, Map.of(FillSourcesUpdate.LOCATION, new FillSources(now, all(102), all(102), back, List.of()))));
         List<Set<Integer>> moved = new java.util.ArrayList<>();
