--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -60,7 +60,7 @@
         FillSources moving = home(h, T0 + 2 * SECOND);
         assertEquals(Set.of(id("h2")), now(moving));
         assertEquals(id("h1"), moving.previous().get(0).member());
-        assertEquals(T0 + 2 * SECOND, moving.current().get(0).opensAt());
+        assertEquals(T0 + 2 * SECOND, moving.current().get(0).rampStart());
         assertEquals(T0 + 12 * SECOND, moving.current().get(0).fullAt());
         assertEquals(
                 List.of(id("h1")),
@@ -144,7 +144,7 @@
         h.members(Map.of("h1", 0L, "h2", T0 + 6 * SECOND));
         assertTrue(h.changed());
         var source = home(h, T0 + 6 * SECOND).current().get(0);
-        assertEquals(T0 + 6 * SECOND, source.opensAt());
+        assertEquals(T0 + 6 * SECOND, source.rampStart());
         assertEquals(T0 + 16 * SECOND, source.fullAt());
         assertEquals(0, source.share());
     }
