--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -444,7 +444,7 @@
                 .findFirst()
                 .orElseThrow();
         double place = (Hashes.mix(~Hashes.fnv(object)) >>> 11) * 0x1.0p-53;
-        double span = s.fullAt() - s.rampStart();
+        double span = s.rampEnd() - s.rampStart();
         double passed = span <= 0 ? 1 : (now - s.rampStart()) / span;
         return (list.reverting() ? 1 - place : place) < s.share() + (1 - s.share()) * Math.max(0, passed);
     }
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -192,7 +192,7 @@
      * A member that may be filled from, with the weight of its part of the objects. While objects move to it,
      * they come as a share that rises evenly, from the given one at opensAt to all of them at fullAt.
      */
-    record FillSource(long member, double weight, double share, long rampStart, long fullAt) {}
+    record FillSource(long member, double weight, double share, long rampStart, long rampEnd) {}
 
     /**
      * What a member may be filled from, and what it was filled from until its objects have moved; back means
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -61,7 +61,7 @@
         assertEquals(Set.of(id("h2")), now(moving));
         assertEquals(id("h1"), moving.previous().get(0).member());
         assertEquals(T0 + 2 * SECOND, moving.current().get(0).rampStart());
-        assertEquals(T0 + 12 * SECOND, moving.current().get(0).fullAt());
+        assertEquals(T0 + 12 * SECOND, moving.current().get(0).rampEnd());
         assertEquals(
                 List.of(id("h1")),
                 h.sources(HierarchyTest::id).lists().get(id("h2")).seeds());
@@ -108,7 +108,7 @@
         assertEquals(Set.of(id("h1")), now(back));
         assertTrue(back.reverting());
         assertEquals(0.2, back.current().get(0).share(), 0.001);
-        assertEquals(T0 + 18 * SECOND, back.current().get(0).fullAt());
+        assertEquals(T0 + 18 * SECOND, back.current().get(0).rampEnd());
         assertEquals(1, h.snapshot().movesBack());
         assertFalse(home(h, T0 + 60 * SECOND).reverting());
     }
@@ -145,7 +145,7 @@
         assertTrue(h.changed());
         var source = home(h, T0 + 6 * SECOND).current().get(0);
         assertEquals(T0 + 6 * SECOND, source.rampStart());
-        assertEquals(T0 + 16 * SECOND, source.fullAt());
+        assertEquals(T0 + 16 * SECOND, source.rampEnd());
         assertEquals(0, source.share());
     }
 
