--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -191,7 +191,7 @@
             peerNote(e);
         } else if (event instanceof FillSourcesUpdate e) {
             given = e.lists();
-        } else if (event instanceof AllowancesGiven e) {
+        } else if (event instanceof LimitSharesUpdate e) {
             quotas.follow(e.allowances(), now);
         } else if (event instanceof VerdictsGiven e) {
             verdicts = e.out();
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -165,7 +165,7 @@
     sealed interface Event
             permits MemberListUpdate,
                     FillSourcesUpdate,
-                    AllowancesGiven,
+                    LimitSharesUpdate,
                     VerdictsGiven,
                     RequestArrived,
                     AnswerStarted,
@@ -234,7 +234,7 @@
     }
 
     /** All allowances that are in force, in place of those before; a member without one is not limited so. */
-    record AllowancesGiven(List<Allowance> allowances) implements Event {}
+    record LimitSharesUpdate(List<Allowance> allowances) implements Event {}
 
     /** A process of a member that all routers leave alone until then, on what some of them have seen of it. */
     record MemberOut(long member, long started, long until) {
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import pumicemoor.Hashes;
 import pumicemoor.RouterApi.Allowance;
-import pumicemoor.RouterApi.AllowancesGiven;
+import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.MemberOut;
@@ -1176,7 +1176,7 @@
     @Override
     public List<Event> takeEvents() {
         if (allowancesNew && !setup.limits().isEmpty()) {
-            events.add(new AllowancesGiven(
+            events.add(new LimitSharesUpdate(
                     leases.values().stream().map(this::allowance).toList()));
         }
         if (verdictsNew && setup.verdicts().isPresent()) {
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -18,7 +18,7 @@
 import java.util.function.BiPredicate;
 import java.util.function.Predicate;
 import pumicemoor.RouterApi.Allowance;
-import pumicemoor.RouterApi.AllowancesGiven;
+import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.Measure;
@@ -450,7 +450,7 @@
         r.part.takeView();
         List<Datagram> out = r.part.takePackets();
         for (Event e : r.part.takeEvents()) {
-            if (e instanceof AllowancesGiven a && !a.allowances().isEmpty()) {
+            if (e instanceof LimitSharesUpdate a && !a.allowances().isEmpty()) {
                 r.allowance = a.allowances().get(0);
             }
         }
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.Allowance;
-import pumicemoor.RouterApi.AllowancesGiven;
+import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Judged;
@@ -70,7 +70,7 @@
         RouterHarness r = new RouterHarness().fleet(3, 2);
         r.direct = true;
         r.start();
-        r.handle(new AllowancesGiven(List.of(allowances)));
+        r.handle(new LimitSharesUpdate(List.of(allowances)));
         return r;
     }
 
@@ -97,7 +97,7 @@
     @Test
     void anAllowanceThatRanOutGoesOverToWhatComesAfter() {
         RouterHarness r = limited();
-        r.handle(new AllowancesGiven(List.of(new Allowance(900, Measure.PER_SECOND, 50, r.now + 2 * SECOND, 5))));
+        r.handle(new LimitSharesUpdate(List.of(new Allowance(900, Measure.PER_SECOND, 50, r.now + 2 * SECOND, 5))));
         long first = reach(load(r, 200, RouterHarness.PAGE), 900);
         long then = reach(load(r, 400, RouterHarness.PAGE), 900);
         assertTrue(first > 60, () -> "first " + first);
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -13,7 +13,7 @@
 import java.util.function.BiPredicate;
 import java.util.stream.IntStream;
 import pumicemoor.RouterApi.Allowance;
-import pumicemoor.RouterApi.AllowancesGiven;
+import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.Measure;
@@ -258,7 +258,7 @@
             send(r, d);
         }
         for (Event e : r.fleet.takeEvents()) {
-            if (e instanceof AllowancesGiven a) {
+            if (e instanceof LimitSharesUpdate a) {
                 r.allowances = a.allowances();
             } else if (e instanceof VerdictsGiven v) {
                 r.out = v.out();
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -20,7 +20,7 @@
 import java.util.stream.Collectors;
 import pumicemoor.Hashes;
 import pumicemoor.RouterApi.Allowance;
-import pumicemoor.RouterApi.AllowancesGiven;
+import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.Measure;
@@ -370,7 +370,7 @@
         boolean told = false;
         for (Event e : r.part.takeEvents()) {
             told = true;
-            if (e instanceof AllowancesGiven a) {
+            if (e instanceof LimitSharesUpdate a) {
                 r.allowances = a.allowances();
                 a.allowances().stream().filter(x -> x.until() < Long.MAX_VALUE).forEach(x -> look(r, x.until()));
             } else if (e instanceof VerdictsGiven v) {
