--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -192,7 +192,7 @@
         } else if (event instanceof FillSourcesUpdate e) {
             given = e.lists();
         } else if (event instanceof LimitSharesUpdate e) {
-            quotas.follow(e.allowances(), now);
+            quotas.follow(e.shares(), now);
         } else if (event instanceof VerdictsGiven e) {
             verdicts = e.out();
         }
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -234,7 +234,7 @@
     }
 
     /** All allowances that are in force, in place of those before; a member without one is not limited so. */
-    record LimitSharesUpdate(List<Allowance> allowances) implements Event {}
+    record LimitSharesUpdate(List<Allowance> shares) implements Event {}
 
     /** A process of a member that all routers leave alone until then, on what some of them have seen of it. */
     record MemberOut(long member, long started, long until) {
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -450,8 +450,8 @@
         r.part.takeView();
         List<Datagram> out = r.part.takePackets();
         for (Event e : r.part.takeEvents()) {
-            if (e instanceof LimitSharesUpdate a && !a.allowances().isEmpty()) {
-                r.allowance = a.allowances().get(0);
+            if (e instanceof LimitSharesUpdate a && !a.shares().isEmpty()) {
+                r.allowance = a.shares().get(0);
             }
         }
         r.part.takeNotices();
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -259,7 +259,7 @@
         }
         for (Event e : r.fleet.takeEvents()) {
             if (e instanceof LimitSharesUpdate a) {
-                r.allowances = a.allowances();
+                r.allowances = a.shares();
             } else if (e instanceof VerdictsGiven v) {
                 r.out = v.out();
                 v.out().forEach(o -> r.heardOut.putIfAbsent(o.member(), now));
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -371,8 +371,8 @@
         for (Event e : r.part.takeEvents()) {
             told = true;
             if (e instanceof LimitSharesUpdate a) {
-                r.allowances = a.allowances();
-                a.allowances().stream().filter(x -> x.until() < Long.MAX_VALUE).forEach(x -> look(r, x.until()));
+                r.allowances = a.shares();
+                a.shares().stream().filter(x -> x.until() < Long.MAX_VALUE).forEach(x -> look(r, x.until()));
             } else if (e instanceof VerdictsGiven v) {
                 r.out = v.out();
                 v.out().forEach(o -> {
