--- a/src/main/java/pumicemoor/Quota.java
+++ b/src/main/java/pumicemoor/Quota.java
@@ -1,6 +1,6 @@
 package pumicemoor;
 
-import pumicemoor.RouterApi.Allowance;
+import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.Measure;
 import pumicemoor.RouterApi.Wanted;
 
@@ -14,7 +14,7 @@
     private static final double NEWEST = 0.1; // weight of the newest in the mean
 
     private final double span; // microseconds that a bucket may save up for
-    private Allowance given;
+    private LimitShare given;
     private double tokens;
     private double wanted;
     private double mean; // kilobytes that an attempt brought across
@@ -23,13 +23,13 @@
     private long denied; // requests numbered under this were counted as wanted when they were first held up
 
     /** An empty bucket of this depth; it starts to fill now. */
-    Quota(double span, Allowance given, long now) {
+    Quota(double span, LimitShare given, long now) {
         this.span = span;
         this.given = given;
         this.at = now;
     }
 
-    Quota follow(Allowance next, long now) {
+    Quota follow(LimitShare next, long now) {
         share(now);
         given = next;
         return this;
--- a/src/main/java/pumicemoor/Quotas.java
+++ b/src/main/java/pumicemoor/Quotas.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
-import pumicemoor.RouterApi.Allowance;
+import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.Measure;
 import pumicemoor.RouterApi.Wanted;
 
@@ -27,9 +27,9 @@
     }
 
     /** Goes over to these allowances; what each bucket had saved up stays. */
-    void follow(List<Allowance> allowances, long now) {
+    void follow(List<LimitShare> allowances, long now) {
         Map<Long, List<Quota>> next = new TreeMap<>();
-        for (Allowance a : allowances) {
+        for (LimitShare a : allowances) {
             next.computeIfAbsent(a.member(), m -> new ArrayList<>())
                     .add(of(a.member()).stream()
                             .filter(q -> q.measure() == a.measure())
@@ -51,7 +51,7 @@
     boolean room(long now, long member, boolean warm, int underWay, long request, boolean away) {
         return of(member).stream()
                         .allMatch(q -> q.measure() == Measure.COLD_IN_FLIGHT && warm || q.room(now, underWay, request))
-                && (!away || of(Allowance.ACROSS_ZONES).stream().allMatch(q -> q.room(now, 0, request)));
+                && (!away || of(LimitShare.ACROSS_ZONES).stream().allMatch(q -> q.room(now, 0, request)));
     }
 
     void spend(long member) {
@@ -61,14 +61,14 @@
     /** An attempt that may cross zones is sent. */
     void begin(boolean away) {
         if (away) {
-            of(Allowance.ACROSS_ZONES).forEach(Quota::begin);
+            of(LimitShare.ACROSS_ZONES).forEach(Quota::begin);
         }
     }
 
     /** It has ended, and this is what crossed. */
     void end(boolean away, double kb) {
         if (away) {
-            of(Allowance.ACROSS_ZONES).forEach(q -> q.end(kb));
+            of(LimitShare.ACROSS_ZONES).forEach(q -> q.end(kb));
         }
     }
 
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -227,14 +227,14 @@
     }
 
     /** What this router may have of a member: so much until then, and so much afterwards where nothing else is told. */
-    record Allowance(long member, Measure measure, double share, long until, double after) {
+    record LimitShare(long member, Measure measure, double share, long until, double after) {
 
         /** Stands in a member's place for all that crosses zones. */
         public static final long ACROSS_ZONES = 0;
     }
 
     /** All allowances that are in force, in place of those before; a member without one is not limited so. */
-    record LimitSharesUpdate(List<Allowance> shares) implements Event {}
+    record LimitSharesUpdate(List<LimitShare> shares) implements Event {}
 
     /** A process of a member that all routers leave alone until then, on what some of them have seen of it. */
     record MemberOut(long member, long started, long until) {
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -12,7 +12,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import pumicemoor.Hashes;
-import pumicemoor.RouterApi.Allowance;
+import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
@@ -355,7 +355,7 @@
                 .filter(r -> r.scope() == Scope.ACROSS_ZONES)
                 .forEach(r -> limits.put(
                         Hashes.of(r.name()),
-                        new FleetLimit(r.name(), Allowance.ACROSS_ZONES, r.measure(), r.amount())));
+                        new FleetLimit(r.name(), LimitShare.ACROSS_ZONES, r.measure(), r.amount())));
         leases.keySet().retainAll(limits.keySet());
         shares.keySet().retainAll(limits.keySet());
         books.keySet().retainAll(limits.keySet());
@@ -975,7 +975,7 @@
     }
 
     private String nameOf(long member) {
-        return member == Allowance.ACROSS_ZONES
+        return member == LimitShare.ACROSS_ZONES
                 ? "across-zones"
                 : members.containsKey(member) ? members.get(member).name() : Long.toString(member);
     }
@@ -1187,9 +1187,9 @@
         return takeAll(events);
     }
 
-    private Allowance allowance(HeldLease lease) {
+    private LimitShare allowance(HeldLease lease) {
         FleetLimit limit = lease.limit();
-        return new Allowance(
+        return new LimitShare(
                 limit.member(),
                 limit.measure(),
                 lease.part(now, routers()),
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.Future;
 import java.util.function.BiPredicate;
 import java.util.function.Predicate;
-import pumicemoor.RouterApi.Allowance;
+import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
@@ -94,7 +94,7 @@
         private long packetsOut;
         private int[] bytesIn = new int[0]; // by second of the window
         private int[] bytesOut = new int[0];
-        private Allowance allowance; // of the limit, where there is one; null before it was told
+        private LimitShare allowance; // of the limit, where there is one; null before it was told
 
         Router(int number, Geography.Place place) {
             this.number = number;
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -12,7 +12,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.BiPredicate;
 import java.util.stream.IntStream;
-import pumicemoor.RouterApi.Allowance;
+import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
@@ -46,7 +46,7 @@
         boolean running;
         long pausedUntil;
         long nextAt;
-        List<Allowance> allowances = List.of();
+        List<LimitShare> allowances = List.of();
         List<MemberOut> out = List.of();
         final Map<Long, Long> heardOut = new LinkedHashMap<>(); // when each member was first told out
         final List<Notice> notices = new ArrayList<>();
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -19,7 +19,7 @@
 import java.util.function.BiPredicate;
 import java.util.stream.Collectors;
 import pumicemoor.Hashes;
-import pumicemoor.RouterApi.Allowance;
+import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
@@ -73,7 +73,7 @@
         long pausedUntil;
         long startedAt;
         double wanted;
-        List<Allowance> allowances = List.of();
+        List<LimitShare> allowances = List.of();
         List<MemberOut> out = List.of();
         final Map<Long, Long> heardOut = new LinkedHashMap<>(); // when each member was first told out
         final List<Notice> notices = new ArrayList<>();
