--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -95,7 +95,7 @@
                     ? 0
                     : allowances.stream()
                             .filter(a -> a.member() == ORIGIN)
-                            .mapToDouble(a -> now < a.until() ? a.share() : a.after())
+                            .mapToDouble(a -> now < a.until() ? a.amount() : a.after())
                             .sum();
         }
 
