--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -95,7 +95,7 @@
                     ? 0
                     : allowances.stream()
                             .filter(a -> a.member() == ORIGIN)
-                            .mapToDouble(a -> now < a.until() ? a.amount() : a.after())
+                            .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.after())
                             .sum();
         }
 
@@ -372,7 +372,7 @@
             told = true;
             if (e instanceof LimitSharesUpdate a) {
                 r.allowances = a.shares();
-                a.shares().stream().filter(x -> x.until() < Long.MAX_VALUE).forEach(x -> look(r, x.until()));
+                a.shares().stream().filter(x -> x.expiresAt() < Long.MAX_VALUE).forEach(x -> look(r, x.expiresAt()));
             } else if (e instanceof VerdictsGiven v) {
                 r.out = v.out();
                 v.out().forEach(o -> {
