--- a/src/main/java/pumicemoor/Quota.java
+++ b/src/main/java/pumicemoor/Quota.java
@@ -41,7 +41,7 @@
 
     /** What this router may have of it now; up to now the bucket fills by what it could have had before. */
     private double share(long now) {
-        double share = now < given.expiresAt() ? given.amount() : given.after();
+        double share = now < given.expiresAt() ? given.amount() : given.amountAfterExpiry();
         tokens = Math.min(Math.max(1, share * span / 1e6), tokens + share * (now - at) / 1e6);
         at = now;
         return share;
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -227,7 +227,7 @@
     }
 
     /** What this router may have of a member: so much until then, and so much afterwards where nothing else is told. */
-    record LimitShare(long member, Measure measure, double amount, long expiresAt, double after) {
+    record LimitShare(long member, Measure measure, double amount, long expiresAt, double amountAfterExpiry) {
 
         /** Stands in a member's place for all that crosses zones. */
         public static final long ACROSS_ZONES = 0;
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -492,7 +492,7 @@
     private double spent() {
         return routers.stream()
                         .filter(r -> r.running && r.allowance != null)
-                        .mapToDouble(r -> now < r.allowance.expiresAt() ? r.allowance.amount() : r.allowance.after())
+                        .mapToDouble(r -> now < r.allowance.expiresAt() ? r.allowance.amount() : r.allowance.amountAfterExpiry())
                         .sum()
                 / LIMIT;
     }
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -105,7 +105,7 @@
             }
             return allowances.stream()
                     .filter(a -> a.member() == ORIGIN)
-                    .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.after())
+                    .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.amountAfterExpiry())
                     .sum();
         }
     }
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -95,7 +95,7 @@
                     ? 0
                     : allowances.stream()
                             .filter(a -> a.member() == ORIGIN)
-                            .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.after())
+                            .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.amountAfterExpiry())
                             .sum();
         }
 
