--- a/src/main/java/pumicemoor/Quota.java
+++ b/src/main/java/pumicemoor/Quota.java
@@ -1,7 +1,7 @@
 package pumicemoor;
 
 import pumicemoor.RouterApi.LimitShare;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.Wanted;
 
 /**
@@ -35,7 +35,7 @@
         return this;
     }
 
-    Measure measure() {
+    LimitMeasure measure() {
         return given.measure();
     }
 
@@ -50,12 +50,12 @@
     /** Whether there is room for a request more, of this number, where so many are under way. */
     boolean room(long now, int underWay, long request) {
         double share = share(now);
-        boolean room = given.measure() == Measure.KB_PER_SECOND
+        boolean room = given.measure() == LimitMeasure.KB_PER_SECOND
                 ? tokens > open * mean
                 : given.measure().whole ? underWay < Math.floor(share) : tokens >= 1;
         if (!room && request >= denied) {
             denied = request + 1;
-            wanted += given.measure() == Measure.KB_PER_SECOND ? mean : 1;
+            wanted += given.measure() == LimitMeasure.KB_PER_SECOND ? mean : 1;
         }
         return room;
     }
--- a/src/main/java/pumicemoor/Quotas.java
+++ b/src/main/java/pumicemoor/Quotas.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
 import pumicemoor.RouterApi.LimitShare;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.Wanted;
 
 /**
@@ -50,7 +50,7 @@
      */
     boolean room(long now, long member, boolean warm, int underWay, long request, boolean away) {
         return of(member).stream()
-                        .allMatch(q -> q.measure() == Measure.COLD_IN_FLIGHT && warm || q.room(now, underWay, request))
+                        .allMatch(q -> q.measure() == LimitMeasure.COLD_IN_FLIGHT && warm || q.room(now, underWay, request))
                 && (!away || of(LimitShare.ACROSS_ZONES).stream().allMatch(q -> q.room(now, 0, request)));
     }
 
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -212,7 +212,7 @@
     }
 
     /** What an allowance counts: requests a second, those under way, also only while the member is cold; kilobytes. */
-    enum Measure {
+    enum LimitMeasure {
         PER_SECOND(false),
         IN_FLIGHT(true),
         COLD_IN_FLIGHT(true),
@@ -221,13 +221,13 @@
         /** Whether parts of it are whole numbers. */
         public final boolean whole;
 
-        Measure(boolean whole) {
+        LimitMeasure(boolean whole) {
             this.whole = whole;
         }
     }
 
     /** What this router may have of a member: so much until then, and so much afterwards where nothing else is told. */
-    record LimitShare(long member, Measure measure, double amount, long expiresAt, double amountAfterExpiry) {
+    record LimitShare(long member, LimitMeasure measure, double amount, long expiresAt, double amountAfterExpiry) {
 
         /** Stands in a member's place for all that crosses zones. */
         public static final long ACROSS_ZONES = 0;
@@ -438,7 +438,7 @@
     record AskList() implements Action {}
 
     /** How much of an allowance was wanted lately, in its measure, and how much is in use. */
-    record Wanted(long member, Measure measure, double wanted, double inUse) implements Action {}
+    record Wanted(long member, LimitMeasure measure, double wanted, double inUse) implements Action {}
 
     /** This router has taken a member out until then, or found it good again; silent: it gave no sign of life. */
     record Judged(long member, boolean failing, boolean silent, int strikes, double failShare, long until)
--- a/src/main/java/pumicemoor/fleet/FleetSetup.java
+++ b/src/main/java/pumicemoor/fleet/FleetSetup.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.cells.CellSetup;
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.limits.LeaseTimes;
@@ -56,5 +56,5 @@
     }
 
     /** A limit as the operator sets it; the member is named where the scope is one. */
-    public record LimitRule(String name, Scope scope, String member, Measure measure, double amount) {}
+    public record LimitRule(String name, Scope scope, String member, LimitMeasure measure, double amount) {}
 }
--- a/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
+++ b/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
@@ -1,12 +1,12 @@
 package pumicemoor.fleet.limits;
 
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 
 /**
  * A limit that the fleet holds together: so much of this measure at one member by all routers. Whole parts are those
  * of things that can't be divided.
  */
-public record FleetLimit(String name, long member, Measure measure, double amount) {
+public record FleetLimit(String name, long member, LimitMeasure measure, double amount) {
 
     private static final double LEAST = 0.1; // of the even part
 
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -21,7 +21,7 @@
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.Wanted;
 import pumicemoor.fleet.Datagram;
@@ -222,8 +222,8 @@
         this.listed = Map.copyOf(all);
         this.limits = List.of(
                 shape.limits > 1
-                        ? new LimitRule("caches", Scope.EACH_CACHE, "", Measure.PER_SECOND, LIMIT)
-                        : new LimitRule("origin", Scope.ORIGIN, "", Measure.PER_SECOND, LIMIT));
+                        ? new LimitRule("caches", Scope.EACH_CACHE, "", LimitMeasure.PER_SECOND, LIMIT)
+                        : new LimitRule("origin", Scope.ORIGIN, "", LimitMeasure.PER_SECOND, LIMIT));
         this.readingTakes = readingTakes();
     }
 
@@ -439,7 +439,7 @@
         r.timerAt = Long.MAX_VALUE;
         long before = cpu();
         if (r.part.nextDue() <= at) {
-            r.part.wanted(new Wanted(shape.limits > 1 ? 1_000 : ORIGIN, Measure.PER_SECOND, r.wanted, 0));
+            r.part.wanted(new Wanted(shape.limits > 1 ? 1_000 : ORIGIN, LimitMeasure.PER_SECOND, r.wanted, 0));
             r.part.advance(at);
         }
         step(r, before, at);
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -27,7 +27,7 @@
 import java.util.TreeMap;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.calls.CallRules;
 import pumicemoor.calls.FairAdmission;
 import pumicemoor.fleet.FleetSetup.LimitRule;
@@ -373,11 +373,11 @@
         if (form.members().equals("across-zones") != (form.kbPerSecond() != null)) {
             throw wrong("fleet.limits", "limit '" + form.name() + "': across-zones and kb-per-second go together");
         }
-        Measure measure = form.kbPerSecond() != null
-                ? Measure.KB_PER_SECOND
+        LimitMeasure measure = form.kbPerSecond() != null
+                ? LimitMeasure.KB_PER_SECOND
                 : form.perSecond() != null
-                        ? Measure.PER_SECOND
-                        : form.inFlight() != null ? Measure.IN_FLIGHT : Measure.COLD_IN_FLIGHT;
+                        ? LimitMeasure.PER_SECOND
+                        : form.inFlight() != null ? LimitMeasure.IN_FLIGHT : LimitMeasure.COLD_IN_FLIGHT;
         double amount = form.kbPerSecond() != null
                 ? form.kbPerSecond()
                 : form.perSecond() != null
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.Lookup;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.MemberOut;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Refuse;
@@ -77,7 +77,7 @@
     @Test
     void noMoreReachesAMemberThanItsAllowance() {
         for (long member : new long[] {1, 101, 900}) {
-            RouterHarness r = limited(new LimitShare(member, Measure.PER_SECOND, 20, Long.MAX_VALUE, 20));
+            RouterHarness r = limited(new LimitShare(member, LimitMeasure.PER_SECOND, 20, Long.MAX_VALUE, 20));
             long reached = reach(load(r, 600, RouterHarness.PAGE), member);
             assertTrue(reached <= 20 * 6.1 + 1, () -> member + " was reached " + reached + " times");
             assertTrue(reached > 20 * 6 * 0.8, () -> member + " was reached " + reached + " times only");
@@ -86,7 +86,7 @@
 
     @Test
     void anUncacheableRequestIsHeldAndThenRefusedWhereTheOriginIsUsedUp() {
-        RouterHarness r = limited(new LimitShare(900, Measure.PER_SECOND, 10, Long.MAX_VALUE, 10));
+        RouterHarness r = limited(new LimitShare(900, LimitMeasure.PER_SECOND, 10, Long.MAX_VALUE, 10));
         List<Action> all = load(r, 300, RouterHarness.WRITE);
         all.addAll(r.pass(4 * SECOND));
         long reached = reach(all, 900);
@@ -97,7 +97,7 @@
     @Test
     void anAllowanceThatRanOutGoesOverToWhatComesAfter() {
         RouterHarness r = limited();
-        r.handle(new LimitSharesUpdate(List.of(new LimitShare(900, Measure.PER_SECOND, 50, r.now + 2 * SECOND, 5))));
+        r.handle(new LimitSharesUpdate(List.of(new LimitShare(900, LimitMeasure.PER_SECOND, 50, r.now + 2 * SECOND, 5))));
         long first = reach(load(r, 200, RouterHarness.PAGE), 900);
         long then = reach(load(r, 400, RouterHarness.PAGE), 900);
         assertTrue(first > 60, () -> "first " + first);
@@ -106,7 +106,7 @@
 
     @Test
     void whatIsUnderWayIsBoundedAndOnlyWhileColdWhereSaidSo() {
-        RouterHarness r = limited(new LimitShare(900, Measure.IN_FLIGHT, 2, Long.MAX_VALUE, 2));
+        RouterHarness r = limited(new LimitShare(900, LimitMeasure.IN_FLIGHT, 2, Long.MAX_VALUE, 2));
         List<Action> all = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             all.addAll(r.ask("w" + i, RouterHarness.WRITE, 10));
@@ -114,7 +114,7 @@
         assertEquals(2, reach(all, 900));
         Lookup first = RouterHarness.only(Lookup.class, all).get(0);
         assertEquals(1, reach(r.end(first.id(), 0, 900, Outcome.OK, FillResult.NONE), 900), "the next goes as one ends");
-        RouterHarness warm = limited(new LimitShare(900, Measure.COLD_IN_FLIGHT, 2, Long.MAX_VALUE, 2));
+        RouterHarness warm = limited(new LimitShare(900, LimitMeasure.COLD_IN_FLIGHT, 2, Long.MAX_VALUE, 2));
         List<Action> more = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             more.addAll(warm.ask("w" + i, RouterHarness.WRITE, 10));
@@ -125,7 +125,7 @@
     @Test
     void whatCrossesZonesStaysWithinItsKilobytes() {
         RouterHarness r =
-                limited(new LimitShare(LimitShare.ACROSS_ZONES, Measure.KB_PER_SECOND, 200, Long.MAX_VALUE, 200));
+                limited(new LimitShare(LimitShare.ACROSS_ZONES, LimitMeasure.KB_PER_SECOND, 200, Long.MAX_VALUE, 200));
         java.util.Map<String, Integer> tries = new java.util.HashMap<>();
         double crossed = 0;
         int local = 0;
@@ -160,7 +160,7 @@
 
     @Test
     void whatIsWantedIsToldAlsoWhereItIsHeldUp() {
-        RouterHarness r = limited(new LimitShare(900, Measure.PER_SECOND, 5, Long.MAX_VALUE, 5));
+        RouterHarness r = limited(new LimitShare(900, LimitMeasure.PER_SECOND, 5, Long.MAX_VALUE, 5));
         List<Wanted> wanted = RouterHarness.only(Wanted.class, load(r, 400, RouterHarness.WRITE));
         assertTrue(wanted.size() >= 3);
         assertTrue(wanted.get(2).wanted() > 80, wanted::toString);
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.stream.Collectors;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.VirtualFleet.Router;
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.drains.Order;
@@ -49,7 +49,7 @@
         this.mostOut = mostOut;
         this.leastServing = leastServing;
         this.random = new Random(seed);
-        fleet = new VirtualFleet(routers, routers, caches, Measure.PER_SECOND, 1_000, seed);
+        fleet = new VirtualFleet(routers, routers, caches, LimitMeasure.PER_SECOND, 1_000, seed);
         fleet.drains = Optional.of(new DrainTimes(200 * MILLI, LONGEST, gone, 60 * SECOND, WARM, WARM));
         fleet.startAll();
     }
--- a/src/test/java/pumicemoor/fleet/FlatPacketsTest.java
+++ b/src/test/java/pumicemoor/fleet/FlatPacketsTest.java
@@ -13,7 +13,7 @@
 import java.util.HexFormat;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 
 /**
  * A flat fleet sends packet for packet what it sent before there were cells. The figures were taken on the commit before
@@ -36,7 +36,7 @@
 
     /** 30 routers for 30 s: limits with demand that moves, verdicts given and lifted, loss, a death and a restart. */
     private static Sent play(long seed) {
-        VirtualFleet fleet = new VirtualFleet(30, 30, 10, Measure.PER_SECOND, 1_000, seed);
+        VirtualFleet fleet = new VirtualFleet(30, 30, 10, LimitMeasure.PER_SECOND, 1_000, seed);
         MessageDigest digest = sha256();
         long began = fleet.now;
         fleet.sends = (from, packet) -> {
--- a/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.VirtualFleet.Router;
 
 /**
@@ -28,20 +28,20 @@
 
     @Property(tries = 150, seed = "4711")
     void smallFleetsKeepTheirBounds(@ForAll long seed, @ForAll @IntRange(min = 3, max = 9) int n) {
-        play(seed, n, 30, Measure.PER_SECOND);
+        play(seed, n, 30, LimitMeasure.PER_SECOND);
     }
 
     @Property(tries = 60, seed = "4712")
     void partsThatAreWholeAddUpToo(@ForAll long seed, @ForAll @IntRange(min = 3, max = 9) int n) {
-        play(seed, n, 30, Measure.IN_FLIGHT);
+        play(seed, n, 30, LimitMeasure.IN_FLIGHT);
     }
 
     @Property(tries = 2, seed = "4713")
     void aHundredKeepTheirBounds(@ForAll long seed) {
-        play(seed, 100, 12, Measure.PER_SECOND);
+        play(seed, 100, 12, LimitMeasure.PER_SECOND);
     }
 
-    private static void play(long seed, int n, int changes, Measure measure) {
+    private static void play(long seed, int n, int changes, LimitMeasure measure) {
         Random random = new Random(seed);
         VirtualFleet fleet = new VirtualFleet(n, n, 10, measure, LIMIT, seed);
         fleet.loss = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
@@ -117,7 +117,7 @@
     /** In the virtual network a verdict is everywhere within its bound though 30 % of packets are lost. */
     @Property(tries = 30, seed = "4714")
     void verdictsSpreadWithinTheBoundUnderLoss(@ForAll long seed, @ForAll @IntRange(min = 3, max = 60) int n) {
-        VirtualFleet fleet = new VirtualFleet(n, n, 10, Measure.PER_SECOND, LIMIT, seed);
+        VirtualFleet fleet = new VirtualFleet(n, n, 10, LimitMeasure.PER_SECOND, LIMIT, seed);
         fleet.startAll();
         fleet.run(15 * SECOND, () -> {});
         fleet.loss = 0.3;
--- a/src/test/java/pumicemoor/fleet/FleetTables.java
+++ b/src/test/java/pumicemoor/fleet/FleetTables.java
@@ -3,7 +3,7 @@
 import static pumicemoor.fleet.VirtualFleet.PERIOD;
 import static pumicemoor.fleet.VirtualFleet.SECOND;
 
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 
 /**
  * Prints the tables of docs/fleet-design.md, in virtual time; run by hand:
@@ -29,7 +29,7 @@
     }
 
     private static String row(int n) {
-        VirtualFleet fleet = new VirtualFleet(n, n, 20, Measure.PER_SECOND, LIMIT, 3);
+        VirtualFleet fleet = new VirtualFleet(n, n, 20, LimitMeasure.PER_SECOND, LIMIT, 3);
         int wanting = Math.max(1, n / 10);
         fleet.routers.subList(0, wanting).forEach(r -> r.wanted = 2 * LIMIT / wanting);
         fleet.startAll();
--- a/src/test/java/pumicemoor/fleet/FleetTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 
 /** Fleets of several sizes, case by case. */
 class FleetTest {
@@ -20,7 +20,7 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 30, 100})
     void allFindEachOtherAndTheLimitIsShared(int n) {
-        VirtualFleet fleet = new VirtualFleet(n, n, 10, Measure.PER_SECOND, LIMIT, 7);
+        VirtualFleet fleet = new VirtualFleet(n, n, 10, LimitMeasure.PER_SECOND, LIMIT, 7);
         fleet.startAll();
         fleet.run(10 * SECOND, () -> assertTrue(fleet.spent() <= LIMIT * (1 + 1e-9), () -> "spends " + fleet.spent()));
         assertTrue(fleet.agreed());
@@ -29,7 +29,7 @@
 
     @Test
     void sharesMoveToWhereDemandIs() {
-        VirtualFleet fleet = new VirtualFleet(8, 8, 10, Measure.PER_SECOND, LIMIT, 7);
+        VirtualFleet fleet = new VirtualFleet(8, 8, 10, LimitMeasure.PER_SECOND, LIMIT, 7);
         fleet.routers.get(3).wanted = 600;
         fleet.startAll();
         fleet.run(10 * SECOND, () -> assertTrue(fleet.spent() <= LIMIT * (1 + 1e-9)));
@@ -46,7 +46,7 @@
 
     @Test
     void inASplitEachSideStaysWithinItsPartAndNobodyIsAtZero() {
-        VirtualFleet fleet = new VirtualFleet(8, 8, 10, Measure.PER_SECOND, LIMIT, 11);
+        VirtualFleet fleet = new VirtualFleet(8, 8, 10, LimitMeasure.PER_SECOND, LIMIT, 11);
         fleet.routers.forEach(r -> r.wanted = r.name.hashCode() % 2 == 0 ? 500 : 1);
         fleet.startAll();
         fleet.run(8 * SECOND, () -> {});
@@ -67,7 +67,7 @@
 
     @Test
     void whoIsCutOffAloneFallsBackToTheEvenPart() {
-        VirtualFleet fleet = new VirtualFleet(5, 5, 4, Measure.PER_SECOND, LIMIT, 3);
+        VirtualFleet fleet = new VirtualFleet(5, 5, 4, LimitMeasure.PER_SECOND, LIMIT, 3);
         fleet.routers.get(4).wanted = 900;
         fleet.startAll();
         fleet.run(8 * SECOND, () -> {});
@@ -80,7 +80,7 @@
 
     @Test
     void aVerdictNeedsTwoWitnessesAndReachesAllWithinItsBound() {
-        VirtualFleet fleet = new VirtualFleet(30, 30, 10, Measure.PER_SECOND, LIMIT, 5);
+        VirtualFleet fleet = new VirtualFleet(30, 30, 10, LimitMeasure.PER_SECOND, LIMIT, 5);
         fleet.startAll();
         fleet.run(12 * SECOND, () -> {});
         fleet.judge(fleet.routers.get(2), 1_003, true);
@@ -105,7 +105,7 @@
 
     @Test
     void noMoreThanTheShareOfATierIsOut() {
-        VirtualFleet fleet = new VirtualFleet(9, 9, 10, Measure.PER_SECOND, LIMIT, 5);
+        VirtualFleet fleet = new VirtualFleet(9, 9, 10, LimitMeasure.PER_SECOND, LIMIT, 5);
         fleet.startAll();
         fleet.run(12 * SECOND, () -> {});
         for (int i = 0; i < 40; i++) {
@@ -121,7 +121,7 @@
 
     @Test
     void theSecondOfANameStandsAside() {
-        VirtualFleet fleet = new VirtualFleet(5, 5, 4, Measure.PER_SECOND, LIMIT, 3);
+        VirtualFleet fleet = new VirtualFleet(5, 5, 4, LimitMeasure.PER_SECOND, LIMIT, 3);
         fleet.routers.subList(0, 4).forEach(fleet::start);
         fleet.run(5 * SECOND, () -> {});
         fleet.start(fleet.routers.get(4), "router-1", fleet.routers.get(4).address);
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.FleetSetup.Scope;
@@ -227,7 +227,7 @@
                         new Membership.Setup("router-0", "127.0.0.1:7000", List.of(), 200_000, 3, 2, 600_000_000, 50),
                         4,
                         new LeaseTimes(3_000_000, 300_000),
-                        List.of(new LimitRule("origin", Scope.ORIGIN, "", Measure.PER_SECOND, 100)),
+                        List.of(new LimitRule("origin", Scope.ORIGIN, "", LimitMeasure.PER_SECOND, 100)),
                         Optional.of(VirtualFleet.VERDICTS)),
                 NOW,
                 5);
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.MemberOut;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.VerdictsGiven;
@@ -123,7 +123,7 @@
     private final PriorityQueue<Flying> flying = new PriorityQueue<>();
     private final Map<Long, Fleet.Listed> members = new LinkedHashMap<>();
     private final double limit;
-    private final Measure measure;
+    private final LimitMeasure measure;
     private final int size;
     Optional<DrainTimes> drains = Optional.empty();
     long now = 1_790_000_000L * SECOND;
@@ -137,7 +137,7 @@
     long bytes;
     private long order;
 
-    VirtualFleet(int routers, int size, int caches, Measure measure, double limit, long seed) {
+    VirtualFleet(int routers, int size, int caches, LimitMeasure measure, double limit, long seed) {
         this.random = new Random(seed);
         this.limit = limit;
         this.measure = measure;
--- a/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.BadPacketException;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Packet;
@@ -94,7 +94,7 @@
     @Property(tries = 5, seed = "5701", shrinking = ShrinkingMode.OFF)
     void nobodyPromisesTwiceAndNoGrantorSpeaksForMoreThanAreBound(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = new VirtualCells(22, 5, 2, Measure.PER_SECOND, 1_000, seed);
+        VirtualCells fleet = new VirtualCells(22, 5, 2, LimitMeasure.PER_SECOND, 1_000, seed);
         fleet.add("a", 0, 9);
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 8);
--- a/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.cells.VirtualCells.Router;
 
 /**
@@ -30,7 +30,7 @@
     private static final int MOST = 6;
 
     /** 24 routers in three roots of two regions: cells a/.. of 10, b of 5, c/.. of 9; the given root wants all. */
-    private static VirtualCells fleet(long seed, Measure measure, String wanting) {
+    private static VirtualCells fleet(long seed, LimitMeasure measure, String wanting) {
         VirtualCells fleet = new VirtualCells(SIZE, MOST, 2, measure, LIMIT, seed);
         fleet.add("a", 0, 10);
         fleet.add("b", 0, 5);
@@ -63,9 +63,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Measure.class,
+            value = LimitMeasure.class,
             names = {"PER_SECOND", "IN_FLIGHT"})
-    void whatOneCellDoesNotWantTheOthersGet(Measure measure) {
+    void whatOneCellDoesNotWantTheOthersGet(LimitMeasure measure) {
         VirtualCells fleet = fleet(7, measure, "b");
         assertSettled(fleet);
         assertTrue(fleet.cells().size() >= 5, () -> "cells over the bound are split: " + fleet.cells());
@@ -80,7 +80,7 @@
     @Property(tries = 3, seed = "5401", shrinking = ShrinkingMode.OFF)
     void smallPartsThatAreWholeStayWithinTheLimit(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = new VirtualCells(16, 5, 2, Measure.IN_FLIGHT, 16 + random.nextInt(24), seed);
+        VirtualCells fleet = new VirtualCells(16, 5, 2, LimitMeasure.IN_FLIGHT, 16 + random.nextInt(24), seed);
         fleet.add("a", 0, 9);
         fleet.add("b", 1, 7);
         fleet.startAll();
@@ -96,7 +96,7 @@
     @Property(tries = 3, seed = "5402", shrinking = ShrinkingMode.OFF)
     void aCellsGrantorDies(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = fleet(seed, Measure.PER_SECOND, root(seed));
+        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
         for (int i = 0; i < 5; i++) {
             String root = i == 0 ? root(seed) : root(random.nextInt(3));
             fleet.kill(fleet.grantorOf(
@@ -112,7 +112,7 @@
     @Property(tries = 3, seed = "5403", shrinking = ShrinkingMode.OFF)
     void theUpperGrantorDies(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = fleet(seed, Measure.PER_SECOND, root(seed));
+        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
         for (int i = 0; i < 4; i++) {
             fleet.kill(fleet.upperGrantor());
             if (i % 2 == 1) {
@@ -127,7 +127,7 @@
     @Property(tries = 3, seed = "5404", shrinking = ShrinkingMode.OFF)
     void grantorsOfBothLevelsFallSilentAndComeBack(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = fleet(seed, Measure.PER_SECOND, root(seed));
+        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
         for (int i = 0; i < 6; i++) {
             Router one = i % 2 == 0
                     ? fleet.upperGrantor()
@@ -153,7 +153,7 @@
     void aCellIsSplitWhileItsShareIsFarFromItsEvenPart(@ForAll long seed) {
         Random random = new Random(seed);
         boolean above = seed % 2 == 0;
-        VirtualCells fleet = new VirtualCells(SIZE, MOST, 1 + random.nextInt(3), Measure.PER_SECOND, LIMIT, seed);
+        VirtualCells fleet = new VirtualCells(SIZE, MOST, 1 + random.nextInt(3), LimitMeasure.PER_SECOND, LIMIT, seed);
         fleet.add("a", 0, 6);
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 9);
@@ -179,7 +179,7 @@
 
     @Property(tries = 2, seed = "5406", shrinking = ShrinkingMode.OFF)
     void aRegionIsCutOffForThreeMinutesAndJoined(@ForAll long seed) {
-        VirtualCells fleet = fleet(seed, Measure.PER_SECOND, root(seed));
+        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
         fleet.cut = (a, b) -> a.region != b.region;
         fleet.run(60 * SECOND);
         want(fleet, root(seed + 1));
@@ -201,7 +201,7 @@
     @Property(tries = 2, seed = "5407", shrinking = ShrinkingMode.OFF)
     void allRoutersOfACellAreRestarted(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = fleet(seed, Measure.PER_SECOND, root(seed));
+        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
         List<Router> cell = fleet.cells().values().stream()
                 .filter(c -> c.get(0).root.equals(root(seed)))
                 .findFirst()
@@ -220,7 +220,7 @@
     /** A whole root at once and for good: its even parts are nobody's, and the others don't count on them. */
     @Test
     void aRootThatIsGoneLeavesTheOthersTheirParts() {
-        VirtualCells fleet = fleet(11, Measure.PER_SECOND, "c");
+        VirtualCells fleet = fleet(11, LimitMeasure.PER_SECOND, "c");
         fleet.of("c").forEach(fleet::kill);
         want(fleet, "b");
         fleet.run(90 * SECOND);
@@ -231,7 +231,7 @@
 
     @Property(tries = 2, seed = "5408", shrinking = ShrinkingMode.OFF)
     void theLevelAboveIsSilentForLongWhileTheCellsLive(@ForAll long seed) {
-        VirtualCells fleet = fleet(seed, Measure.PER_SECOND, root(seed));
+        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
         fleet.upperLoss = 1;
         fleet.run(60 * SECOND);
         for (int i = 0; i < 3; i++) {
@@ -253,7 +253,7 @@
 
     @Test
     void whoIsCutOffAloneFallsBackToTheEvenPart() {
-        VirtualCells fleet = fleet(13, Measure.PER_SECOND, "b");
+        VirtualCells fleet = fleet(13, LimitMeasure.PER_SECOND, "b");
         Router one = fleet.of("b").stream()
                 .filter(r -> fleet.grantorOf(r) != r)
                 .findFirst()
--- a/src/test/java/pumicemoor/fleet/cells/CellSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellSchedulesTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.cells.VirtualCells.Router;
 
 /**
@@ -27,21 +27,21 @@
 
     @Property(tries = 8, seed = "5101", shrinking = ShrinkingMode.OFF)
     void theBoundsHoldWhateverFails(@ForAll long seed) {
-        play(seed, Measure.PER_SECOND, true);
+        play(seed, LimitMeasure.PER_SECOND, true);
     }
 
     /** Nothing is started anew, so the sum of all parts never passes the limit itself. */
     @Property(tries = 5, seed = "5102", shrinking = ShrinkingMode.OFF)
     void withoutRestartsTheLimitItselfHolds(@ForAll long seed) {
-        play(seed, Measure.PER_SECOND, false);
+        play(seed, LimitMeasure.PER_SECOND, false);
     }
 
     @Property(tries = 5, seed = "5103", shrinking = ShrinkingMode.OFF)
     void partsThatAreWholeAddUpToo(@ForAll long seed) {
-        play(seed, Measure.IN_FLIGHT, seed % 2 == 0);
+        play(seed, LimitMeasure.IN_FLIGHT, seed % 2 == 0);
     }
 
-    private static void play(long seed, Measure measure, boolean restarts) {
+    private static void play(long seed, LimitMeasure measure, boolean restarts) {
         Random random = new Random(seed);
         int regions = 1 + random.nextInt(3);
         List<Integer> zones = new ArrayList<>(); // routers in each; the region is the index modulo regions
--- a/src/test/java/pumicemoor/fleet/cells/CellVerdictsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellVerdictsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.Bounds;
 import pumicemoor.fleet.cells.VirtualCells.Router;
 
@@ -35,7 +35,7 @@
     private static final int WITNESSES = 2;
 
     private static VirtualCells fleet(long seed) {
-        VirtualCells fleet = new VirtualCells(SIZE, 6, 2, Measure.PER_SECOND, 1_000, seed);
+        VirtualCells fleet = new VirtualCells(SIZE, 6, 2, LimitMeasure.PER_SECOND, 1_000, seed);
         fleet.add("a", 0, 10);
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 9);
@@ -120,7 +120,7 @@
     @Property(tries = 3, seed = "5502", shrinking = ShrinkingMode.OFF)
     void oneAccuserStaysOneWhileItsCellIsSplitAndItsGrantorsDie(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = new VirtualCells(SIZE, 6, 2, Measure.PER_SECOND, 1_000, seed);
+        VirtualCells fleet = new VirtualCells(SIZE, 6, 2, LimitMeasure.PER_SECOND, 1_000, seed);
         fleet.add("a", 0, 5);
         fleet.add("b", 0, 6);
         fleet.add("c", 1, 9);
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.Packet;
 import pumicemoor.fleet.Packet.Join;
 import pumicemoor.fleet.Packet.Place;
@@ -32,7 +32,7 @@
 
     @BeforeEach
     void threeRoots() {
-        fleet = new VirtualCells(24, 6, 2, Measure.PER_SECOND, 1_000, 31);
+        fleet = new VirtualCells(24, 6, 2, LimitMeasure.PER_SECOND, 1_000, 31);
         fleet.add("a", 0, 9);
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 8);
--- a/src/test/java/pumicemoor/fleet/cells/MixedFleetTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/MixedFleetTest.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.cells.VirtualCells.Router;
 
 /** Routers of a flat fleet and routers in cells, of one cluster name on one network, as on the day of the change. */
@@ -20,7 +20,7 @@
     private static final int SIZE = 24;
 
     private static VirtualCells fleet(long seed) {
-        VirtualCells fleet = new VirtualCells(SIZE, 6, 2, Measure.PER_SECOND, LIMIT, seed);
+        VirtualCells fleet = new VirtualCells(SIZE, 6, 2, LimitMeasure.PER_SECOND, LIMIT, seed);
         fleet.add("flat", 0, 8).forEach(r -> r.flat = true);
         fleet.add("a", 0, 9);
         fleet.add("b", 1, 7);
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -23,7 +23,7 @@
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.MemberOut;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.VerdictsGiven;
@@ -150,7 +150,7 @@
     final List<Router> routers = new ArrayList<>();
     final Random random;
     final double limit;
-    final Measure measure;
+    final LimitMeasure measure;
     final int size;
     final int most;
     final int delegates;
@@ -180,7 +180,7 @@
     private long instants;
     private long order;
 
-    VirtualCells(int size, int most, int delegates, Measure measure, double limit, long seed) {
+    VirtualCells(int size, int most, int delegates, LimitMeasure measure, double limit, long seed) {
         this.random = new Random(seed);
         this.limit = limit;
         this.measure = measure;
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 
 /** A book whose holders stand for cells, and a cell's share of a limit as its grantor holds it. */
 class CellShareTest {
@@ -21,8 +21,8 @@
     private static final long SECOND = 1_000_000;
     private static final LeaseTimes TIMES = new LeaseTimes(3 * SECOND, 300_000);
     private static final LeaseTimes ABOVE = TIMES.ofCells();
-    private static final FleetLimit LIMIT = new FleetLimit("origin", 1, Measure.PER_SECOND, 100);
-    private static final FleetLimit WHOLE = new FleetLimit("origin", 1, Measure.IN_FLIGHT, 100);
+    private static final FleetLimit LIMIT = new FleetLimit("origin", 1, LimitMeasure.PER_SECOND, 100);
+    private static final FleetLimit WHOLE = new FleetLimit("origin", 1, LimitMeasure.IN_FLIGHT, 100);
 
     private static double ask(
             LeaseBook book, long now, String cell, long number, long holds, int routers, double wanted, double inUse) {
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -5,14 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 
 /** The two sides of a lease by themselves: what old, late and doubled asks and grants do, which is nothing. */
 class LeaseTest {
 
     private static final long SECOND = 1_000_000;
     private static final LeaseTimes TIMES = new LeaseTimes(3 * SECOND, SECOND);
-    private static final FleetLimit LIMIT = new FleetLimit("origin", 1, Measure.PER_SECOND, 100);
+    private static final FleetLimit LIMIT = new FleetLimit("origin", 1, LimitMeasure.PER_SECOND, 100);
 
     @Test
     void anOlderGrantBehindANewerChangesNothing() {
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pumicemoor.RouterApi;
-import pumicemoor.RouterApi.Measure;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.FleetSetup;
 import pumicemoor.fleet.FleetSetup.Scope;
 import pumicemoor.fleet.cells.CellSetup;
@@ -40,7 +40,7 @@
         assertEquals(5_000_000, f.times().lease());
         assertEquals(Scope.EACH_CACHE, f.limits().get(0).scope());
         assertEquals(Scope.MEMBER, f.limits().get(1).scope());
-        assertEquals(Measure.IN_FLIGHT, f.limits().get(1).measure());
+        assertEquals(LimitMeasure.IN_FLIGHT, f.limits().get(1).measure());
         assertEquals(5_000_000, f.verdicts().orElseThrow().hold());
         assertEquals(4_000_000, f.drains().orElseThrow().drain());
         assertEquals(60_000_000, f.drains().orElseThrow().gone());
