--- a/src/main/java/pumicemoor/Quota.java
+++ b/src/main/java/pumicemoor/Quota.java
@@ -52,7 +52,7 @@
         double share = share(now);
         boolean room = given.measure() == LimitMeasure.KB_PER_SECOND
                 ? tokens > open * mean
-                : given.measure().whole ? underWay < Math.floor(share) : tokens >= 1;
+                : given.measure().wholeNumbers ? underWay < Math.floor(share) : tokens >= 1;
         if (!room && request >= denied) {
             denied = request + 1;
             wanted += given.measure() == LimitMeasure.KB_PER_SECOND ? mean : 1;
@@ -62,7 +62,7 @@
 
     void spend() {
         tokens--;
-        wanted += given.measure().whole ? 0 : 1;
+        wanted += given.measure().wholeNumbers ? 0 : 1;
     }
 
     void begin() {
@@ -79,7 +79,7 @@
     /** How much was wanted since this was last asked: by the second, or under way at once. */
     Wanted told(int underWay) {
         Wanted since =
-                new Wanted(given.member(), given.measure(), wanted + (given.measure().whole ? underWay : 0), underWay);
+                new Wanted(given.member(), given.measure(), wanted + (given.measure().wholeNumbers ? underWay : 0), underWay);
         wanted = 0;
         return since;
     }
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -219,10 +219,10 @@
         KB_PER_SECOND(false);
 
         /** Whether parts of it are whole numbers. */
-        public final boolean whole;
+        public final boolean wholeNumbers;
 
         LimitMeasure(boolean whole) {
-            this.whole = whole;
+            this.wholeNumbers = whole;
         }
     }
 
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -748,7 +748,7 @@
     }
 
     private double ask(String name, long instance, long number, Want w) {
-        double inUse = limitOf(w.limit()).measure().whole ? w.inUse() : 0;
+        double inUse = limitOf(w.limit()).measure().wholeNumbers ? w.inUse() : 0;
         return book(w.limit())
                 .ask(
                         now,
--- a/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
+++ b/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
@@ -13,11 +13,11 @@
     /** What each router of so many may spend by itself; a whole part is one at least. */
     public double evenPart(int routers) {
         double part = amount / Math.max(1, routers);
-        return measure.whole ? Math.max(1, Math.floor(part)) : part;
+        return measure.wholeNumbers ? Math.max(1, Math.floor(part)) : part;
     }
 
     /** The least that a lease is for: enough to show what is wanted. */
     double leastPart(int routers) {
-        return measure.whole ? 1 : evenPart(routers) * LEAST;
+        return measure.wholeNumbers ? 1 : evenPart(routers) * LEAST;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
@@ -108,7 +108,7 @@
                 now,
                 new Asker(router, instance, number, holds, 1),
                 wanted,
-                limit.measure().whole ? inUse : 0,
+                limit.measure().wholeNumbers ? inUse : 0,
                 routers,
                 held -> held * limit.evenPart(routers));
     }
@@ -142,7 +142,7 @@
     private double part(Holder asker, int routers, double pool) {
         double left = pool - countedWithout(asker, routers);
         double part = Math.max(limit.leastPart(routers) * asker.routers, Math.min(fair(asker, pool), left));
-        return limit.measure().whole ? Math.max(asker.routers, Math.floor(part + 1e-9)) : part;
+        return limit.measure().wholeNumbers ? Math.max(asker.routers, Math.floor(part + 1e-9)) : part;
     }
 
     /**
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -386,7 +386,7 @@
         if (!(amount > 0 && amount <= 1e9)) {
             throw wrong("fleet.limits", "limit '" + form.name() + "' is out of range: over 0, up to 1000000000");
         }
-        if (measure.whole && amount < size) {
+        if (measure.wholeNumbers && amount < size) {
             throw wrong(
                     "fleet.limits",
                     "limit '" + form.name() + "' of " + (int) amount + " can't be shared out in whole parts among "
