--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -80,7 +80,7 @@
     private Node origin;
     private Map<Long, FillSources> given = Map.of(); // who may be filled from whom; empty: by the list alone
     private final Quotas quotas = new Quotas(QUOTA_SPAN); // what this router may have of the fleet's limits
-    private List<MemberOut> verdicts; // members out by the fleet's word; null: nobody asks for ours
+    private List<EjectedMember> verdicts; // members out by the fleet's word; null: nobody asks for ours
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Entry> table = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -237,7 +237,7 @@
     record LimitSharesUpdate(List<LimitShare> shares) implements Event {}
 
     /** A process of a member that all routers leave alone until then, on what some of them have seen of it. */
-    record MemberOut(long member, long started, long until) {
+    record EjectedMember(long member, long started, long until) {
 
         /** Whether it means this process of this member, and still does. */
         public boolean covers(Member m, long now) {
@@ -246,7 +246,7 @@
     }
 
     /** All that are out so, in place of those before. Where this is told, judgements of members are wanted. */
-    record VerdictsGiven(List<MemberOut> out) implements Event {}
+    record VerdictsGiven(List<EjectedMember> out) implements Event {}
 
     /** A request; sizeKb 0 means not told, tenant and group as given. */
     record RequestArrived(
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
-import pumicemoor.RouterApi.MemberOut;
+import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.VerdictsGiven;
 import pumicemoor.RouterApi.Wanted;
@@ -981,7 +981,7 @@
     }
 
     /** Who is out now: never more of a tier than the share, whatever was told. */
-    private List<MemberOut> out() {
+    private List<EjectedMember> out() {
         Map<Role, Integer> room = new HashMap<>();
         for (Role role : Role.values()) {
             long size = members.values().stream().filter(m -> m.role() == role).count();
@@ -989,11 +989,11 @@
         }
         List<VerdictTable.Held> standing = new ArrayList<>(verdicts.standing(now));
         standing.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
-        List<MemberOut> out = new ArrayList<>();
+        List<EjectedMember> out = new ArrayList<>();
         for (VerdictTable.Held h : standing) {
             Listed m = members.get(h.verdict().member());
             if (m != null && m.started() == h.verdict().started() && room.merge(m.role(), -1, Integer::sum) >= 0) {
-                out.add(new MemberOut(
+                out.add(new EjectedMember(
                         h.verdict().member(),
                         Math.max(
                                 m.started(),
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -17,7 +17,7 @@
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.LimitMeasure;
-import pumicemoor.RouterApi.MemberOut;
+import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.State;
@@ -176,7 +176,7 @@
             plain.add(r.serve("o" + i, FillResult.FILLED));
         }
         assertTrue(plain.stream().anyMatch(f -> f.member() == 2));
-        r.handle(new VerdictsGiven(List.of(new MemberOut(2, 0, r.now + 20 * SECOND))));
+        r.handle(new VerdictsGiven(List.of(new EjectedMember(2, 0, r.now + 20 * SECOND))));
         for (int i = 0; i < 60; i++) {
             Fetch f = r.serve("o" + i, FillResult.FILLED);
             assertNotEquals(2, f.member());
@@ -189,7 +189,7 @@
                         .map(i -> r.serve("o" + i, FillResult.HIT))
                         .anyMatch(f -> f.member() == 2),
                 "its time is over");
-        r.handle(new VerdictsGiven(List.of(new MemberOut(2, 0, r.now + 60 * SECOND))));
+        r.handle(new VerdictsGiven(List.of(new EjectedMember(2, 0, r.now + 60 * SECOND))));
         r.change(2, State.READY, r.now - 30 * SECOND);
         assertTrue(
                 Stream.iterate(0, i -> i + 1)
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -17,7 +17,7 @@
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.LimitMeasure;
-import pumicemoor.RouterApi.MemberOut;
+import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.VerdictsGiven;
 import pumicemoor.RouterApi.Wanted;
@@ -47,7 +47,7 @@
         long pausedUntil;
         long nextAt;
         List<LimitShare> allowances = List.of();
-        List<MemberOut> out = List.of();
+        List<EjectedMember> out = List.of();
         final Map<Long, Long> heardOut = new LinkedHashMap<>(); // when each member was first told out
         final List<Notice> notices = new ArrayList<>();
         final List<byte[]> waiting = new ArrayList<>(); // packets that came while it was paused
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -24,7 +24,7 @@
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.LimitMeasure;
-import pumicemoor.RouterApi.MemberOut;
+import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.VerdictsGiven;
 import pumicemoor.RouterApi.Wanted;
@@ -74,7 +74,7 @@
         long startedAt;
         double wanted;
         List<LimitShare> allowances = List.of();
-        List<MemberOut> out = List.of();
+        List<EjectedMember> out = List.of();
         final Map<Long, Long> heardOut = new LinkedHashMap<>(); // when each member was first told out
         final List<Notice> notices = new ArrayList<>();
         private final List<byte[]> waiting = new ArrayList<>(); // packets that came while it was paused
@@ -447,7 +447,7 @@
                 ? Set.of()
                 : r.out.stream()
                         .filter(o -> now < o.until())
-                        .map(MemberOut::member)
+                        .map(EjectedMember::member)
                         .collect(Collectors.toSet());
         if (!out.equals(r.countedOut)) {
             r.countedOut.forEach(m -> outAt.merge(m, -1, (a, b) -> a + b == 0 ? null : a + b));
