--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -193,7 +193,7 @@
             given = e.lists();
         } else if (event instanceof LimitSharesUpdate e) {
             quotas.follow(e.shares(), now);
-        } else if (event instanceof VerdictsGiven e) {
+        } else if (event instanceof EjectionsUpdate e) {
             verdicts = e.out();
         }
     }
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -18,7 +18,7 @@
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.VerdictsGiven;
+import pumicemoor.RouterApi.EjectionsUpdate;
 import pumicemoor.RouterApi.Wanted;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.FleetSetup.Scope;
@@ -1180,7 +1180,7 @@
                     leases.values().stream().map(this::allowance).toList()));
         }
         if (verdictsNew && setup.verdicts().isPresent()) {
-            events.add(new VerdictsGiven(out()));
+            events.add(new EjectionsUpdate(out()));
         }
         allowancesNew = false;
         verdictsNew = false;
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -21,7 +21,7 @@
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.State;
-import pumicemoor.RouterApi.VerdictsGiven;
+import pumicemoor.RouterApi.EjectionsUpdate;
 import pumicemoor.RouterApi.Wanted;
 
 /** What the decisions make of the fleet's limits and verdicts. */
@@ -176,7 +176,7 @@
             plain.add(r.serve("o" + i, FillResult.FILLED));
         }
         assertTrue(plain.stream().anyMatch(f -> f.member() == 2));
-        r.handle(new VerdictsGiven(List.of(new EjectedMember(2, 0, r.now + 20 * SECOND))));
+        r.handle(new EjectionsUpdate(List.of(new EjectedMember(2, 0, r.now + 20 * SECOND))));
         for (int i = 0; i < 60; i++) {
             Fetch f = r.serve("o" + i, FillResult.FILLED);
             assertNotEquals(2, f.member());
@@ -189,7 +189,7 @@
                         .map(i -> r.serve("o" + i, FillResult.HIT))
                         .anyMatch(f -> f.member() == 2),
                 "its time is over");
-        r.handle(new VerdictsGiven(List.of(new EjectedMember(2, 0, r.now + 60 * SECOND))));
+        r.handle(new EjectionsUpdate(List.of(new EjectedMember(2, 0, r.now + 60 * SECOND))));
         r.change(2, State.READY, r.now - 30 * SECOND);
         assertTrue(
                 Stream.iterate(0, i -> i + 1)
@@ -204,7 +204,7 @@
         for (boolean wanted : new boolean[] {true, false}) {
             RouterHarness r = new RouterHarness().fleet(1, 1).start();
             if (wanted) {
-                r.handle(new VerdictsGiven(List.of()));
+                r.handle(new EjectionsUpdate(List.of()));
             }
             List<Action> all = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -19,7 +19,7 @@
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.VerdictsGiven;
+import pumicemoor.RouterApi.EjectionsUpdate;
 import pumicemoor.RouterApi.Wanted;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.drains.DrainTimes;
@@ -260,7 +260,7 @@
         for (Event e : r.fleet.takeEvents()) {
             if (e instanceof LimitSharesUpdate a) {
                 r.allowances = a.shares();
-            } else if (e instanceof VerdictsGiven v) {
+            } else if (e instanceof EjectionsUpdate v) {
                 r.out = v.out();
                 v.out().forEach(o -> r.heardOut.putIfAbsent(o.member(), now));
             }
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -26,7 +26,7 @@
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.VerdictsGiven;
+import pumicemoor.RouterApi.EjectionsUpdate;
 import pumicemoor.RouterApi.Wanted;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
@@ -373,7 +373,7 @@
             if (e instanceof LimitSharesUpdate a) {
                 r.allowances = a.shares();
                 a.shares().stream().filter(x -> x.expiresAt() < Long.MAX_VALUE).forEach(x -> look(r, x.expiresAt()));
-            } else if (e instanceof VerdictsGiven v) {
+            } else if (e instanceof EjectionsUpdate v) {
                 r.out = v.out();
                 v.out().forEach(o -> {
                     r.heardOut.putIfAbsent(o.member(), now);
