--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -194,7 +194,7 @@
         } else if (event instanceof LimitSharesUpdate e) {
             quotas.follow(e.shares(), now);
         } else if (event instanceof EjectionsUpdate e) {
-            verdicts = e.out();
+            verdicts = e.ejected();
         }
     }
 
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -246,7 +246,7 @@
     }
 
     /** All that are out so, in place of those before. Where this is told, judgements of members are wanted. */
-    record EjectionsUpdate(List<EjectedMember> out) implements Event {}
+    record EjectionsUpdate(List<EjectedMember> ejected) implements Event {}
 
     /** A request; sizeKb 0 means not told, tenant and group as given. */
     record RequestArrived(
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -261,8 +261,8 @@
             if (e instanceof LimitSharesUpdate a) {
                 r.allowances = a.shares();
             } else if (e instanceof EjectionsUpdate v) {
-                r.out = v.out();
-                v.out().forEach(o -> r.heardOut.putIfAbsent(o.member(), now));
+                r.out = v.ejected();
+                v.ejected().forEach(o -> r.heardOut.putIfAbsent(o.member(), now));
             }
         }
         r.notices.addAll(r.fleet.takeNotices());
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -374,8 +374,8 @@
                 r.allowances = a.shares();
                 a.shares().stream().filter(x -> x.expiresAt() < Long.MAX_VALUE).forEach(x -> look(r, x.expiresAt()));
             } else if (e instanceof EjectionsUpdate v) {
-                r.out = v.out();
-                v.out().forEach(o -> {
+                r.out = v.ejected();
+                v.ejected().forEach(o -> {
                     r.heardOut.putIfAbsent(o.member(), now);
                     look(r, o.until());
                 });
