--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -173,7 +173,7 @@
             arrived(e);
         } else if (event instanceof AttemptEnded e) {
             ended(e);
-        } else if (event instanceof RequestGone e && jobs.containsKey(e.id())) {
+        } else if (event instanceof RequestAbandoned e && jobs.containsKey(e.id())) {
             close(jobs.get(e.id()));
         } else if (event instanceof TimerDue) {
             tick();
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -170,7 +170,7 @@
                     RequestArrived,
                     AnswerStarted,
                     AttemptEnded,
-                    RequestGone,
+                    RequestAbandoned,
                     ProbeEnded,
                     TimerDue,
                     Purged,
@@ -336,7 +336,7 @@
     }
 
     /** The client has left, or the answer is overdue. */
-    record RequestGone(String id) implements Event {}
+    record RequestAbandoned(String id) implements Event {}
 
     /** The end of a probe. */
     record ProbeEnded(long member, Outcome outcome, long latency, Map<String, Double> load) implements Event {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -38,7 +38,7 @@
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.RequestArrived;
-import pumicemoor.RouterApi.RequestGone;
+import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.SetTimer;
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.State;
@@ -373,7 +373,7 @@
             counters.add(Name.WITHDRAWN);
             RequestTrace.withdrawn(request.asked.call(), request.out.size());
             close(request);
-            events.add(new RequestGone(request.id));
+            events.add(new RequestAbandoned(request.id));
         }
     }
 
@@ -637,7 +637,7 @@
     private void overdue(Request request) {
         if (request != null && answer(request, Code.FAILED, false, 0, Bytes.NONE)) {
             counters.add(Name.OVERDUE);
-            events.add(new RequestGone(request.id));
+            events.add(new RequestAbandoned(request.id));
         }
     }
 
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/Drill.java
@@ -26,7 +26,7 @@
 import pumicemoor.RouterApi.ProbeEnded;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.RequestArrived;
-import pumicemoor.RouterApi.RequestGone;
+import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.TimerDue;
 
@@ -194,7 +194,7 @@
                         note(m),
                         m.integer("waited-us", 0),
                         m.objectOrEmpty("load").numbersByName());
-            case "Lapsed" -> new RequestGone(m.text("id"));
+            case "Lapsed" -> new RequestAbandoned(m.text("id"));
             case "Checked" ->
                 new ProbeEnded(
                         m.integer("server"),
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -23,7 +23,7 @@
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.PeerNote;
 import pumicemoor.RouterApi.Refuse;
-import pumicemoor.RouterApi.RequestGone;
+import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TellPeer;
 
@@ -109,7 +109,7 @@
         for (int round = 0; round < 30; round++) {
             Fetch sent = fetch(r.ask("left" + round));
             r.now += 30 * MILLI;
-            List<Cancel> cancels = only(Cancel.class, r.handle(new RequestGone(sent.id())));
+            List<Cancel> cancels = only(Cancel.class, r.handle(new RequestAbandoned(sent.id())));
             assertEquals(1, cancels.size());
             r.handle(new AttemptEnded(
                     sent.id(), 0, sent.member(), Outcome.CANCELLED, 30 * MILLI, true, FillResult.NONE, 0, Map.of()));
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -31,7 +31,7 @@
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.RequestArrived;
-import pumicemoor.RouterApi.RequestGone;
+import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.SetTimer;
 import pumicemoor.RouterApi.Settings;
@@ -181,7 +181,7 @@
     private void leave(Request q) {
         if (!q.over && requests.get(q.arrived.id()) == q) {
             q.over = true;
-            handle(new RequestGone(q.arrived.id()));
+            handle(new RequestAbandoned(q.arrived.id()));
         }
     }
 
--- a/src/test/java/pumicemoor/RulesTest.java
+++ b/src/test/java/pumicemoor/RulesTest.java
@@ -25,7 +25,7 @@
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.DeduplicationScope;
-import pumicemoor.RouterApi.RequestGone;
+import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.State;
 
 /** The five rules, each as a router can keep it on its own. */
@@ -63,7 +63,7 @@
     void requestThatItsClientHasLeftIsNotAnswered() {
         RouterHarness r = new RouterHarness().fleet(1, 1).start();
         Fetch sent = fetch(r.ask("a"));
-        r.handle(new RequestGone(sent.id()));
+        r.handle(new RequestAbandoned(sent.id()));
         List<Action> later = r.end(sent, 0, Outcome.CANCELLED, FillResult.NONE);
         later.addAll(r.pass(6 * SECOND));
         assertEquals(0, finals(later));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -28,7 +28,7 @@
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.RequestArrived;
-import pumicemoor.RouterApi.RequestGone;
+import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.SetTimer;
 import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.RouterApi.State;
@@ -330,7 +330,7 @@
         assertEquals(1, answers.size());
         assertEquals(Code.FAILED, answers.get(0).code());
         RequestArrived arrived = of(events, RequestArrived.class).get(0);
-        assertEquals(List.of(new RequestGone(arrived.id())), of(events, RequestGone.class));
+        assertEquals(List.of(new RequestAbandoned(arrived.id())), of(events, RequestAbandoned.class));
         act.accept(new Refuse(arrived.id(), 0));
         assertEquals(1, of(effects, Effect.Answer.class).size());
     }
@@ -351,7 +351,7 @@
         request(1, "segment", asked);
         Effect.Ask ask = ask();
         take(new Input.Withdrawn(1, 1));
-        assertEquals(1, of(events, RequestGone.class).size());
+        assertEquals(1, of(events, RequestAbandoned.class).size());
         Counted crossing = new Counted();
         take(answered(ask.attempt(), Word.DATA, crossing));
         assertEquals(0, crossing.holders);
@@ -360,7 +360,7 @@
         take(new Input.Withdrawn(1, 1));
         pass(5 * SECOND);
         assertTrue(of(effects, Effect.Answer.class).isEmpty());
-        assertEquals(1, of(events, RequestGone.class).size());
+        assertEquals(1, of(events, RequestAbandoned.class).size());
     }
 
     @Test
@@ -369,7 +369,7 @@
         request(2, "segment", Bytes.NONE);
         take(new Input.Request(2, 1, "a", "segment", "b", 0, 0, null, 1500, false, Bytes.NONE));
         take(new Input.ClientClosed(1));
-        assertEquals(2, of(events, RequestGone.class).size());
+        assertEquals(2, of(events, RequestAbandoned.class).size());
         assertEquals(1, reducer.openRequests());
     }
 
