--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -183,7 +183,7 @@
             purgedGroups.merge(e.group(), now - e.age(), Math::max);
         } else if (event instanceof Purged e) {
             purgedObjects.merge(e.object(), now - e.age(), Math::max);
-        } else if (event instanceof NewsHeard) {
+        } else if (event instanceof DiscoveryHeartbeat) {
             heardAt = now;
         } else if (event instanceof AnswerStarted e && jobs.containsKey(e.id())) {
             jobs.get(e.id()).streaming = true;
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -174,7 +174,7 @@
                     ProbeEnded,
                     TimerDue,
                     Purged,
-                    NewsHeard,
+                    DiscoveryHeartbeat,
                     PeerNote {}
 
     /** How a list has come: as changes, whole, as last held before a start, or not at all. */
@@ -348,7 +348,7 @@
     record Purged(String object, int group, long age) implements Event {}
 
     /** All purges and lists told until now have come; where this is never told, they always have. */
-    record NewsHeard() implements Event {}
+    record DiscoveryHeartbeat() implements Event {}
 
     /** A message of another router. */
     record PeerNote(int from, byte[] text) implements Event {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -33,7 +33,7 @@
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
-import pumicemoor.RouterApi.NewsHeard;
+import pumicemoor.RouterApi.DiscoveryHeartbeat;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
@@ -270,7 +270,7 @@
         } else if (input instanceof Input.Update u) {
             updated(u.json());
         } else if (input instanceof Input.FeedHeard) {
-            events.add(new NewsHeard());
+            events.add(new DiscoveryHeartbeat());
             caughtUp();
         } else if (input instanceof Input.FromFleet f) {
             fleet.ifPresent(x -> x.heard(now, f.bytes()));
@@ -711,7 +711,7 @@
             drive();
         }
         lastUpdate = Math.max(lastUpdate, config.knownIndex());
-        events.add(new NewsHeard());
+        events.add(new DiscoveryHeartbeat());
         drive();
         this.config = config;
         synced = config.coordinator().isEmpty();
--- a/src/test/java/pumicemoor/RulesTest.java
+++ b/src/test/java/pumicemoor/RulesTest.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Lookup;
-import pumicemoor.RouterApi.NewsHeard;
+import pumicemoor.RouterApi.DiscoveryHeartbeat;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
@@ -171,7 +171,7 @@
     @Test
     void whileNoNewsComesNoCopyWillDoThatIsOlderThanAPurgeThatCountsAsTold() {
         RouterHarness r = new RouterHarness().fleet(1, 1).start();
-        r.handle(new NewsHeard());
+        r.handle(new DiscoveryHeartbeat());
         r.now += 5 * SECOND;
         assertEquals(0, fetch(r.ask("a")).oldest(), "a copy is good until it is purged");
         r.now += 4 * SECOND;
@@ -179,7 +179,7 @@
                 7 * SECOND, fetch(r.ask("b")).oldest(), "a purge of 8.5 s ago counts as told, one of 6 s ago does not");
         r.handle(new Purged("c", 4, 2 * SECOND));
         assertEquals(2 * SECOND, fetch(r.ask("c")).oldest());
-        r.handle(new NewsHeard());
+        r.handle(new DiscoveryHeartbeat());
         assertEquals(0, fetch(r.ask("d")).oldest());
     }
 
