--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -187,7 +187,7 @@
             heardAt = now;
         } else if (event instanceof AnswerStarted e && jobs.containsKey(e.id())) {
             jobs.get(e.id()).streaming = true;
-        } else if (event instanceof PeerNote e) {
+        } else if (event instanceof PeerMessage e) {
             peerNote(e);
         } else if (event instanceof FillSourcesUpdate e) {
             given = e.lists();
@@ -871,7 +871,7 @@
         }
     }
 
-    private void peerNote(PeerNote e) {
+    private void peerNote(PeerMessage e) {
         if (settings.limits().peerMessages() && e.text().length > Long.BYTES) {
             ByteBuffer text = ByteBuffer.wrap(e.text());
             Node node = nodes.get(text.getLong());
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -175,7 +175,7 @@
                     TimerDue,
                     Purged,
                     DiscoveryHeartbeat,
-                    PeerNote {}
+                    PeerMessage {}
 
     /** How a list has come: as changes, whole, as last held before a start, or not at all. */
     enum MemberListKind {
@@ -351,7 +351,7 @@
     record DiscoveryHeartbeat() implements Event {}
 
     /** A message of another router. */
-    record PeerNote(int from, byte[] text) implements Event {}
+    record PeerMessage(int from, byte[] text) implements Event {}
 
     // ---- actions --------------------------------------------------------------------------------------
 
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/Drill.java
@@ -22,7 +22,7 @@
 import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
-import pumicemoor.RouterApi.PeerNote;
+import pumicemoor.RouterApi.PeerMessage;
 import pumicemoor.RouterApi.ProbeEnded;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.RequestArrived;
@@ -204,7 +204,7 @@
             case "TickDue" -> new TimerDue(m.integer("cookie"));
             case "Invalidated" ->
                 new Purged(m.text("asset", null), (int) m.integer("set-no", -1), m.integer("how-old-us", 0));
-            case "FromPeer" -> new PeerNote((int) m.integer("origin-peer"), bytes(m.text("bytes", "")));
+            case "FromPeer" -> new PeerMessage((int) m.integer("origin-peer"), bytes(m.text("bytes", "")));
             default -> throw new WireException("unknown message '" + name + "'");
         };
     }
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -21,7 +21,7 @@
 import pumicemoor.RouterApi.Log;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Outcome;
-import pumicemoor.RouterApi.PeerNote;
+import pumicemoor.RouterApi.PeerMessage;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.State;
@@ -326,7 +326,7 @@
         TellPeer note = only(TellPeer.class, teller.end(f, 0, Outcome.OK, FillResult.FILLED))
                 .get(0);
         RouterHarness hearer = noting(1);
-        hearer.handle(new PeerNote(1, note.text()));
+        hearer.handle(new PeerMessage(1, note.text()));
         assertEquals(f.member(), fetch(hearer.ask("a")).source());
     }
 
@@ -344,7 +344,7 @@
                 only(TellPeer.class, r.end(first, 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
                         .router());
-        r.handle(new PeerNote(
+        r.handle(new PeerMessage(
                 7,
                 only(TellPeer.class, r.end(fetch(r.ask("b")), 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -23,7 +23,7 @@
 import pumicemoor.RouterApi.Member;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
-import pumicemoor.RouterApi.PeerNote;
+import pumicemoor.RouterApi.PeerMessage;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Rules;
@@ -149,7 +149,7 @@
             } else if (action instanceof TellPeer t) {
                 routers.stream()
                         .filter(r -> r != router && (t.router() < 0 || r.number == t.router()))
-                        .forEach(r -> later(5 * MILLI, () -> handle(r, new PeerNote(router.number, t.text()))));
+                        .forEach(r -> later(5 * MILLI, () -> handle(r, new PeerMessage(router.number, t.text()))));
             }
         }
     }
