--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -872,8 +872,8 @@
     }
 
     private void peerNote(PeerMessage e) {
-        if (settings.limits().peerMessages() && e.text().length > Long.BYTES) {
-            ByteBuffer text = ByteBuffer.wrap(e.text());
+        if (settings.limits().peerMessages() && e.payload().length > Long.BYTES) {
+            ByteBuffer text = ByteBuffer.wrap(e.payload());
             Node node = nodes.get(text.getLong());
             String key = StandardCharsets.UTF_8.decode(text).toString();
             if (caches.contains(node)) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -351,7 +351,7 @@
     record DiscoveryHeartbeat() implements Event {}
 
     /** A message of another router. */
-    record PeerMessage(int from, byte[] text) implements Event {}
+    record PeerMessage(int from, byte[] payload) implements Event {}
 
     // ---- actions --------------------------------------------------------------------------------------
 
