--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -867,7 +867,7 @@
                     .put(key);
             // only a location's routers, found by what they tell, use a note; one to a tier is paid by all
             Stream<Integer> to = nearPeers.size() < crew - 1 ? Stream.of(-1) : nearPeers.stream();
-            to.forEach(peer -> out.accept(new TellPeer(peer, text.array())));
+            to.forEach(peer -> out.accept(new SendToPeer(peer, text.array())));
         }
     }
 
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.Probe;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.SetTimer;
-import pumicemoor.RouterApi.TellPeer;
+import pumicemoor.RouterApi.SendToPeer;
 import pumicemoor.RouterApi.WatchList;
 
 /** Writes the actions of instances as lines of a reply. */
@@ -94,7 +94,7 @@
             start("SetAlarm", router);
             json.writeNumberField("in-us", a.delay());
             json.writeNumberField("cookie", a.token());
-        } else if (action instanceof TellPeer a) {
+        } else if (action instanceof SendToPeer a) {
             start("Tell", router);
             if (a.router() < 0) {
                 json.writeStringField("dest", "all");
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -25,7 +25,7 @@
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.State;
-import pumicemoor.RouterApi.TellPeer;
+import pumicemoor.RouterApi.SendToPeer;
 
 /** What the router does besides the ordinary path, each when its condition holds and not otherwise. */
 class DeparturesTest {
@@ -305,7 +305,7 @@
         int notes = 0;
         for (int i = 0; i < 20; i++) {
             Fetch f = fetch(r.ask("a"));
-            notes += only(TellPeer.class, r.end(f, 0, Outcome.OK, FillResult.FILLED))
+            notes += only(SendToPeer.class, r.end(f, 0, Outcome.OK, FillResult.FILLED))
                     .size();
         }
         assertEquals(12, notes);
@@ -313,7 +313,7 @@
         Fetch f = fetch(quiet.ask("a"));
         assertEquals(
                 0,
-                only(TellPeer.class, quiet.end(f, 0, Outcome.OK, FillResult.FILLED))
+                only(SendToPeer.class, quiet.end(f, 0, Outcome.OK, FillResult.FILLED))
                         .size());
     }
 
@@ -323,7 +323,7 @@
         long home = fetch(teller.ask("a")).member();
         teller.change(home, State.DRAINING, 0);
         Fetch f = fetch(teller.ask("a"));
-        TellPeer note = only(TellPeer.class, teller.end(f, 0, Outcome.OK, FillResult.FILLED))
+        SendToPeer note = only(SendToPeer.class, teller.end(f, 0, Outcome.OK, FillResult.FILLED))
                 .get(0);
         RouterHarness hearer = noting(1);
         hearer.handle(new PeerMessage(1, note.text()));
@@ -341,18 +341,18 @@
         Fetch first = fetch(r.ask("a"));
         assertEquals(
                 -1,
-                only(TellPeer.class, r.end(first, 0, Outcome.OK, FillResult.FILLED))
+                only(SendToPeer.class, r.end(first, 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
                         .router());
         r.handle(new PeerMessage(
                 7,
-                only(TellPeer.class, r.end(fetch(r.ask("b")), 0, Outcome.OK, FillResult.FILLED))
+                only(SendToPeer.class, r.end(fetch(r.ask("b")), 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
                         .text()));
-        List<TellPeer> told = only(TellPeer.class, r.end(fetch(r.ask("c")), 0, Outcome.OK, FillResult.FILLED));
-        assertEquals(List.of(7), told.stream().map(TellPeer::router).toList());
+        List<SendToPeer> told = only(SendToPeer.class, r.end(fetch(r.ask("c")), 0, Outcome.OK, FillResult.FILLED));
+        assertEquals(List.of(7), told.stream().map(SendToPeer::router).toList());
         RouterHarness alone = noting(1);
-        assertTrue(only(TellPeer.class, alone.end(fetch(alone.ask("a")), 0, Outcome.OK, FillResult.FILLED))
+        assertTrue(only(SendToPeer.class, alone.end(fetch(alone.ask("a")), 0, Outcome.OK, FillResult.FILLED))
                 .isEmpty());
     }
 
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -29,7 +29,7 @@
 import pumicemoor.RouterApi.Rules;
 import pumicemoor.RouterApi.SetTimer;
 import pumicemoor.RouterApi.State;
-import pumicemoor.RouterApi.TellPeer;
+import pumicemoor.RouterApi.SendToPeer;
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.WeightMeaning;
 
@@ -146,7 +146,7 @@
                 answered(r.id());
             } else if (action instanceof Fail f) {
                 answered(f.id());
-            } else if (action instanceof TellPeer t) {
+            } else if (action instanceof SendToPeer t) {
                 routers.stream()
                         .filter(r -> r != router && (t.router() < 0 || r.number == t.router()))
                         .forEach(r -> later(5 * MILLI, () -> handle(r, new PeerMessage(router.number, t.text()))));
