--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -429,7 +429,7 @@
     record SetTimer(long delay, long token) implements Action {}
 
     /** Sends a note to one router, or to all for a negative number. */
-    record SendToPeer(int router, byte[] text) implements Action {}
+    record SendToPeer(int router, byte[] payload) implements Action {}
 
     /** Asks for changes of the list, or no more of them. */
     record WatchList(boolean on) implements Action {}
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -101,7 +101,7 @@
             } else {
                 json.writeNumberField("dest", a.router());
             }
-            json.writeStringField("bytes", Base64.getEncoder().encodeToString(a.text()));
+            json.writeStringField("bytes", Base64.getEncoder().encodeToString(a.payload()));
         } else if (action instanceof WatchList a) {
             start("Listen", router);
             json.writeBooleanField("on", a.on());
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -326,7 +326,7 @@
         SendToPeer note = only(SendToPeer.class, teller.end(f, 0, Outcome.OK, FillResult.FILLED))
                 .get(0);
         RouterHarness hearer = noting(1);
-        hearer.handle(new PeerMessage(1, note.text()));
+        hearer.handle(new PeerMessage(1, note.payload()));
         assertEquals(f.member(), fetch(hearer.ask("a")).source());
     }
 
@@ -348,7 +348,7 @@
                 7,
                 only(SendToPeer.class, r.end(fetch(r.ask("b")), 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
-                        .text()));
+                        .payload()));
         List<SendToPeer> told = only(SendToPeer.class, r.end(fetch(r.ask("c")), 0, Outcome.OK, FillResult.FILLED));
         assertEquals(List.of(7), told.stream().map(SendToPeer::router).toList());
         RouterHarness alone = noting(1);
--- a/src/test/java/pumicemoor/MixedShapesTest.java
+++ b/src/test/java/pumicemoor/MixedShapesTest.java
@@ -149,7 +149,7 @@
             } else if (action instanceof SendToPeer t) {
                 routers.stream()
                         .filter(r -> r != router && (t.router() < 0 || r.number == t.router()))
-                        .forEach(r -> later(5 * MILLI, () -> handle(r, new PeerMessage(router.number, t.text()))));
+                        .forEach(r -> later(5 * MILLI, () -> handle(r, new PeerMessage(router.number, t.payload()))));
             }
         }
     }
