--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -166,7 +166,7 @@
             ticking = true;
             out.accept(new SetTimer(TICK, 0));
             if (settings.watchMembers()) {
-                out.accept(new WatchList(true));
+                out.accept(new WatchMembers(true));
             }
         }
         if (event instanceof RequestArrived e) {
@@ -262,7 +262,7 @@
         out.accept(new SetTimer(TICK, 0));
         if (now >= watchAgainAt) {
             watchAgainAt = Long.MAX_VALUE;
-            out.accept(new WatchList(true));
+            out.accept(new WatchMembers(true));
         }
         quotas.told(now, id -> nodes.containsKey(id) ? nodes.get(id).asked : 0, out::accept);
         List.copyOf(waiting).forEach(this::route);
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -17,7 +17,7 @@
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.SetTimer;
 import pumicemoor.RouterApi.SendToPeer;
-import pumicemoor.RouterApi.WatchList;
+import pumicemoor.RouterApi.WatchMembers;
 
 /** Writes the actions of instances as lines of a reply. */
 final class ActionWriter {
@@ -102,7 +102,7 @@
                 json.writeNumberField("dest", a.router());
             }
             json.writeStringField("bytes", Base64.getEncoder().encodeToString(a.payload()));
-        } else if (action instanceof WatchList a) {
+        } else if (action instanceof WatchMembers a) {
             start("Listen", router);
             json.writeBooleanField("on", a.on());
         } else if (action instanceof AskList) {
