--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -432,7 +432,7 @@
     record SendToPeer(int router, byte[] payload) implements Action {}
 
     /** Asks for changes of the list, or no more of them. */
-    record WatchMembers(boolean on) implements Action {}
+    record WatchMembers(boolean enabled) implements Action {}
 
     /** Asks for the whole list once. */
     record AskList() implements Action {}
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -104,7 +104,7 @@
             json.writeStringField("bytes", Base64.getEncoder().encodeToString(a.payload()));
         } else if (action instanceof WatchMembers a) {
             start("Listen", router);
-            json.writeBooleanField("on", a.on());
+            json.writeBooleanField("on", a.enabled());
         } else if (action instanceof AskList) {
             start("ListAll", router);
         } else if (action instanceof Log a) {
