--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -367,7 +367,7 @@
                     SetTimer,
                     SendToPeer,
                     WatchMembers,
-                    AskList,
+                    RequestMemberList,
                     Wanted,
                     Judged,
                     Log {}
@@ -435,7 +435,7 @@
     record WatchMembers(boolean enabled) implements Action {}
 
     /** Asks for the whole list once. */
-    record AskList() implements Action {}
+    record RequestMemberList() implements Action {}
 
     /** How much of an allowance was wanted lately, in its measure, and how much is in use. */
     record Wanted(long member, LimitMeasure measure, double wanted, double inUse) implements Action {}
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -6,7 +6,7 @@
 import java.io.OutputStream;
 import java.util.Base64;
 import pumicemoor.RouterApi.Action;
-import pumicemoor.RouterApi.AskList;
+import pumicemoor.RouterApi.RequestMemberList;
 import pumicemoor.RouterApi.Cancel;
 import pumicemoor.RouterApi.CloseIdle;
 import pumicemoor.RouterApi.Fail;
@@ -105,7 +105,7 @@
         } else if (action instanceof WatchMembers a) {
             start("Listen", router);
             json.writeBooleanField("on", a.enabled());
-        } else if (action instanceof AskList) {
+        } else if (action instanceof RequestMemberList) {
             start("ListAll", router);
         } else if (action instanceof Log a) {
             start("SayLog", router);
