--- a/src/main/java/pumicemoor/Quota.java
+++ b/src/main/java/pumicemoor/Quota.java
@@ -2,7 +2,7 @@
 
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitMeasure;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 
 /**
  * What is left unspent of one allowance, and how much of it was wanted: a token bucket for what is counted by the
@@ -77,9 +77,9 @@
     }
 
     /** How much was wanted since this was last asked: by the second, or under way at once. */
-    Wanted told(int underWay) {
-        Wanted since =
-                new Wanted(given.member(), given.measure(), wanted + (given.measure().wholeNumbers ? underWay : 0), underWay);
+    LimitDemand told(int underWay) {
+        LimitDemand since =
+                new LimitDemand(given.member(), given.measure(), wanted + (given.measure().wholeNumbers ? underWay : 0), underWay);
         wanted = 0;
         return since;
     }
--- a/src/main/java/pumicemoor/Quotas.java
+++ b/src/main/java/pumicemoor/Quotas.java
@@ -8,7 +8,7 @@
 import java.util.function.ToIntFunction;
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitMeasure;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 
 /**
  * What is left unspent of every allowance, by member; empty where none is given. It only keeps count; whether a request
@@ -73,7 +73,7 @@
     }
 
     /** Tells once a second what was wanted in it; the function says how many are under way at a member. */
-    void told(long now, ToIntFunction<Long> underWay, Consumer<Wanted> sink) {
+    void told(long now, ToIntFunction<Long> underWay, Consumer<LimitDemand> sink) {
         if (now < toldAt + SECOND) {
             return;
         }
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -19,7 +19,7 @@
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.EjectionsUpdate;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.FleetSetup.Scope;
 import pumicemoor.fleet.Packet.Ask;
@@ -402,7 +402,7 @@
 
     /** What the decisions wanted of an allowance. */
     @Override
-    public void wanted(Wanted w) {
+    public void wanted(LimitDemand w) {
         leases.forEach((id, lease) -> {
             if (lease.limit().member() == w.member() && lease.limit().measure() == w.measure()) {
                 wants.put(id, new Want(id, 0, w.wanted(), w.inUse()));
--- a/src/main/java/pumicemoor/fleet/FleetPart.java
+++ b/src/main/java/pumicemoor/fleet/FleetPart.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.drains.Drains;
 
 /**
@@ -22,7 +22,7 @@
     void members(long time, Map<Long, Fleet.Listed> listed);
 
     /** What the decisions wanted of an allowance. */
-    void wanted(Wanted wanted);
+    void wanted(LimitDemand wanted);
 
     /** What the decisions hold of a member now. */
     void judged(long time, Judged judged);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -14,7 +14,7 @@
 import pumicemoor.Hashes;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Judged;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.BadPacketException;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public void wanted(Wanted wanted) {
+    public void wanted(LimitDemand wanted) {
         cell.wanted(wanted);
     }
 
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -23,7 +23,7 @@
 import pumicemoor.RouterApi.Judged;
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
 import pumicemoor.fleet.FleetPart;
@@ -439,7 +439,7 @@
         r.timerAt = Long.MAX_VALUE;
         long before = cpu();
         if (r.part.nextDue() <= at) {
-            r.part.wanted(new Wanted(shape.limits > 1 ? 1_000 : ORIGIN, LimitMeasure.PER_SECOND, r.wanted, 0));
+            r.part.wanted(new LimitDemand(shape.limits > 1 ? 1_000 : ORIGIN, LimitMeasure.PER_SECOND, r.wanted, 0));
             r.part.advance(at);
         }
         step(r, before, at);
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -43,7 +43,7 @@
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Fleet;
 import pumicemoor.fleet.FleetPart;
 import pumicemoor.fleet.drains.Drains;
@@ -433,7 +433,7 @@
             timer(now + Math.max(1, t.delay()), Kind.MODULE, t.token());
         } else if (action instanceof CloseIdle c && endpoints.containsKey(c.member())) {
             out.accept(new Effect.CloseIdle(endpoints.get(c.member()).instance()));
-        } else if (action instanceof Wanted w) {
+        } else if (action instanceof LimitDemand w) {
             fleet.ifPresent(f -> f.wanted(w));
         } else if (action instanceof Judged j) {
             fleet.ifPresent(f -> f.judged(now, j));
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -22,7 +22,7 @@
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.EjectionsUpdate;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 
 /** What the decisions make of the fleet's limits and verdicts. */
 class FleetDecisionsTest {
@@ -161,10 +161,10 @@
     @Test
     void whatIsWantedIsToldAlsoWhereItIsHeldUp() {
         RouterHarness r = limited(new LimitShare(900, LimitMeasure.PER_SECOND, 5, Long.MAX_VALUE, 5));
-        List<Wanted> wanted = RouterHarness.only(Wanted.class, load(r, 400, RouterHarness.WRITE));
+        List<LimitDemand> wanted = RouterHarness.only(LimitDemand.class, load(r, 400, RouterHarness.WRITE));
         assertTrue(wanted.size() >= 3);
         assertTrue(wanted.get(2).wanted() > 80, wanted::toString);
-        assertTrue(RouterHarness.only(Wanted.class, load(limited(), 200, RouterHarness.WRITE))
+        assertTrue(RouterHarness.only(LimitDemand.class, load(limited(), 200, RouterHarness.WRITE))
                 .isEmpty());
     }
 
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.EjectionsUpdate;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.drains.Drains;
@@ -253,7 +253,7 @@
 
     private void fetch(Router r) {
         r.fleet.takeView().ifPresent(v -> r.view = v);
-        r.fleet.wanted(new Wanted(ORIGIN, measure, r.wanted, 0));
+        r.fleet.wanted(new LimitDemand(ORIGIN, measure, r.wanted, 0));
         for (Datagram d : r.fleet.takePackets()) {
             send(r, d);
         }
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -27,7 +27,7 @@
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.EjectionsUpdate;
-import pumicemoor.RouterApi.Wanted;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
 import pumicemoor.fleet.FleetPart;
@@ -358,7 +358,7 @@
                 }
                 r.waiting.forEach(b -> r.part.heard(now, b));
                 r.waiting.clear();
-                r.part.wanted(new Wanted(ORIGIN, measure, r.wanted, 0));
+                r.part.wanted(new LimitDemand(ORIGIN, measure, r.wanted, 0));
                 r.part.advance(now);
                 fetch(r);
             }
