--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -438,7 +438,7 @@
     record RequestMemberList() implements Action {}
 
     /** How much of an allowance was wanted lately, in its measure, and how much is in use. */
-    record LimitDemand(long member, LimitMeasure measure, double wanted, double inUse) implements Action {}
+    record LimitDemand(long member, LimitMeasure measure, double demand, double inUse) implements Action {}
 
     /** This router has taken a member out until then, or found it good again; silent: it gave no sign of life. */
     record Judged(long member, boolean failing, boolean silent, int strikes, double failShare, long until)
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -405,7 +405,7 @@
     public void wanted(LimitDemand w) {
         leases.forEach((id, lease) -> {
             if (lease.limit().member() == w.member() && lease.limit().measure() == w.measure()) {
-                wants.put(id, new Want(id, 0, w.wanted(), w.inUse()));
+                wants.put(id, new Want(id, 0, w.demand(), w.inUse()));
             }
         });
     }
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -163,7 +163,7 @@
         RouterHarness r = limited(new LimitShare(900, LimitMeasure.PER_SECOND, 5, Long.MAX_VALUE, 5));
         List<LimitDemand> wanted = RouterHarness.only(LimitDemand.class, load(r, 400, RouterHarness.WRITE));
         assertTrue(wanted.size() >= 3);
-        assertTrue(wanted.get(2).wanted() > 80, wanted::toString);
+        assertTrue(wanted.get(2).demand() > 80, wanted::toString);
         assertTrue(RouterHarness.only(LimitDemand.class, load(limited(), 200, RouterHarness.WRITE))
                 .isEmpty());
     }
