--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -774,7 +774,7 @@
     private void judged(Node n, boolean failing, boolean silent, String what) {
         out.accept(new Log("member " + n.member.id() + what));
         if (verdicts != null) {
-            out.accept(new Judged(n.member.id(), failing, silent, n.strikes, n.failShare, n.downUntil));
+            out.accept(new MemberHealthReport(n.member.id(), failing, silent, n.strikes, n.failShare, n.downUntil));
         }
     }
 
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -15,7 +15,7 @@
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.Judged;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.EjectionsUpdate;
@@ -412,7 +412,7 @@
 
     /** What the decisions hold of a member now. */
     @Override
-    public void judged(long time, Judged j) {
+    public void judged(long time, MemberHealthReport j) {
         now = Math.max(now, time);
         Listed m = members.get(j.member());
         if (m == null || setup.verdicts().isEmpty()) {
--- a/src/main/java/pumicemoor/fleet/FleetPart.java
+++ b/src/main/java/pumicemoor/fleet/FleetPart.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.Judged;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.drains.Drains;
 
@@ -25,7 +25,7 @@
     void wanted(LimitDemand wanted);
 
     /** What the decisions hold of a member now. */
-    void judged(long time, Judged judged);
+    void judged(long time, MemberHealthReport judged);
 
     /** Ends this router's part in good order. */
     void leave(long time);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import pumicemoor.Hashes;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.Judged;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.BadPacketException;
 import pumicemoor.fleet.Datagram;
@@ -203,7 +203,7 @@
     }
 
     @Override
-    public void judged(long time, Judged judged) {
+    public void judged(long time, MemberHealthReport judged) {
         now = Math.max(now, time);
         cell.judged(now, judged);
     }
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -20,7 +20,7 @@
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.Judged;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.LimitDemand;
@@ -346,7 +346,7 @@
             boolean failing = now < until;
             if (r.running) {
                 long before = cpu();
-                r.part.judged(now, new Judged(1_000, failing, true, 2, 0.5, now + 2 * SECOND));
+                r.part.judged(now, new MemberHealthReport(1_000, failing, true, 2, 0.5, now + 2 * SECOND));
                 step(r, before, now);
             }
             if (failing) {
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -27,7 +27,7 @@
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.Judged;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Log;
 import pumicemoor.RouterApi.Lookup;
@@ -435,7 +435,7 @@
             out.accept(new Effect.CloseIdle(endpoints.get(c.member()).instance()));
         } else if (action instanceof LimitDemand w) {
             fleet.ifPresent(f -> f.wanted(w));
-        } else if (action instanceof Judged j) {
+        } else if (action instanceof MemberHealthReport j) {
             fleet.ifPresent(f -> f.judged(now, j));
         } else if (action instanceof Log l) {
             LOG.info("{}", l.text());
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -14,7 +14,7 @@
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.Judged;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.EjectedMember;
@@ -214,7 +214,7 @@
                 }
                 all.addAll(r.pass(100 * MILLI));
             }
-            List<Judged> judged = RouterHarness.only(Judged.class, all);
+            List<MemberHealthReport> judged = RouterHarness.only(MemberHealthReport.class, all);
             assertEquals(wanted, !judged.isEmpty());
             judged.forEach(j -> assertTrue(j.member() == 1 && j.failing() && j.silent() && j.until() > 0));
             assertFalse(wanted && judged.size() > 2, "once for each time out");
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -15,7 +15,7 @@
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.Judged;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
@@ -202,7 +202,7 @@
     }
 
     void judge(Router r, long member, boolean failing) {
-        r.fleet.judged(now, new Judged(member, failing, true, 2, 0.5, now + SECOND));
+        r.fleet.judged(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
         fetch(r);
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -22,7 +22,7 @@
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.Judged;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
@@ -299,7 +299,7 @@
     }
 
     void judge(Router r, long member, boolean failing) {
-        r.part.judged(now, new Judged(member, failing, true, 2, 0.5, now + SECOND));
+        r.part.judged(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
         fetch(r);
     }
 
