--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -426,7 +426,7 @@
                                     j.member(),
                                     m.started(),
                                     j.silent() ? Cause.SILENT : Cause.FAILING,
-                                    j.strikes(),
+                                    j.consecutiveFailures(),
                                     j.failShare()),
                             j.until() + setup.verdicts().get().hold()));
         } else {
