--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -427,7 +427,7 @@
                                     m.started(),
                                     j.silent() ? Cause.SILENT : Cause.FAILING,
                                     j.consecutiveFailures(),
-                                    j.failShare()),
+                                    j.failureRate()),
                             j.until() + setup.verdicts().get().hold()));
         } else {
             accused.remove(j.member());
