--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -441,7 +441,7 @@
     record LimitDemand(long member, LimitMeasure measure, double demand, double inUse) implements Action {}
 
     /** This router has taken a member out until then, or found it good again; silent: it gave no sign of life. */
-    record MemberHealthReport(long member, boolean failing, boolean silent, int consecutiveFailures, double failureRate, long until)
+    record MemberHealthReport(long member, boolean failing, boolean unresponsive, int consecutiveFailures, double failureRate, long until)
             implements Action {}
 
     /** A line for on-call staff. */
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -425,7 +425,7 @@
                             new Accusation(
                                     j.member(),
                                     m.started(),
-                                    j.silent() ? Cause.SILENT : Cause.FAILING,
+                                    j.unresponsive() ? Cause.SILENT : Cause.FAILING,
                                     j.consecutiveFailures(),
                                     j.failureRate()),
                             j.until() + setup.verdicts().get().hold()));
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -216,7 +216,7 @@
             }
             List<MemberHealthReport> judged = RouterHarness.only(MemberHealthReport.class, all);
             assertEquals(wanted, !judged.isEmpty());
-            judged.forEach(j -> assertTrue(j.member() == 1 && j.failing() && j.silent() && j.until() > 0));
+            judged.forEach(j -> assertTrue(j.member() == 1 && j.failing() && j.unresponsive() && j.until() > 0));
             assertFalse(wanted && judged.size() > 2, "once for each time out");
         }
     }
