--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -385,7 +385,7 @@
             long member,
             long source,
             int keepRank,
-            long oldest,
+            long maxAge,
             boolean join,
             boolean onlyIfHeld,
             boolean passParent,
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -480,7 +480,7 @@
         String sourceName = f.source() == f.member() ? null : source.instance();
         RequestTrace.attempt(
                 asked.call(), attempt.number, target.instance(), sourceName, lastUpdate, (until - now) / MILLI);
-        long within = f.oldest() > 0 ? Math.max(1, f.oldest() / MILLI) : 0;
+        long within = f.maxAge() > 0 ? Math.max(1, f.maxAge() / MILLI) : 0;
         if (request.named) {
             attempt.written = true; // once it is named, it may run
             out.accept(new Effect.Name(
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -58,7 +58,7 @@
             json.writeNumberField("server", a.member());
             json.writeNumberField("from-where", a.source());
             json.writeNumberField("store-as", a.keepRank());
-            json.writeNumberField("how-old-us", a.oldest());
+            json.writeNumberField("how-old-us", a.maxAge());
             json.writeNumberField(
                     "opts",
                     (a.join() ? JOIN : 0)
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -280,11 +280,11 @@
         r.now += 600 * MILLI;
         int attempt = 0;
         List<Action> next = r.end(sent, attempt, Outcome.FULL, FillResult.SOURCE_FAILED);
-        while (!only(Fetch.class, next).isEmpty() && fetch(next).oldest() == 2 * SECOND) {
+        while (!only(Fetch.class, next).isEmpty() && fetch(next).maxAge() == 2 * SECOND) {
             next = r.end(fetch(next), ++attempt, Outcome.FULL, FillResult.SOURCE_FAILED);
         }
         Fetch stale = fetch(next);
-        assertEquals(5 * SECOND, stale.oldest());
+        assertEquals(5 * SECOND, stale.maxAge());
         assertTrue(stale.onlyIfHeld());
         assertEquals(
                 1,
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -321,7 +321,7 @@
         for (String key : List.of(q.object(), "group " + q.group())) {
             long[] at = purges.get(key);
             if (at != null && now - at[0] < settings.rules().purgeSettleTime() && q.requestClass() == RouterHarness.PAGE) {
-                long oldest = f.oldest() > 0 ? f.oldest() : setup.fresh > 0 ? setup.fresh : Long.MAX_VALUE;
+                long oldest = f.maxAge() > 0 ? f.maxAge() : setup.fresh > 0 ? setup.fresh : Long.MAX_VALUE;
                 assertTrue(oldest <= Math.max(1, now - at[0]), "may be answered from before the purge of " + key);
             }
         }
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -153,7 +153,7 @@
                         Long.toString(f.member()),
                         Long.toString(f.source()),
                         Integer.toString(f.keepRank()),
-                        Long.toString(f.oldest()),
+                        Long.toString(f.maxAge()),
                         "" + f.join() + f.onlyIfHeld() + f.passParent() + f.renew(),
                         Long.toString(f.timeout()))
                 : action.toString();
--- a/src/test/java/pumicemoor/RulesTest.java
+++ b/src/test/java/pumicemoor/RulesTest.java
@@ -160,12 +160,12 @@
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
         r.serve("a", FillResult.FILLED);
         r.handle(new Purged("a", 4, 200 * MILLI));
-        assertTrue(fetch(r.ask("a")).oldest() <= 200 * MILLI);
+        assertTrue(fetch(r.ask("a")).maxAge() <= 200 * MILLI);
         r.now += 3 * SECOND;
         Fetch later = fetch(r.ask("a"));
-        assertTrue(later.oldest() > 0 && later.oldest() <= 3_200 * MILLI);
+        assertTrue(later.maxAge() > 0 && later.maxAge() <= 3_200 * MILLI);
         r.now += 2_900 * MILLI;
-        assertTrue(fetch(r.ask("a")).oldest() <= 6_100 * MILLI);
+        assertTrue(fetch(r.ask("a")).maxAge() <= 6_100 * MILLI);
     }
 
     @Test
@@ -173,24 +173,24 @@
         RouterHarness r = new RouterHarness().fleet(1, 1).start();
         r.handle(new DiscoveryHeartbeat());
         r.now += 5 * SECOND;
-        assertEquals(0, fetch(r.ask("a")).oldest(), "a copy is good until it is purged");
+        assertEquals(0, fetch(r.ask("a")).maxAge(), "a copy is good until it is purged");
         r.now += 4 * SECOND;
         assertEquals(
-                7 * SECOND, fetch(r.ask("b")).oldest(), "a purge of 8.5 s ago counts as told, one of 6 s ago does not");
+                7 * SECOND, fetch(r.ask("b")).maxAge(), "a purge of 8.5 s ago counts as told, one of 6 s ago does not");
         r.handle(new Purged("c", 4, 2 * SECOND));
-        assertEquals(2 * SECOND, fetch(r.ask("c")).oldest());
+        assertEquals(2 * SECOND, fetch(r.ask("c")).maxAge());
         r.handle(new DiscoveryHeartbeat());
-        assertEquals(0, fetch(r.ask("d")).oldest());
+        assertEquals(0, fetch(r.ask("d")).maxAge());
     }
 
     @Test
     void purgeOfAGroupHoldsForAllItsObjects() {
         RouterHarness r = new RouterHarness().fleet(3, 2).start();
         r.handle(new Purged(null, 4, 0));
-        long oldest = fetch(r.ask("a")).oldest();
+        long oldest = fetch(r.ask("a")).maxAge();
         assertEquals(1, oldest, "0 would mean any age");
         r.now += SECOND;
-        assertEquals(SECOND, fetch(r.ask("b")).oldest());
+        assertEquals(SECOND, fetch(r.ask("b")).maxAge());
     }
 
     @Test
@@ -200,7 +200,7 @@
         r.fleet(3, 2).start();
         r.handle(new Purged("a", 4, 0));
         r.now += 5 * SECOND;
-        assertEquals(2 * SECOND, fetch(r.ask("a")).oldest());
+        assertEquals(2 * SECOND, fetch(r.ask("a")).maxAge());
     }
 
     @Test
@@ -209,7 +209,7 @@
         r.handle(new Purged("a", 4, 0));
         r.handle(new Purged("a", 4, 4 * SECOND));
         r.now += SECOND;
-        assertEquals(SECOND, fetch(r.ask("a")).oldest());
+        assertEquals(SECOND, fetch(r.ask("a")).maxAge());
     }
 
     @Test
