--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -388,7 +388,7 @@
             long maxAge,
             boolean join,
             boolean onlyIfHeld,
-            boolean passParent,
+            boolean bypassParent,
             boolean renew,
             long timeout,
             List<Long> way)
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -514,7 +514,7 @@
                 within,
                 f.join(),
                 f.onlyIfHeld(),
-                f.passParent(),
+                f.bypassParent(),
                 f.renew(),
                 asked.tag(),
                 !settings.classes().get(request.requestClass).uncacheable(),
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -63,7 +63,7 @@
                     "opts",
                     (a.join() ? JOIN : 0)
                             | (a.onlyIfHeld() ? ONLY_IF_HELD : 0)
-                            | (a.passParent() ? PASS_PARENT : 0)
+                            | (a.bypassParent() ? PASS_PARENT : 0)
                             | (a.renew() ? RENEW : 0));
             json.writeNumberField("try-for-us", a.timeout());
         } else if (action instanceof Lookup a) {
