--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -514,7 +514,7 @@
         a.source = source;
         a.sent = now;
         a.look = source == target && target.member.role() == Role.CACHE;
-        a.lookAtParent = action instanceof Fetch f && f.onlyIfHeld();
+        a.lookAtParent = action instanceof Fetch f && f.onlyIfCached();
         a.expectHit = a.look || holds(entry(job), job, target);
         a.lateFrom = now + (a.expectHit ? job.type.latencyTarget() : tightestAim) + (long) (job.type.latencyTargetStretch() * job.work);
         a.due = now + PATIENCE + (long) (PATIENCE_WORK * (job.work + (a.expectHit ? 0 : fillWait)));
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -387,7 +387,7 @@
             int keepRank,
             long maxAge,
             boolean join,
-            boolean onlyIfHeld,
+            boolean onlyIfCached,
             boolean bypassParent,
             boolean renew,
             long timeout,
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -495,7 +495,7 @@
                     f.keepRank(),
                     within,
                     f.join(),
-                    f.onlyIfHeld(),
+                    f.onlyIfCached(),
                     f.renew()));
             return;
         }
@@ -513,7 +513,7 @@
                 f.keepRank(),
                 within,
                 f.join(),
-                f.onlyIfHeld(),
+                f.onlyIfCached(),
                 f.bypassParent(),
                 f.renew(),
                 asked.tag(),
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -62,7 +62,7 @@
             json.writeNumberField(
                     "opts",
                     (a.join() ? JOIN : 0)
-                            | (a.onlyIfHeld() ? ONLY_IF_HELD : 0)
+                            | (a.onlyIfCached() ? ONLY_IF_HELD : 0)
                             | (a.bypassParent() ? PASS_PARENT : 0)
                             | (a.renew() ? RENEW : 0));
             json.writeNumberField("try-for-us", a.timeout());
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -285,7 +285,7 @@
         }
         Fetch stale = fetch(next);
         assertEquals(5 * SECOND, stale.maxAge());
-        assertTrue(stale.onlyIfHeld());
+        assertTrue(stale.onlyIfCached());
         assertEquals(
                 1,
                 only(Refuse.class, r.end(stale, ++attempt, Outcome.MISS, FillResult.NONE))
@@ -437,7 +437,7 @@
         int filled = 0;
         while (!open.isEmpty()) {
             Fetch f = open.poll();
-            boolean look = f.source() == f.member() || f.onlyIfHeld();
+            boolean look = f.source() == f.member() || f.onlyIfCached();
             filled += look ? 0 : 1;
             r.now += 5 * MILLI;
             open.addAll(only(
@@ -461,7 +461,7 @@
 
     private static long fills(List<Fetch> out) {
         return out.stream()
-                .filter(f -> f.source() != f.member() && !f.onlyIfHeld())
+                .filter(f -> f.source() != f.member() && !f.onlyIfCached())
                 .count();
     }
 
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -36,7 +36,7 @@
                         RouterHarness.only(Fetch.class, actions).stream()
                                 .filter(f -> f.member() == member
                                         || f.source() == member
-                                        || member == 900 && f.source() > 100 && !f.onlyIfHeld()),
+                                        || member == 900 && f.source() > 100 && !f.onlyIfCached()),
                         RouterHarness.only(Lookup.class, actions).stream().filter(l -> l.member() == member))
                 .count();
     }
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -154,7 +154,7 @@
                         Long.toString(f.source()),
                         Integer.toString(f.keepRank()),
                         Long.toString(f.maxAge()),
-                        "" + f.join() + f.onlyIfHeld() + f.bypassParent() + f.renew(),
+                        "" + f.join() + f.onlyIfCached() + f.bypassParent() + f.renew(),
                         Long.toString(f.timeout()))
                 : action.toString();
     }
