--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -525,7 +525,7 @@
                 a.charges.put(origin, a.expectHit ? 0 : job.parentMissed ? 1 : ORIGIN_PART);
             }
             if (action instanceof Fetch f) {
-                f.way().forEach(n -> a.charges.putIfAbsent(nodes.get(n), a.expectHit ? 0 : ORIGIN_PART));
+                f.fillPath().forEach(n -> a.charges.putIfAbsent(nodes.get(n), a.expectHit ? 0 : ORIGIN_PART));
             }
         }
         if (!a.charges.keySet().stream().allMatch(n -> allowed(n, job))) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -391,7 +391,7 @@
             boolean bypassParent,
             boolean renew,
             long timeout,
-            List<Long> way)
+            List<Long> fillPath)
             implements Action {
 
         /** One whose source fills as it always does. */
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -457,7 +457,7 @@
         attempt.number = request.sent++;
         attempt.member = f.member();
         attempt.source = f.source();
-        attempt.way = f.way();
+        attempt.way = f.fillPath();
         attempt.sentAt = now;
         attempts.put(attempt.key, attempt);
         request.out.put(attempt.number, attempt);
@@ -472,7 +472,7 @@
         counters.add(Name.ATTEMPTS);
         timer(until, Kind.ATTEMPT, attempt.key);
         Input.Request asked = request.asked;
-        List<String> way = f.way().stream()
+        List<String> way = f.fillPath().stream()
                 .map(endpoints::get)
                 .filter(Objects::nonNull)
                 .map(Endpoint::instance)
--- a/src/test/java/pumicemoor/SourcesTest.java
+++ b/src/test/java/pumicemoor/SourcesTest.java
@@ -126,7 +126,7 @@
         lists.put(102L, only(900));
         Fetch fetch = ask(given(lists), 1);
         assertEquals(101, fetch.source());
-        assertEquals(List.of(102L), fetch.way(), "the origin stands behind each way and is not named");
+        assertEquals(List.of(102L), fetch.fillPath(), "the origin stands behind each way and is not named");
     }
 
     @Test
@@ -136,9 +136,9 @@
         lists.put(101L, new FillSources(all(900), List.of(), List.of(), false, List.of(102L)));
         lists.put(102L, only(900));
         RouterHarness r = given(lists);
-        assertEquals(List.of(102L), ask(r, 1).way());
+        assertEquals(List.of(102L), ask(r, 1).fillPath());
         r.change(102, State.DRAINING, 0);
-        assertEquals(List.of(), ask(r, 2).way(), "a drained one is not asked for what it held");
+        assertEquals(List.of(), ask(r, 2).fillPath(), "a drained one is not asked for what it held");
     }
 
     @Test
