--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -13,7 +13,7 @@
 import pumicemoor.extproc.proto.v1.Named;
 import pumicemoor.extproc.proto.v1.ToCaller;
 import pumicemoor.node.Effect;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 
 /** The project's own service, for callers that report each attempt's end. It only reads and words messages. */
 final class DecisionsService extends DecisionsGrpc.DecisionsImplBase {
@@ -72,13 +72,13 @@
     }
 
     /** Null where nothing is known but that it may have run. */
-    private static Word word(End.How how) {
+    private static AnswerStatus word(End.How how) {
         return switch (how) {
-            case OK -> Word.DATA;
-            case UNCHANGED -> Word.UNCHANGED;
-            case ABSENT -> Word.ABSENT;
-            case FULL -> Word.FULL;
-            case FAILED -> Word.FAILED;
+            case OK -> AnswerStatus.DATA;
+            case UNCHANGED -> AnswerStatus.UNCHANGED;
+            case ABSENT -> AnswerStatus.ABSENT;
+            case FULL -> AnswerStatus.FULL;
+            case FAILED -> AnswerStatus.FAILED;
             default -> null;
         };
     }
--- a/src/main/java/pumicemoor/extproc/Headers.java
+++ b/src/main/java/pumicemoor/extproc/Headers.java
@@ -12,7 +12,7 @@
 import pumicemoor.extproc.proto.HeaderValue;
 import pumicemoor.extproc.proto.HeaderValueOption;
 import pumicemoor.node.Effect;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 
 /** The headers that callers send and are told, by name; it only words them. */
 final class Headers {
@@ -98,10 +98,10 @@
      * How an attempt ended by its response: by the word that a cache of ours gives, else by the status. 429 proves
      * that nothing ran; any 5xx may have run; everything else is an answer to the client.
      */
-    static Word end(Map<String, String> headers) {
+    static AnswerStatus end(Map<String, String> headers) {
         String told = headers.get(END);
         if (told != null) {
-            for (Word w : Word.values()) {
+            for (AnswerStatus w : AnswerStatus.values()) {
                 if (w.name().toLowerCase(Locale.ROOT).equals(told)) {
                     return w;
                 }
@@ -109,10 +109,10 @@
         }
         String status = headers.getOrDefault(":status", "");
         return status.equals("429")
-                ? Word.FULL
+                ? AnswerStatus.FULL
                 : status.equals("304")
-                        ? Word.UNCHANGED
-                        : status.startsWith("5") || status.isEmpty() ? Word.FAILED : Word.DATA;
+                        ? AnswerStatus.UNCHANGED
+                        : status.startsWith("5") || status.isEmpty() ? AnswerStatus.FAILED : AnswerStatus.DATA;
     }
 
     static String note(Map<String, String> headers) {
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -46,7 +46,7 @@
 import pumicemoor.node.CallLoop;
 import pumicemoor.node.Effect;
 import pumicemoor.node.Input;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.ProcessorSection;
 import pumicemoor.wire.Vocabulary;
@@ -117,7 +117,7 @@
         String id = "";
         String bookId; // where its request must not run twice
         Effect.Name name; // the attempt named last
-        Word end; // how that ended, as it was heard
+        AnswerStatus end; // how that ended, as it was heard
         String note;
         boolean admitted;
         boolean ended;
@@ -408,10 +408,10 @@
     }
 
     /** How an attempt ended; number -1 for the one named last. */
-    void response(Stream stream, int number, Word word, String note) {
+    void response(Stream stream, int number, AnswerStatus word, String note) {
         stream.end = word;
         stream.note = note;
-        act(stream, stream.state.response(number, word == Word.ABSENT || word == Word.FULL || word == Word.MOOT));
+        act(stream, stream.state.response(number, word == AnswerStatus.ABSENT || word == AnswerStatus.FULL || word == AnswerStatus.MOOT));
     }
 
     /** The attempt named last never reached its member. */
@@ -444,7 +444,7 @@
             } else if (act instanceof Act.End) {
                 count(Count.ENDS);
                 Effect.Name ended = stream.name;
-                Word word = stream.end;
+                AnswerStatus word = stream.end;
                 boolean unreached = stream.unreached;
                 stream.unreached = false;
                 loop.submit(
--- a/src/main/java/pumicemoor/lab/scale/HollowReader.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowReader.java
@@ -118,7 +118,7 @@
             } else {
                 Queue<Pending> first = !hits.isEmpty() && hits.peek().at() <= now ? hits : fills;
                 Pending p = first.remove();
-                take(new Input.Answered(p.attempt(), Input.Word.DATA, p.note(), Map.of(), Bytes.NONE));
+                take(new Input.Answered(p.attempt(), Input.AnswerStatus.DATA, p.note(), Map.of(), Bytes.NONE));
             }
         }
         now = end;
--- a/src/main/java/pumicemoor/net/CacheLine.java
+++ b/src/main/java/pumicemoor/net/CacheLine.java
@@ -9,7 +9,7 @@
 import java.util.StringJoiner;
 import java.util.regex.Pattern;
 import pumicemoor.node.Effect;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 
 /**
  * The words of the lines between this router and cache servers. It owns no state, and must never put on a
@@ -17,16 +17,16 @@
  */
 final class CacheLine {
 
-    private static final Map<String, Word> WORDS = words();
+    private static final Map<String, AnswerStatus> WORDS = words();
     private static final String LIFE = "life"; // no id of a client's
     private static final Pattern ENTITY = Pattern.compile("[0-9A-Za-z._~-]{1,64}");
     private static final Pattern ISSUED = Pattern.compile("[0-9]{1,18}");
 
     private CacheLine() {}
 
-    private static Map<String, Word> words() {
-        Map<String, Word> words = new LinkedHashMap<>();
-        for (Word word : Word.values()) {
+    private static Map<String, AnswerStatus> words() {
+        Map<String, AnswerStatus> words = new LinkedHashMap<>();
+        for (AnswerStatus word : AnswerStatus.values()) {
             words.put(word.name().toLowerCase(Locale.ROOT), word);
         }
         return words;
@@ -103,13 +103,13 @@
      * either; null for a good one. Where nobody asked (ask null), a whole answer is left at that.
      */
     static String unusable(AnswerDecoder.Answer answer, Effect.Ask ask) {
-        Word word = word(answer.word());
+        AnswerStatus word = word(answer.word());
         if (word == null) {
             return answer.word().equals("well") && answer.id().equals(LIFE)
                     ? null
                     : "the unknown word '" + answer.word() + "'";
         }
-        if (ask == null || word != Word.DATA && word != Word.UNCHANGED) {
+        if (ask == null || word != AnswerStatus.DATA && word != AnswerStatus.UNCHANGED) {
             return null;
         }
         if (ask.cacheable()
@@ -120,13 +120,13 @@
                 && !ISSUED.matcher(answer.fields().getOrDefault("issued", "")).matches()) {
             return "an answer without a time that can be read";
         }
-        return word == Word.UNCHANGED && (answer.body().isReadable() || ask.tag() == null)
+        return word == AnswerStatus.UNCHANGED && (answer.body().isReadable() || ask.tag() == null)
                 ? "a copy said to be unchanged that cannot be"
                 : null;
     }
 
     /** The word that ends an attempt; null for one that is not known. */
-    static Word word(String text) {
+    static AnswerStatus word(String text) {
         return WORDS.get(text);
     }
 
--- a/src/main/java/pumicemoor/net/CacheLines.java
+++ b/src/main/java/pumicemoor/net/CacheLines.java
@@ -27,7 +27,7 @@
 import pumicemoor.node.Counters.Name;
 import pumicemoor.node.Effect;
 import pumicemoor.node.Input;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 import pumicemoor.node.ResourceLimits;
 
 /**
@@ -344,7 +344,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, AnswerDecoder.Answer answer) {
             Sent sent = ended ? null : out.get(answer.id());
-            Word word = CacheLine.word(answer.word());
+            AnswerStatus word = CacheLine.word(answer.word());
             String unusable = CacheLine.unusable(answer, sent == null ? null : sent.ask());
             if (ended || sent == null || unusable != null) {
                 answer.body().release();
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -64,7 +64,7 @@
     record ClientClosed(long connection) implements Input {}
 
     /** The words with which a cache ends an attempt. */
-    enum Word {
+    enum AnswerStatus {
         DATA,
         UNCHANGED,
         ABSENT,
@@ -74,7 +74,7 @@
     }
 
     /** A cache's whole answer; note null and load empty where they are absent. */
-    record Answered(long attempt, Word word, String note, Map<String, Double> load, Bytes body) implements Input {}
+    record Answered(long attempt, AnswerStatus word, String note, Map<String, Double> load, Bytes body) implements Input {}
 
     /** The last byte of an attempt was written. */
     record Written(long attempt) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -51,7 +51,7 @@
 import pumicemoor.hierarchy.ShapeCheck.Problem;
 import pumicemoor.node.Counters.Name;
 import pumicemoor.node.Effect.Code;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 import pumicemoor.operator.HierarchySection;
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.wire.Message;
@@ -83,18 +83,18 @@
             Map.entry("absent", FillResult.SOURCE_LACKS),
             Map.entry("crowded", FillResult.NO_PLACE),
             Map.entry("behind", FillResult.ORIGIN_FAILED));
-    private static final Map<Word, Outcome> OUTCOMES = Map.of(
-            Word.DATA,
+    private static final Map<AnswerStatus, Outcome> OUTCOMES = Map.of(
+            AnswerStatus.DATA,
             Outcome.OK,
-            Word.UNCHANGED,
+            AnswerStatus.UNCHANGED,
             Outcome.OK,
-            Word.ABSENT,
+            AnswerStatus.ABSENT,
             Outcome.MISS,
-            Word.FULL,
+            AnswerStatus.FULL,
             Outcome.FULL,
-            Word.FAILED,
+            AnswerStatus.FAILED,
             Outcome.ERROR,
-            Word.MOOT,
+            AnswerStatus.MOOT,
             Outcome.MOOT);
     private static final Map<String, State> STATES =
             Map.of("active", State.READY, "leaving", State.DRAINING, "left", State.GONE);
@@ -542,7 +542,7 @@
         Outcome outcome = OUTCOMES.get(a.word());
         double kb = a.body().size() / 1_024.0;
         if (outcome == Outcome.OK) {
-            answer(attempt.request, Code.SERVED, a.word() == Word.UNCHANGED, 0, a.body());
+            answer(attempt.request, Code.SERVED, a.word() == AnswerStatus.UNCHANGED, 0, a.body());
         } else {
             a.body().release();
         }
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.Logic;
 import pumicemoor.RouterApi;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 
 /** A day on which members, connections, requests, objects and purges are ever new: what is kept of them. */
 class LongDayTest {
@@ -34,7 +34,7 @@
             if (effect instanceof Effect.Ask ask) {
                 ask.body().release();
                 take(new Input.Written(ask.attempt()));
-                take(new Input.Answered(ask.attempt(), Word.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
+                take(new Input.Answered(ask.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
             } else if (effect instanceof Effect.Answer answer && answer.code() == Effect.Code.SERVED) {
                 served++;
             }
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import pumicemoor.Logic;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 
 /**
  * Whole days of inputs against the reducer with the real decisions: members that answer, refuse, break off,
@@ -24,7 +24,7 @@
     private static final long MILLI = 1_000;
     private static final long SECOND = 1_000_000;
     private static final long START = 1_764_576_000 * SECOND;
-    private static final Word[] WORDS = Word.values();
+    private static final AnswerStatus[] WORDS = AnswerStatus.values();
 
     private final PriorityQueue<Planned> plan = new PriorityQueue<>();
     private final Map<Integer, Long> openUntil = new HashMap<>();
@@ -115,7 +115,7 @@
         if (kind == 1) {
             in(delay, () -> ends(ask, new Input.Broken(ask.attempt()), false));
         } else if (kind > 2) {
-            Word word = kind < 9 ? WORDS[random.nextInt(WORDS.length)] : Word.DATA;
+            AnswerStatus word = kind < 9 ? WORDS[random.nextInt(WORDS.length)] : AnswerStatus.DATA;
             in(
                     delay,
                     () -> ends(
@@ -123,10 +123,10 @@
                             new Input.Answered(
                                     ask.attempt(),
                                     word,
-                                    word == Word.DATA ? "mem" : null,
+                                    word == AnswerStatus.DATA ? "mem" : null,
                                     Map.of(),
-                                    word == Word.DATA ? new Counted() : Bytes.NONE),
-                            word == Word.ABSENT || word == Word.FULL || word == Word.MOOT));
+                                    word == AnswerStatus.DATA ? new Counted() : Bytes.NONE),
+                            word == AnswerStatus.ABSENT || word == AnswerStatus.FULL || word == AnswerStatus.MOOT));
         }
     }
 
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -34,7 +34,7 @@
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.node.Effect.Code;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.OperatorFile;
 
@@ -156,7 +156,7 @@
         onArrival(r -> act.accept(new Fetch(r.id(), CACHE, PARENT, 2, oldest, true, false, false, false, timeout)));
     }
 
-    private static Input.Answered answered(long attempt, Word word, Bytes body) {
+    private static Input.Answered answered(long attempt, AnswerStatus word, Bytes body) {
         return new Input.Answered(attempt, word, "parent", Map.of("inflight", 7.0), body);
     }
 
@@ -176,7 +176,7 @@
         take(new Input.Written(ask.attempt()));
         Counted body = new Counted();
         now += 90 * MILLI;
-        take(answered(ask.attempt(), Word.DATA, body));
+        take(answered(ask.attempt(), AnswerStatus.DATA, body));
         Effect.Answer answer = of(effects, Effect.Answer.class).get(0);
         assertEquals(new Effect.Answer(1, 5, Code.SERVED, false, 0, body), answer);
         assertEquals(1, body.holders, "the answer's holder is the effect");
@@ -197,7 +197,7 @@
     void aCopyThatTheClientHoldsIsToldAsUnchanged() {
         fetchOnArrival(0, 0);
         request(5, "segment", Bytes.NONE);
-        take(answered(ask().attempt(), Word.UNCHANGED, Bytes.NONE));
+        take(answered(ask().attempt(), AnswerStatus.UNCHANGED, Bytes.NONE));
         assertTrue(of(effects, Effect.Answer.class).get(0).unchanged());
     }
 
@@ -215,20 +215,20 @@
             fetchOnArrival(pair[0], 0);
             request(5, "segment", Bytes.NONE);
             assertEquals(pair[1], ask().withinMillis(), "for " + pair[0]);
-            take(answered(ask().attempt(), Word.DATA, Bytes.NONE));
+            take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
         }
     }
 
     @Test
     void eachWordOfACacheIsTheOutcomeItProves() {
-        Map<Word, Outcome> expected = Map.of(
-                Word.ABSENT,
+        Map<AnswerStatus, Outcome> expected = Map.of(
+                AnswerStatus.ABSENT,
                 Outcome.MISS,
-                Word.FULL,
+                AnswerStatus.FULL,
                 Outcome.FULL,
-                Word.FAILED,
+                AnswerStatus.FAILED,
                 Outcome.ERROR,
-                Word.MOOT,
+                AnswerStatus.MOOT,
                 Outcome.MOOT);
         expected.forEach((word, outcome) -> {
             events.clear();
@@ -297,10 +297,10 @@
         long second = ask().attempt();
         assertFalse(first == second);
         Counted late = new Counted();
-        take(answered(first, Word.DATA, late));
+        take(answered(first, AnswerStatus.DATA, late));
         assertEquals(0, late.holders);
         assertTrue(of(effects, Effect.Answer.class).isEmpty());
-        take(answered(second, Word.DATA, Bytes.NONE));
+        take(answered(second, AnswerStatus.DATA, Bytes.NONE));
         assertEquals(1, of(effects, Effect.Answer.class).size());
     }
 
@@ -353,7 +353,7 @@
         take(new Input.Withdrawn(1, 1));
         assertEquals(1, of(events, RequestAbandoned.class).size());
         Counted crossing = new Counted();
-        take(answered(ask.attempt(), Word.DATA, crossing));
+        take(answered(ask.attempt(), AnswerStatus.DATA, crossing));
         assertEquals(0, crossing.holders);
         ask.body().release();
         assertEquals(0, asked.holders);
@@ -433,7 +433,7 @@
         request(1, "segment", Bytes.NONE);
         fetchOnArrival(0, 0);
         request(2, "segment", Bytes.NONE);
-        take(answered(ask().attempt(), Word.DATA, Bytes.NONE));
+        take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
         pass(2 * SECOND);
         assertEquals(
                 List.of(Code.SERVED, Code.FAILED),
@@ -551,10 +551,10 @@
         pass(300 * MILLI);
         request(2, "segment", Bytes.NONE);
         List<Effect.Ask> asks = of(effects, Effect.Ask.class);
-        take(answered(asks.get(1).attempt(), Word.DATA, Bytes.NONE));
+        take(answered(asks.get(1).attempt(), AnswerStatus.DATA, Bytes.NONE));
         pass(600 * MILLI);
         assertTrue(of(effects, Effect.Exit.class).isEmpty(), "a request is still open");
-        take(answered(asks.get(0).attempt(), Word.DATA, Bytes.NONE));
+        take(answered(asks.get(0).attempt(), AnswerStatus.DATA, Bytes.NONE));
         exitsOnceAllIsRead();
     }
 
@@ -576,7 +576,7 @@
         take(new Input.AllRead());
         assertTrue(of(effects, Effect.Exit.class).isEmpty(), "a request was found");
         int before = effects.size();
-        take(answered(ask().attempt(), Word.DATA, Bytes.NONE));
+        take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
         effects.subList(0, before).clear();
         exitsOnceAllIsRead();
     }
@@ -669,7 +669,7 @@
         for (int i = 1; i <= 50; i++) {
             request(i, "segment", Bytes.NONE);
             take(new Input.Written(ask().attempt()));
-            take(answered(ask().attempt(), Word.DATA, Bytes.NONE));
+            take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
         }
         assertEquals(Long.MAX_VALUE, reducer.nextDue());
     }
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import pumicemoor.Logic;
-import pumicemoor.node.Input.Word;
+import pumicemoor.node.Input.AnswerStatus;
 
 /** The same requests, members and outcomes by the platform's front and by calls of proxies: the same choices. */
 class SameChoicesTest {
@@ -99,7 +99,7 @@
                                         ? new Input.Broken(key)
                                         : new Input.Answered(
                                                 key,
-                                                how == 2 ? Word.FAILED : how == 3 ? Word.FULL : Word.DATA,
+                                                how == 2 ? AnswerStatus.FAILED : how == 3 ? AnswerStatus.FULL : AnswerStatus.DATA,
                                                 how % 2 == 0 ? "mem" : "parent",
                                                 Map.of(),
                                                 Bytes.NONE),
