--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -74,7 +74,7 @@
     }
 
     /** A cache's whole answer; note null and load empty where they are absent. */
-    record Answered(long attempt, AnswerStatus word, String note, Map<String, Double> load, Bytes body) implements Input {}
+    record Answered(long attempt, AnswerStatus status, String note, Map<String, Double> load, Bytes body) implements Input {}
 
     /** The last byte of an attempt was written. */
     record Written(long attempt) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -539,10 +539,10 @@
             a.body().release();
             return;
         }
-        Outcome outcome = OUTCOMES.get(a.word());
+        Outcome outcome = OUTCOMES.get(a.status());
         double kb = a.body().size() / 1_024.0;
         if (outcome == Outcome.OK) {
-            answer(attempt.request, Code.SERVED, a.word() == AnswerStatus.UNCHANGED, 0, a.body());
+            answer(attempt.request, Code.SERVED, a.status() == AnswerStatus.UNCHANGED, 0, a.body());
         } else {
             a.body().release();
         }
--- a/src/test/java/pumicemoor/net/CacheLinesTest.java
+++ b/src/test/java/pumicemoor/net/CacheLinesTest.java
@@ -165,8 +165,8 @@
         answer(first, "a", "full");
         Input.Answered one = (Input.Answered) next();
         Input.Answered two = (Input.Answered) next();
-        assertEquals(Input.AnswerStatus.ABSENT, one.attempt() == 3 ? one.word() : two.word());
-        assertEquals(Input.AnswerStatus.FULL, one.attempt() == 1 ? one.word() : two.word());
+        assertEquals(Input.AnswerStatus.ABSENT, one.attempt() == 3 ? one.status() : two.status());
+        assertEquals(Input.AnswerStatus.FULL, one.attempt() == 1 ? one.status() : two.status());
     }
 
     @Test
@@ -325,7 +325,7 @@
         Got first = sent(1, "a");
         raw(first, "zz data entity=e,issued=1 3\r\nabc\r\nzz unchanged entity=e,issued=1 0\r\n\r\n");
         answer(first, "a", "full");
-        assertEquals(Input.AnswerStatus.FULL, ((Input.Answered) next()).word());
+        assertEquals(Input.AnswerStatus.FULL, ((Input.Answered) next()).status());
         assertEquals(true, same(first, sent(2, "b")));
     }
 
@@ -338,7 +338,7 @@
         assertEquals(false, same(first, second));
         answer(first, "a", "absent");
         answer(second, "a", "full");
-        assertEquals(Input.AnswerStatus.FULL, ((Input.Answered) next()).word());
+        assertEquals(Input.AnswerStatus.FULL, ((Input.Answered) next()).status());
     }
 
     @Test
