--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -456,7 +456,7 @@
             } else if (act instanceof Act.Withdraw) {
                 count(Count.WITHDRAWN);
                 streams.remove(stream.number);
-                loop.submit(new Input.Withdrawn(stream.number, 0));
+                loop.submit(new Input.RequestCancelled(stream.number, 0));
             } else if (act instanceof Act.Complete) {
                 finish(stream);
                 stream.complete();
@@ -515,7 +515,7 @@
         loop.later(section.retryWait(), () -> {
             if (held.remove(stream.id, ready)) {
                 letGo(ready);
-                loop.submit(new Input.Withdrawn(ready.number(), 0));
+                loop.submit(new Input.RequestCancelled(ready.number(), 0));
             }
         });
     }
--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -185,7 +185,7 @@
                     early.body().release();
                     counters.add(Name.WITHDRAWN);
                 } else if (open.remove(stream)) {
-                    loop.submit(new Input.Withdrawn(number, stream));
+                    loop.submit(new Input.RequestCancelled(number, stream));
                 }
             }
             case ClientFrame.READY_ASKED -> answerReady(stream, frame);
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -313,7 +313,7 @@
     public void submit(Input input) {
         if (input instanceof Input.ClientClosed c) {
             leave(c, r -> r.connection() == c.connection());
-        } else if (input instanceof Input.Withdrawn w) {
+        } else if (input instanceof Input.RequestCancelled w) {
             leave(w, r -> r.connection() == w.connection() && r.stream() == w.stream());
         } else {
             inbox.add(input instanceof Input.Request r && clock() < unreadUntil ? r.unreadFor(unreadFor) : input);
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -58,7 +58,7 @@
             implements Input {}
 
     /** The client no longer waits for this stream. */
-    record Withdrawn(long connection, int stream) implements Input {}
+    record RequestCancelled(long connection, int stream) implements Input {}
 
     /** A client's connection has ended, and with it all that was open there. */
     record ClientClosed(long connection) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -254,7 +254,7 @@
             }
         } else if (input instanceof Input.Due) {
             due();
-        } else if (input instanceof Input.Withdrawn w) {
+        } else if (input instanceof Input.RequestCancelled w) {
             withdrawn(unanswered.get(new Stream(w.connection(), w.stream())));
         } else if (input instanceof Input.ClientClosed c) {
             unanswered.values().stream()
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -345,7 +345,7 @@
         checkRequest();
         write(frame(9, 5, null, new byte[0]));
         write(frame(9, 5, null, new byte[0]));
-        assertEquals(List.of(new Input.Withdrawn(1, 5)), inputs().subList(1, loop.inputs.size()));
+        assertEquals(List.of(new Input.RequestCancelled(1, 5)), inputs().subList(1, loop.inputs.size()));
         ByteBuf body = Unpooled.copiedBuffer(new byte[] {1});
         connection.answer(new Effect.Answer(1, 5, Code.SERVED, false, 0, NettyBytes.of(body)));
         assertEquals("", written());
@@ -394,7 +394,7 @@
         write(request(6));
         write(frame(1, 7, null, new byte[0]));
         write(frame(9, 5, null, new byte[0]));
-        assertEquals(List.of(new Input.Withdrawn(1, 5)), inputs().subList(1, loop.inputs.size()));
+        assertEquals(List.of(new Input.RequestCancelled(1, 5)), inputs().subList(1, loop.inputs.size()));
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, true);
         channel.runPendingTasks();
         assertEquals("00000015" + "08" + "00000006" + "0001" + PUSHBACK, written(), "refused, and no more than that");
--- a/src/test/java/pumicemoor/net/InboxTest.java
+++ b/src/test/java/pumicemoor/net/InboxTest.java
@@ -15,8 +15,8 @@
         return new Input.Request(1, stream, "c" + stream, "segment", "o", 0, -1, null, 1_000, false, Bytes.NONE);
     }
 
-    private static Input.Withdrawn withdrawn(int stream) {
-        return new Input.Withdrawn(1, stream);
+    private static Input.RequestCancelled withdrawn(int stream) {
+        return new Input.RequestCancelled(1, stream);
     }
 
     @Test
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -217,7 +217,7 @@
             in(random.nextInt(200_000), () -> {
                 if (openUntil.remove(stream) != null) {
                     withdrawn.add(stream);
-                    take(new Input.Withdrawn(1, stream));
+                    take(new Input.RequestCancelled(1, stream));
                 }
             });
         }
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -350,14 +350,14 @@
         Counted asked = new Counted();
         request(1, "segment", asked);
         Effect.Ask ask = ask();
-        take(new Input.Withdrawn(1, 1));
+        take(new Input.RequestCancelled(1, 1));
         assertEquals(1, of(events, RequestAbandoned.class).size());
         Counted crossing = new Counted();
         take(answered(ask.attempt(), AnswerStatus.DATA, crossing));
         assertEquals(0, crossing.holders);
         ask.body().release();
         assertEquals(0, asked.holders);
-        take(new Input.Withdrawn(1, 1));
+        take(new Input.RequestCancelled(1, 1));
         pass(5 * SECOND);
         assertTrue(of(effects, Effect.Answer.class).isEmpty());
         assertEquals(1, of(events, RequestAbandoned.class).size());
@@ -401,7 +401,7 @@
         assertEquals(Code.REFUSED, of(effects, Effect.Answer.class).get(0).code());
         assertEquals(0, third.holders);
         assertEquals(2, of(events, RequestArrived.class).size());
-        take(new Input.Withdrawn(1, 1));
+        take(new Input.RequestCancelled(1, 1));
         request(4, "segment", Bytes.NONE);
         assertEquals(3, of(events, RequestArrived.class).size());
     }
@@ -696,7 +696,7 @@
                 2, 1, "9b1f03aa5c7e2d41", "segment", "00000000000000ff", 0, 1, null, 1500, false, Bytes.NONE));
         assertEquals(
                 List.of(new Effect.Answer(2, 1, Code.FAILED, false, 0, Bytes.NONE), new Effect.Misused(2)), effects);
-        take(new Input.Withdrawn(1, 1));
+        take(new Input.RequestCancelled(1, 1));
         effects.clear();
         take(new Input.Request(
                 2, 2, "9b1f03aa5c7e2d41", "segment", "00000000000000ff", 0, 1, null, 1500, false, Bytes.NONE));
