--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -449,7 +449,7 @@
                 stream.unreached = false;
                 loop.submit(
                         unreached
-                                ? new Input.Unreached(ended.key())
+                                ? new Input.NeverSent(ended.key())
                                 : word == null
                                         ? new Input.Broken(ended.key())
                                         : new Input.Answered(ended.key(), word, stream.note, Map.of(), Bytes.NONE));
--- a/src/main/java/pumicemoor/net/CacheLines.java
+++ b/src/main/java/pumicemoor/net/CacheLines.java
@@ -238,7 +238,7 @@
                 if (loop.clock() - next.since() > limits.unwritten()) { // decided on news that is too old by now
                     ask.body().release();
                     lineOfAttempt.remove(ask.attempt());
-                    loop.submit(new Input.Unreached(ask.attempt()));
+                    loop.submit(new Input.NeverSent(ask.attempt()));
                     continue;
                 }
                 writing = ask;
@@ -406,17 +406,17 @@
             out.values()
                     .forEach(s -> ends.add(
                             s.writtenAt() == Long.MAX_VALUE
-                                    ? new Input.Unreached(s.attempt())
+                                    ? new Input.NeverSent(s.attempt())
                                     : new Input.Broken(s.attempt())));
             queue.forEach(q -> {
                 q.ask().body().release();
-                ends.add(new Input.Unreached(q.attempt()));
+                ends.add(new Input.NeverSent(q.attempt()));
             });
             out.keySet().clear();
             queue.clear();
             writing = null;
             for (Input end : ends) {
-                lineOfAttempt.remove(end instanceof Input.Broken b ? b.attempt() : ((Input.Unreached) end).attempt());
+                lineOfAttempt.remove(end instanceof Input.Broken b ? b.attempt() : ((Input.NeverSent) end).attempt());
                 loop.submit(end);
             }
         }
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -80,7 +80,7 @@
     record Written(long attempt) implements Input {}
 
     /** An attempt that was never written whole, so that it never ran. */
-    record Unreached(long attempt) implements Input {}
+    record NeverSent(long attempt) implements Input {}
 
     /** An attempt for which this router has no room at the member: it never ran, and no one has failed. */
     record Crowded(long attempt) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -261,7 +261,7 @@
                     .filter(r -> r.stream.connection() == c.connection())
                     .toList()
                     .forEach(this::withdrawn);
-        } else if (input instanceof Input.Unreached u) {
+        } else if (input instanceof Input.NeverSent u) {
             end(attempts.get(u.attempt()), Outcome.CONNECT_FAILED);
         } else if (input instanceof Input.Crowded c) {
             end(attempts.get(c.attempt()), Outcome.FULL);
--- a/src/test/java/pumicemoor/net/CacheLinesTest.java
+++ b/src/test/java/pumicemoor/net/CacheLinesTest.java
@@ -205,7 +205,7 @@
             loop.time += limits.unwritten() + 1; // the loop is held up; the connection comes up meanwhile
             lines.ask(ask(2, "b"));
         });
-        assertEquals(new Input.Unreached(1), next());
+        assertEquals(new Input.NeverSent(1), next());
         assertEquals(new Input.Written(2), next());
         assertEquals(
                 "ASK b cls=segment,item=o,chunk=0,limit=100 0",
@@ -226,7 +226,7 @@
         listener.close();
         accepting.join(PATIENCE); // the system accepts connections for as long as a thread waits for one
         onLoop(() -> lines.ask(ask));
-        assertEquals(new Input.Unreached(1), next());
+        assertEquals(new Input.NeverSent(1), next());
     }
 
     @Test
@@ -240,7 +240,7 @@
                 new Counters(),
                 loop);
         onLoop(() -> without.ask(ask(1, "a")));
-        assertEquals(new Input.Unreached(1), next());
+        assertEquals(new Input.NeverSent(1), next());
         assertEquals(true, group.next().inEventLoop(loop.submitter), "told on the loop's own thread");
     }
 
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -107,7 +107,7 @@
         mayHaveRun.add(stream);
         int kind = random.nextInt(30);
         if (kind == 0) {
-            in(random.nextInt(400_000), () -> ends(ask, new Input.Unreached(ask.attempt()), true));
+            in(random.nextInt(400_000), () -> ends(ask, new Input.NeverSent(ask.attempt()), true));
             return;
         }
         in(0, () -> take(new Input.Written(ask.attempt())));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -246,7 +246,7 @@
     void anAttemptNotWrittenWholeNeverRanAndABrokenOneMayHave() {
         fetchOnArrival(0, 0);
         request(1, "segment", Bytes.NONE);
-        take(new Input.Unreached(ask().attempt()));
+        take(new Input.NeverSent(ask().attempt()));
         request(2, "segment", Bytes.NONE);
         take(new Input.Written(ask().attempt()));
         take(new Input.Broken(ask().attempt()));
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -94,7 +94,7 @@
                 reducer.accept(
                         now,
                         how == 0
-                                ? new Input.Unreached(key)
+                                ? new Input.NeverSent(key)
                                 : how == 1
                                         ? new Input.Broken(key)
                                         : new Input.Answered(
