--- a/src/main/java/pumicemoor/net/CacheLines.java
+++ b/src/main/java/pumicemoor/net/CacheLines.java
@@ -69,7 +69,7 @@
             line = pool.stream().filter(l -> l.takesAgain(ask)).findFirst().orElse(null);
             if (line == null) {
                 ask.body().release();
-                loop.submit(new Input.Crowded(ask.attempt()));
+                loop.submit(new Input.NoConnectionAvailable(ask.attempt()));
                 return;
             }
         }
@@ -77,7 +77,7 @@
         if (fresh && !roomForAnother()) {
             lines.remove(ask.instance(), List.of());
             ask.body().release();
-            loop.submit(new Input.Crowded(ask.attempt()));
+            loop.submit(new Input.NoConnectionAvailable(ask.attempt()));
             return;
         }
         if (fresh) {
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -83,7 +83,7 @@
     record NeverSent(long attempt) implements Input {}
 
     /** An attempt for which this router has no room at the member: it never ran, and no one has failed. */
-    record Crowded(long attempt) implements Input {}
+    record NoConnectionAvailable(long attempt) implements Input {}
 
     /** The connection of an attempt ended after it was written whole. */
     record Broken(long attempt) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -263,7 +263,7 @@
                     .forEach(this::withdrawn);
         } else if (input instanceof Input.NeverSent u) {
             end(attempts.get(u.attempt()), Outcome.CONNECT_FAILED);
-        } else if (input instanceof Input.Crowded c) {
+        } else if (input instanceof Input.NoConnectionAvailable c) {
             end(attempts.get(c.attempt()), Outcome.FULL);
         } else if (input instanceof Input.Broken b) {
             end(attempts.get(b.attempt()), Outcome.RESET);
--- a/src/test/java/pumicemoor/net/CacheLinesTest.java
+++ b/src/test/java/pumicemoor/net/CacheLinesTest.java
@@ -353,7 +353,7 @@
             got.poll(PATIENCE, TimeUnit.MILLISECONDS);
         }
         onLoop(() -> lines.ask(ask(200, "b")));
-        assertEquals(new Input.Crowded(200), next());
+        assertEquals(new Input.NoConnectionAvailable(200), next());
     }
 
     @Test
@@ -412,7 +412,7 @@
         }
         Effect.Ask another = askOf("s-another", 100);
         onLoop(() -> lines.ask(another));
-        assertEquals(new Input.Crowded(100), next(), "all are in use");
+        assertEquals(new Input.NoConnectionAvailable(100), next(), "all are in use");
         answer(oldest, "i1", "absent");
         assertEquals(1, ((Input.Answered) next()).attempt());
         onLoop(() -> lines.ask(another));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -678,7 +678,7 @@
     void anAttemptWithoutRoomAtTheMemberNeverRanAndTheMemberDidNotFail() {
         fetchOnArrival(0, 0);
         request(1, "segment", Bytes.NONE);
-        take(new Input.Crowded(ask().attempt()));
+        take(new Input.NoConnectionAvailable(ask().attempt()));
         assertEquals(
                 List.of(Outcome.FULL),
                 of(events, AttemptEnded.class).stream()
