--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -451,7 +451,7 @@
                         unreached
                                 ? new Input.NeverSent(ended.key())
                                 : word == null
-                                        ? new Input.Broken(ended.key())
+                                        ? new Input.ConnectionLost(ended.key())
                                         : new Input.Answered(ended.key(), word, stream.note, Map.of(), Bytes.NONE));
             } else if (act instanceof Act.Withdraw) {
                 count(Count.WITHDRAWN);
--- a/src/main/java/pumicemoor/net/CacheLines.java
+++ b/src/main/java/pumicemoor/net/CacheLines.java
@@ -407,7 +407,7 @@
                     .forEach(s -> ends.add(
                             s.writtenAt() == Long.MAX_VALUE
                                     ? new Input.NeverSent(s.attempt())
-                                    : new Input.Broken(s.attempt())));
+                                    : new Input.ConnectionLost(s.attempt())));
             queue.forEach(q -> {
                 q.ask().body().release();
                 ends.add(new Input.NeverSent(q.attempt()));
@@ -416,7 +416,7 @@
             queue.clear();
             writing = null;
             for (Input end : ends) {
-                lineOfAttempt.remove(end instanceof Input.Broken b ? b.attempt() : ((Input.NeverSent) end).attempt());
+                lineOfAttempt.remove(end instanceof Input.ConnectionLost b ? b.attempt() : ((Input.NeverSent) end).attempt());
                 loop.submit(end);
             }
         }
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -86,7 +86,7 @@
     record NoConnectionAvailable(long attempt) implements Input {}
 
     /** The connection of an attempt ended after it was written whole. */
-    record Broken(long attempt) implements Input {}
+    record ConnectionLost(long attempt) implements Input {}
 
     /** One event of the coordinator, as its JSON text. */
     record Update(String json) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -265,7 +265,7 @@
             end(attempts.get(u.attempt()), Outcome.CONNECT_FAILED);
         } else if (input instanceof Input.NoConnectionAvailable c) {
             end(attempts.get(c.attempt()), Outcome.FULL);
-        } else if (input instanceof Input.Broken b) {
+        } else if (input instanceof Input.ConnectionLost b) {
             end(attempts.get(b.attempt()), Outcome.RESET);
         } else if (input instanceof Input.Update u) {
             updated(u.json());
--- a/src/test/java/pumicemoor/net/CacheLinesTest.java
+++ b/src/test/java/pumicemoor/net/CacheLinesTest.java
@@ -216,7 +216,7 @@
     void whenAConnectionEndsWhatWasWrittenMayHaveRun() throws Exception {
         Got first = sent(1, "a");
         first.from().close();
-        assertEquals(new Input.Broken(1), next());
+        assertEquals(new Input.ConnectionLost(1), next());
         assertEquals(false, same(first, sent(2, "b")));
     }
 
@@ -284,7 +284,7 @@
     void garbageFromAMemberEndsTheConnectionAndItsAttempts() throws Exception {
         Got first = sent(1, "a");
         first.from().getOutputStream().write("what is this\r\n".getBytes(StandardCharsets.US_ASCII));
-        assertEquals(new Input.Broken(1), next());
+        assertEquals(new Input.ConnectionLost(1), next());
     }
 
     @Test
@@ -292,7 +292,7 @@
         sent(1, "a");
         onLoop(() -> lines.drop("s-1", loop.time));
         onLoop(() -> lines.drop("s-1", loop.time + 1));
-        assertEquals(new Input.Broken(1), next());
+        assertEquals(new Input.ConnectionLost(1), next());
     }
 
     private static void raw(Got to, String text) throws IOException {
@@ -316,7 +316,7 @@
             sent(2, "b");
             raw(first, text);
             assertEquals(
-                    java.util.Set.of(new Input.Broken(1), new Input.Broken(2)), java.util.Set.of(next(), next()), text);
+                    java.util.Set.of(new Input.ConnectionLost(1), new Input.ConnectionLost(2)), java.util.Set.of(next(), next()), text);
         }
     }
 
@@ -387,7 +387,7 @@
         onLoop(() -> lines.sweep(loop.time));
         loop.time += 1;
         onLoop(() -> lines.sweep(loop.time));
-        assertEquals(new Input.Broken(1), next());
+        assertEquals(new Input.ConnectionLost(1), next());
     }
 
     @Test
@@ -452,6 +452,6 @@
         onLoop(() -> {}); // what has come is taken in to its end
         loop.time += limits.lineQuiet() + limits.lineDead() + 1;
         onLoop(() -> lines.sweep(loop.time));
-        assertEquals(new Input.Broken(1), next());
+        assertEquals(new Input.ConnectionLost(1), next());
     }
 }
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -113,7 +113,7 @@
         in(0, () -> take(new Input.Written(ask.attempt())));
         long delay = 5 * MILLI + random.nextInt(kind < 6 ? 600_000 : 60_000);
         if (kind == 1) {
-            in(delay, () -> ends(ask, new Input.Broken(ask.attempt()), false));
+            in(delay, () -> ends(ask, new Input.ConnectionLost(ask.attempt()), false));
         } else if (kind > 2) {
             AnswerStatus word = kind < 9 ? WORDS[random.nextInt(WORDS.length)] : AnswerStatus.DATA;
             in(
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -249,7 +249,7 @@
         take(new Input.NeverSent(ask().attempt()));
         request(2, "segment", Bytes.NONE);
         take(new Input.Written(ask().attempt()));
-        take(new Input.Broken(ask().attempt()));
+        take(new Input.ConnectionLost(ask().attempt()));
         List<Outcome> outcomes = of(events, AttemptEnded.class).stream()
                 .map(AttemptEnded::outcome)
                 .toList();
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -96,7 +96,7 @@
                         how == 0
                                 ? new Input.NeverSent(key)
                                 : how == 1
-                                        ? new Input.Broken(key)
+                                        ? new Input.ConnectionLost(key)
                                         : new Input.Answered(
                                                 key,
                                                 how == 2 ? AnswerStatus.FAILED : how == 3 ? AnswerStatus.FULL : AnswerStatus.DATA,
