--- a/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
@@ -191,7 +191,7 @@
         List<HollowReader> readers = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             HollowReader reader = empty(events);
-            reader.take(new Input.Update(events.whole(CoordinatorEvents.FIRST + 1)));
+            reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
             readers.add(reader);
         }
         HollowReader reader = readers.remove(0);
@@ -201,10 +201,10 @@
         for (int i = 0; i < rounds.length; i++) {
             reader.pass(SECOND);
             long lost = ++index; // the one behind it shows the gap, the answer is the whole list
-            reader.take(new Input.Update(
+            reader.take(new Input.CoordinatorUpdate(
                     CoordinatorEvents.purge(lost + 1, CoordinatorEvents.object(i), CoordinatorEvents.BEGIN)));
             String whole = events.whole(lost);
-            rounds[i] = micros(() -> reader.take(new Input.Update(whole))) / MILLI;
+            rounds[i] = micros(() -> reader.take(new Input.CoordinatorUpdate(whole))) / MILLI;
         }
         figures.put(
                 "bytes a list", (double) CoordinatorEvents.bytes(CoordinatorEvents.onWire(index, events.whole(index))));
@@ -217,7 +217,7 @@
     private void changes(int members) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, members, plan.seed());
         HollowReader reader = empty(events);
-        reader.take(new Input.Update(events.whole(CoordinatorEvents.FIRST + 1)));
+        reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
         long index = CoordinatorEvents.FIRST + 1;
         long bytes = 0;
         double[] rounds = new double[plan.rounds()];
@@ -227,7 +227,7 @@
                 told.add(events.change(++index, reader.now() / MILLI));
                 bytes += CoordinatorEvents.bytes(CoordinatorEvents.onWire(index, told.get(k)));
             }
-            rounds[i] = micros(() -> told.forEach(t -> reader.take(new Input.Update(t)))) / CHANGES_A_ROUND;
+            rounds[i] = micros(() -> told.forEach(t -> reader.take(new Input.CoordinatorUpdate(t)))) / CHANGES_A_ROUND;
             reader.pass(SECOND);
         }
         Map<String, Double> figures = new TreeMap<>();
@@ -277,7 +277,7 @@
     private void decisions(String role, Layout layout, int members) {
         CoordinatorEvents events = new CoordinatorEvents(layout, members, plan.seed());
         HollowReader reader = empty(events);
-        reader.take(new Input.Update(events.whole(CoordinatorEvents.FIRST + 1)));
+        reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
         reader.take(new Input.FeedHeard());
         Random random = new Random(plan.seed());
         int requests = Math.max(200, Math.min(2_000, 1_000_000 / members));
@@ -413,7 +413,7 @@
         List<HollowReader> readers = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             readers.add(empty(events));
-            readers.get(i).take(new Input.Update(events.whole(CoordinatorEvents.FIRST + 1)));
+            readers.get(i).take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
         }
         long bytes = 0;
         double[] perPurge = new double[plan.rounds()];
@@ -432,7 +432,7 @@
             for (HollowReader reader : readers) {
                 double all = micros(() -> {
                             told.forEach(t -> {
-                                reader.take(new Input.Update(t));
+                                reader.take(new Input.CoordinatorUpdate(t));
                                 reader.take(new Input.FeedHeard());
                                 reader.pass(gap);
                             });
@@ -455,7 +455,7 @@
                         CoordinatorEvents.FIRST + 2 + count, CoordinatorEvents.object(count++), reader.now() / MILLI));
             }
             perPurge[i] = micros(() -> told.forEach(t -> {
-                        reader.take(new Input.Update(t));
+                        reader.take(new Input.CoordinatorUpdate(t));
                         reader.take(new Input.FeedHeard());
                     }))
                     / Math.max(1, rate);
@@ -477,7 +477,7 @@
         double[] rounds = new double[plan.rounds()];
         for (int i = 0; i < rounds.length; i++) {
             HollowReader reader = empty(events);
-            reader.take(new Input.Update(events.whole(CoordinatorEvents.FIRST + 1)));
+            reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
             reader.pass(seconds * SECOND);
             List<String> told = new ArrayList<>();
             long index = CoordinatorEvents.FIRST + 1;
@@ -499,7 +499,7 @@
             }
             reader.request(CoordinatorEvents.object(index));
             figures.put("bounded while cut off", (double) reader.bounded());
-            rounds[i] = micros(() -> told.forEach(t -> reader.take(new Input.Update(t)))) / MILLI;
+            rounds[i] = micros(() -> told.forEach(t -> reader.take(new Input.CoordinatorUpdate(t)))) / MILLI;
             figures.put("events", (double) told.size());
             figures.put("bytes", (double) bytes);
         }
@@ -517,14 +517,14 @@
      */
     private int unbounded(CoordinatorEvents events, int seconds) {
         HollowReader reader = empty(events);
-        reader.take(new Input.Update(events.whole(CoordinatorEvents.FIRST + 1)));
+        reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
         reader.pass(seconds * SECOND);
         int purges = (int) (seconds * PURGES);
         int aRead = (int) (READ / purgeBytes());
         int asked = 0;
         for (int k = 0; k < purges; k++) {
             long index = CoordinatorEvents.FIRST + 2 + k;
-            reader.take(new Input.Update(CoordinatorEvents.purge(
+            reader.take(new Input.CoordinatorUpdate(CoordinatorEvents.purge(
                     index, CoordinatorEvents.object(index), CoordinatorEvents.BEGIN + (long) (k * MILLI / PURGES))));
             if (k % aRead == aRead - 1 && k < purges - 1) {
                 reader.request(
--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -222,7 +222,7 @@
 
         private void take(String event) {
             if (context.channel().isOpen()) { // what stands behind the end of this stream is asked for again
-                loop.submit(new Input.Update(event));
+                loop.submit(new Input.CoordinatorUpdate(event));
             }
         }
 
--- a/src/main/java/pumicemoor/net/Inbox.java
+++ b/src/main/java/pumicemoor/net/Inbox.java
@@ -18,7 +18,7 @@
     private boolean holding;
 
     void add(Input input) {
-        if (input instanceof Input.Update || input instanceof Input.FeedHeard) {
+        if (input instanceof Input.CoordinatorUpdate || input instanceof Input.FeedHeard) {
             news.add(input);
         } else {
             others.add(input);
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -89,7 +89,7 @@
     record ConnectionLost(long attempt) implements Input {}
 
     /** One event of the coordinator, as its JSON text. */
-    record Update(String json) implements Input {}
+    record CoordinatorUpdate(String json) implements Input {}
 
     /** The coordinator's stream was heard, if only by a comment: what was to be told until then has come. */
     record FeedHeard() implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -267,7 +267,7 @@
             end(attempts.get(c.attempt()), Outcome.FULL);
         } else if (input instanceof Input.ConnectionLost b) {
             end(attempts.get(b.attempt()), Outcome.RESET);
-        } else if (input instanceof Input.Update u) {
+        } else if (input instanceof Input.CoordinatorUpdate u) {
             updated(u.json());
         } else if (input instanceof Input.FeedHeard) {
             events.add(new DiscoveryHeartbeat());
--- a/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
@@ -89,7 +89,7 @@
         take("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nid: 42\ndata: {\"i\r\n");
         assertEquals(0, loop.inputs.size());
         take("a\r\nndex\":42}\n\r\n1\r\n\n\r\n");
-        assertEquals(List.of(new Input.Update("{\"index\":42}")), List.copyOf(loop.inputs));
+        assertEquals(List.of(new Input.CoordinatorUpdate("{\"index\":42}")), List.copyOf(loop.inputs));
     }
 
     /** After a cut a purge may stand behind any event of what was missed: only a comment behind all of it is a sign. */
@@ -100,7 +100,7 @@
             take("id: " + i + "\ndata: {\"index\":" + i + "}\n\n");
         }
         assertEquals(10, loop.inputs.size());
-        assertTrue(loop.inputs.stream().allMatch(i -> i instanceof Input.Update), loop.inputs.toString());
+        assertTrue(loop.inputs.stream().allMatch(i -> i instanceof Input.CoordinatorUpdate), loop.inputs.toString());
         take(":\n\n");
         assertEquals(new Input.FeedHeard(), List.copyOf(loop.inputs).get(10));
         take("id: 52\ndata: {\"index\":52}\n\n");
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -84,12 +84,12 @@
         long index = 1;
         for (int i = 1; i <= EACH; i++) {
             pass(10 * MILLI);
-            take(new Input.Update(NodeTestConfig.list(
+            take(new Input.CoordinatorUpdate(NodeTestConfig.list(
                     ++index,
                     false,
                     NodeTestConfig.member("s-" + i, "127.0.0.1:11", "box", "active", 0),
                     NodeTestConfig.member("s-" + (i - 1), "127.0.0.1:11", "box", "left", 0))));
-            take(new Input.Update("{\"index\":" + ++index + ",\"evict\":{\"ref\":\"" + id(i) + "\",\"unix_ms\":"
+            take(new Input.CoordinatorUpdate("{\"index\":" + ++index + ",\"evict\":{\"ref\":\"" + id(i) + "\",\"unix_ms\":"
                     + now / MILLI + "}}"));
             take(new Input.Request(i, 1, id(i), "segment", id(i), 0, i % 256, null, 2_000, false, Bytes.NONE));
             take(new Input.ClientClosed(i));
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -165,15 +165,15 @@
             long at = 2 * SECOND * i + SECOND;
             in(at, () -> {
                 drainedAt.put(member, now);
-                take(new Input.Update(NodeTestConfig.list(index, false, line(member, "leaving", 0))));
+                take(new Input.CoordinatorUpdate(NodeTestConfig.list(index, false, line(member, "leaving", 0))));
             });
             in(
                     at + 700 * MILLI,
-                    () -> take(new Input.Update("{\"index\":" + (index + 1) + ",\"evict\":{\"shard\":3,\"unix_ms\":"
+                    () -> take(new Input.CoordinatorUpdate("{\"index\":" + (index + 1) + ",\"evict\":{\"shard\":3,\"unix_ms\":"
                             + (now / MILLI - 100) + "}}")));
             in(at + 1_500 * MILLI, () -> {
                 drainedAt.remove(member);
-                take(new Input.Update(NodeTestConfig.list(index + 2, false, line(member, "active", now / MILLI))));
+                take(new Input.CoordinatorUpdate(NodeTestConfig.list(index + 2, false, line(member, "active", now / MILLI))));
             });
         }
         long end = START + 30 * SECOND;
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -446,17 +446,17 @@
     @Test
     void eventsOfTheCoordinatorAreTakenOnceAndInOrder() {
         String purge = "{\"index\":2,\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (START / MILLI - 250) + "}}";
-        take(new Input.Update(purge));
-        take(new Input.Update(purge));
-        take(new Input.Update("{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START / MILLI + "}}"));
+        take(new Input.CoordinatorUpdate(purge));
+        take(new Input.CoordinatorUpdate(purge));
+        take(new Input.CoordinatorUpdate("{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START / MILLI + "}}"));
         assertEquals(List.of(new Purged("7f3a", -1, 250 * MILLI), new Purged(null, 17, 0)), events);
         assertEquals(3, reducer.lastUpdate());
     }
 
     @Test
     void anEventThatCannotBeReadIsSkipped() {
-        take(new Input.Update("{\"index\":2,"));
-        take(new Input.Update(
+        take(new Input.CoordinatorUpdate("{\"index\":2,"));
+        take(new Input.CoordinatorUpdate(
                 NodeTestConfig.list(2, false, NodeTestConfig.member("s-9", "127.0.0.1:19", "box", "sleeping", 0))));
         assertTrue(events.isEmpty());
         assertEquals(2, counters.get(Counters.Name.BAD_INPUT));
@@ -478,7 +478,7 @@
             events.clear();
             effects.clear();
             String list = NodeTestConfig.list(index, true, line, s1);
-            take(new Input.Update(list.substring(0, list.length() - 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
+            take(new Input.CoordinatorUpdate(list.substring(0, list.length() - 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
                     + START / MILLI + "}}"));
             assertEquals(index++, reducer.lastUpdate());
             assertEquals(1, of(events, MemberListUpdate.class).size(), line);
@@ -491,14 +491,14 @@
                             .noneMatch(r -> r.instance().equals("p-1")),
                     "who is listed, if not readably, has not left: " + line);
             assertEquals(++skipped, counters.get(Counters.Name.BAD_INPUT));
-            take(new Input.Update(NodeTestConfig.list(
+            take(new Input.CoordinatorUpdate(NodeTestConfig.list(
                     index++, false, NodeTestConfig.member("p-1", "127.0.0.1:12", "shield", "active", 0))));
         }
     }
 
     @Test
     void aPurgeThatCannotBeReadCostsNoList() {
-        take(new Input.Update(
+        take(new Input.CoordinatorUpdate(
                 "{\"index\":2,\"evict\":{\"unix_ms\":\"soon\"},\"endpoints\":{\"generation\":1,\"reset\":false,"
                         + "\"instances\":[" + NodeTestConfig.member("s-7", "127.0.0.1:17", "box", "active", 0)
                         + "]}}"));
@@ -509,9 +509,9 @@
 
     @Test
     void aMemberThatLeavesOrStartsAnewLosesItsOldConnections() {
-        take(new Input.Update(NodeTestConfig.list(
+        take(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 2, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", START / MILLI))));
-        take(new Input.Update(NodeTestConfig.list(
+        take(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 3,
                 false,
                 NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START / MILLI),
@@ -528,14 +528,14 @@
 
     @Test
     void whoIsMissingFromAWholeListLosesItsConnections() {
-        take(new Input.Update(NodeTestConfig.list(
+        take(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 2,
                 true,
                 NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", 0),
                 NodeTestConfig.member("s-2", "127.0.0.1:12", "box", "active", 0))));
         assertEquals(List.of(new Effect.Retire("p-1")), effects);
         assertTrue(reducer.ready());
-        take(new Input.Update(NodeTestConfig.list(3, true)));
+        take(new Input.CoordinatorUpdate(NodeTestConfig.list(3, true)));
         assertFalse(reducer.ready(), "nobody is left");
     }
 
@@ -616,7 +616,7 @@
     @Test
     void itIsNotReadyBeforeItHasCaughtUpWithTheCoordinator() throws Exception {
         start(1_000, false);
-        take(new Input.Update(
+        take(new Input.CoordinatorUpdate(
                 NodeTestConfig.list(2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", 0))));
         assertFalse(reducer.ready(), "more may stand behind this event");
         take(new Input.FeedHeard());
@@ -642,7 +642,7 @@
             reducer.accept(
                     now,
                     now + step,
-                    new Input.Update("{\"index\":" + (reducer.lastUpdate() + 1)
+                    new Input.CoordinatorUpdate("{\"index\":" + (reducer.lastUpdate() + 1)
                             + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (now - SECOND) / MILLI + "}}"),
                     effects::add);
             assertEquals(step < 0 ? 0 : SECOND, of(events, Purged.class).get(0).age(), "a step of " + step);
@@ -653,12 +653,12 @@
     void aStartIsTakenForTheLaterOneWhereTheWallClockWasSteppedAndKeptWhenToldAgain() {
         String list = NodeTestConfig.list(
                 2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", (now - SECOND) / MILLI));
-        reducer.accept(now, now - 3_600 * SECOND, new Input.Update(list), effects::add);
+        reducer.accept(now, now - 3_600 * SECOND, new Input.CoordinatorUpdate(list), effects::add);
         assertEquals(
                 now, of(events, MemberListUpdate.class).get(0).members().get(0).started());
         long first = now;
         now += 3 * SECOND;
-        take(new Input.Update(list.replace("\"index\":2", "\"index\":3")));
+        take(new Input.CoordinatorUpdate(list.replace("\"index\":2", "\"index\":3")));
         assertEquals(
                 first, of(events, MemberListUpdate.class).get(1).members().get(0).started());
     }
@@ -706,18 +706,18 @@
     @Test
     void anEventIsTakenOnceAndAGapIsAskedForOnce() {
         String left = NodeTestConfig.list(3, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", 0));
-        take(new Input.Update(left));
+        take(new Input.CoordinatorUpdate(left));
         assertEquals(List.of(new Effect.Follow("127.0.0.1:2")), effects);
         assertEquals(1, reducer.lastUpdate());
         String two = NodeTestConfig.list(2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", 0));
-        take(new Input.Update(two));
-        take(new Input.Update(two));
-        take(new Input.Update(left));
+        take(new Input.CoordinatorUpdate(two));
+        take(new Input.CoordinatorUpdate(two));
+        take(new Input.CoordinatorUpdate(left));
         assertEquals(3, reducer.lastUpdate());
         assertEquals(2, of(events, MemberListUpdate.class).size());
         String far = NodeTestConfig.list(9, false);
-        take(new Input.Update(far));
-        take(new Input.Update(far));
+        take(new Input.CoordinatorUpdate(far));
+        take(new Input.CoordinatorUpdate(far));
         assertEquals(9, reducer.lastUpdate(), "what the coordinator does not have any more is not waited for");
     }
 
@@ -773,7 +773,7 @@
                 counters);
         reducer.operate(now, operator, "here", "n0", 1);
         reducer.known(now, config, effects::add);
-        take(new Input.Update(NodeTestConfig.list(
+        take(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 2,
                 false,
                 NodeTestConfig.member("p-2", "127.0.0.1:13", "shield", "active", 0),
@@ -815,11 +815,11 @@
         now = START + 1_000 * SECOND;
         operate(operator("feed", 1, "p-1"));
         long millis = now / MILLI;
-        take(new Input.Update("{\"index\":3,\"shape\":{\"piece\":1,\"version\":2,\"announced_ms\":" + millis
+        take(new Input.CoordinatorUpdate("{\"index\":3,\"shape\":{\"piece\":1,\"version\":2,\"announced_ms\":" + millis
                 + ",\"unit\":\"here\",\"kind\":\"depot\",\"parents\":{\"p-2\":1}}}"));
         assertEquals(PARENT, lastGiven());
         now += 500 * MILLI;
-        take(new Input.Update("{\"index\":4,\"shape\":{\"certain_ms\":" + (millis + 500) + ",\"piece\":1}}"));
+        take(new Input.CoordinatorUpdate("{\"index\":4,\"shape\":{\"certain_ms\":" + (millis + 500) + ",\"piece\":1}}"));
         assertTrue(reducer.nextDue() <= now + 500 * MILLI, "it wants to be called when the piece acts");
         now += 500 * MILLI;
         take(new Input.Due());
@@ -827,13 +827,13 @@
         now += 10 * SECOND;
         take(new Input.Due());
         assertEquals(0, lastGiven(), "nothing was certain for long: the ordinary path decides");
-        take(new Input.Update("{\"index\":5,\"shape\":{\"piece\":2,\"unit\":\"here\"}}"));
+        take(new Input.CoordinatorUpdate("{\"index\":5,\"shape\":{\"piece\":2,\"unit\":\"here\"}}"));
         assertEquals(1, counters.get(Counters.Name.BAD_INPUT));
     }
 
     @Test
     void withoutAnOperatorsFileNewsOfAHierarchyIsNoMatter() {
-        take(new Input.Update("{\"index\":2,\"shape\":{\"certain_ms\":1,\"piece\":1}}"));
+        take(new Input.CoordinatorUpdate("{\"index\":2,\"shape\":{\"certain_ms\":1,\"piece\":1}}"));
         assertEquals(Map.of(), reducer.state());
         assertEquals(List.of(), of(events, FillSourcesUpdate.class));
         assertEquals(2, reducer.lastUpdate());
