--- a/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
@@ -239,7 +239,7 @@
     /** A reader that has heard that nothing was told behind its configuration. */
     private static HollowReader caughtUp(String config) {
         HollowReader reader = new HollowReader(config);
-        reader.take(new Input.FeedHeard());
+        reader.take(new Input.CoordinatorHeartbeat());
         return reader;
     }
 
@@ -278,7 +278,7 @@
         CoordinatorEvents events = new CoordinatorEvents(layout, members, plan.seed());
         HollowReader reader = empty(events);
         reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
-        reader.take(new Input.FeedHeard());
+        reader.take(new Input.CoordinatorHeartbeat());
         Random random = new Random(plan.seed());
         int requests = Math.max(200, Math.min(2_000, 1_000_000 / members));
         double[] rounds = new double[plan.rounds()];
@@ -286,7 +286,7 @@
             List<String> objects = random.ints(requests, 0, OBJECTS)
                     .mapToObj(CoordinatorEvents::object)
                     .toList();
-            reader.take(new Input.FeedHeard());
+            reader.take(new Input.CoordinatorHeartbeat());
             double spent = micros(() -> objects.forEach(object -> {
                         reader.request(object);
                         reader.pass(SECOND / REQUESTS);
@@ -433,7 +433,7 @@
                 double all = micros(() -> {
                             told.forEach(t -> {
                                 reader.take(new Input.CoordinatorUpdate(t));
-                                reader.take(new Input.FeedHeard());
+                                reader.take(new Input.CoordinatorHeartbeat());
                                 reader.pass(gap);
                             });
                             reader.pass(SECOND - rate * gap);
@@ -456,7 +456,7 @@
             }
             perPurge[i] = micros(() -> told.forEach(t -> {
                         reader.take(new Input.CoordinatorUpdate(t));
-                        reader.take(new Input.FeedHeard());
+                        reader.take(new Input.CoordinatorHeartbeat());
                     }))
                     / Math.max(1, rate);
             reader.pass(SECOND);
--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -259,7 +259,7 @@
                 // the coordinator before may live on without being told anything: its comments are no sign
                 if (events.heard() && context.channel().isOpen() && streamAddress.equals(address)) {
                     heardAt = loop.clock();
-                    loop.submit(new Input.FeedHeard());
+                    loop.submit(new Input.CoordinatorHeartbeat());
                 }
             }
         }
--- a/src/main/java/pumicemoor/net/Inbox.java
+++ b/src/main/java/pumicemoor/net/Inbox.java
@@ -18,7 +18,7 @@
     private boolean holding;
 
     void add(Input input) {
-        if (input instanceof Input.CoordinatorUpdate || input instanceof Input.FeedHeard) {
+        if (input instanceof Input.CoordinatorUpdate || input instanceof Input.CoordinatorHeartbeat) {
             news.add(input);
         } else {
             others.add(input);
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -92,7 +92,7 @@
     record CoordinatorUpdate(String json) implements Input {}
 
     /** The coordinator's stream was heard, if only by a comment: what was to be told until then has come. */
-    record FeedHeard() implements Input {}
+    record CoordinatorHeartbeat() implements Input {}
 
     /** A packet of another router of the fleet, as it came. */
     record FromFleet(byte[] bytes) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -269,7 +269,7 @@
             end(attempts.get(b.attempt()), Outcome.RESET);
         } else if (input instanceof Input.CoordinatorUpdate u) {
             updated(u.json());
-        } else if (input instanceof Input.FeedHeard) {
+        } else if (input instanceof Input.CoordinatorHeartbeat) {
             events.add(new DiscoveryHeartbeat());
             caughtUp();
         } else if (input instanceof Input.FromFleet f) {
--- a/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
@@ -102,7 +102,7 @@
         assertEquals(10, loop.inputs.size());
         assertTrue(loop.inputs.stream().allMatch(i -> i instanceof Input.CoordinatorUpdate), loop.inputs.toString());
         take(":\n\n");
-        assertEquals(new Input.FeedHeard(), List.copyOf(loop.inputs).get(10));
+        assertEquals(new Input.CoordinatorHeartbeat(), List.copyOf(loop.inputs).get(10));
         take("id: 52\ndata: {\"index\":52}\n\n");
         assertEquals(12, loop.inputs.size());
     }
@@ -124,7 +124,7 @@
         take(": \n\n");
         assertEquals(0, loop.inputs.size(), "the first may stand before what was missed");
         take(": \n\n");
-        assertEquals(List.of(new Input.FeedHeard()), List.copyOf(loop.inputs));
+        assertEquals(List.of(new Input.CoordinatorHeartbeat()), List.copyOf(loop.inputs));
         take("\n");
         assertEquals(1, loop.inputs.size(), "an empty line says nothing");
     }
--- a/src/test/java/pumicemoor/net/InboxTest.java
+++ b/src/test/java/pumicemoor/net/InboxTest.java
@@ -23,8 +23,8 @@
     void newsGoesBeforeDeparturesAndBothBeforeTheRest() {
         inbox.add(request(1));
         inbox.leave(withdrawn(9), r -> false);
-        inbox.add(new Input.FeedHeard());
-        assertEquals(new Input.FeedHeard(), inbox.nextUrgent());
+        inbox.add(new Input.CoordinatorHeartbeat());
+        assertEquals(new Input.CoordinatorHeartbeat(), inbox.nextUrgent());
         assertEquals(withdrawn(9), inbox.nextUrgent());
         assertNull(inbox.nextUrgent());
         assertEquals(request(1), inbox.nextOther());
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -89,7 +89,7 @@
         reducer.known(now, config, effects::add);
         assertFalse(reducer.ready(), "nothing was heard of the coordinator yet");
         if (heard) {
-            take(new Input.FeedHeard());
+            take(new Input.CoordinatorHeartbeat());
         }
         events.clear();
         effects.clear();
@@ -619,7 +619,7 @@
         take(new Input.CoordinatorUpdate(
                 NodeTestConfig.list(2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", 0))));
         assertFalse(reducer.ready(), "more may stand behind this event");
-        take(new Input.FeedHeard());
+        take(new Input.CoordinatorHeartbeat());
         assertTrue(reducer.ready());
         assertEquals(Long.MAX_VALUE, reducer.nextDue());
         assertEquals(0, counters.get(Counters.Name.STARTED_UNSYNCED));
