--- a/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
@@ -396,7 +396,7 @@
                     pair.stream()
                             .filter(to -> to.address.equals(packet.address()))
                             .forEach(to -> to.nanos +=
-                                    (long) (MILLI * micros(() -> to.reader.take(new Input.FromFleet(packet.bytes())))));
+                                    (long) (MILLI * micros(() -> to.reader.take(new Input.FleetPacketReceived(packet.bytes())))));
                 }
             }
         }
--- a/src/main/java/pumicemoor/net/FleetSocket.java
+++ b/src/main/java/pumicemoor/net/FleetSocket.java
@@ -38,7 +38,7 @@
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                        loop.submit(new Input.FromFleet(ByteBufUtil.getBytes(packet.content())));
+                        loop.submit(new Input.FleetPacketReceived(ByteBufUtil.getBytes(packet.content())));
                     }
 
                     @Override
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -95,7 +95,7 @@
     record CoordinatorHeartbeat() implements Input {}
 
     /** A packet of another router of the fleet, as it came. */
-    record FromFleet(byte[] bytes) implements Input {}
+    record FleetPacketReceived(byte[] bytes) implements Input {}
 
     /** An operator's command, as fields, from this machine; its answer goes back on that stream. */
     record Command(long connection, int stream, Map<String, String> fields) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -272,7 +272,7 @@
         } else if (input instanceof Input.CoordinatorHeartbeat) {
             events.add(new DiscoveryHeartbeat());
             caughtUp();
-        } else if (input instanceof Input.FromFleet f) {
+        } else if (input instanceof Input.FleetPacketReceived f) {
             fleet.ifPresent(x -> x.heard(now, f.bytes()));
         } else if (input instanceof Input.Command c) {
             String said = fleet.map(f -> f.command(now, c.fields()))
