--- a/src/main/java/pumicemoor/lab/scale/HollowReader.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowReader.java
@@ -114,7 +114,7 @@
         for (long next = next(); next <= end; next = next()) {
             now = Math.max(now, next);
             if (reducer.nextDue() <= now) {
-                take(new Input.Due());
+                take(new Input.TimerFired());
             } else {
                 Queue<Pending> first = !hits.isEmpty() && hits.peek().at() <= now ? hits : fills;
                 Pending p = first.remove();
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -401,7 +401,7 @@
 
     private void wake() {
         wakeAt = Long.MAX_VALUE;
-        submit(new Input.Due());
+        submit(new Input.TimerFired());
     }
 
     private void carryOut() {
--- a/src/main/java/pumicemoor/net/Rehearsal.java
+++ b/src/main/java/pumicemoor/net/Rehearsal.java
@@ -69,7 +69,7 @@
         for (int i = 1; i <= requests && !classes.isEmpty() && System.nanoTime() < end && fromClient.isOpen(); i++) {
             clock += STEP;
             if (reducer.nextDue() <= clock) {
-                submit(new Input.Due());
+                submit(new Input.TimerFired());
             }
             if (!fromClient.isOpen()) {
                 break;
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -104,7 +104,7 @@
     record Reload(NodeConfig config, OperatorConfig operator, String problem) implements Input {}
 
     /** The time that the reducer asked to be called at has come. */
-    record Due() implements Input {}
+    record TimerFired() implements Input {}
 
     /** All that clients had written when that was asked has been taken in. */
     record AllRead() implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -252,7 +252,7 @@
             if (attempts.get(w.attempt()) != null) {
                 attempts.get(w.attempt()).written = true;
             }
-        } else if (input instanceof Input.Due) {
+        } else if (input instanceof Input.TimerFired) {
             due();
         } else if (input instanceof Input.RequestCancelled w) {
             withdrawn(unanswered.get(new Stream(w.connection(), w.stream())));
--- a/src/test/java/pumicemoor/net/InboxTest.java
+++ b/src/test/java/pumicemoor/net/InboxTest.java
@@ -34,9 +34,9 @@
     void heldRequestsKeepTheirOrderAndLoseTheTimeThatTheyWaited() {
         inbox.holdRequests();
         inbox.add(request(1));
-        inbox.add(new Input.Due());
+        inbox.add(new Input.TimerFired());
         inbox.add(request(2));
-        assertEquals(new Input.Due(), inbox.nextOther());
+        assertEquals(new Input.TimerFired(), inbox.nextOther());
         assertNull(inbox.nextOther());
         inbox.add(request(3));
         inbox.releaseRequests(300_000);
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -45,7 +45,7 @@
         long end = now + micros;
         while (reducer.nextDue() <= end) {
             now = Math.max(now, reducer.nextDue());
-            take(new Input.Due());
+            take(new Input.TimerFired());
         }
         now = end;
     }
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -184,7 +184,7 @@
             if (planned <= now) {
                 plan.poll().what().run();
             } else if (due <= now) {
-                take(new Input.Due());
+                take(new Input.TimerFired());
             }
         }
         assertEquals(Map.of(), openUntil);
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -125,7 +125,7 @@
         long end = now + micros;
         while (reducer.nextDue() <= end) {
             now = Math.max(now, reducer.nextDue());
-            take(new Input.Due());
+            take(new Input.TimerFired());
         }
         now = end;
     }
@@ -800,7 +800,7 @@
         assertEquals("2", reducer.state().get("hierarchy-version"));
         assertEquals("moving", reducer.state().get("hierarchy-stage"));
         now += 10 * SECOND;
-        take(new Input.Due());
+        take(new Input.TimerFired());
         assertEquals("1.000", reducer.state().get("hierarchy-share-moved"));
         take(new Input.Reload(config, operator("file", 1, "p-1"), null));
         take(new Input.Reload(config, operator("feed", 3, "p-1"), null));
@@ -822,10 +822,10 @@
         take(new Input.CoordinatorUpdate("{\"index\":4,\"shape\":{\"certain_ms\":" + (millis + 500) + ",\"piece\":1}}"));
         assertTrue(reducer.nextDue() <= now + 500 * MILLI, "it wants to be called when the piece acts");
         now += 500 * MILLI;
-        take(new Input.Due());
+        take(new Input.TimerFired());
         assertEquals(Reducer.memberId("p-2"), lastGiven());
         now += 10 * SECOND;
-        take(new Input.Due());
+        take(new Input.TimerFired());
         assertEquals(0, lastGiven(), "nothing was certain for long: the ordinary path decides");
         take(new Input.CoordinatorUpdate("{\"index\":5,\"shape\":{\"piece\":2,\"unit\":\"here\"}}"));
         assertEquals(1, counters.get(Counters.Name.BAD_INPUT));
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -82,7 +82,7 @@
                                     false,
                                     Bytes.NONE),
                     this::take);
-            reducer.accept(now, new Input.Due(), this::take);
+            reducer.accept(now, new Input.TimerFired(), this::take);
         }
 
         void end(long now, int choice, int how) {
@@ -144,8 +144,8 @@
             for (Long key : platform.open.values()) {
                 platform.reducer.accept(now, new Input.Written(key), platform::take);
             }
-            platform.reducer.accept(now, new Input.Due(), platform::take);
-            calls.reducer.accept(now, new Input.Due(), calls::take);
+            platform.reducer.accept(now, new Input.TimerFired(), platform::take);
+            calls.reducer.accept(now, new Input.TimerFired(), calls::take);
         }
         assertTrue(platform.choices > 700, "" + platform.choices);
         assertEquals(platform.chosen, calls.chosen);
