--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -466,7 +466,7 @@
             ((AbstractNioChannel.NioUnsafe) listener.unsafe()).read();
         }
         List.copyOf(clients.values()).forEach(ClientConnection::look);
-        submit(new Input.AllRead());
+        submit(new Input.ClientReadsCompleted());
     }
 
     private void end() {
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -107,7 +107,7 @@
     record TimerFired() implements Input {}
 
     /** All that clients had written when that was asked has been taken in. */
-    record AllRead() implements Input {}
+    record ClientReadsCompleted() implements Input {}
 
     /** The process was asked to end. */
     record Terminate() implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -292,7 +292,7 @@
                 && now >= terminatedAt + limits.quietAfterTerm()) {
             exit = Exit.READING;
             out.accept(new Effect.ReadAll());
-        } else if (exit == Exit.READING && input instanceof Input.AllRead) {
+        } else if (exit == Exit.READING && input instanceof Input.ClientReadsCompleted) {
             exit = unanswered.isEmpty() ? Exit.DONE : Exit.NOT_YET;
             if (exit == Exit.DONE) {
                 out.accept(new Effect.Exit());
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -562,7 +562,7 @@
     private void exitsOnceAllIsRead() {
         assertEquals(1, of(effects, Effect.ReadAll.class).size());
         assertTrue(of(effects, Effect.Exit.class).isEmpty());
-        take(new Input.AllRead());
+        take(new Input.ClientReadsCompleted());
         assertEquals(1, of(effects, Effect.Exit.class).size());
     }
 
@@ -573,7 +573,7 @@
         pass(800 * MILLI);
         assertEquals(1, of(effects, Effect.ReadAll.class).size());
         request(1, "segment", Bytes.NONE);
-        take(new Input.AllRead());
+        take(new Input.ClientReadsCompleted());
         assertTrue(of(effects, Effect.Exit.class).isEmpty(), "a request was found");
         int before = effects.size();
         take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
@@ -589,7 +589,7 @@
         request(1, "segment", Bytes.NONE);
         assertTrue(of(effects, Effect.Ask.class).isEmpty());
         assertEquals(Code.REFUSED, of(effects, Effect.Answer.class).get(0).code());
-        take(new Input.AllRead());
+        take(new Input.ClientReadsCompleted());
         assertEquals(1, of(effects, Effect.Exit.class).size());
         request(2, "segment", Bytes.NONE);
         assertTrue(of(effects, Effect.Ask.class).isEmpty(), "nothing is sent on after the end");
