--- a/src/main/java/pumicemoor/net/Inbox.java
+++ b/src/main/java/pumicemoor/net/Inbox.java
@@ -45,7 +45,7 @@
     void requestsUnreadFor(long micros) {
         for (int i = others.size(); i > 0; i--) {
             Input input = others.poll();
-            others.add(input instanceof Input.Request request ? request.unreadFor(micros) : input);
+            others.add(input instanceof Input.Request request ? request.withUnreadDelay(micros) : input);
         }
     }
 
@@ -62,7 +62,7 @@
     void releaseRequests(long micros) {
         holding = false;
         while (!held.isEmpty()) {
-            others.addFirst(held.pollLast().unreadFor(micros));
+            others.addFirst(held.pollLast().withUnreadDelay(micros));
         }
     }
 
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -316,7 +316,7 @@
         } else if (input instanceof Input.RequestCancelled w) {
             leave(w, r -> r.connection() == w.connection() && r.stream() == w.stream());
         } else {
-            inbox.add(input instanceof Input.Request r && clock() < unreadUntil ? r.unreadFor(unreadFor) : input);
+            inbox.add(input instanceof Input.Request r && clock() < unreadUntil ? r.withUnreadDelay(unreadFor) : input);
         }
         work();
     }
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -26,7 +26,7 @@
             implements Input {
 
         /** The same, where it may have lain unread for so long: its client has waited meanwhile. */
-        public Request unreadFor(long micros) {
+        public Request withUnreadDelay(long micros) {
             return new Request(
                     connection,
                     stream,
--- a/src/test/java/pumicemoor/net/InboxTest.java
+++ b/src/test/java/pumicemoor/net/InboxTest.java
@@ -40,8 +40,8 @@
         assertNull(inbox.nextOther());
         inbox.add(request(3));
         inbox.releaseRequests(300_000);
-        assertEquals(request(1).unreadFor(300_000), inbox.nextOther());
-        assertEquals(request(2).unreadFor(300_000), inbox.nextOther());
+        assertEquals(request(1).withUnreadDelay(300_000), inbox.nextOther());
+        assertEquals(request(2).withUnreadDelay(300_000), inbox.nextOther());
         assertEquals(request(3), inbox.nextOther());
     }
 
