--- a/src/main/java/pumicemoor/net/CacheLine.java
+++ b/src/main/java/pumicemoor/net/CacheLine.java
@@ -33,7 +33,7 @@
     }
 
     /** The line of a request, up to its body. */
-    static ByteBuf ask(ByteBufAllocator allocator, Effect.Ask ask) {
+    static ByteBuf ask(ByteBufAllocator allocator, Effect.SendAttempt ask) {
         StringBuilder line = new StringBuilder(192);
         line.append("ASK ")
                 .append(ask.id())
@@ -102,7 +102,7 @@
      * Why an answer cannot be one, whoever spoilt it, so that nothing else on its connection can be trusted
      * either; null for a good one. Where nobody asked (ask null), a whole answer is left at that.
      */
-    static String unusable(AnswerDecoder.Answer answer, Effect.Ask ask) {
+    static String unusable(AnswerDecoder.Answer answer, Effect.SendAttempt ask) {
         AnswerStatus word = word(answer.word());
         if (word == null) {
             return answer.word().equals("well") && answer.id().equals(LIFE)
--- a/src/main/java/pumicemoor/net/CacheLines.java
+++ b/src/main/java/pumicemoor/net/CacheLines.java
@@ -61,7 +61,7 @@
                         new WriteBufferWaterMark(limits.lineBacklogBytes() / 2, limits.lineBacklogBytes()));
     }
 
-    void ask(Effect.Ask ask) {
+    void ask(Effect.SendAttempt ask) {
         List<Line> pool = lines.computeIfAbsent(ask.instance(), i -> new ArrayList<>());
         Line line = pool.stream().filter(l -> l.takes(ask)).findFirst().orElse(null);
         if (line == null && pool.size() >= limits.linesPerMember()) {
@@ -144,14 +144,14 @@
     }
 
     /** An attempt that waits for its connection, since when. */
-    private record Queued(Effect.Ask ask, long since) {
+    private record Queued(Effect.SendAttempt ask, long since) {
         long attempt() {
             return ask.attempt();
         }
     }
 
     /** An attempt that is out, and when its last byte was written: Long.MAX_VALUE for not yet. */
-    private record Sent(Effect.Ask ask, long writtenAt) {
+    private record Sent(Effect.SendAttempt ask, long writtenAt) {
         long attempt() {
             return ask.attempt();
         }
@@ -171,7 +171,7 @@
         private final Map<String, Sent> out = new LinkedHashMap<>();
         private final Map<String, Past> past = new LinkedHashMap<>(); // ended here; an answer may still come
         private final AnswerDecoder decoder = new AnswerDecoder(limits.lineBytes(), limits.answerBytes(), budget);
-        private Effect.Ask writing;
+        private Effect.SendAttempt writing;
         private Channel channel;
         private boolean connected, pumping, retired, ended;
         private long usedAt = openedAt, heardAt = openedAt, askedLifeAt = -1;
@@ -210,11 +210,11 @@
             return out.isEmpty() && queue.isEmpty() && writing == null;
         }
 
-        boolean takes(Effect.Ask ask) {
+        boolean takes(Effect.SendAttempt ask) {
             return takesAgain(ask) && !past.containsKey(ask.id());
         }
 
-        boolean takesAgain(Effect.Ask ask) {
+        boolean takesAgain(Effect.SendAttempt ask) {
             return !retired
                     && !ended
                     && out.size() + queue.size() < limits.attemptsPerLine()
@@ -234,7 +234,7 @@
             pumping = true;
             while (connected && !ended && writing == null && !queue.isEmpty()) {
                 Queued next = queue.poll();
-                Effect.Ask ask = next.ask();
+                Effect.SendAttempt ask = next.ask();
                 if (loop.clock() - next.since() > limits.unwritten()) { // decided on news that is too old by now
                     ask.body().release();
                     lineOfAttempt.remove(ask.attempt());
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -412,7 +412,7 @@
     }
 
     private void carryOut(Effect effect) {
-        if (effect instanceof Effect.Ask ask) {
+        if (effect instanceof Effect.SendAttempt ask) {
             lines.ask(ask);
         } else if (effect instanceof Effect.Quit quit) {
             lines.quit(quit);
--- a/src/main/java/pumicemoor/net/Rehearsal.java
+++ b/src/main/java/pumicemoor/net/Rehearsal.java
@@ -43,7 +43,7 @@
     private final EmbeddedChannel fromCache;
     private final Queue<Input> inbox = new ArrayDeque<>();
     private final List<Effect> effects = new ArrayList<>();
-    private final Queue<Effect.Ask> asked = new ArrayDeque<>();
+    private final Queue<Effect.SendAttempt> asked = new ArrayDeque<>();
     private long clock;
 
     Rehearsal(NodeConfig config, ResourceLimits limits, long now) {
@@ -75,7 +75,7 @@
                 break;
             }
             fromClient.writeInbound(request(i));
-            for (Effect.Ask ask = asked.poll(); ask != null; ask = asked.poll()) {
+            for (Effect.SendAttempt ask = asked.poll(); ask != null; ask = asked.poll()) {
                 answer(ask, i);
             }
             release(fromClient);
@@ -121,7 +121,7 @@
         return String.format("%016x", number);
     }
 
-    private void answer(Effect.Ask ask, int number) {
+    private void answer(Effect.SendAttempt ask, int number) {
         CacheLine.ask(allocator, ask).release();
         submit(new Input.Written(ask.attempt()));
         boolean miss = number % MISS_EVERY == 0;
@@ -150,7 +150,7 @@
     private void work() {
         for (int i = 0; i < effects.size(); i++) {
             Effect effect = effects.get(i);
-            if (effect instanceof Effect.Ask ask) {
+            if (effect instanceof Effect.SendAttempt ask) {
                 ask.body().release();
                 asked.add(ask);
             } else if (effect instanceof Effect.Answer answer) {
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -22,7 +22,7 @@
      * cacheable one says which copy it is. The way names what the source is to fill from in turn; on the
      * platform it is always empty.
      */
-    record Ask(
+    record SendAttempt(
             long attempt,
             String instance,
             String address,
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -500,7 +500,7 @@
             return;
         }
         timer(now + limits.unwritten(), Kind.UNWRITTEN, attempt.key);
-        out.accept(new Effect.Ask(
+        out.accept(new Effect.SendAttempt(
                 attempt.key,
                 target.instance(),
                 target.address(),
--- a/src/test/java/pumicemoor/net/CacheLinesTest.java
+++ b/src/test/java/pumicemoor/net/CacheLinesTest.java
@@ -103,8 +103,8 @@
         group.submit(what).sync();
     }
 
-    private Effect.Ask ask(long attempt, String id) {
-        return new Effect.Ask(
+    private Effect.SendAttempt ask(long attempt, String id) {
+        return new Effect.SendAttempt(
                 attempt,
                 "s-1",
                 "127.0.0.1:" + listener.getLocalPort(),
@@ -222,7 +222,7 @@
 
     @Test
     void whenNoConnectionComesUpNothingRan() throws Exception {
-        Effect.Ask ask = ask(1, "a");
+        Effect.SendAttempt ask = ask(1, "a");
         listener.close();
         accepting.join(PATIENCE); // the system accepts connections for as long as a thread waits for one
         onLoop(() -> lines.ask(ask));
@@ -404,13 +404,13 @@
         Got oldest = null;
         for (int i = 1; i <= limits.lines(); i++) {
             loop.time++;
-            Effect.Ask ask = askOf("s-" + i, i);
+            Effect.SendAttempt ask = askOf("s-" + i, i);
             onLoop(() -> lines.ask(ask));
             assertEquals(new Input.Written(i), next());
             Got line = got.poll(PATIENCE, TimeUnit.MILLISECONDS);
             oldest = oldest == null ? line : oldest;
         }
-        Effect.Ask another = askOf("s-another", 100);
+        Effect.SendAttempt another = askOf("s-another", 100);
         onLoop(() -> lines.ask(another));
         assertEquals(new Input.NoConnectionAvailable(100), next(), "all are in use");
         answer(oldest, "i1", "absent");
@@ -420,8 +420,8 @@
         assertEquals(-1, oldest.from().getInputStream().read(), "it gave its place");
     }
 
-    private Effect.Ask askOf(String instance, long attempt) {
-        return new Effect.Ask(
+    private Effect.SendAttempt askOf(String instance, long attempt) {
+        return new Effect.SendAttempt(
                 attempt,
                 instance,
                 "127.0.0.1:" + listener.getLocalPort(),
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -31,7 +31,7 @@
     private void take(Input input) {
         reducer.accept(now, input, effects::add);
         for (Effect effect = effects.poll(); effect != null; effect = effects.poll()) {
-            if (effect instanceof Effect.Ask ask) {
+            if (effect instanceof Effect.SendAttempt ask) {
                 ask.body().release();
                 take(new Input.Written(ask.attempt()));
                 take(new Input.Answered(ask.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -78,7 +78,7 @@
     }
 
     private void carryOut(Effect effect) {
-        if (effect instanceof Effect.Ask ask) {
+        if (effect instanceof Effect.SendAttempt ask) {
             asked(ask);
         } else if (effect instanceof Effect.Answer answer) {
             answer.body().release();
@@ -94,7 +94,7 @@
         }
     }
 
-    private void asked(Effect.Ask ask) {
+    private void asked(Effect.SendAttempt ask) {
         ask.body().release();
         int stream = Integer.parseInt(ask.id());
         assertTrue(openUntil.containsKey(stream), "an attempt for a request that is over");
@@ -130,7 +130,7 @@
         }
     }
 
-    private void ends(Effect.Ask ask, Input end, boolean neverRan) {
+    private void ends(Effect.SendAttempt ask, Input end, boolean neverRan) {
         if (neverRan) {
             mayHaveRun.remove(streamOfAttempt.get(ask.attempt()));
         }
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -139,8 +139,8 @@
         return all.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    private Effect.Ask ask() {
-        List<Effect.Ask> asks = of(effects, Effect.Ask.class);
+    private Effect.SendAttempt ask() {
+        List<Effect.SendAttempt> asks = of(effects, Effect.SendAttempt.class);
         return asks.get(asks.size() - 1);
     }
 
@@ -165,7 +165,7 @@
         fetchOnArrival(0, 0);
         Counted asked = new Counted();
         request(5, "segment", asked);
-        Effect.Ask ask = ask();
+        Effect.SendAttempt ask = ask();
         assertEquals("s-1", ask.instance());
         assertEquals("127.0.0.1:11", ask.address());
         assertEquals("p-1", ask.source());
@@ -349,7 +349,7 @@
         fetchOnArrival(0, 0);
         Counted asked = new Counted();
         request(1, "segment", asked);
-        Effect.Ask ask = ask();
+        Effect.SendAttempt ask = ask();
         take(new Input.RequestCancelled(1, 1));
         assertEquals(1, of(events, RequestAbandoned.class).size());
         Counted crossing = new Counted();
@@ -421,7 +421,7 @@
             }
         });
         request(1, "segment", Bytes.NONE);
-        assertEquals(8, of(effects, Effect.Ask.class).size());
+        assertEquals(8, of(effects, Effect.SendAttempt.class).size());
         assertEquals(Outcome.MOOT, of(events, AttemptEnded.class).get(0).outcome());
     }
 
@@ -550,7 +550,7 @@
         assertFalse(reducer.ready());
         pass(300 * MILLI);
         request(2, "segment", Bytes.NONE);
-        List<Effect.Ask> asks = of(effects, Effect.Ask.class);
+        List<Effect.SendAttempt> asks = of(effects, Effect.SendAttempt.class);
         take(answered(asks.get(1).attempt(), AnswerStatus.DATA, Bytes.NONE));
         pass(600 * MILLI);
         assertTrue(of(effects, Effect.Exit.class).isEmpty(), "a request is still open");
@@ -587,12 +587,12 @@
         take(new Input.Terminate());
         pass(3_650 * MILLI);
         request(1, "segment", Bytes.NONE);
-        assertTrue(of(effects, Effect.Ask.class).isEmpty());
+        assertTrue(of(effects, Effect.SendAttempt.class).isEmpty());
         assertEquals(Code.REFUSED, of(effects, Effect.Answer.class).get(0).code());
         take(new Input.ClientReadsCompleted());
         assertEquals(1, of(effects, Effect.Exit.class).size());
         request(2, "segment", Bytes.NONE);
-        assertTrue(of(effects, Effect.Ask.class).isEmpty(), "nothing is sent on after the end");
+        assertTrue(of(effects, Effect.SendAttempt.class).isEmpty(), "nothing is sent on after the end");
     }
 
     @Test
@@ -700,7 +700,7 @@
         effects.clear();
         take(new Input.Request(
                 2, 2, "9b1f03aa5c7e2d41", "segment", "00000000000000ff", 0, 1, null, 1500, false, Bytes.NONE));
-        assertEquals(1, of(effects, Effect.Ask.class).size(), "the id is free again");
+        assertEquals(1, of(effects, Effect.SendAttempt.class).size(), "the id is free again");
     }
 
     @Test
@@ -844,6 +844,6 @@
         onArrival(
                 r -> act.accept(new Fetch(r.id(), CACHE, PARENT, 2, 0, true, false, false, false, 0, List.of(PARENT))));
         request(1, "segment", new Counted());
-        assertEquals(List.of("p-1"), of(effects, Effect.Ask.class).get(0).way());
+        assertEquals(List.of("p-1"), of(effects, Effect.SendAttempt.class).get(0).way());
     }
 }
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -35,7 +35,7 @@
         }
 
         void take(Effect effect) {
-            if (effect instanceof Effect.Ask a) {
+            if (effect instanceof Effect.SendAttempt a) {
                 a.body().release();
                 chose(
                         a.attempt(),
