--- a/src/main/java/pumicemoor/net/CacheLine.java
+++ b/src/main/java/pumicemoor/net/CacheLine.java
@@ -44,7 +44,7 @@
                 .append(",chunk=")
                 .append(ask.part())
                 .append(",limit=")
-                .append(ask.limitMillis());
+                .append(ask.timeoutMillis());
         if (ask.source() != null) {
             line.append(",miss=").append(ask.source());
         }
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -30,7 +30,7 @@
             String requestClass,
             String object,
             int part,
-            long limitMillis,
+            long timeoutMillis,
             String source,
             int keepRank,
             long withinMillis,
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -171,7 +171,7 @@
         assertEquals("p-1", ask.source());
         assertEquals("9b1f03aa5c7e2d41", ask.id());
         assertEquals("7f3a9c21e0b4d655", ask.object());
-        assertEquals(1500, ask.limitMillis());
+        assertEquals(1500, ask.timeoutMillis());
         assertEquals("4be0", ask.tag());
         take(new Input.Written(ask.attempt()));
         Counted body = new Counted();
@@ -274,7 +274,7 @@
         fetchOnArrival(0, 700 * MILLI);
         request(1, "segment", Bytes.NONE);
         take(new Input.Written(ask().attempt()));
-        assertEquals(700, ask().limitMillis());
+        assertEquals(700, ask().timeoutMillis());
         pass(699 * MILLI);
         assertTrue(of(events, AttemptEnded.class).isEmpty());
         pass(2 * MILLI);
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -44,7 +44,7 @@
                         a.keepRank(),
                         a.withinMillis(),
                         "" + a.join() + a.onlyIfHeld() + a.renew(),
-                        a.limitMillis());
+                        a.timeoutMillis());
             } else if (effect instanceof Effect.Name n) {
                 chose(
                         n.key(),
