--- a/src/main/java/pumicemoor/lab/scale/HollowReader.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowReader.java
@@ -136,7 +136,7 @@
     private void carryOut() {
         for (Effect effect = effects.poll(); effect != null; effect = effects.poll()) {
             if (effect instanceof Effect.SendAttempt ask) {
-                bounded += ask.withinMillis() > 0 ? 1 : 0;
+                bounded += ask.maxAgeMillis() > 0 ? 1 : 0;
                 reducer.accept(now, new Input.Written(ask.attempt()), effects::add);
                 if (filled.add(ask.instance() + " " + ask.object())) {
                     fills.add(new Pending(now + FILL, ask.attempt(), "parent"));
--- a/src/main/java/pumicemoor/net/CacheLine.java
+++ b/src/main/java/pumicemoor/net/CacheLine.java
@@ -51,8 +51,8 @@
         if (ask.keepRank() > 0) {
             line.append(",prio=").append(ask.keepRank());
         }
-        if (ask.withinMillis() > 0) {
-            line.append(",within=").append(ask.withinMillis());
+        if (ask.maxAgeMillis() > 0) {
+            line.append(",within=").append(ask.maxAgeMillis());
         }
         StringJoiner how = new StringJoiner("+", ",f=", "").setEmptyValue("");
         if (ask.join()) {
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -33,7 +33,7 @@
             long timeoutMillis,
             String source,
             int keepRank,
-            long withinMillis,
+            long maxAgeMillis,
             boolean join,
             boolean onlyIfHeld,
             boolean passParent,
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -206,7 +206,7 @@
         onArrival(r -> act.accept(new Lookup(r.id(), CACHE, 0)));
         request(5, "segment", Bytes.NONE);
         assertNull(ask().source());
-        assertEquals(0, ask().withinMillis());
+        assertEquals(0, ask().maxAgeMillis());
     }
 
     @Test
@@ -214,7 +214,7 @@
         for (long[] pair : new long[][] {{0, 0}, {1, 1}, {999, 1}, {1_999, 1}, {2_000, 2}, {6 * SECOND, 6_000}}) {
             fetchOnArrival(pair[0], 0);
             request(5, "segment", Bytes.NONE);
-            assertEquals(pair[1], ask().withinMillis(), "for " + pair[0]);
+            assertEquals(pair[1], ask().maxAgeMillis(), "for " + pair[0]);
             take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
         }
     }
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -42,7 +42,7 @@
                         a.instance(),
                         a.source(),
                         a.keepRank(),
-                        a.withinMillis(),
+                        a.maxAgeMillis(),
                         "" + a.join() + a.onlyIfHeld() + a.renew(),
                         a.timeoutMillis());
             } else if (effect instanceof Effect.Name n) {
