--- a/src/main/java/pumicemoor/net/CacheLine.java
+++ b/src/main/java/pumicemoor/net/CacheLine.java
@@ -61,7 +61,7 @@
         if (ask.onlyIfHeld()) {
             how.add("only-if-cached");
         }
-        if (ask.passParent()) {
+        if (ask.bypassParent()) {
             how.add("no-store-up");
         }
         if (ask.renew()) {
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -36,7 +36,7 @@
             long maxAgeMillis,
             boolean join,
             boolean onlyIfHeld,
-            boolean passParent,
+            boolean bypassParent,
             boolean renew,
             String tag,
             boolean cacheable,
