--- a/src/main/java/pumicemoor/net/CacheLine.java
+++ b/src/main/java/pumicemoor/net/CacheLine.java
@@ -58,7 +58,7 @@
         if (ask.join()) {
             how.add("collapse");
         }
-        if (ask.onlyIfHeld()) {
+        if (ask.onlyIfCached()) {
             how.add("only-if-cached");
         }
         if (ask.bypassParent()) {
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -35,7 +35,7 @@
             int keepRank,
             long maxAgeMillis,
             boolean join,
-            boolean onlyIfHeld,
+            boolean onlyIfCached,
             boolean bypassParent,
             boolean renew,
             String tag,
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -43,7 +43,7 @@
                         a.source(),
                         a.keepRank(),
                         a.maxAgeMillis(),
-                        "" + a.join() + a.onlyIfHeld() + a.renew(),
+                        "" + a.join() + a.onlyIfCached() + a.renew(),
                         a.timeoutMillis());
             } else if (effect instanceof Effect.Name n) {
                 chose(
