--- a/src/main/java/pumicemoor/net/CacheLine.java
+++ b/src/main/java/pumicemoor/net/CacheLine.java
@@ -71,8 +71,8 @@
         if (ask.tag() != null) {
             line.append(",mine=").append(ask.tag());
         }
-        if (!ask.way().isEmpty()) {
-            line.append(",way=").append(String.join("+", ask.way()));
+        if (!ask.fillPath().isEmpty()) {
+            line.append(",way=").append(String.join("+", ask.fillPath()));
         }
         line.append(' ').append(ask.body().size()).append("\r\n");
         return text(allocator, line);
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -40,7 +40,7 @@
             boolean renew,
             String tag,
             boolean cacheable,
-            List<String> way,
+            List<String> fillPath,
             Bytes body)
             implements Effect {}
 
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -844,6 +844,6 @@
         onArrival(
                 r -> act.accept(new Fetch(r.id(), CACHE, PARENT, 2, 0, true, false, false, false, 0, List.of(PARENT))));
         request(1, "segment", new Counted());
-        assertEquals(List.of("p-1"), of(effects, Effect.SendAttempt.class).get(0).way());
+        assertEquals(List.of("p-1"), of(effects, Effect.SendAttempt.class).get(0).fillPath());
     }
 }
