--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -99,7 +99,7 @@
         }
 
         @Override
-        void tellName(Effect.Name n) {
+        void tellName(Effect.AnnounceAttempt n) {
             send(ToCaller.newBuilder()
                     .setNamed(Named.newBuilder()
                             .setAttempt(n.attempt())
--- a/src/main/java/pumicemoor/extproc/ExtProcService.java
+++ b/src/main/java/pumicemoor/extproc/ExtProcService.java
@@ -81,7 +81,7 @@
         }
 
         @Override
-        void tellName(Effect.Name attempt) {
+        void tellName(Effect.AnnounceAttempt attempt) {
             send(ProcessingResponse.newBuilder()
                     .setModeOverride(RESPONSE_HEADERS_ONLY)
                     .setRequestHeaders(HeadersResponse.newBuilder()
--- a/src/main/java/pumicemoor/extproc/Headers.java
+++ b/src/main/java/pumicemoor/extproc/Headers.java
@@ -50,7 +50,7 @@
     }
 
     /** What an attempt is to be, each header replaced where the request had one. */
-    static HeaderMutation name(Effect.Name name) {
+    static HeaderMutation name(Effect.AnnounceAttempt name) {
         HeaderMutation.Builder all = HeaderMutation.newBuilder();
         set(all, "x-pumicemoor-cache", name.instance());
         set(all, "x-pumicemoor-address", name.address());
@@ -64,7 +64,7 @@
         return all.build();
     }
 
-    private static String flags(Effect.Name name) {
+    private static String flags(Effect.AnnounceAttempt name) {
         java.util.StringJoiner flags = new java.util.StringJoiner("+");
         if (name.join()) {
             flags.add("collapse");
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -107,7 +107,7 @@
     private boolean draining;
 
     /** An attempt that the decisions hold ready until the caller tries again by itself. */
-    private record Held(long number, Effect.Name name, String bookId, boolean mayHaveRun) {}
+    private record Held(long number, Effect.AnnounceAttempt name, String bookId, boolean mayHaveRun) {}
 
     /** One stream of a caller, whichever service it came by. */
     abstract static class Stream {
@@ -116,7 +116,7 @@
         long number; // of the request in the reducer, under 0
         String id = "";
         String bookId; // where its request must not run twice
-        Effect.Name name; // the attempt named last
+        Effect.AnnounceAttempt name; // the attempt named last
         AnswerStatus end; // how that ended, as it was heard
         String note;
         boolean admitted;
@@ -133,7 +133,7 @@
             this.out = out;
         }
 
-        abstract void tellName(Effect.Name attempt);
+        abstract void tellName(Effect.AnnounceAttempt attempt);
 
         abstract void tellFinal(CallState.Code code, long stayAwayMillis);
 
@@ -443,7 +443,7 @@
                 stream.goOn();
             } else if (act instanceof Act.End) {
                 count(Count.ENDS);
-                Effect.Name ended = stream.name;
+                Effect.AnnounceAttempt ended = stream.name;
                 AnswerStatus word = stream.end;
                 boolean unreached = stream.unreached;
                 stream.unreached = false;
@@ -491,7 +491,7 @@
     // ---- what the decisions say -----------------------------------------------------------------------
 
     @Override
-    public void named(Effect.Name name) {
+    public void named(Effect.AnnounceAttempt name) {
         Stream stream = streams.get(name.call());
         if (stream == null) {
             return; // withdrawn meanwhile
@@ -506,7 +506,7 @@
         act(stream, stream.state.named(name.attempt()));
     }
 
-    private void holdReady(Stream stream, Effect.Name name) {
+    private void holdReady(Stream stream, Effect.AnnounceAttempt name) {
         stream.state.detach();
         streams.remove(name.call());
         Held ready = new Held(name.call(), name, stream.bookId, stream.state.mayHaveRun());
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -416,7 +416,7 @@
             lines.ask(ask);
         } else if (effect instanceof Effect.Quit quit) {
             lines.quit(quit);
-        } else if (effect instanceof Effect.Name name) {
+        } else if (effect instanceof Effect.AnnounceAttempt name) {
             front.ifPresent(f -> f.named(name));
         } else if (effect instanceof Effect.Answer answer && answer.connection() < 0) {
             answer.body().release();
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -48,7 +48,7 @@
      * Name this attempt to the proxy that called under this number: the member and how it is to be asked. Source
      * null names none; within 0 leaves the class's bound. The key is told with the attempt's end.
      */
-    record Name(
+    record AnnounceAttempt(
             long call,
             long key,
             int attempt,
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -483,7 +483,7 @@
         long within = f.maxAge() > 0 ? Math.max(1, f.maxAge() / MILLI) : 0;
         if (request.named) {
             attempt.written = true; // once it is named, it may run
-            out.accept(new Effect.Name(
+            out.accept(new Effect.AnnounceAttempt(
                     request.stream.connection(),
                     attempt.key,
                     attempt.number,
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -45,7 +45,7 @@
                         a.maxAgeMillis(),
                         "" + a.join() + a.onlyIfCached() + a.renew(),
                         a.timeoutMillis());
-            } else if (effect instanceof Effect.Name n) {
+            } else if (effect instanceof Effect.AnnounceAttempt n) {
                 chose(
                         n.key(),
                         n.instance(),
