--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -112,7 +112,7 @@
                             .setJoin(n.join())
                             .setOnlyIfHeld(n.onlyIfHeld())
                             .setRenew(n.renew())
-                            .setTimeoutMs(n.limitMillis())));
+                            .setTimeoutMs(n.timeoutMillis())));
         }
 
         @Override
--- a/src/main/java/pumicemoor/extproc/Headers.java
+++ b/src/main/java/pumicemoor/extproc/Headers.java
@@ -60,7 +60,7 @@
         set(all, "x-pumicemoor-oldest-ms", Long.toString(name.withinMillis()));
         set(all, "x-pumicemoor-flags", flags(name));
         set(all, "x-pumicemoor-attempt", Integer.toString(name.attempt()));
-        set(all, "x-pumicemoor-timeout-ms", Long.toString(name.limitMillis()));
+        set(all, "x-pumicemoor-timeout-ms", Long.toString(name.timeoutMillis()));
         return all.build();
     }
 
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -54,7 +54,7 @@
             int attempt,
             String instance,
             String address,
-            long limitMillis,
+            long timeoutMillis,
             String source,
             List<String> way,
             int keepRank,
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -53,7 +53,7 @@
                         n.keepRank(),
                         n.withinMillis(),
                         "" + n.join() + n.onlyIfHeld() + n.renew(),
-                        n.limitMillis());
+                        n.timeoutMillis());
             } else if (effect instanceof Effect.Answer a) {
                 chosen.add("answer " + a.code() + " " + a.pushbackMillis());
             }
