--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -108,7 +108,7 @@
                             .setSource(n.source() == null ? "" : n.source())
                             .addAllWay(n.way())
                             .setKeepRank(n.keepRank())
-                            .setOldestMs(n.withinMillis())
+                            .setOldestMs(n.maxAgeMillis())
                             .setJoin(n.join())
                             .setOnlyIfHeld(n.onlyIfHeld())
                             .setRenew(n.renew())
--- a/src/main/java/pumicemoor/extproc/Headers.java
+++ b/src/main/java/pumicemoor/extproc/Headers.java
@@ -57,7 +57,7 @@
         set(all, "x-pumicemoor-source", name.source() == null ? "" : name.source());
         set(all, "x-pumicemoor-way", String.join("+", name.way()));
         set(all, "x-pumicemoor-keep-rank", Integer.toString(name.keepRank()));
-        set(all, "x-pumicemoor-oldest-ms", Long.toString(name.withinMillis()));
+        set(all, "x-pumicemoor-oldest-ms", Long.toString(name.maxAgeMillis()));
         set(all, "x-pumicemoor-flags", flags(name));
         set(all, "x-pumicemoor-attempt", Integer.toString(name.attempt()));
         set(all, "x-pumicemoor-timeout-ms", Long.toString(name.timeoutMillis()));
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -58,7 +58,7 @@
             String source,
             List<String> way,
             int keepRank,
-            long withinMillis,
+            long maxAgeMillis,
             boolean join,
             boolean onlyIfHeld,
             boolean renew)
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -51,7 +51,7 @@
                         n.instance(),
                         n.source(),
                         n.keepRank(),
-                        n.withinMillis(),
+                        n.maxAgeMillis(),
                         "" + n.join() + n.onlyIfHeld() + n.renew(),
                         n.timeoutMillis());
             } else if (effect instanceof Effect.Answer a) {
