--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -110,7 +110,7 @@
                             .setKeepRank(n.keepRank())
                             .setOldestMs(n.maxAgeMillis())
                             .setJoin(n.join())
-                            .setOnlyIfHeld(n.onlyIfHeld())
+                            .setOnlyIfHeld(n.onlyIfCached())
                             .setRenew(n.renew())
                             .setTimeoutMs(n.timeoutMillis())));
         }
--- a/src/main/java/pumicemoor/extproc/Headers.java
+++ b/src/main/java/pumicemoor/extproc/Headers.java
@@ -69,7 +69,7 @@
         if (name.join()) {
             flags.add("collapse");
         }
-        if (name.onlyIfHeld()) {
+        if (name.onlyIfCached()) {
             flags.add("only-if-cached");
         }
         if (name.renew()) {
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -60,7 +60,7 @@
             int keepRank,
             long maxAgeMillis,
             boolean join,
-            boolean onlyIfHeld,
+            boolean onlyIfCached,
             boolean renew)
             implements Effect {}
 
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -52,7 +52,7 @@
                         n.source(),
                         n.keepRank(),
                         n.maxAgeMillis(),
-                        "" + n.join() + n.onlyIfHeld() + n.renew(),
+                        "" + n.join() + n.onlyIfCached() + n.renew(),
                         n.timeoutMillis());
             } else if (effect instanceof Effect.Answer a) {
                 chosen.add("answer " + a.code() + " " + a.pushbackMillis());
