--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -106,7 +106,7 @@
                             .setCache(n.instance())
                             .setAddress(n.address())
                             .setSource(n.source() == null ? "" : n.source())
-                            .addAllWay(n.way())
+                            .addAllWay(n.fillPath())
                             .setKeepRank(n.keepRank())
                             .setOldestMs(n.maxAgeMillis())
                             .setJoin(n.join())
--- a/src/main/java/pumicemoor/extproc/Headers.java
+++ b/src/main/java/pumicemoor/extproc/Headers.java
@@ -55,7 +55,7 @@
         set(all, "x-pumicemoor-cache", name.instance());
         set(all, "x-pumicemoor-address", name.address());
         set(all, "x-pumicemoor-source", name.source() == null ? "" : name.source());
-        set(all, "x-pumicemoor-way", String.join("+", name.way()));
+        set(all, "x-pumicemoor-way", String.join("+", name.fillPath()));
         set(all, "x-pumicemoor-keep-rank", Integer.toString(name.keepRank()));
         set(all, "x-pumicemoor-oldest-ms", Long.toString(name.maxAgeMillis()));
         set(all, "x-pumicemoor-flags", flags(name));
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -56,7 +56,7 @@
             String address,
             long timeoutMillis,
             String source,
-            List<String> way,
+            List<String> fillPath,
             int keepRank,
             long maxAgeMillis,
             boolean join,
