--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -360,7 +360,7 @@
                 answer.stream(),
                 answer.code(),
                 answer.unchanged(),
-                answer.pushbackMillis(),
+                answer.retryAfterMillis(),
                 answer.body().size());
         counters.add(Name.BYTES_OUT, head.readableBytes() + answer.body().size());
         ByteBuf body = NettyBytes.buffer(answer.body());
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -420,7 +420,7 @@
             front.ifPresent(f -> f.named(name));
         } else if (effect instanceof Effect.Answer answer && answer.connection() < 0) {
             answer.body().release();
-            front.ifPresent(f -> f.answered(answer.connection(), answer.code(), answer.pushbackMillis()));
+            front.ifPresent(f -> f.answered(answer.connection(), answer.code(), answer.retryAfterMillis()));
         } else if (effect instanceof Effect.Operate operate) {
             front.ifPresent(f -> f.operate(operate.operator()));
         } else if (effect instanceof Effect.Answer answer) {
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -71,7 +71,7 @@
     record Quit(long attempt, boolean tellCache) implements Effect {}
 
     /** The one final answer of a request; pushback 0 gives no advice. */
-    record Answer(long connection, int stream, Code code, boolean unchanged, long pushbackMillis, Bytes body)
+    record Answer(long connection, int stream, Code code, boolean unchanged, long retryAfterMillis, Bytes body)
             implements Effect {}
 
     /** What came on this client's connection could not be used; its answer goes by itself. */
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -55,7 +55,7 @@
                         "" + n.join() + n.onlyIfCached() + n.renew(),
                         n.timeoutMillis());
             } else if (effect instanceof Effect.Answer a) {
-                chosen.add("answer " + a.code() + " " + a.pushbackMillis());
+                chosen.add("answer " + a.code() + " " + a.retryAfterMillis());
             }
         }
 
