--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -421,7 +421,7 @@
         } else if (effect instanceof Effect.Answer answer && answer.connection() < 0) {
             answer.body().release();
             front.ifPresent(f -> f.answered(answer.connection(), answer.code(), answer.retryAfterMillis()));
-        } else if (effect instanceof Effect.Operate operate) {
+        } else if (effect instanceof Effect.ApplyOperatorConfig operate) {
             front.ifPresent(f -> f.operate(operate.operator()));
         } else if (effect instanceof Effect.Answer answer) {
             ClientConnection client = clients.get(answer.connection());
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -65,7 +65,7 @@
             implements Effect {}
 
     /** The operator's file was read anew and is taken over. */
-    record Operate(OperatorConfig operator) implements Effect {}
+    record ApplyOperatorConfig(OperatorConfig operator) implements Effect {}
 
     /** Give an attempt up: take it back where it was not written whole, else tell the cache if that is told. */
     record Quit(long attempt, boolean tellCache) implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -825,7 +825,7 @@
     private String operateAnew(OperatorConfig next) {
         if (next.equals(operator)) {
             if (next.processor().isPresent()) {
-                out.accept(new Effect.Operate(next)); // the certificates that it names may be new all the same
+                out.accept(new Effect.ApplyOperatorConfig(next)); // the certificates that it names may be new all the same
             }
             return null;
         }
@@ -839,7 +839,7 @@
         }
         if (next.hierarchy().isEmpty() && operator.hierarchy().isEmpty()) {
             operator = next;
-            out.accept(new Effect.Operate(next));
+            out.accept(new Effect.ApplyOperatorConfig(next));
             return null;
         }
         if (next.hierarchy().isEmpty() || operator.hierarchy().isEmpty()) {
@@ -865,7 +865,7 @@
             }
         }
         operator = next;
-        out.accept(new Effect.Operate(next));
+        out.accept(new Effect.ApplyOperatorConfig(next));
         return null;
     }
 
