--- a/src/main/java/pumicemoor/net/CacheLines.java
+++ b/src/main/java/pumicemoor/net/CacheLines.java
@@ -104,7 +104,7 @@
         return unused.isPresent();
     }
 
-    void quit(Effect.Quit quit) {
+    void quit(Effect.AbandonAttempt quit) {
         Line line = lineOfAttempt.remove(quit.attempt());
         if (line != null) {
             line.quit(quit.attempt(), quit.tellCache());
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -414,7 +414,7 @@
     private void carryOut(Effect effect) {
         if (effect instanceof Effect.SendAttempt ask) {
             lines.ask(ask);
-        } else if (effect instanceof Effect.Quit quit) {
+        } else if (effect instanceof Effect.AbandonAttempt quit) {
             lines.quit(quit);
         } else if (effect instanceof Effect.AnnounceAttempt name) {
             front.ifPresent(f -> f.named(name));
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -527,7 +527,7 @@
         if (attempt.request.named) {
             return; // whoever sends it is told of the next attempt, or of the end
         }
-        out.accept(new Effect.Quit(attempt.key, settings.limits().cancel()));
+        out.accept(new Effect.AbandonAttempt(attempt.key, settings.limits().cancel()));
     }
 
     // ---- outcomes -------------------------------------------------------------------------------------
--- a/src/test/java/pumicemoor/net/CacheLinesTest.java
+++ b/src/test/java/pumicemoor/net/CacheLinesTest.java
@@ -141,7 +141,7 @@
     }
 
     private void quit(long attempt) throws Exception {
-        onLoop(() -> lines.quit(new Effect.Quit(attempt, true)));
+        onLoop(() -> lines.quit(new Effect.AbandonAttempt(attempt, true)));
     }
 
     private static void answer(Got to, String id, String word) throws IOException {
@@ -189,7 +189,7 @@
     void aRequestTakenBackBeforeItIsWrittenNeverLeaves() throws Exception {
         onLoop(() -> {
             lines.ask(ask(1, "a")); // the connection is not up yet
-            lines.quit(new Effect.Quit(1, true));
+            lines.quit(new Effect.AbandonAttempt(1, true));
             lines.ask(ask(2, "b"));
         });
         assertEquals(new Input.Written(2), next());
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -262,7 +262,7 @@
         request(1, "segment", Bytes.NONE);
         long attempt = ask().attempt();
         pass(limits.unwritten());
-        assertEquals(attempt, of(effects, Effect.Quit.class).get(0).attempt());
+        assertEquals(attempt, of(effects, Effect.AbandonAttempt.class).get(0).attempt());
         assertEquals(
                 Outcome.CONNECT_FAILED, of(events, AttemptEnded.class).get(0).outcome());
         assertTrue(limits.unwritten() < config.words().settings().rules().purgeGrace());
@@ -279,7 +279,7 @@
         assertTrue(of(events, AttemptEnded.class).isEmpty());
         pass(2 * MILLI);
         assertEquals(Outcome.TIMEOUT, of(events, AttemptEnded.class).get(0).outcome());
-        assertEquals(1, of(effects, Effect.Quit.class).size());
+        assertEquals(1, of(effects, Effect.AbandonAttempt.class).size());
     }
 
     @Test
@@ -386,7 +386,7 @@
         act.accept(new SetTimer(10 * MILLI, 77));
         take(new Input.Written(ask().attempt()));
         pass(11 * MILLI);
-        assertEquals(List.of(new Effect.Quit(ask().attempt(), true)), of(effects, Effect.Quit.class));
+        assertEquals(List.of(new Effect.AbandonAttempt(ask().attempt(), true)), of(effects, Effect.AbandonAttempt.class));
         assertEquals(Outcome.CANCELLED, of(events, AttemptEnded.class).get(0).outcome());
         assertEquals(new TimerDue(77), of(events, TimerDue.class).get(0));
     }
