--- a/src/main/java/pumicemoor/net/CacheLines.java
+++ b/src/main/java/pumicemoor/net/CacheLines.java
@@ -107,7 +107,7 @@
     void quit(Effect.AbandonAttempt quit) {
         Line line = lineOfAttempt.remove(quit.attempt());
         if (line != null) {
-            line.quit(quit.attempt(), quit.tellCache());
+            line.quit(quit.attempt(), quit.notifyCache());
         }
     }
 
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -68,7 +68,7 @@
     record ApplyOperatorConfig(OperatorConfig operator) implements Effect {}
 
     /** Give an attempt up: take it back where it was not written whole, else tell the cache if that is told. */
-    record AbandonAttempt(long attempt, boolean tellCache) implements Effect {}
+    record AbandonAttempt(long attempt, boolean notifyCache) implements Effect {}
 
     /** The one final answer of a request; pushback 0 gives no advice. */
     record Answer(long connection, int stream, Code code, boolean unchanged, long retryAfterMillis, Bytes body)
