--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -430,7 +430,7 @@
             } else {
                 client.answer(answer);
             }
-        } else if (effect instanceof Effect.Misused misused) {
+        } else if (effect instanceof Effect.ReportProtocolError misused) {
             if (clients.containsKey(misused.connection())) {
                 clients.get(misused.connection()).misused();
             }
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -75,7 +75,7 @@
             implements Effect {}
 
     /** What came on this client's connection could not be used; its answer goes by itself. */
-    record Misused(long connection) implements Effect {}
+    record ReportProtocolError(long connection) implements Effect {}
 
     /** Close the connections to a member that carry nothing. */
     record CloseIdle(String instance) implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -336,7 +336,7 @@
                             : "a request was failed: its id is that of an open request for another object");
             answer(request, Code.FAILED, false, 0, Bytes.NONE);
             if (!named) {
-                out.accept(new Effect.Misused(asked.connection()));
+                out.accept(new Effect.ReportProtocolError(asked.connection()));
             }
         } else if (unanswered.size() > limits.openRequests()
                 || exit == Exit.DONE
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -695,7 +695,7 @@
         take(new Input.Request(
                 2, 1, "9b1f03aa5c7e2d41", "segment", "00000000000000ff", 0, 1, null, 1500, false, Bytes.NONE));
         assertEquals(
-                List.of(new Effect.Answer(2, 1, Code.FAILED, false, 0, Bytes.NONE), new Effect.Misused(2)), effects);
+                List.of(new Effect.Answer(2, 1, Code.FAILED, false, 0, Bytes.NONE), new Effect.ReportProtocolError(2)), effects);
         take(new Input.RequestCancelled(1, 1));
         effects.clear();
         take(new Input.Request(
