--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -434,7 +434,7 @@
             if (clients.containsKey(misused.connection())) {
                 clients.get(misused.connection()).misused();
             }
-        } else if (effect instanceof Effect.CloseIdle close) {
+        } else if (effect instanceof Effect.CloseIdleConnections close) {
             lines.closeIdle(close.instance());
         } else if (effect instanceof Effect.Drop drop) {
             lines.drop(drop.instance(), drop.openedBefore());
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -78,7 +78,7 @@
     record ReportProtocolError(long connection) implements Effect {}
 
     /** Close the connections to a member that carry nothing. */
-    record CloseIdle(String instance) implements Effect {}
+    record CloseIdleConnections(String instance) implements Effect {}
 
     /** Connections to a member opened before this time (Unix microseconds) lead nowhere: drop them. */
     record Drop(String instance, long openedBefore) implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -432,7 +432,7 @@
         } else if (action instanceof SetTimer t) {
             timer(now + Math.max(1, t.delay()), Kind.MODULE, t.token());
         } else if (action instanceof CloseIdle c && endpoints.containsKey(c.member())) {
-            out.accept(new Effect.CloseIdle(endpoints.get(c.member()).instance()));
+            out.accept(new Effect.CloseIdleConnections(endpoints.get(c.member()).instance()));
         } else if (action instanceof LimitDemand w) {
             fleet.ifPresent(f -> f.wanted(w));
         } else if (action instanceof MemberHealthReport j) {
