--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -436,7 +436,7 @@
             }
         } else if (effect instanceof Effect.CloseIdleConnections close) {
             lines.closeIdle(close.instance());
-        } else if (effect instanceof Effect.Drop drop) {
+        } else if (effect instanceof Effect.DropConnections drop) {
             lines.drop(drop.instance(), drop.openedBefore());
         } else if (effect instanceof Effect.Retire retire) {
             lines.retire(retire.instance());
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -81,7 +81,7 @@
     record CloseIdleConnections(String instance) implements Effect {}
 
     /** Connections to a member opened before this time (Unix microseconds) lead nowhere: drop them. */
-    record Drop(String instance, long openedBefore) implements Effect {}
+    record DropConnections(String instance, long openedBefore) implements Effect {}
 
     /** A member is gone: use its connections for nothing new, close them when they carry nothing. */
     record Retire(String instance) implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -1012,7 +1012,7 @@
             if (state == State.GONE) {
                 gone(member.id());
             } else if (before != null && before.started() != member.started()) {
-                out.accept(new Effect.Drop(instance, member.started()));
+                out.accept(new Effect.DropConnections(instance, member.started()));
             }
         }
         if (whole) { // who is not in a whole list has been removed
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -516,7 +516,7 @@
                 false,
                 NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START / MILLI),
                 NodeTestConfig.member("s-2", "127.0.0.1:11", "box", "active", START / MILLI))));
-        assertEquals(List.of(new Effect.Drop("s-1", START), new Effect.Retire("s-1")), effects);
+        assertEquals(List.of(new Effect.DropConnections("s-1", START), new Effect.Retire("s-1")), effects);
         MemberListUpdate last = of(events, MemberListUpdate.class).get(1);
         assertEquals(State.GONE, last.members().get(0).state());
         assertFalse(last.members().get(0).id() == last.members().get(1).id());
