--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -438,7 +438,7 @@
             lines.closeIdle(close.instance());
         } else if (effect instanceof Effect.DropConnections drop) {
             lines.drop(drop.instance(), drop.openedBefore());
-        } else if (effect instanceof Effect.Retire retire) {
+        } else if (effect instanceof Effect.RetireConnections retire) {
             lines.retire(retire.instance());
         } else if (effect instanceof Effect.Drain) {
             draining = true;
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -84,7 +84,7 @@
     record DropConnections(String instance, long openedBefore) implements Effect {}
 
     /** A member is gone: use its connections for nothing new, close them when they carry nothing. */
-    record Retire(String instance) implements Effect {}
+    record RetireConnections(String instance) implements Effect {}
 
     /** Tell every client, also those still to come, to bring no new request. */
     record Drain() implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -1048,7 +1048,7 @@
     }
 
     private void gone(long member) {
-        out.accept(new Effect.Retire(endpoints.remove(member).instance()));
+        out.accept(new Effect.RetireConnections(endpoints.remove(member).instance()));
     }
 
     /** A number for a member that is the same at every router and every start: FNV-1a over its name. */
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -487,7 +487,7 @@
             boolean named = line.contains("p-1");
             assertEquals(
                     named,
-                    of(effects, Effect.Retire.class).stream()
+                    of(effects, Effect.RetireConnections.class).stream()
                             .noneMatch(r -> r.instance().equals("p-1")),
                     "who is listed, if not readably, has not left: " + line);
             assertEquals(++skipped, counters.get(Counters.Name.BAD_INPUT));
@@ -516,7 +516,7 @@
                 false,
                 NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START / MILLI),
                 NodeTestConfig.member("s-2", "127.0.0.1:11", "box", "active", START / MILLI))));
-        assertEquals(List.of(new Effect.DropConnections("s-1", START), new Effect.Retire("s-1")), effects);
+        assertEquals(List.of(new Effect.DropConnections("s-1", START), new Effect.RetireConnections("s-1")), effects);
         MemberListUpdate last = of(events, MemberListUpdate.class).get(1);
         assertEquals(State.GONE, last.members().get(0).state());
         assertFalse(last.members().get(0).id() == last.members().get(1).id());
@@ -533,7 +533,7 @@
                 true,
                 NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", 0),
                 NodeTestConfig.member("s-2", "127.0.0.1:12", "box", "active", 0))));
-        assertEquals(List.of(new Effect.Retire("p-1")), effects);
+        assertEquals(List.of(new Effect.RetireConnections("p-1")), effects);
         assertTrue(reducer.ready());
         take(new Input.CoordinatorUpdate(NodeTestConfig.list(3, true)));
         assertFalse(reducer.ready(), "nobody is left");
