--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -440,7 +440,7 @@
             lines.drop(drop.instance(), drop.openedBefore());
         } else if (effect instanceof Effect.RetireConnections retire) {
             lines.retire(retire.instance());
-        } else if (effect instanceof Effect.Drain) {
+        } else if (effect instanceof Effect.DrainClients) {
             draining = true;
             clients.values().forEach(ClientConnection::drain);
             front.ifPresent(CallFront::drain);
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -87,7 +87,7 @@
     record RetireConnections(String instance) implements Effect {}
 
     /** Tell every client, also those still to come, to bring no new request. */
-    record Drain() implements Effect {}
+    record DrainClients() implements Effect {}
 
     /** Follow the coordinator at this address from the last event on, in place of any stream so far. */
     record Follow(String coordinator) implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -646,7 +646,7 @@
             terminatedAt = now;
             timer(now + limits.quietAfterTerm(), Kind.EXIT_IF_QUIET, 0);
             timer(now + limits.lastAfterTerm(), Kind.EXIT, 0);
-            out.accept(new Effect.Drain());
+            out.accept(new Effect.DrainClients());
             fleet.ifPresent(f -> f.leave(now));
         }
     }
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -546,7 +546,7 @@
         take(new Input.Written(ask().attempt()));
         assertTrue(reducer.ready());
         take(new Input.Terminate());
-        assertEquals(1, of(effects, Effect.Drain.class).size());
+        assertEquals(1, of(effects, Effect.DrainClients.class).size());
         assertFalse(reducer.ready());
         pass(300 * MILLI);
         request(2, "segment", Bytes.NONE);
