--- a/src/main/java/pumicemoor/lab/scale/HollowReader.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowReader.java
@@ -145,7 +145,7 @@
                 }
             } else if (effect instanceof Effect.Answer answer) {
                 served += answer.code() == Effect.Code.SERVED ? 1 : 0;
-            } else if (effect instanceof Effect.Follow) {
+            } else if (effect instanceof Effect.FollowCoordinator) {
                 followed++;
             } else if (effect instanceof Effect.ToFleet packet) {
                 packets.add(packet);
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -444,7 +444,7 @@
             draining = true;
             clients.values().forEach(ClientConnection::drain);
             front.ifPresent(CallFront::drain);
-        } else if (effect instanceof Effect.Follow follow) {
+        } else if (effect instanceof Effect.FollowCoordinator follow) {
             coordinator.follow(follow.coordinator());
         } else if (effect instanceof Effect.ToFleet packet) {
             fleet.send(packet.address(), packet.bytes());
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -90,7 +90,7 @@
     record DrainClients() implements Effect {}
 
     /** Follow the coordinator at this address from the last event on, in place of any stream so far. */
-    record Follow(String coordinator) implements Effect {}
+    record FollowCoordinator(String coordinator) implements Effect {}
 
     /** Send a packet to another router of the fleet. */
     record ToFleet(String address, byte[] bytes) implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -888,7 +888,7 @@
         } else {
             config = r.config();
             LOG.info("the configuration was read again, the coordinator is at {}", config.coordinator());
-            out.accept(new Effect.Follow(config.coordinator()));
+            out.accept(new Effect.FollowCoordinator(config.coordinator()));
         }
     }
 
@@ -903,7 +903,7 @@
             counters.add(Name.GAPS);
             complaints.warn(
                     now, "event " + index + " came behind event " + lastUpdate + ": the coordinator is asked again");
-            out.accept(new Effect.Follow(config.coordinator()));
+            out.accept(new Effect.FollowCoordinator(config.coordinator()));
             return;
         }
         lastUpdate = index;
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -707,7 +707,7 @@
     void anEventIsTakenOnceAndAGapIsAskedForOnce() {
         String left = NodeTestConfig.list(3, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", 0));
         take(new Input.CoordinatorUpdate(left));
-        assertEquals(List.of(new Effect.Follow("127.0.0.1:2")), effects);
+        assertEquals(List.of(new Effect.FollowCoordinator("127.0.0.1:2")), effects);
         assertEquals(1, reducer.lastUpdate());
         String two = NodeTestConfig.list(2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", 0));
         take(new Input.CoordinatorUpdate(two));
@@ -737,7 +737,7 @@
         assertEquals(3, counters.get(Counters.Name.RELOADS_REFUSED));
         take(new Input.Reload(NodeConfig.parse(json), OperatorConfig.NONE, null));
         take(new Input.Reload(NodeConfig.parse(json), OperatorConfig.NONE, null));
-        assertEquals(List.of(new Effect.Follow("127.0.0.1:3")), effects);
+        assertEquals(List.of(new Effect.FollowCoordinator("127.0.0.1:3")), effects);
         assertEquals(2, counters.get(Counters.Name.RELOADS));
         assertEquals(List.of(), of(events, MemberListUpdate.class));
     }
