--- a/src/main/java/pumicemoor/lab/scale/HollowReader.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowReader.java
@@ -33,7 +33,7 @@
     private final Queue<Effect> effects = new ArrayDeque<>();
     private final Queue<Pending> hits = new ArrayDeque<>(); // each of the two by time
     private final Queue<Pending> fills = new ArrayDeque<>();
-    private final List<Effect.ToFleet> packets = new ArrayList<>();
+    private final List<Effect.SendFleetPacket> packets = new ArrayList<>();
     private final Set<String> filled = new HashSet<>();
     private long now = CoordinatorEvents.BEGIN * MILLI;
     private int streams;
@@ -69,8 +69,8 @@
     }
 
     /** The packets for other routers of the fleet, each given out once. */
-    List<Effect.ToFleet> takePackets() {
-        List<Effect.ToFleet> taken = List.copyOf(packets);
+    List<Effect.SendFleetPacket> takePackets() {
+        List<Effect.SendFleetPacket> taken = List.copyOf(packets);
         packets.clear();
         return taken;
     }
@@ -147,7 +147,7 @@
                 served += answer.code() == Effect.Code.SERVED ? 1 : 0;
             } else if (effect instanceof Effect.FollowCoordinator) {
                 followed++;
-            } else if (effect instanceof Effect.ToFleet packet) {
+            } else if (effect instanceof Effect.SendFleetPacket packet) {
                 packets.add(packet);
             }
         }
--- a/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
@@ -390,7 +390,7 @@
                 h.nanos += (long) (MILLI * micros(() -> h.reader.pass(MILLI)));
             }
             for (Holder from : pair) {
-                for (Effect.ToFleet packet : from.reader.takePackets()) {
+                for (Effect.SendFleetPacket packet : from.reader.takePackets()) {
                     from.bytes += packet.bytes().length;
                     from.packets++;
                     pair.stream()
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -446,7 +446,7 @@
             front.ifPresent(CallFront::drain);
         } else if (effect instanceof Effect.FollowCoordinator follow) {
             coordinator.follow(follow.coordinator());
-        } else if (effect instanceof Effect.ToFleet packet) {
+        } else if (effect instanceof Effect.SendFleetPacket packet) {
             fleet.send(packet.address(), packet.bytes());
         } else if (effect instanceof Effect.Told told) {
             if (clients.containsKey(told.connection())) {
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -93,7 +93,7 @@
     record FollowCoordinator(String coordinator) implements Effect {}
 
     /** Send a packet to another router of the fleet. */
-    record ToFleet(String address, byte[] bytes) implements Effect {}
+    record SendFleetPacket(String address, byte[] bytes) implements Effect {}
 
     /** What becomes of an operator's command, in one line. */
     record Told(long connection, int stream, String text) implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -788,7 +788,7 @@
         f.takeView().flatMap(view -> drained.get().follow(view)).ifPresent(events::add);
         events.addAll(f.takeEvents());
         drive();
-        f.takePackets().forEach(d -> out.accept(new Effect.ToFleet(d.address(), d.bytes())));
+        f.takePackets().forEach(d -> out.accept(new Effect.SendFleetPacket(d.address(), d.bytes())));
         f.takeNotices().forEach(n -> fleetLog.info(now, n.text(), n.figures()));
         long due = f.nextDue();
         if (due != fleetDue) {
