--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -220,14 +220,14 @@
         if (context.channel().remoteAddress() instanceof InetSocketAddress peer
                 && !peer.getAddress().isLoopbackAddress()) {
             counters.add(Name.BAD_INPUT);
-            told(new Effect.Told(number, stream, "refused: commands are taken from the router's own machine alone"));
+            told(new Effect.CommandReply(number, stream, "refused: commands are taken from the router's own machine alone"));
         } else {
             loop.submit(new Input.Command(number, stream, fields));
         }
     }
 
     /** Says what became of a command. */
-    void told(Effect.Told told) {
+    void told(Effect.CommandReply told) {
         context.writeAndFlush(
                 ClientFrame.ready(context.alloc(), told.stream(), loop.ready(), Map.of("said", told.text())),
                 context.voidPromise());
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -448,7 +448,7 @@
             coordinator.follow(follow.coordinator());
         } else if (effect instanceof Effect.SendFleetPacket packet) {
             fleet.send(packet.address(), packet.bytes());
-        } else if (effect instanceof Effect.Told told) {
+        } else if (effect instanceof Effect.CommandReply told) {
             if (clients.containsKey(told.connection())) {
                 clients.get(told.connection()).told(told);
             }
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -96,7 +96,7 @@
     record SendFleetPacket(String address, byte[] bytes) implements Effect {}
 
     /** What becomes of an operator's command, in one line. */
-    record Told(long connection, int stream, String text) implements Effect {}
+    record CommandReply(long connection, int stream, String text) implements Effect {}
 
     /** Take in who has connected and what was asked by now, to the last, and say so. */
     record ReadAll() implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -277,7 +277,7 @@
         } else if (input instanceof Input.Command c) {
             String said = fleet.map(f -> f.command(now, c.fields()))
                     .orElse("refused: this router has no section 'fleet' in its operator's file");
-            out.accept(new Effect.Told(c.connection(), c.stream(), said));
+            out.accept(new Effect.CommandReply(c.connection(), c.stream(), said));
         } else if (input instanceof Input.Reload r) {
             reload(r);
         } else if (input instanceof Input.Terminate) {
