--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -452,7 +452,7 @@
             if (clients.containsKey(told.connection())) {
                 clients.get(told.connection()).told(told);
             }
-        } else if (effect instanceof Effect.ReadAll) {
+        } else if (effect instanceof Effect.CompleteClientReads) {
             readAll();
         } else if (effect instanceof Effect.Exit) {
             end();
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -99,7 +99,7 @@
     record CommandReply(long connection, int stream, String text) implements Effect {}
 
     /** Take in who has connected and what was asked by now, to the last, and say so. */
-    record ReadAll() implements Effect {}
+    record CompleteClientReads() implements Effect {}
 
     /** All is done: end the process. */
     record Exit() implements Effect {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -291,7 +291,7 @@
                 && unanswered.isEmpty()
                 && now >= terminatedAt + limits.quietAfterTerm()) {
             exit = Exit.READING;
-            out.accept(new Effect.ReadAll());
+            out.accept(new Effect.CompleteClientReads());
         } else if (exit == Exit.READING && input instanceof Input.ClientReadsCompleted) {
             exit = unanswered.isEmpty() ? Exit.DONE : Exit.NOT_YET;
             if (exit == Exit.DONE) {
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -560,7 +560,7 @@
 
     /** The last step: what has come is read first, and only when nothing was found is it over. */
     private void exitsOnceAllIsRead() {
-        assertEquals(1, of(effects, Effect.ReadAll.class).size());
+        assertEquals(1, of(effects, Effect.CompleteClientReads.class).size());
         assertTrue(of(effects, Effect.Exit.class).isEmpty());
         take(new Input.ClientReadsCompleted());
         assertEquals(1, of(effects, Effect.Exit.class).size());
@@ -571,7 +571,7 @@
         fetchOnArrival(0, 0);
         take(new Input.Terminate());
         pass(800 * MILLI);
-        assertEquals(1, of(effects, Effect.ReadAll.class).size());
+        assertEquals(1, of(effects, Effect.CompleteClientReads.class).size());
         request(1, "segment", Bytes.NONE);
         take(new Input.ClientReadsCompleted());
         assertTrue(of(effects, Effect.Exit.class).isEmpty(), "a request was found");
