--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -541,7 +541,7 @@
     }
 
     @Override
-    public void operate(OperatorConfig operator) {
+    public void applyOperatorConfig(OperatorConfig operator) {
         operator.processor().ifPresent(next -> {
             try {
                 check(next, words);
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -422,7 +422,7 @@
             answer.body().release();
             front.ifPresent(f -> f.answered(answer.connection(), answer.code(), answer.retryAfterMillis()));
         } else if (effect instanceof Effect.ApplyOperatorConfig operate) {
-            front.ifPresent(f -> f.operate(operate.operator()));
+            front.ifPresent(f -> f.applyOperatorConfig(operate.operator()));
         } else if (effect instanceof Effect.Answer answer) {
             ClientConnection client = clients.get(answer.connection());
             if (client == null) {
--- a/src/main/java/pumicemoor/node/CallFront.java
+++ b/src/main/java/pumicemoor/node/CallFront.java
@@ -19,7 +19,7 @@
     void answered(long call, Effect.Code code, long pushbackMillis);
 
     /** The operator's file was read anew. */
-    void operate(OperatorConfig operator);
+    void applyOperatorConfig(OperatorConfig operator);
 
     /** No new calls are wanted; those that are open go on. */
     void drain();
--- a/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
+++ b/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
@@ -217,7 +217,7 @@
         CompletableFuture<Void> reloaded = new CompletableFuture<>();
         OperatorConfig pass = operator(OPERATOR.formatted(0) + "  no-rule: pass\n");
         server.execute(() -> {
-            front.operate(pass);
+            front.applyOperatorConfig(pass);
             reloaded.complete(null);
         });
         reloaded.get(10, TimeUnit.SECONDS);
--- a/src/test/java/pumicemoor/extproc/TlsTest.java
+++ b/src/test/java/pumicemoor/extproc/TlsTest.java
@@ -163,7 +163,7 @@
             write(issue("router", other), "router");
             java.util.concurrent.CompletableFuture<Void> read = new java.util.concurrent.CompletableFuture<>();
             server.execute(() -> {
-                front.operate(operator);
+                front.applyOperatorConfig(operator);
                 read.complete(null);
             });
             read.get(10, java.util.concurrent.TimeUnit.SECONDS);
