--- a/src/main/java/pumicemoor/extproc/FrontRehearsal.java
+++ b/src/main/java/pumicemoor/extproc/FrontRehearsal.java
@@ -101,7 +101,7 @@
         @Override
         public void submit(Input input) {
             if (input instanceof Input.Call c) {
-                front.named(new Effect.AnnounceAttempt(
+                front.attemptAnnounced(new Effect.AnnounceAttempt(
                         c.number(),
                         -c.number(),
                         0,
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -491,7 +491,7 @@
     // ---- what the decisions say -----------------------------------------------------------------------
 
     @Override
-    public void named(Effect.AnnounceAttempt name) {
+    public void attemptAnnounced(Effect.AnnounceAttempt name) {
         Stream stream = streams.get(name.call());
         if (stream == null) {
             return; // withdrawn meanwhile
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -417,7 +417,7 @@
         } else if (effect instanceof Effect.AbandonAttempt quit) {
             lines.quit(quit);
         } else if (effect instanceof Effect.AnnounceAttempt name) {
-            front.ifPresent(f -> f.named(name));
+            front.ifPresent(f -> f.attemptAnnounced(name));
         } else if (effect instanceof Effect.Answer answer && answer.connection() < 0) {
             answer.body().release();
             front.ifPresent(f -> f.answered(answer.connection(), answer.code(), answer.retryAfterMillis()));
--- a/src/main/java/pumicemoor/node/CallFront.java
+++ b/src/main/java/pumicemoor/node/CallFront.java
@@ -13,7 +13,7 @@
     void start(CallLoop loop) throws java.io.IOException;
 
     /** The decisions name an attempt. */
-    void named(Effect.AnnounceAttempt name);
+    void attemptAnnounced(Effect.AnnounceAttempt name);
 
     /** The one final answer of a call. */
     void answered(long call, Effect.Code code, long pushbackMillis);
