--- a/src/main/java/pumicemoor/extproc/FrontRehearsal.java
+++ b/src/main/java/pumicemoor/extproc/FrontRehearsal.java
@@ -94,7 +94,7 @@
         }
 
         @Override
-        public Runnable later(long micros, Runnable what) {
+        public Runnable schedule(long micros, Runnable what) {
             return () -> {}; // nothing is late here
         }
 
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -354,7 +354,7 @@
             stream.bookId = ready.bookId();
             stream.name = ready.name();
             streams.put(stream.number, stream);
-            stream.timers.add(loop.later(type.deadline() + STREAM_GRACE, () -> expire(stream)));
+            stream.timers.add(loop.schedule(type.deadline() + STREAM_GRACE, () -> expire(stream)));
             act(stream, stream.state.adopt(ready.name().attempt()));
             return;
         }
@@ -370,9 +370,9 @@
         streams.put(stream.number, stream);
         long ttl = ttlMillis > 0 ? Math.min(ttlMillis, type.deadline() / MILLI) : type.deadline() / MILLI;
         List<Act> acts = stream.state.request();
-        stream.timers.add(loop.later(
+        stream.timers.add(loop.schedule(
                 Math.max(1, Math.min(section.messageTimeout(), ttl * MILLI) - MARGIN), () -> messageTimeUp(stream)));
-        stream.timers.add(loop.later(ttl * MILLI + STREAM_GRACE, () -> expire(stream)));
+        stream.timers.add(loop.schedule(ttl * MILLI + STREAM_GRACE, () -> expire(stream)));
         for (Act act : acts) {
             if (act instanceof Act.Ask) {
                 loop.submit(new Input.Call(
@@ -512,7 +512,7 @@
         Held ready = new Held(name.call(), name, stream.bookId, stream.state.mayHaveRun());
         stream.bookId = null;
         held.put(stream.id, ready);
-        loop.later(section.retryWait(), () -> {
+        loop.schedule(section.retryWait(), () -> {
             if (held.remove(stream.id, ready)) {
                 letGo(ready);
                 loop.submit(new Input.RequestCancelled(ready.number(), 0));
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public Runnable later(long micros, Runnable what) {
+    public Runnable schedule(long micros, Runnable what) {
         Future<?> due = loop.schedule(what, micros, TimeUnit.MICROSECONDS);
         return () -> due.cancel(false);
     }
--- a/src/main/java/pumicemoor/node/CallLoop.java
+++ b/src/main/java/pumicemoor/node/CallLoop.java
@@ -7,7 +7,7 @@
     boolean execute(Runnable what);
 
     /** Runs this on the loop's thread after so many microseconds, unless what is given back is run before. */
-    Runnable later(long micros, Runnable what);
+    Runnable schedule(long micros, Runnable what);
 
     /** Hands an input to the reducer; on the loop's thread only. */
     void submit(Input input);
