--- a/src/main/java/pumicemoor/lab/scale/HollowReader.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowReader.java
@@ -55,7 +55,7 @@
                 read.words(),
                 ResourceLimits.of(read.words().settings(), read.figures()),
                 new Counters());
-        reducer.operate(now, operator, read.location(), read.name(), read.seed());
+        reducer.applyOperatorConfig(now, operator, read.location(), read.name(), read.seed());
         reducer.known(now, read, effects::add);
         carryOut();
     }
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -124,7 +124,7 @@
             fleet.listen(group, operator.fleet().get().listen());
         }
         loop.submit(() -> {
-                    reducer.operate(clock(), operator, config.location(), config.name(), config.seed());
+                    reducer.applyOperatorConfig(clock(), operator, config.location(), config.name(), config.seed());
                     reducer.known(clock(), config, effects::add);
                     work();
                     loop.scheduleAtFixedRate(this::sweep, limits.sweep(), limits.sweep(), TimeUnit.MICROSECONDS);
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -723,7 +723,7 @@
     // ---- the hierarchy --------------------------------------------------------------------------------
 
     /** Takes what the operator has set, once, before anything that is known; without it all is as before. */
-    public void operate(long time, OperatorConfig set, String location, String name, long seed) {
+    public void applyOperatorConfig(long time, OperatorConfig set, String location, String name, long seed) {
         operator = set;
         set.fleet().ifPresent(f -> {
             fleet = Optional.of(FleetParts.of(f.setup(name, settings.rules()), time, seed, new Drains.Usage() {
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -771,7 +771,7 @@
                 config.words(),
                 limits,
                 counters);
-        reducer.operate(now, operator, "here", "n0", 1);
+        reducer.applyOperatorConfig(now, operator, "here", "n0", 1);
         reducer.known(now, config, effects::add);
         take(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 2,
