--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -61,7 +61,7 @@
  * decisions and lines for people are fetched from it. In a large fleet it is one level of two: that of a cell's routers,
  * or that of the cells' delegates (docs/fleet-design.md, "Cells").
  */
-public final class Fleet implements FleetPart {
+public final class Fleet implements FleetParticipant {
 
     private static final int ASKS_A_LEASE = 5;
     private static final int QUIET =
--- a/src/main/java/pumicemoor/fleet/FleetPart.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -13,7 +13,7 @@
  * go in; packets, events for the decisions and lines for people are fetched. Times are Unix microseconds. It must never
  * send, read a clock or draw randomness of its own.
  */
-public interface FleetPart {
+public interface FleetParticipant {
 
     /** Takes a packet, whatever it is. */
     void heard(long time, byte[] bytes);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -19,7 +19,7 @@
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
 import pumicemoor.fleet.Fleet.Listed;
-import pumicemoor.fleet.FleetPart;
+import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.FleetSetup;
 import pumicemoor.fleet.Notice;
 import pumicemoor.fleet.Packet;
@@ -37,7 +37,7 @@
  * when a cell is split, who is a delegate, and how routers of a cell find one another. What is lent, judged and voted is
  * decided by the two levels; no bound of theirs rests on agreement about cells.
  */
-public final class CellFleet implements FleetPart {
+public final class CellFleet implements FleetParticipant {
 
     /** Cells' periods between delegates: the way between regions is longer. */
     public static final int UPPER_PERIOD = 5;
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -26,7 +26,7 @@
 import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
-import pumicemoor.fleet.FleetPart;
+import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.FleetSetup;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.FleetSetup.Scope;
@@ -82,7 +82,7 @@
         final String address;
         final Geography.Place place;
         final double wanted;
-        FleetPart part;
+        FleetParticipant part;
         boolean running;
         private final Shard shard;
         private final Random network; // what becomes of its packets
@@ -293,7 +293,7 @@
     }
 
     /** The one place that knows which kind of fleet a setup asks for. */
-    private static FleetPart part(FleetSetup setup, long time, long seed) {
+    private static FleetParticipant part(FleetSetup setup, long time, long seed) {
         if (setup.cells().isPresent()) {
             return new CellFleet(setup, time, seed);
         }
--- a/src/main/java/pumicemoor/node/FleetParts.java
+++ b/src/main/java/pumicemoor/node/FleetParts.java
@@ -1,7 +1,7 @@
 package pumicemoor.node;
 
 import pumicemoor.fleet.Fleet;
-import pumicemoor.fleet.FleetPart;
+import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.FleetSetup;
 import pumicemoor.fleet.cells.CellFleet;
 import pumicemoor.fleet.drains.Drains;
@@ -12,7 +12,7 @@
     private FleetParts() {}
 
     /** A router's part that starts at this time (Unix microseconds): in a fleet of cells where the setup has them, else in a flat one. */
-    static FleetPart of(FleetSetup setup, long time, long seed, Drains.Usage usage) {
+    static FleetParticipant of(FleetSetup setup, long time, long seed, Drains.Usage usage) {
         return setup.cells().isPresent() ? new CellFleet(setup, time, seed) : new Fleet(setup, time, seed, usage);
     }
 }
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -45,7 +45,7 @@
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Fleet;
-import pumicemoor.fleet.FleetPart;
+import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.hierarchy.Hierarchy;
 import pumicemoor.hierarchy.ShapeCheck.Problem;
@@ -124,7 +124,7 @@
     private OperatorConfig operator = OperatorConfig.NONE;
     private Optional<Hierarchy> hierarchy = Optional.empty();
     private long hierarchyDue = Long.MAX_VALUE;
-    private Optional<FleetPart> fleet = Optional.empty();
+    private Optional<FleetParticipant> fleet = Optional.empty();
     private long fleetDue = Long.MAX_VALUE;
     private Optional<DrainedMembers> drained = Optional.empty();
     private final HitCount hits = new HitCount();
@@ -656,7 +656,7 @@
         return terminatedAt < 0
                 && synced
                 && !endpoints.isEmpty()
-                && fleet.map(FleetPart::settled).orElse(true);
+                && fleet.map(FleetParticipant::settled).orElse(true);
     }
 
     // ---- what the coordinator tells -------------------------------------------------------------------
@@ -739,7 +739,7 @@
                     return hits.of(now, member);
                 }
             }));
-            drained = fleet.filter(FleetPart::drains).map(x -> new DrainedMembers());
+            drained = fleet.filter(FleetParticipant::drains).map(x -> new DrainedMembers());
         });
         set.hierarchy().ifPresent(h -> {
             long coldTime = settings.rules().parentSlowStart().rampDuration();
@@ -780,7 +780,7 @@
         if (fleet.isEmpty()) {
             return;
         }
-        FleetPart f = fleet.get();
+        FleetParticipant f = fleet.get();
         // whom to leave alone comes before anything that could send: what a router reports it has to go by
         f.takeView().flatMap(view -> drained.get().follow(view)).ifPresent(events::add);
         drive();
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -30,7 +30,7 @@
 import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
-import pumicemoor.fleet.FleetPart;
+import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.FleetSetup;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.Notice;
@@ -68,7 +68,7 @@
         final String root;
         final int region;
         boolean flat; // not in cells, though in this cluster
-        FleetPart part;
+        FleetParticipant part;
         boolean running;
         long pausedUntil;
         long startedAt;
--- a/src/test/java/pumicemoor/node/FleetPartsTest.java
+++ b/src/test/java/pumicemoor/node/FleetPartsTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import pumicemoor.fleet.Fleet;
-import pumicemoor.fleet.FleetPart;
+import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.FleetSetup;
 import pumicemoor.fleet.cells.CellFleet;
 import pumicemoor.fleet.cells.CellSetup;
@@ -34,7 +34,7 @@
         }
     };
 
-    private static FleetPart part(Optional<DrainTimes> drains, Optional<CellSetup> cells) {
+    private static FleetParticipant part(Optional<DrainTimes> drains, Optional<CellSetup> cells) {
         return FleetParts.of(
                 new FleetSetup(
                         "c",
@@ -52,7 +52,7 @@
 
     @Test
     void cellsAloneMakeAFleetOfCells() {
-        FleetPart cells = part(Optional.empty(), Optional.of(new CellSetup("zone-a", 96, 2)));
+        FleetParticipant cells = part(Optional.empty(), Optional.of(new CellSetup("zone-a", 96, 2)));
         assertInstanceOf(CellFleet.class, cells);
         assertEquals("zone-a", cells.fields().get("fleet-cell"));
     }
