--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -283,7 +283,7 @@
 
     /** Takes a packet, whatever it is. */
     @Override
-    public void heard(long time, byte[] bytes) {
+    public void receive(long time, byte[] bytes) {
         now = Math.max(now, time);
         Packet packet;
         try {
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -16,7 +16,7 @@
 public interface FleetParticipant {
 
     /** Takes a packet, whatever it is. */
-    void heard(long time, byte[] bytes);
+    void receive(long time, byte[] bytes);
 
     /** The members as they are listed now, by their number. */
     void members(long time, Map<Long, Fleet.Listed> listed);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -164,15 +164,15 @@
     // ---- what comes in --------------------------------------------------------------------------------
 
     @Override
-    public void heard(long time, byte[] bytes) {
+    public void receive(long time, byte[] bytes) {
         now = Math.max(now, time);
         long cluster = PacketCodec.cluster(bytes);
         if (upper != null && cluster == upper.cluster()) {
-            upper.heard(now, bytes);
+            upper.receive(now, bytes);
         } else if (cluster == joins.cluster()) {
             heardJoin(bytes);
         } else {
-            cell.heard(now, bytes);
+            cell.receive(now, bytes);
         }
         meet();
     }
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -431,7 +431,7 @@
         r.packetsIn++;
         count(r.bytesIn, packet.length, at);
         long before = cpu();
-        r.part.heard(at, packet);
+        r.part.receive(at, packet);
         step(r, before, at);
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -273,7 +273,7 @@
             events.add(new DiscoveryHeartbeat());
             caughtUp();
         } else if (input instanceof Input.FleetPacketReceived f) {
-            fleet.ifPresent(x -> x.heard(now, f.bytes()));
+            fleet.ifPresent(x -> x.receive(now, f.bytes()));
         } else if (input instanceof Input.Command c) {
             String said = fleet.map(f -> f.command(now, c.fields()))
                     .orElse("refused: this router has no section 'fleet' in its operator's file");
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -213,7 +213,7 @@
         for (int i = 0; i < 20; i++) {
             byte[] noise = new byte[r.nextInt(1_400)];
             r.nextBytes(noise);
-            fleet.heard(NOW + 1, noise);
+            fleet.receive(NOW + 1, noise);
         }
         assertEquals(before, fleet.rows("members").toString() + fleet.rows("limits") + fleet.rows("verdicts"));
         assertEquals("20", fleet.fields().get("fleet-dropped-unreadable"));
@@ -243,7 +243,7 @@
     void anotherClustersPacketsAreCountedAndChangeNothing() {
         Fleet fleet = fleet();
         String before = members(fleet);
-        fleet.heard(NOW, new PacketCodec("east").write(new Packet(FROM, 1, new Packet.Ping(), List.of(), List.of())));
+        fleet.receive(NOW, new PacketCodec("east").write(new Packet(FROM, 1, new Packet.Ping(), List.of(), List.of())));
         assertEquals(before, members(fleet));
         assertEquals("1", fleet.fields().get("fleet-dropped-foreign"));
         assertTrue(fleet.takePackets().isEmpty());
@@ -255,8 +255,8 @@
         String before = members(fleet);
         for (long incarnation : new long[] {0, -1, Long.MAX_VALUE, LAST + 1}) {
             RouterNews odd = new RouterNews("router-2", "127.0.0.1:7002", 9, incarnation, Standing.ALIVE);
-            fleet.heard(NOW, codec.write(new Packet(odd, 1, new Packet.Ping(), List.of(), List.of())));
-            fleet.heard(NOW, codec.write(new Packet(FROM, 1, new Packet.Ping(), List.of(odd), List.of())));
+            fleet.receive(NOW, codec.write(new Packet(odd, 1, new Packet.Ping(), List.of(), List.of())));
+            fleet.receive(NOW, codec.write(new Packet(FROM, 1, new Packet.Ping(), List.of(odd), List.of())));
         }
         assertEquals(before, members(fleet));
         assertEquals("8", fleet.fields().get("fleet-dropped-impossible"));
@@ -274,7 +274,7 @@
     void theTableOfRoutersIsBounded() {
         Fleet fleet = fleet();
         for (int i = 0; i < 1_000; i++) {
-            fleet.heard(
+            fleet.receive(
                     NOW,
                     codec.write(new Packet(
                             FROM,
@@ -305,9 +305,9 @@
                 new Packet.News(),
                 List.of(new RouterNews("router-3", "127.0.0.1:7003", 1, 8, Standing.ALIVE)),
                 List.of())));
-        all.forEach(b -> fleet.heard(NOW, b));
+        all.forEach(b -> fleet.receive(NOW, b));
         for (int i = 0; i < 100; i++) {
-            fleet.heard(NOW, all.get(new Random(i).nextInt(all.size())));
+            fleet.receive(NOW, all.get(new Random(i).nextInt(all.size())));
         }
         assertTrue(
                 members(fleet).contains("name=router-3, address=127.0.0.1:7003, standing=alive, incarnation=8"),
@@ -321,7 +321,7 @@
         String grantor = "router-1";
         for (int i = 1; !fleet.fields().get("fleet-grantor").equals(grantor); i++) {
             grantor = "router-" + i;
-            fleet.heard(
+            fleet.receive(
                     NOW,
                     codec.write(new Packet(
                             new RouterNews(grantor, "127.0.0.1:7001", 9, 5, Standing.ALIVE),
@@ -345,7 +345,7 @@
         }
         assertTrue(limitAndAsk[1] > 0, "it asks");
         RouterNews from = new RouterNews(grantor, "127.0.0.1:7001", 9, 5, Standing.ALIVE);
-        fleet.heard(
+        fleet.receive(
                 NOW + 700_001,
                 codec.write(new Packet(
                         from,
@@ -355,7 +355,7 @@
                         List.of())));
         assertEquals("1", fleet.fields().get("fleet-dropped-oversized-lease"));
         assertEquals("alone", fleet.rows("limits").orElseThrow().get(0).get("state"));
-        fleet.heard(
+        fleet.receive(
                 NOW + 700_002,
                 codec.write(new Packet(
                         from,
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -232,7 +232,7 @@
                 if (f.to().running && now < f.to().pausedUntil) {
                     f.to().waiting.add(f.bytes());
                 } else if (f.to().running) {
-                    f.to().fleet.heard(now, f.bytes());
+                    f.to().fleet.receive(now, f.bytes());
                     fetch(f.to());
                 }
             }
@@ -241,7 +241,7 @@
                     if (r.pausedUntil > 0 && random.nextBoolean()) {
                         r.fleet.advance(now); // after a pause timers may come before or after what waits
                     }
-                    r.waiting.forEach(b -> r.fleet.heard(now, b));
+                    r.waiting.forEach(b -> r.fleet.receive(now, b));
                     r.waiting.clear();
                     r.fleet.advance(now);
                     fetch(r);
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -196,7 +196,7 @@
             for (int k = random.nextInt(4); k > 0 && bytes.length > 12; k--) {
                 bytes[12 + random.nextInt(bytes.length - 12)] = (byte) random.nextInt(256);
             }
-            victim.part.heard(fleet.now, bytes);
+            victim.part.receive(fleet.now, bytes);
         }
         victim.part.takePackets();
         assertTrue(count(victim, "unreadable") + count(victim, "impossible") > 100, victim.part.fields()::toString);
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -345,7 +345,7 @@
                 if (now < r.pausedUntil) {
                     r.waiting.add(due.bytes());
                 } else {
-                    r.part.heard(now, due.bytes());
+                    r.part.receive(now, due.bytes());
                     fetch(r);
                 }
             }
@@ -356,7 +356,7 @@
                 if (r.pausedUntil > 0 && !r.waiting.isEmpty() && random.nextBoolean()) {
                     r.part.advance(now); // after a pause timers may come before or after what waits
                 }
-                r.waiting.forEach(b -> r.part.heard(now, b));
+                r.waiting.forEach(b -> r.part.receive(now, b));
                 r.waiting.clear();
                 r.part.wanted(new LimitDemand(ORIGIN, measure, r.wanted, 0));
                 r.part.advance(now);
@@ -495,7 +495,7 @@
 
     /** A packet for a router, from nowhere. */
     void deliver(Router to, byte[] packet) {
-        to.part.heard(now, packet);
+        to.part.receive(now, packet);
         fetch(to);
     }
 
