--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -337,7 +337,7 @@
 
     /** The members as they are listed now, by their number. */
     @Override
-    public void members(long time, Map<Long, Listed> listed) {
+    public void updateMembers(long time, Map<Long, Listed> listed) {
         now = Math.max(now, time);
         if (listed.equals(members)) {
             return;
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -19,7 +19,7 @@
     void receive(long time, byte[] bytes);
 
     /** The members as they are listed now, by their number. */
-    void members(long time, Map<Long, Fleet.Listed> listed);
+    void updateMembers(long time, Map<Long, Fleet.Listed> listed);
 
     /** What the decisions wanted of an allowance. */
     void wanted(LimitDemand wanted);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -188,12 +188,12 @@
     }
 
     @Override
-    public void members(long time, Map<Long, Listed> listed) {
+    public void updateMembers(long time, Map<Long, Listed> listed) {
         now = Math.max(now, time);
         members = Map.copyOf(listed);
-        cell.members(now, members);
+        cell.updateMembers(now, members);
         if (upper != null) {
-            upper.members(now, members);
+            upper.updateMembers(now, members);
         }
     }
 
@@ -258,7 +258,7 @@
                     random.nextLong(),
                     instance,
                     cell);
-            upper.members(now, members);
+            upper.updateMembers(now, members);
             cell.setAbove(upper);
             joinAt = now;
             joinWait = FIRST_WAIT;
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -286,7 +286,7 @@
                 cells);
         long before = cpu();
         r.part = part(setup, now, r.network.nextLong());
-        r.part.members(now, listed);
+        r.part.updateMembers(now, listed);
         r.running = true;
         r.startedAt = now;
         step(r, before, now);
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -1024,7 +1024,7 @@
                     .forEach(this::gone);
             fleetMembers.keySet().retainAll(listed);
         }
-        fleet.ifPresent(f -> f.members(now, fleetMembers));
+        fleet.ifPresent(f -> f.updateMembers(now, fleetMembers));
         hierarchy.ifPresent(h -> h.members(endpoints.values().stream()
                 .collect(Collectors.toMap(Endpoint::instance, Endpoint::started, Math::max))));
         MemberListUpdate news = new MemberListUpdate(whole ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, members);
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -184,7 +184,7 @@
         r.heardOut.clear();
         r.out = List.of();
         r.allowances = List.of();
-        r.fleet.members(now, members);
+        r.fleet.updateMembers(now, members);
         fetch(r);
         r.nextAt = r.fleet.nextDue();
     }
@@ -302,7 +302,7 @@
         Fleet.Listed m = members.get(member);
         members.put(member, new Fleet.Listed(m.name(), m.role(), started, ready));
         routers.stream().filter(this::acts).forEach(r -> {
-            r.fleet.members(now, members);
+            r.fleet.updateMembers(now, members);
             fetch(r);
         });
     }
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -242,7 +242,7 @@
         r.out = List.of();
         r.allowances = List.of();
         r.wakeAt = Long.MAX_VALUE;
-        r.part.members(now, members);
+        r.part.updateMembers(now, members);
         fetch(r);
     }
 
