--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -402,7 +402,7 @@
 
     /** What the decisions wanted of an allowance. */
     @Override
-    public void wanted(LimitDemand w) {
+    public void reportDemand(LimitDemand w) {
         leases.forEach((id, lease) -> {
             if (lease.limit().member() == w.member() && lease.limit().measure() == w.measure()) {
                 wants.put(id, new Want(id, 0, w.demand(), w.inUse()));
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -22,7 +22,7 @@
     void updateMembers(long time, Map<Long, Fleet.Listed> listed);
 
     /** What the decisions wanted of an allowance. */
-    void wanted(LimitDemand wanted);
+    void reportDemand(LimitDemand wanted);
 
     /** What the decisions hold of a member now. */
     void judged(long time, MemberHealthReport judged);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -198,8 +198,8 @@
     }
 
     @Override
-    public void wanted(LimitDemand wanted) {
-        cell.wanted(wanted);
+    public void reportDemand(LimitDemand wanted) {
+        cell.reportDemand(wanted);
     }
 
     @Override
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -439,7 +439,7 @@
         r.timerAt = Long.MAX_VALUE;
         long before = cpu();
         if (r.part.nextDue() <= at) {
-            r.part.wanted(new LimitDemand(shape.limits > 1 ? 1_000 : ORIGIN, LimitMeasure.PER_SECOND, r.wanted, 0));
+            r.part.reportDemand(new LimitDemand(shape.limits > 1 ? 1_000 : ORIGIN, LimitMeasure.PER_SECOND, r.wanted, 0));
             r.part.advance(at);
         }
         step(r, before, at);
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -434,7 +434,7 @@
         } else if (action instanceof CloseIdle c && endpoints.containsKey(c.member())) {
             out.accept(new Effect.CloseIdleConnections(endpoints.get(c.member()).instance()));
         } else if (action instanceof LimitDemand w) {
-            fleet.ifPresent(f -> f.wanted(w));
+            fleet.ifPresent(f -> f.reportDemand(w));
         } else if (action instanceof MemberHealthReport j) {
             fleet.ifPresent(f -> f.judged(now, j));
         } else if (action instanceof Log l) {
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -253,7 +253,7 @@
 
     private void fetch(Router r) {
         r.fleet.takeView().ifPresent(v -> r.view = v);
-        r.fleet.wanted(new LimitDemand(ORIGIN, measure, r.wanted, 0));
+        r.fleet.reportDemand(new LimitDemand(ORIGIN, measure, r.wanted, 0));
         for (Datagram d : r.fleet.takePackets()) {
             send(r, d);
         }
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -358,7 +358,7 @@
                 }
                 r.waiting.forEach(b -> r.part.receive(now, b));
                 r.waiting.clear();
-                r.part.wanted(new LimitDemand(ORIGIN, measure, r.wanted, 0));
+                r.part.reportDemand(new LimitDemand(ORIGIN, measure, r.wanted, 0));
                 r.part.advance(now);
                 fetch(r);
             }
