--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -412,7 +412,7 @@
 
     /** What the decisions hold of a member now. */
     @Override
-    public void judged(long time, MemberHealthReport j) {
+    public void reportHealth(long time, MemberHealthReport j) {
         now = Math.max(now, time);
         Listed m = members.get(j.member());
         if (m == null || setup.verdicts().isEmpty()) {
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -25,7 +25,7 @@
     void reportDemand(LimitDemand wanted);
 
     /** What the decisions hold of a member now. */
-    void judged(long time, MemberHealthReport judged);
+    void reportHealth(long time, MemberHealthReport judged);
 
     /** Ends this router's part in good order. */
     void leave(long time);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -203,9 +203,9 @@
     }
 
     @Override
-    public void judged(long time, MemberHealthReport judged) {
+    public void reportHealth(long time, MemberHealthReport judged) {
         now = Math.max(now, time);
-        cell.judged(now, judged);
+        cell.reportHealth(now, judged);
     }
 
     @Override
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -346,7 +346,7 @@
             boolean failing = now < until;
             if (r.running) {
                 long before = cpu();
-                r.part.judged(now, new MemberHealthReport(1_000, failing, true, 2, 0.5, now + 2 * SECOND));
+                r.part.reportHealth(now, new MemberHealthReport(1_000, failing, true, 2, 0.5, now + 2 * SECOND));
                 step(r, before, now);
             }
             if (failing) {
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -436,7 +436,7 @@
         } else if (action instanceof LimitDemand w) {
             fleet.ifPresent(f -> f.reportDemand(w));
         } else if (action instanceof MemberHealthReport j) {
-            fleet.ifPresent(f -> f.judged(now, j));
+            fleet.ifPresent(f -> f.reportHealth(now, j));
         } else if (action instanceof Log l) {
             LOG.info("{}", l.text());
         }
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -202,7 +202,7 @@
     }
 
     void judge(Router r, long member, boolean failing) {
-        r.fleet.judged(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
+        r.fleet.reportHealth(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
         fetch(r);
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -299,7 +299,7 @@
     }
 
     void judge(Router r, long member, boolean failing) {
-        r.part.judged(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
+        r.part.reportHealth(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
         fetch(r);
     }
 
