--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1044,7 +1044,7 @@
 
     /** What the decisions are to go by where members are taken out in order; empty where that is as before. */
     @Override
-    public Optional<Drains.View> takeView() {
+    public Optional<Drains.View> takeDrainView() {
         Optional<Drains.View> view =
                 drains.filter(d -> membersNew || d.viewMayChange(now)).map(d -> d.takeView(now, world()));
         membersNew = false;
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -40,7 +40,7 @@
     int routers();
 
     /** What the decisions are to go by where members are taken out in order; empty where that is as before. */
-    Optional<Drains.View> takeView();
+    Optional<Drains.View> takeDrainView();
 
     /** Whether members may be used: not before it is known which are out, or could have been. */
     boolean settled();
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -527,7 +527,7 @@
     }
 
     @Override
-    public Optional<Drains.View> takeView() {
+    public Optional<Drains.View> takeDrainView() {
         return Optional.empty();
     }
 
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -447,7 +447,7 @@
 
     /** Fetches what a router has to say; before is the processor time at which its step began. */
     private void step(Router r, long before, long at) {
-        r.part.takeView();
+        r.part.takeDrainView();
         List<Datagram> out = r.part.takePackets();
         for (Event e : r.part.takeEvents()) {
             if (e instanceof LimitSharesUpdate a && !a.shares().isEmpty()) {
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -782,10 +782,10 @@
         }
         FleetParticipant f = fleet.get();
         // whom to leave alone comes before anything that could send: what a router reports it has to go by
-        f.takeView().flatMap(view -> drained.get().follow(view)).ifPresent(events::add);
+        f.takeDrainView().flatMap(view -> drained.get().follow(view)).ifPresent(events::add);
         drive();
         f.advance(now);
-        f.takeView().flatMap(view -> drained.get().follow(view)).ifPresent(events::add);
+        f.takeDrainView().flatMap(view -> drained.get().follow(view)).ifPresent(events::add);
         events.addAll(f.takeEvents());
         drive();
         f.takePackets().forEach(d -> out.accept(new Effect.SendFleetPacket(d.address(), d.bytes())));
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -252,7 +252,7 @@
     }
 
     private void fetch(Router r) {
-        r.fleet.takeView().ifPresent(v -> r.view = v);
+        r.fleet.takeDrainView().ifPresent(v -> r.view = v);
         r.fleet.reportDemand(new LimitDemand(ORIGIN, measure, r.wanted, 0));
         for (Datagram d : r.fleet.takePackets()) {
             send(r, d);
