--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1198,7 +1198,7 @@
     }
 
     @Override
-    public List<Notice> takeNotices() {
+    public List<Notice> takeLogEvents() {
         return takeAll(notices);
     }
 
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -280,7 +280,7 @@
 
     private void fetch(Fleet level) {
         outbox.addAll(level.takePackets());
-        notices.addAll(level.takeNotices());
+        notices.addAll(level.takeLogEvents());
     }
 
     // ---- splits ---------------------------------------------------------------------------------------
@@ -566,12 +566,12 @@
     }
 
     @Override
-    public List<Notice> takeNotices() {
+    public List<Notice> takeLogEvents() {
         List<Notice> all = new ArrayList<>(notices);
         notices.clear();
-        all.addAll(cell.takeNotices());
+        all.addAll(cell.takeLogEvents());
         if (upper != null) {
-            all.addAll(upper.takeNotices());
+            all.addAll(upper.takeLogEvents());
         }
         return all;
     }
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -454,7 +454,7 @@
                 r.allowance = a.shares().get(0);
             }
         }
-        r.part.takeNotices();
+        r.part.takeLogEvents();
         long due = Math.max(at + 1, r.part.nextDue());
         r.cpu += cpu() - before - readingTakes;
         if (due < r.timerAt) {
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -265,7 +265,7 @@
                 v.ejected().forEach(o -> r.heardOut.putIfAbsent(o.member(), now));
             }
         }
-        r.notices.addAll(r.fleet.takeNotices());
+        r.notices.addAll(r.fleet.takeLogEvents());
         r.nextAt = Math.max(now + 1, r.fleet.nextDue());
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -384,7 +384,7 @@
         if (told) {
             count(r);
         }
-        for (Notice n : r.part.takeNotices()) {
+        for (Notice n : r.part.takeLogEvents()) {
             r.notices.add(n);
             if (Boolean.TRUE.equals(n.figures().get("keeper"))) {
                 tookOffice(r, (long) n.figures().get("term"));
