--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1053,7 +1053,7 @@
 
     /** Whether members may be used: not before it is known which are out, or could have been. */
     @Override
-    public boolean settled() {
+    public boolean membersUsable() {
         return drains.map(Drains::settled).orElse(true);
     }
 
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -43,7 +43,7 @@
     Optional<Drains.View> takeDrainView();
 
     /** Whether members may be used: not before it is known which are out, or could have been. */
-    boolean settled();
+    boolean membersUsable();
 
     /** Whether members are taken out in order. */
     boolean drains();
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -532,7 +532,7 @@
     }
 
     @Override
-    public boolean settled() {
+    public boolean membersUsable() {
         return true;
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -656,7 +656,7 @@
         return terminatedAt < 0
                 && synced
                 && !endpoints.isEmpty()
-                && fleet.map(FleetParticipant::settled).orElse(true);
+                && fleet.map(FleetParticipant::membersUsable).orElse(true);
     }
 
     // ---- what the coordinator tells -------------------------------------------------------------------
