--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1064,7 +1064,7 @@
 
     /** Whether members are taken out in order. */
     @Override
-    public boolean drains() {
+    public boolean coordinatesDrains() {
         return drains.isPresent();
     }
 
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -46,7 +46,7 @@
     boolean membersUsable();
 
     /** Whether members are taken out in order. */
-    boolean drains();
+    boolean coordinatesDrains();
 
     /** Takes an operator's command and says what becomes of it, in one line. */
     String command(long time, Map<String, String> fields);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -537,7 +537,7 @@
     }
 
     @Override
-    public boolean drains() {
+    public boolean coordinatesDrains() {
         return false;
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -739,7 +739,7 @@
                     return hits.of(now, member);
                 }
             }));
-            drained = fleet.filter(FleetParticipant::drains).map(x -> new DrainedMembers());
+            drained = fleet.filter(FleetParticipant::coordinatesDrains).map(x -> new DrainedMembers());
         });
         set.hierarchy().ifPresent(h -> {
             long coldTime = settings.rules().parentSlowStart().rampDuration();
--- a/src/test/java/pumicemoor/node/FleetPartsTest.java
+++ b/src/test/java/pumicemoor/node/FleetPartsTest.java
@@ -62,6 +62,6 @@
         assertInstanceOf(Fleet.class, part(Optional.empty(), Optional.empty()));
         assertFalse(part(Optional.empty(), Optional.empty()).fields().containsKey("fleet-cell"));
         assertTrue(part(Optional.of(new DrainTimes(1, 2, 3, 4, 5, 6)), Optional.empty())
-                .drains());
+                .coordinatesDrains());
     }
 }
