--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1070,7 +1070,7 @@
 
     /** Takes an operator's command and says what becomes of it, in one line. */
     @Override
-    public String command(long time, Map<String, String> fields) {
+    public String handleCommand(long time, Map<String, String> fields) {
         now = Math.max(now, time);
         if (drains.isEmpty()) {
             return "refused: this router has no section 'fleet.drains' in its operator's file";
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -49,7 +49,7 @@
     boolean coordinatesDrains();
 
     /** Takes an operator's command and says what becomes of it, in one line. */
-    String command(long time, Map<String, String> fields);
+    String handleCommand(long time, Map<String, String> fields);
 
     /** The packets to be sent, each given out once. */
     List<Datagram> takePackets();
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -542,7 +542,7 @@
     }
 
     @Override
-    public String command(long time, Map<String, String> fields) {
+    public String handleCommand(long time, Map<String, String> fields) {
         return "refused: a fleet of cells has no drains";
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -275,7 +275,7 @@
         } else if (input instanceof Input.FleetPacketReceived f) {
             fleet.ifPresent(x -> x.receive(now, f.bytes()));
         } else if (input instanceof Input.Command c) {
-            String said = fleet.map(f -> f.command(now, c.fields()))
+            String said = fleet.map(f -> f.handleCommand(now, c.fields()))
                     .orElse("refused: this router has no section 'fleet' in its operator's file");
             out.accept(new Effect.CommandReply(c.connection(), c.stream(), said));
         } else if (input instanceof Input.Reload r) {
--- a/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
@@ -131,7 +131,7 @@
                 .routers
                 .get(1)
                 .fleet
-                .command(
+                .handleCommand(
                         run.fleet.now,
                         Map.of(
                                 "drain",
@@ -161,7 +161,7 @@
                         run.run(2 * SECOND);
                         run.fleet.start(out);
                         run.run(8 * SECOND);
-                        out.fleet.command(
+                        out.fleet.handleCommand(
                                 run.fleet.now, Map.of("drain", "done", "id", "6", "members", "router/" + name));
                         restarted[0]++;
                     }
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -68,7 +68,7 @@
                 VirtualFleet.upTo(to).skip(from).mapToObj(i -> "box-" + i).collect(Collectors.joining(",")));
         fields.put("max-at-once", Integer.toString(mostOut));
         fields.put("min-serving", Integer.toString(leastServing));
-        return r.fleet.command(fleet.now, fields);
+        return r.fleet.handleCommand(fleet.now, fields);
     }
 
     void run(long time) {
@@ -162,7 +162,7 @@
                     && plan.of(w.getKey()).map(o -> o.fence() > w.getValue()).orElse(true)) {
                 worked.remove(w.getKey());
             } else {
-                String said = r.fleet.command(
+                String said = r.fleet.handleCommand(
                         fleet.now,
                         Map.of(
                                 "drain",
