--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -123,7 +123,7 @@
     private final Map<String, Long> dropped = new TreeMap<>();
     private final List<Datagram> outbox = new ArrayList<>();
     private final List<Event> events = new ArrayList<>();
-    private final List<Notice> notices = new ArrayList<>();
+    private final List<LogEvent> notices = new ArrayList<>();
     private final long startedAt;
     private Map<Long, Listed> members = Map.of();
     private long now;
@@ -271,7 +271,7 @@
 
     private void notice(String text, Map<String, Object> figures) {
         if (notices.size() < MOST_CHANGES) {
-            notices.add(new Notice(text, figures));
+            notices.add(new LogEvent(text, figures));
         }
     }
 
@@ -1198,7 +1198,7 @@
     }
 
     @Override
-    public List<Notice> takeLogEvents() {
+    public List<LogEvent> takeLogEvents() {
         return takeAll(notices);
     }
 
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -58,7 +58,7 @@
     List<Event> takeEvents();
 
     /** What people may want to know, each given out once. */
-    List<Notice> takeLogEvents();
+    List<LogEvent> takeLogEvents();
 
     /** Counters and the state in short, by name. */
     Map<String, String> fields();
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -21,7 +21,7 @@
 import pumicemoor.fleet.Fleet.Listed;
 import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.FleetSetup;
-import pumicemoor.fleet.Notice;
+import pumicemoor.fleet.LogEvent;
 import pumicemoor.fleet.Packet;
 import pumicemoor.fleet.Packet.Body;
 import pumicemoor.fleet.Packet.Join;
@@ -63,7 +63,7 @@
     private final List<String> cellSeeds = new ArrayList<>();
     private final List<String> upperSeeds = new ArrayList<>();
     private final List<Datagram> outbox = new ArrayList<>();
-    private final List<Notice> notices = new ArrayList<>();
+    private final List<LogEvent> notices = new ArrayList<>();
     private final Deque<Long> openJoins = new ArrayDeque<>();
     private final Map<String, Long> dropped = new TreeMap<>();
     private Map<Long, Listed> members = Map.of();
@@ -275,7 +275,7 @@
     }
 
     private void notice(String text, Map<String, Object> figures) {
-        notices.add(new Notice(text, figures));
+        notices.add(new LogEvent(text, figures));
     }
 
     private void fetch(Fleet level) {
@@ -566,8 +566,8 @@
     }
 
     @Override
-    public List<Notice> takeLogEvents() {
-        List<Notice> all = new ArrayList<>(notices);
+    public List<LogEvent> takeLogEvents() {
+        List<LogEvent> all = new ArrayList<>(notices);
         notices.clear();
         all.addAll(cell.takeLogEvents());
         if (upper != null) {
--- a/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
@@ -104,7 +104,7 @@
     void everyStepHasItsLineWithACause() {
         DrainRun run = begun(NEVER);
         run.runToEnd(200 * SECOND);
-        List<Notice> lines = run.fleet.routers.stream()
+        List<LogEvent> lines = run.fleet.routers.stream()
                 .flatMap(r -> r.notices.stream())
                 .filter(n -> n.text().startsWith("drain of"))
                 .toList();
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -49,7 +49,7 @@
         List<LimitShare> allowances = List.of();
         List<EjectedMember> out = List.of();
         final Map<Long, Long> heardOut = new LinkedHashMap<>(); // when each member was first told out
-        final List<Notice> notices = new ArrayList<>();
+        final List<LogEvent> notices = new ArrayList<>();
         final List<byte[]> waiting = new ArrayList<>(); // packets that came while it was paused
         double wanted;
         long startedAt;
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -33,7 +33,7 @@
 import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.FleetSetup;
 import pumicemoor.fleet.FleetSetup.LimitRule;
-import pumicemoor.fleet.Notice;
+import pumicemoor.fleet.LogEvent;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.verdicts.Bench;
@@ -76,7 +76,7 @@
         List<LimitShare> allowances = List.of();
         List<EjectedMember> out = List.of();
         final Map<Long, Long> heardOut = new LinkedHashMap<>(); // when each member was first told out
-        final List<Notice> notices = new ArrayList<>();
+        final List<LogEvent> notices = new ArrayList<>();
         private final List<byte[]> waiting = new ArrayList<>(); // packets that came while it was paused
         private long wakeAt = Long.MAX_VALUE;
         private double counted;
@@ -384,7 +384,7 @@
         if (told) {
             count(r);
         }
-        for (Notice n : r.part.takeLogEvents()) {
+        for (LogEvent n : r.part.takeLogEvents()) {
             r.notices.add(n);
             if (Boolean.TRUE.equals(n.figures().get("keeper"))) {
                 tookOffice(r, (long) n.figures().get("term"));
