--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -789,7 +789,7 @@
         events.addAll(f.takeEvents());
         drive();
         f.takePackets().forEach(d -> out.accept(new Effect.SendFleetPacket(d.address(), d.bytes())));
-        f.takeLogEvents().forEach(n -> fleetLog.info(now, n.text(), n.figures()));
+        f.takeLogEvents().forEach(n -> fleetLog.info(now, n.text(), n.fields()));
         long due = f.nextDue();
         if (due != fleetDue) {
             timer(due, Kind.FLEET, 0);
--- a/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
@@ -112,13 +112,13 @@
             assertEquals(
                     8,
                     lines.stream()
-                            .filter(n -> n.figures().get("phase").equals(phase))
+                            .filter(n -> n.fields().get("phase").equals(phase))
                             .count(),
                     phase);
         }
         assertTrue(
                 lines.stream()
-                        .noneMatch(n -> n.figures().get("cause").toString().contains("earlier keeper")),
+                        .noneMatch(n -> n.fields().get("cause").toString().contains("earlier keeper")),
                 lines::toString);
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -386,8 +386,8 @@
         }
         for (LogEvent n : r.part.takeLogEvents()) {
             r.notices.add(n);
-            if (Boolean.TRUE.equals(n.figures().get("keeper"))) {
-                tookOffice(r, (long) n.figures().get("term"));
+            if (Boolean.TRUE.equals(n.fields().get("keeper"))) {
+                tookOffice(r, (long) n.fields().get("term"));
             }
         }
         wake(r, Math.max(r.pausedUntil, Math.max(now + 1, r.part.nextDue())));
