--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -103,7 +103,7 @@
     }
 
     private final Setup setup;
-    private final Consumer<Notice> log;
+    private final Consumer<LogEvent> log;
     private final Timeline timeline;
     private final TreeMap<String, Unit> wanted;
     private final TreeMap<Long, Piece> early = new TreeMap<>();
@@ -123,7 +123,7 @@
      * Begins with a shape that is wholly in use everywhere; number is that of the last piece in it. Refuses a
      * shape with problems: see ShapeCheck.
      */
-    public Hierarchy(Shape first, long number, long now, Setup setup, Consumer<Notice> log) {
+    public Hierarchy(Shape first, long number, long now, Setup setup, Consumer<LogEvent> log) {
         this.setup = setup;
         this.log = log;
         this.version = first.version();
@@ -139,7 +139,7 @@
      * be under way that this router cannot know: it stays silent until any such change is over.
      */
     public static Hierarchy start(
-            Shape shape, Optional<Shape> before, long number, long now, Setup setup, Consumer<Notice> log) {
+            Shape shape, Optional<Shape> before, long number, long now, Setup setup, Consumer<LogEvent> log) {
         if (before.isPresent()) {
             Hierarchy h = new Hierarchy(before.get(), number, Math.min(now, shape.announced()), setup, log);
             pieces(before.get().units(), shape, h.number + 1).forEach(h::apply);
@@ -289,7 +289,7 @@
         } else {
             refused++;
             lastRefusal = "piece " + piece.number() + ": " + problem;
-            log.accept(new Notice(
+            log.accept(new LogEvent(
                     "a piece of the hierarchy is refused: " + problem,
                     Map.of("piece", piece.number(), "unit", piece.unit())));
         }
@@ -360,7 +360,7 @@
     private void refuseShape(long refusedVersion, String why) {
         shapesRefused++;
         lastRefusal = "version " + refusedVersion + ": " + why;
-        log.accept(new Notice(
+        log.accept(new LogEvent(
                 "a hierarchy is refused, the old one stays in force: " + why,
                 Map.of("version", refusedVersion, "in-force", version)));
     }
@@ -379,7 +379,7 @@
             tooOld = old;
             changed = true;
             timesTooOld += old ? 1 : 0;
-            log.accept(new Notice(
+            log.accept(new LogEvent(
                     old
                             ? "the hierarchy's news is too old: the ordinary path decides"
                             : "the hierarchy's news is certain again",
@@ -402,7 +402,7 @@
     private void told(Timeline.Change change) {
         changed = true;
         if (change.what() == Timeline.Change.What.HELD) {
-            log.accept(new Notice(
+            log.accept(new LogEvent(
                     "a link of the hierarchy would close a loop and is held back",
                     Map.of("unit", change.link().unit(), "parent", change.link().parent(), "version", version)));
         }
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -27,7 +27,7 @@
     private static final Timing TIMING = new Timing(2 * SECOND, 10 * SECOND, 3 * SECOND, 20 * SECOND);
     private static final long T0 = 1_000 * SECOND;
 
-    private final List<Notice> log = new ArrayList<>();
+    private final List<LogEvent> log = new ArrayList<>();
 
     private Hierarchy at(News news, String... lines) {
         return new Hierarchy(Shapes.shape(1, 0, lines), 0, T0, new Setup("d", news, TIMING, 5 * SECOND), log::add);
