--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -751,7 +751,7 @@
                     h.lastPiece(),
                     time,
                     setup,
-                    notice -> complaints.warn(now, notice.text(), notice.figures())));
+                    notice -> complaints.warn(now, notice.text(), notice.fields())));
         });
     }
 
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -87,8 +87,8 @@
         assertTrue(
                 log.stream()
                         .anyMatch(l -> l.text().contains("would close a loop")
-                                && "h2".equals(l.figures().get("unit"))
-                                && "h1".equals(l.figures().get("parent"))),
+                                && "h2".equals(l.fields().get("unit"))
+                                && "h1".equals(l.fields().get("parent"))),
                 log.toString());
         assertTrue(h.timeline().linksInUse().contains(new Shape.Link("h2", "o")), "service goes on the old way");
         h.advance(T0 + 14 * SECOND);
