--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -109,8 +109,8 @@
     private final PacketCodec codec;
     private final Membership membership;
     private final Votes votes;
-    private final Rumours<RouterNews> routerNews = new Rumours<>();
-    private final Rumours<Long> verdictNews = new Rumours<>(); // the members meant; the verdict is told as it stands
+    private final GossipQueue<RouterNews> routerNews = new GossipQueue<>();
+    private final GossipQueue<Long> verdictNews = new GossipQueue<>(); // the members meant; the verdict is told as it stands
     private final Map<Long, HeldLease> leases = new TreeMap<>();
     private final Map<Long, LeaseBook> books = new HashMap<>();
     private final Map<Long, CellShare> shares = new TreeMap<>(); // of its own cell, where this is the level above
--- a/src/main/java/pumicemoor/fleet/Rumours.java
+++ b/src/main/java/pumicemoor/fleet/GossipQueue.java
@@ -12,7 +12,7 @@
  * News on its way, each told a number of times that grows with the logarithm of the fleet, the least told first. It
  * owns how often each was told; only the newest about a subject is kept, so it is bounded by the subjects.
  */
-final class Rumours<T> {
+final class GossipQueue<T> {
 
     private static final class Rumour<T> {
         final String subject;
