--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -46,7 +46,7 @@
 import pumicemoor.fleet.limits.LeaseBook;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.membership.RouterNews;
+import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.Standing;
 import pumicemoor.fleet.verdicts.Accusation;
 import pumicemoor.fleet.verdicts.Accusation.Cause;
@@ -109,7 +109,7 @@
     private final PacketCodec codec;
     private final Membership membership;
     private final Votes votes;
-    private final GossipQueue<RouterNews> routerNews = new GossipQueue<>();
+    private final GossipQueue<RouterRecord> routerNews = new GossipQueue<>();
     private final GossipQueue<Long> verdictNews = new GossipQueue<>(); // the members meant; the verdict is told as it stands
     private final Map<Long, HeldLease> leases = new TreeMap<>();
     private final Map<Long, LeaseBook> books = new HashMap<>();
@@ -141,8 +141,8 @@
     private boolean verdictsNew = true;
     private boolean membersNew;
     private int routersTold;
-    private List<RouterNews> placed = List.of(); // those that live, of which the first by the cluster's hash is known
-    private RouterNews firstPlaced; // null where there are none
+    private List<RouterRecord> placed = List.of(); // those that live, of which the first by the cluster's hash is known
+    private RouterRecord firstPlaced; // null where there are none
     private Map<Long, String> tiers = Map.of(); // of the members that may be out
     private Fleet below; // the own cell, where this is the level above
     private Fleet above; // the level above, where this is a cell and this router is a delegate
@@ -199,17 +199,17 @@
                     }
 
                     @Override
-                    public void sendAll(String address, Predicate<RouterNews> which) {
+                    public void sendAll(String address, Predicate<RouterRecord> which) {
                         Fleet.this.sendAll(address, which);
                     }
 
                     @Override
-                    public void spread(RouterNews news) {
+                    public void spread(RouterRecord news) {
                         routerNews.put(news.name(), news);
                     }
 
                     @Override
-                    public void changed(RouterNews news, Standing before, String cause) {
+                    public void changed(RouterRecord news, Standing before, String cause) {
                         notice(
                                 "router " + news.name() + " is " + lower(news.standing()) + ": " + cause,
                                 Map.of(
@@ -319,7 +319,7 @@
     }
 
     private void heard(Drains d, Packet packet) {
-        RouterNews from = packet.from();
+        RouterRecord from = packet.from();
         if (packet.body() instanceof PlanGrant g) {
             d.answered(now, from.address(), g);
         } else if (packet.body() instanceof Piece p) {
@@ -498,13 +498,13 @@
     }
 
     /** To whom all report: of those that live the one that the cluster's hash puts first. */
-    private RouterNews grantor() {
-        RouterNews self = membership.self();
-        List<RouterNews> living = membership.living();
+    private RouterRecord grantor() {
+        RouterRecord self = membership.self();
+        List<RouterRecord> living = membership.living();
         if (living != placed) {
             placed = living;
             firstPlaced = null;
-            for (RouterNews n : living) {
+            for (RouterRecord n : living) {
                 if (firstPlaced == null || Long.compareUnsigned(place(n), place(firstPlaced)) > 0) {
                     firstPlaced = n;
                 }
@@ -513,7 +513,7 @@
         return firstPlaced != null && Long.compareUnsigned(place(firstPlaced), place(self)) > 0 ? firstPlaced : self;
     }
 
-    private long place(RouterNews n) {
+    private long place(RouterRecord n) {
         return Hashes.mix(Hashes.of(n.name()) ^ order);
     }
 
@@ -525,10 +525,10 @@
     // ---- the two levels -------------------------------------------------------------------------------
 
     /** The first so many of those that live, by the cluster's hash: a cell's delegates, its grantor before the others. */
-    public List<RouterNews> first(int count) {
-        List<RouterNews> all = new ArrayList<>(membership.living());
+    public List<RouterRecord> first(int count) {
+        List<RouterRecord> all = new ArrayList<>(membership.living());
         all.add(membership.self());
-        Map<RouterNews, Long> places = new HashMap<>();
+        Map<RouterRecord, Long> places = new HashMap<>();
         all.forEach(n -> places.put(n, place(n)));
         all.sort((a, b) -> Long.compareUnsigned(places.get(b), places.get(a)));
         return List.copyOf(all.subList(0, Math.min(count, all.size())));
@@ -545,12 +545,12 @@
     }
 
     /** Those known to live on this level, without this router. */
-    public List<RouterNews> living() {
+    public List<RouterRecord> living() {
         return membership.living();
     }
 
     /** This router as it tells of itself on this level. */
-    public RouterNews self() {
+    public RouterRecord self() {
         return membership.self();
     }
 
@@ -618,7 +618,7 @@
     // ---- reports and grants ---------------------------------------------------------------------------
 
     private void report() {
-        RouterNews to = grantor();
+        RouterRecord to = grantor();
         boolean own = to.name().equals(setup.membership().name());
         boolean vote = votes.vote(now, to.name(), to.instance());
         List<Accusation> accusations = mayAccuse(to.name())
@@ -664,7 +664,7 @@
         if (!below.grants()) {
             return;
         }
-        RouterNews to = grantor();
+        RouterRecord to = grantor();
         boolean own = to.name().equals(setup.membership().name());
         boolean vote = votes.vote(now, to.name(), to.instance());
         List<Accusation> accusations =
@@ -706,7 +706,7 @@
         }
     }
 
-    private CellWant cellWant(long id, RouterNews to, long number) {
+    private CellWant cellWant(long id, RouterRecord to, long number) {
         LeaseBook book = below.books.get(id);
         return new CellWant(
                 id,
@@ -760,7 +760,7 @@
     }
 
     private void asked(Packet packet, CellAsk a) {
-        RouterNews from = packet.from();
+        RouterRecord from = packet.from();
         if (level != Level.UPPER || !grants()) {
             drop("asked-not-grantor");
             return;
@@ -812,7 +812,7 @@
 
     private void reportPlan(Drains d) {
         plannedAt = now;
-        RouterNews to = grantor();
+        RouterRecord to = grantor();
         if (to.name().equals(setup.membership().name())) {
             d.sit(world());
         } else {
@@ -822,7 +822,7 @@
     }
 
     /** The grantor's own leases are in its own book like all others. */
-    private void keepOwn(RouterNews self) {
+    private void keepOwn(RouterRecord self) {
         leases.forEach((id, lease) -> {
             long number = ++numbers;
             long holds = lease.asks(now, self.name(), self.instance(), number);
@@ -839,7 +839,7 @@
     }
 
     private void asked(Packet packet, Ask a) {
-        RouterNews from = packet.from();
+        RouterRecord from = packet.from();
         if (level == Level.UPPER || !grants()) {
             drop("asked-not-grantor");
             return;
@@ -865,7 +865,7 @@
     }
 
     private void granted(Packet packet, Grant g) {
-        RouterNews from = packet.from();
+        RouterRecord from = packet.from();
         votes.heard(g.term());
         votes.saw(from.name(), from.instance(), packet.number());
         for (Part p : g.parts()) {
@@ -1032,7 +1032,7 @@
                 failing);
     }
 
-    private World.Peer peer(RouterNews n) {
+    private World.Peer peer(RouterRecord n) {
         return new World.Peer(
                 Hashes.of(World.ROUTERS + n.name()),
                 n.name(),
@@ -1097,7 +1097,7 @@
         if (membership == null || membership.aside(now)) {
             return number;
         }
-        RouterNews self = membership.self().as(Standing.ALIVE);
+        RouterRecord self = membership.self().as(Standing.ALIVE);
         int room = codec.room(self, body);
         // verdicts first: they are few, and under loss there is always more news of routers than a packet holds
         List<Verdict> told = verdictNews
@@ -1112,7 +1112,7 @@
                 .toList();
         int left = room - told.stream().mapToInt(PacketCodec::size).sum();
         int news = level == Level.FLAT ? left : reports(body) ? 0 : Math.min(left, CELL_NEWS);
-        List<RouterNews> routers = routerNews.take(news, membership.times(), PacketCodec::size);
+        List<RouterRecord> routers = routerNews.take(news, membership.times(), PacketCodec::size);
         put(address, new Packet(self, number, body, routers, told));
         return number;
     }
@@ -1134,14 +1134,14 @@
         outbox.add(new Datagram(address, bytes));
     }
 
-    private void sendAll(String address, Predicate<RouterNews> which) {
-        RouterNews self = membership.self().as(Standing.ALIVE);
+    private void sendAll(String address, Predicate<RouterRecord> which) {
+        RouterRecord self = membership.self().as(Standing.ALIVE);
         int room = codec.room(self, new News());
-        List<RouterNews> routers = new ArrayList<>();
+        List<RouterRecord> routers = new ArrayList<>();
         List<Verdict> told = new ArrayList<>();
         int used = 0;
-        Collection<RouterNews> table = membership.table();
-        for (RouterNews n : table) {
+        Collection<RouterRecord> table = membership.table();
+        for (RouterRecord n : table) {
             if (!which.test(n)) {
                 continue;
             }
@@ -1243,7 +1243,7 @@
         };
     }
 
-    private Map<String, Object> row(RouterNews n) {
+    private Map<String, Object> row(RouterRecord n) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("name", n.name());
         row.put("address", n.address());
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 import pumicemoor.fleet.drains.DrainCommand;
-import pumicemoor.fleet.membership.RouterNews;
+import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.verdicts.Accusation;
 import pumicemoor.fleet.verdicts.Verdict;
 
@@ -11,7 +11,7 @@
  * What one router sends to another: who it is, a number that rises with each packet of its process, what it asks or
  * answers, and the news that rides along.
  */
-public record Packet(RouterNews from, long number, Body body, List<RouterNews> routers, List<Verdict> verdicts) {
+public record Packet(RouterRecord from, long number, Body body, List<RouterRecord> routers, List<Verdict> verdicts) {
 
     /** What a packet is for. */
     public sealed interface Body {}
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -16,7 +16,7 @@
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.fleet.drains.Plan;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.membership.RouterNews;
+import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.Standing;
 import pumicemoor.fleet.verdicts.Accusation;
 import pumicemoor.fleet.verdicts.Accusation.Cause;
@@ -69,7 +69,7 @@
         this.cluster = Hashes.of(cluster);
     }
 
-    static int size(RouterNews news) {
+    static int size(RouterRecord news) {
         return 19 + news.name().length() + news.address().length();
     }
 
@@ -103,13 +103,13 @@
     }
 
     /** The bytes that a packet with this body leaves for news. */
-    int room(RouterNews from, Body body) {
+    int room(RouterRecord from, Body body) {
         ByteBuffer out = ByteBuffer.allocate(LONGEST);
         write(out, body);
         return LONGEST - out.position() - size(from) - 22;
     }
 
-    private static void write(ByteBuffer out, RouterNews news) {
+    private static void write(ByteBuffer out, RouterRecord news) {
         write(out, news.name());
         write(out, news.address());
         out.putLong(news.instance()).putLong(news.incarnation()).put((byte)
@@ -256,10 +256,10 @@
             if (in.getLong() != cluster) {
                 throw new BadPacketException(Reason.FOREIGN);
             }
-            RouterNews from = router(in, lastIncarnation);
+            RouterRecord from = router(in, lastIncarnation);
             long number = in.getLong();
             Body body = body(in);
-            List<RouterNews> routers = new ArrayList<>();
+            List<RouterRecord> routers = new ArrayList<>();
             for (int left = in.get() & 0xff; left > 0; left--) {
                 routers.add(router(in, lastIncarnation));
             }
@@ -320,8 +320,8 @@
         return port > 0 && port < 65_536;
     }
 
-    private static RouterNews router(ByteBuffer in, long lastIncarnation) throws BadPacketException {
-        RouterNews news = new RouterNews(
+    private static RouterRecord router(ByteBuffer in, long lastIncarnation) throws BadPacketException {
+        RouterRecord news = new RouterRecord(
                 text(in, NAME), address(in), in.getLong(), in.getLong(), of(Standing.values(), in.get()));
         if (news.incarnation() < 1 || news.incarnation() > lastIncarnation || news.instance() < 1) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -29,7 +29,7 @@
 import pumicemoor.fleet.PacketCodec;
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.membership.RouterNews;
+import pumicemoor.fleet.membership.RouterRecord;
 
 /**
  * One router's part in a fleet of cells: the level of its cell, and the level of all cells' delegates where it is one.
@@ -293,7 +293,7 @@
             wantedDepth = depth;
             return;
         }
-        List<RouterNews> living = cell.living();
+        List<RouterRecord> living = cell.living();
         boolean over = living.size() + 1 > cells.most() && depth < PacketCodec.MOST_DEPTH;
         overSince = over ? Math.min(overSince, now) : Long.MAX_VALUE;
         if (over
@@ -332,7 +332,7 @@
     private void move(int to, List<String> seeds) {
         List<String> known = new ArrayList<>(cell.living().stream()
                 .filter(n -> shares(n.name(), to))
-                .map(RouterNews::address)
+                .map(RouterRecord::address)
                 .toList());
         Collections.shuffle(known, random);
         Fleet old = cell;
@@ -395,11 +395,11 @@
     }
 
     /** Of the delegates of this root the one that shares the longest prefix with a router, longer than some bits. */
-    private Optional<RouterNews> nearest(String router, int bits, List<RouterNews> without) {
+    private Optional<RouterRecord> nearest(String router, int bits, List<RouterRecord> without) {
         return nearest(cells.root(), router, bits, without);
     }
 
-    private Optional<RouterNews> nearest(String root, String router, int bits, List<RouterNews> without) {
+    private Optional<RouterRecord> nearest(String root, String router, int bits, List<RouterRecord> without) {
         return upper.living().stream()
                 .filter(n -> rootOf(n.name()).equals(root)
                         && common(labelOf(n.name()), router) > bits
@@ -438,10 +438,10 @@
     }
 
     private void joins(Packet packet, Join j) {
-        RouterNews from = packet.from();
+        RouterRecord from = packet.from();
         if (j.root().equals(cells.root()) && shares(from.name(), depth)) {
             List<String> known = new ArrayList<>(
-                    cell.living().stream().map(RouterNews::address).toList());
+                    cell.living().stream().map(RouterRecord::address).toList());
             Collections.shuffle(known, random);
             known.add(0, address);
             put(
@@ -462,7 +462,7 @@
             return;
         }
         if (j.hops() < PacketCodec.MOST_HOPS) {
-            Optional<RouterNews> next = upper == null
+            Optional<RouterRecord> next = upper == null
                     ? cell.first(1).stream().findFirst()
                     : nearest(
                             j.root(),
@@ -485,12 +485,12 @@
     }
 
     private List<String> delegates() {
-        return cell.first(cells.delegates()).stream().map(RouterNews::address).toList();
+        return cell.first(cells.delegates()).stream().map(RouterRecord::address).toList();
     }
 
-    private void placed(RouterNews from, Place p) {
+    private void placed(RouterRecord from, Place p) {
         if (p.join() == 0) {
-            RouterNews grantor = cell.first(1).get(0);
+            RouterRecord grantor = cell.first(1).get(0);
             if (p.depth() > depth && grantor.name().equals(from.name()) && grantor.instance() == from.instance()) {
                 move(p.depth(), List.of());
             }
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -60,20 +60,20 @@
         long send(String address, Body body);
 
         /** All that is known of some routers, in as many packets as that takes. */
-        void sendAll(String address, Predicate<RouterNews> which);
+        void sendAll(String address, Predicate<RouterRecord> which);
 
         /** A belief that is new here and so to be told on. */
-        void spread(RouterNews news);
+        void spread(RouterRecord news);
 
         /** What a person wants to know. */
-        void changed(RouterNews news, Standing before, String cause);
+        void changed(RouterRecord news, Standing before, String cause);
 
         /** Something that was not used, by the name it is counted under. */
         void dropped(String what);
     }
 
     private static final class Peer {
-        RouterNews news;
+        RouterRecord news;
         long sum; // the digest of the news
         long since; // of this standing
         long suspectUntil = Long.MAX_VALUE;
@@ -88,7 +88,7 @@
     private final long instance;
     private final boolean inParts;
     private final Map<String, Peer> peers = new TreeMap<>();
-    private List<RouterNews> living = List.of(); // of the peers; null where it is to be made anew
+    private List<RouterRecord> living = List.of(); // of the peers; null where it is to be made anew
     private int left; // peers that left in good order
     private long peersDigest;
     private final List<String> order = new ArrayList<>(); // whom to probe next, the last first
@@ -131,8 +131,8 @@
     }
 
     /** This router as it tells of itself. */
-    public RouterNews self() {
-        return new RouterNews(
+    public RouterRecord self() {
+        return new RouterRecord(
                 setup.name(), setup.address(), instance, incarnation, leaving ? Standing.LEFT : Standing.ALIVE);
     }
 
@@ -146,8 +146,8 @@
     }
 
     /** All beliefs, its own router among them. */
-    public Collection<RouterNews> table() {
-        List<RouterNews> all = new ArrayList<>();
+    public Collection<RouterRecord> table() {
+        List<RouterRecord> all = new ArrayList<>();
         all.add(self());
         peers.values().forEach(p -> all.add(p.news));
         return all;
@@ -159,7 +159,7 @@
     }
 
     /** Those that may be asked for something: alive or only suspected; never this router itself. */
-    public List<RouterNews> living() {
+    public List<RouterRecord> living() {
         if (living == null) {
             living = peers.values().stream()
                     .map(p -> p.news)
@@ -179,7 +179,7 @@
         return sum(self()) + peersDigest;
     }
 
-    private static long sum(RouterNews n) {
+    private static long sum(RouterRecord n) {
         return Hashes.mix(Hashes.of(n.name())
                 + 31 * n.instance()
                 + 17 * n.incarnation()
@@ -279,15 +279,15 @@
         }
     }
 
-    private List<RouterNews> some(int count, String without) {
-        List<RouterNews> all = new ArrayList<>(living());
+    private List<RouterRecord> some(int count, String without) {
+        List<RouterRecord> all = new ArrayList<>(living());
         all.removeIf(n -> n.name().equals(without));
         Collections.shuffle(all, random);
         return all.subList(0, Math.min(count, all.size()));
     }
 
     /** News goes at once to a few more than the one that is probed. */
-    public List<RouterNews> listeners() {
+    public List<RouterRecord> listeners() {
         return some(setup.fanout(), "");
     }
 
@@ -328,7 +328,7 @@
     /** Takes a packet that the codec could read. False where nothing else of it may be used. */
     public boolean heard(long time, Packet packet) {
         now = Math.max(now, time);
-        RouterNews from = packet.from();
+        RouterRecord from = packet.from();
         if (from.name().equals(setup.name())) {
             namesake(from);
             return false;
@@ -407,7 +407,7 @@
     }
 
     /** Takes one belief; true where it was new. */
-    private boolean take(RouterNews news, String cause) {
+    private boolean take(RouterRecord news, String cause) {
         if (news.name().equals(setup.name())) {
             refute(news);
             return false;
@@ -437,7 +437,7 @@
     }
 
     /** The one place where what is believed of a router changes; null where it is forgotten. */
-    private void believed(Peer p, RouterNews news) {
+    private void believed(Peer p, RouterRecord news) {
         if (p.news != null) {
             peersDigest -= p.sum;
             left -= p.news.standing() == Standing.LEFT ? 1 : 0;
@@ -452,7 +452,7 @@
     }
 
     /** What others believe of this router is overridden by a higher incarnation where it is not what it tells. */
-    private void refute(RouterNews news) {
+    private void refute(RouterRecord news) {
         boolean same = news.instance() == instance;
         if (!leaving && news.incarnation() >= incarnation && (!same || news.standing() != Standing.ALIVE)) {
             incarnation = news.incarnation() + 1;
@@ -466,7 +466,7 @@
     }
 
     /** A packet under this router's own name: of an older process that lives, whose name it is, or nothing. */
-    private void namesake(RouterNews from) {
+    private void namesake(RouterRecord from) {
         if (from.instance() == instance || from.address().equals(setup.address())) {
             return; // its own packet come back, or what its predecessor sent
         }
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -23,7 +23,7 @@
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.membership.RouterNews;
+import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.Standing;
 import pumicemoor.fleet.verdicts.Accusation;
 import pumicemoor.fleet.verdicts.Accusation.Cause;
@@ -34,8 +34,8 @@
 
     private static final long NOW = 1_790_000_000_000_000L;
     private static final long LAST = Membership.lastIncarnation(NOW);
-    private static final RouterNews FROM =
-            new RouterNews("router-1", "127.0.0.1:7001", 9, 1_790_000_000_000L, Standing.ALIVE);
+    private static final RouterRecord FROM =
+            new RouterRecord("router-1", "127.0.0.1:7001", 9, 1_790_000_000_000L, Standing.ALIVE);
     private final PacketCodec codec = new PacketCodec("west");
 
     private static Packet random(Random r) {
@@ -128,9 +128,9 @@
                     default ->
                         new Packet.Grant(r.nextLong(), r.nextLong(), List.of(new Part(r.nextLong(), r.nextInt(500))));
                 };
-        List<RouterNews> routers = new ArrayList<>();
+        List<RouterRecord> routers = new ArrayList<>();
         for (int i = r.nextInt(4); i > 0; i--) {
-            routers.add(new RouterNews(
+            routers.add(new RouterRecord(
                     "r" + r.nextInt(99),
                     "127.0.0.1:" + (1 + r.nextInt(65_535)),
                     1 + r.nextInt(99),
@@ -254,7 +254,7 @@
         Fleet fleet = fleet();
         String before = members(fleet);
         for (long incarnation : new long[] {0, -1, Long.MAX_VALUE, LAST + 1}) {
-            RouterNews odd = new RouterNews("router-2", "127.0.0.1:7002", 9, incarnation, Standing.ALIVE);
+            RouterRecord odd = new RouterRecord("router-2", "127.0.0.1:7002", 9, incarnation, Standing.ALIVE);
             fleet.receive(NOW, codec.write(new Packet(odd, 1, new Packet.Ping(), List.of(), List.of())));
             fleet.receive(NOW, codec.write(new Packet(FROM, 1, new Packet.Ping(), List.of(odd), List.of())));
         }
@@ -280,7 +280,7 @@
                             FROM,
                             1 + i,
                             new Packet.News(),
-                            List.of(new RouterNews("x" + i, "127.0.0.1:9000", 1, 5, Standing.ALIVE)),
+                            List.of(new RouterRecord("x" + i, "127.0.0.1:9000", 1, 5, Standing.ALIVE)),
                             List.of())));
         }
         assertEquals(51, fleet.rows("members").orElseThrow().size());
@@ -296,14 +296,14 @@
                     FROM,
                     1,
                     new Packet.News(),
-                    List.of(new RouterNews("router-3", "127.0.0.1:7003", 1, 7, s)),
+                    List.of(new RouterRecord("router-3", "127.0.0.1:7003", 1, 7, s)),
                     List.of())));
         }
         all.add(codec.write(new Packet(
                 FROM,
                 1,
                 new Packet.News(),
-                List.of(new RouterNews("router-3", "127.0.0.1:7003", 1, 8, Standing.ALIVE)),
+                List.of(new RouterRecord("router-3", "127.0.0.1:7003", 1, 8, Standing.ALIVE)),
                 List.of())));
         all.forEach(b -> fleet.receive(NOW, b));
         for (int i = 0; i < 100; i++) {
@@ -324,7 +324,7 @@
             fleet.receive(
                     NOW,
                     codec.write(new Packet(
-                            new RouterNews(grantor, "127.0.0.1:7001", 9, 5, Standing.ALIVE),
+                            new RouterRecord(grantor, "127.0.0.1:7001", 9, 5, Standing.ALIVE),
                             1,
                             new Packet.News(),
                             List.of(),
@@ -344,7 +344,7 @@
             }
         }
         assertTrue(limitAndAsk[1] > 0, "it asks");
-        RouterNews from = new RouterNews(grantor, "127.0.0.1:7001", 9, 5, Standing.ALIVE);
+        RouterRecord from = new RouterRecord(grantor, "127.0.0.1:7001", 9, 5, Standing.ALIVE);
         fleet.receive(
                 NOW + 700_001,
                 codec.write(new Packet(
@@ -369,8 +369,8 @@
     /** The longest name, and bodies as full as they get: they leave room for themselves at least. */
     @Test
     void theFullestBodiesFitAPacket() {
-        RouterNews longest =
-                new RouterNews("r".repeat(PacketCodec.LONGEST_NAME), "127.255.255.255:65535", 1, 1, Standing.ALIVE);
+        RouterRecord longest =
+                new RouterRecord("r".repeat(PacketCodec.LONGEST_NAME), "127.255.255.255:65535", 1, 1, Standing.ALIVE);
         Random r = new Random(4);
         for (Packet.Body body : List.of(
                 new Packet.PlanReport(
--- a/src/test/java/pumicemoor/fleet/membership/ComparedInPartsTest.java
+++ b/src/test/java/pumicemoor/fleet/membership/ComparedInPartsTest.java
@@ -53,24 +53,24 @@
         }
 
         @Override
-        public void sendAll(String address, Predicate<RouterNews> which) {
-            List<RouterNews> all = membership.table().stream().filter(which).toList();
+        public void sendAll(String address, Predicate<RouterRecord> which) {
+            List<RouterRecord> all = membership.table().stream().filter(which).toList();
             told += all.size();
             sent.add(new Packet(membership.self(), ++number, new News(), all, List.of()));
         }
 
         @Override
-        public void spread(RouterNews news) {}
+        public void spread(RouterRecord news) {}
 
         @Override
-        public void changed(RouterNews news, Standing before, String cause) {}
+        public void changed(RouterRecord news, Standing before, String cause) {}
 
         @Override
         public void dropped(String what) {
             dropped.merge(what, 1, Integer::sum);
         }
 
-        void knows(RouterNews... news) {
+        void knows(RouterRecord... news) {
             membership.heard(SECOND, new Packet(news[0], 1, new News(), List.of(news), List.of()));
         }
     }
@@ -79,8 +79,8 @@
         return "127.0." + (number >> 8) + "." + (number & 255) + ":7000";
     }
 
-    private static RouterNews router(int number, int incarnation, Standing standing) {
-        return new RouterNews("router-" + number, address(number), 5_000 + number, incarnation, standing);
+    private static RouterRecord router(int number, int incarnation, Standing standing) {
+        return new RouterRecord("router-" + number, address(number), 5_000 + number, incarnation, standing);
     }
 
     /** One compares with the other until nobody has anything to say. */
@@ -99,7 +99,7 @@
     private static List<One> pair(int common, boolean inParts) {
         One a = new One("a", 60_001, inParts);
         One b = new One("b", 60_002, inParts);
-        RouterNews[] all = new RouterNews[common];
+        RouterRecord[] all = new RouterRecord[common];
         for (int i = 0; i < common; i++) {
             all[i] = router(i, 1, Standing.ALIVE);
         }
@@ -188,9 +188,9 @@
     void bothKnowAllAfterwards(@ForAll long seed, @ForAll @IntRange(max = 400) int common) {
         Random random = new Random(seed);
         List<One> pair = pair(common, true);
-        List<RouterNews> newer = new ArrayList<>();
+        List<RouterRecord> newer = new ArrayList<>();
         for (int i = random.nextInt(60); i >= 0; i--) {
-            RouterNews news = router(
+            RouterRecord news = router(
                     random.nextInt(common + 40),
                     1 + random.nextInt(4),
                     Standing.values()[random.nextInt(Standing.values().length)]);
@@ -200,7 +200,7 @@
         pair.forEach(one -> one.sent.clear());
         exchange(pair.get(seed % 2 == 0 ? 0 : 1), pair.get(seed % 2 == 0 ? 1 : 0));
         assertSame(pair.get(0), pair.get(1));
-        Map<String, RouterNews> known = new HashMap<>();
+        Map<String, RouterRecord> known = new HashMap<>();
         pair.get(0).membership.table().forEach(n -> known.put(n.name(), n));
         newer.forEach(
                 n -> assertTrue(!n.overrides(known.get(n.name())), () -> n + " is newer than " + known.get(n.name())));
