--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -47,7 +47,7 @@
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
-import pumicemoor.fleet.membership.Standing;
+import pumicemoor.fleet.membership.RouterStatus;
 import pumicemoor.fleet.verdicts.Accusation;
 import pumicemoor.fleet.verdicts.Accusation.Cause;
 import pumicemoor.fleet.verdicts.Bench;
@@ -209,7 +209,7 @@
                     }
 
                     @Override
-                    public void changed(RouterRecord news, Standing before, String cause) {
+                    public void changed(RouterRecord news, RouterStatus before, String cause) {
                         notice(
                                 "router " + news.name() + " is " + lower(news.standing()) + ": " + cause,
                                 Map.of(
@@ -223,7 +223,7 @@
                                         news.incarnation(),
                                         "cause",
                                         cause));
-                        if (news.standing().compareTo(Standing.DEAD) >= 0) {
+                        if (news.standing().compareTo(RouterStatus.DEAD) >= 0) {
                             votes.forget(news.name());
                         }
                     }
@@ -1097,7 +1097,7 @@
         if (membership == null || membership.aside(now)) {
             return number;
         }
-        RouterRecord self = membership.self().as(Standing.ALIVE);
+        RouterRecord self = membership.self().as(RouterStatus.ALIVE);
         int room = codec.room(self, body);
         // verdicts first: they are few, and under loss there is always more news of routers than a packet holds
         List<Verdict> told = verdictNews
@@ -1135,7 +1135,7 @@
     }
 
     private void sendAll(String address, Predicate<RouterRecord> which) {
-        RouterRecord self = membership.self().as(Standing.ALIVE);
+        RouterRecord self = membership.self().as(RouterStatus.ALIVE);
         int room = codec.room(self, new News());
         List<RouterRecord> routers = new ArrayList<>();
         List<Verdict> told = new ArrayList<>();
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -17,7 +17,7 @@
 import pumicemoor.fleet.drains.Plan;
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
-import pumicemoor.fleet.membership.Standing;
+import pumicemoor.fleet.membership.RouterStatus;
 import pumicemoor.fleet.verdicts.Accusation;
 import pumicemoor.fleet.verdicts.Accusation.Cause;
 import pumicemoor.fleet.verdicts.Verdict;
@@ -267,7 +267,7 @@
             for (int left = in.get() & 0xff; left > 0; left--) {
                 verdicts.add(verdict(in));
             }
-            if (in.hasRemaining() || number <= 0 || from.standing() != Standing.ALIVE) {
+            if (in.hasRemaining() || number <= 0 || from.standing() != RouterStatus.ALIVE) {
                 throw new BadPacketException(Reason.UNREADABLE);
             }
             return new Packet(from, number, body, routers, verdicts);
@@ -322,7 +322,7 @@
 
     private static RouterRecord router(ByteBuffer in, long lastIncarnation) throws BadPacketException {
         RouterRecord news = new RouterRecord(
-                text(in, NAME), address(in), in.getLong(), in.getLong(), of(Standing.values(), in.get()));
+                text(in, NAME), address(in), in.getLong(), in.getLong(), of(RouterStatus.values(), in.get()));
         if (news.incarnation() < 1 || news.incarnation() > lastIncarnation || news.instance() < 1) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
--- a/src/main/java/pumicemoor/fleet/drains/Audience.java
+++ b/src/main/java/pumicemoor/fleet/drains/Audience.java
@@ -9,7 +9,7 @@
 import pumicemoor.fleet.drains.World.Peer;
 import pumicemoor.fleet.drains.World.Target;
 import pumicemoor.fleet.limits.LeaseTimes;
-import pumicemoor.fleet.membership.Standing;
+import pumicemoor.fleet.membership.RouterStatus;
 
 /**
  * Which routers know of a phase, and which may still use a member: the keeper's evidence. A router that does not answer
@@ -76,8 +76,8 @@
 
     private boolean gone(Peer p) {
         long dead = world.now() - p.since();
-        return p.standing() == Standing.LEFT && dead > times.drain()
-                || p.standing() == Standing.DEAD && dead > times.gone();
+        return p.standing() == RouterStatus.LEFT && dead > times.drain()
+                || p.standing() == RouterStatus.DEAD && dead > times.gone();
     }
 
     /** When a router that was not answered since has left alone what was named to it, whoever was keeper then. */
--- a/src/main/java/pumicemoor/fleet/drains/World.java
+++ b/src/main/java/pumicemoor/fleet/drains/World.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.Map;
 import java.util.Set;
-import pumicemoor.fleet.membership.Standing;
+import pumicemoor.fleet.membership.RouterStatus;
 
 /**
  * What a router knows beside the plan at one moment: its term where it is the keeper (0 where it is not) and since when,
@@ -22,7 +22,7 @@
     public static final String ROUTERS = "router/";
 
     /** A router as membership has it; this router is one of them. */
-    public record Peer(long id, String name, String address, long instance, Standing standing, long since) {
+    public record Peer(long id, String name, String address, long instance, RouterStatus standing, long since) {
 
         /** Its name where it is one of the members to be taken out. */
         String asMember() {
@@ -30,7 +30,7 @@
         }
 
         boolean lives() {
-            return standing == Standing.ALIVE || standing == Standing.SUSPECT;
+            return standing == RouterStatus.ALIVE || standing == RouterStatus.SUSPECT;
         }
     }
 
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -66,7 +66,7 @@
         void spread(RouterRecord news);
 
         /** What a person wants to know. */
-        void changed(RouterRecord news, Standing before, String cause);
+        void changed(RouterRecord news, RouterStatus before, String cause);
 
         /** Something that was not used, by the name it is counted under. */
         void dropped(String what);
@@ -133,7 +133,7 @@
     /** This router as it tells of itself. */
     public RouterRecord self() {
         return new RouterRecord(
-                setup.name(), setup.address(), instance, incarnation, leaving ? Standing.LEFT : Standing.ALIVE);
+                setup.name(), setup.address(), instance, incarnation, leaving ? RouterStatus.LEFT : RouterStatus.ALIVE);
     }
 
     /** Whether it keeps silent since an older router of the same name lives. */
@@ -163,7 +163,7 @@
         if (living == null) {
             living = peers.values().stream()
                     .map(p -> p.news)
-                    .filter(n -> n.standing() == Standing.ALIVE || n.standing() == Standing.SUSPECT)
+                    .filter(n -> n.standing() == RouterStatus.ALIVE || n.standing() == RouterStatus.SUSPECT)
                     .toList();
         }
         return living;
@@ -239,8 +239,8 @@
     private void expire() {
         for (Peer p : List.copyOf(peers.values())) {
             if (now >= p.suspectUntil) {
-                take(p.news.as(Standing.DEAD), "suspected for too long");
-            } else if (p.news.standing().compareTo(Standing.DEAD) >= 0 && now - p.since > setup.remember()) {
+                take(p.news.as(RouterStatus.DEAD), "suspected for too long");
+            } else if (p.news.standing().compareTo(RouterStatus.DEAD) >= 0 && now - p.since > setup.remember()) {
                 peers.remove(p.news.name());
                 believed(p, null);
             }
@@ -248,8 +248,8 @@
     }
 
     private void suspect(Peer p, String cause) {
-        if (p.news.standing() == Standing.ALIVE) {
-            take(p.news.as(Standing.SUSPECT), cause);
+        if (p.news.standing() == RouterStatus.ALIVE) {
+            take(p.news.as(RouterStatus.SUSPECT), cause);
         }
     }
 
@@ -313,7 +313,7 @@
         }
         List<String> gone = new ArrayList<>(setup.seeds());
         peers.values().stream()
-                .filter(p -> p.news.standing() == Standing.DEAD)
+                .filter(p -> p.news.standing() == RouterStatus.DEAD)
                 .forEach(p -> gone.add(p.news.address()));
         gone.removeIf(a -> a.equals(setup.address())
                 || living().stream().anyMatch(n -> n.address().equals(a)));
@@ -343,7 +343,7 @@
             return false; // the table is full
         }
         boolean other = sender.news.instance() != from.instance(); // that has followed it, or that it follows
-        if ((other || sender.news.standing() != Standing.ALIVE) && now - sender.reminded > setup.period() / 2) {
+        if ((other || sender.news.standing() != RouterStatus.ALIVE) && now - sender.reminded > setup.period() / 2) {
             sender.reminded = now; // it can only refute what it knows
             outlet.spread(sender.news);
             outlet.send(from.address(), new News());
@@ -424,14 +424,14 @@
             p = new Peer();
             peers.put(news.name(), p);
         }
-        Standing before = p.news == null ? null : p.news.standing();
+        RouterStatus before = p.news == null ? null : p.news.standing();
         boolean restarted = p.news != null && p.news.instance() != news.instance();
         believed(p, news);
         if (before != news.standing() || restarted) {
             p.since = now;
             outlet.changed(news, before, restarted ? "it was started anew" : cause);
         }
-        p.suspectUntil = news.standing() == Standing.SUSPECT ? now + suspicion() : Long.MAX_VALUE;
+        p.suspectUntil = news.standing() == RouterStatus.SUSPECT ? now + suspicion() : Long.MAX_VALUE;
         outlet.spread(news);
         return true;
     }
@@ -440,13 +440,13 @@
     private void believed(Peer p, RouterRecord news) {
         if (p.news != null) {
             peersDigest -= p.sum;
-            left -= p.news.standing() == Standing.LEFT ? 1 : 0;
+            left -= p.news.standing() == RouterStatus.LEFT ? 1 : 0;
         }
         if (news != null) {
             p.news = news;
             p.sum = sum(news);
             peersDigest += p.sum;
-            left += news.standing() == Standing.LEFT ? 1 : 0;
+            left += news.standing() == RouterStatus.LEFT ? 1 : 0;
         }
         living = null;
     }
@@ -454,7 +454,7 @@
     /** What others believe of this router is overridden by a higher incarnation where it is not what it tells. */
     private void refute(RouterRecord news) {
         boolean same = news.instance() == instance;
-        if (!leaving && news.incarnation() >= incarnation && (!same || news.standing() != Standing.ALIVE)) {
+        if (!leaving && news.incarnation() >= incarnation && (!same || news.standing() != RouterStatus.ALIVE)) {
             incarnation = news.incarnation() + 1;
             outlet.spread(self());
             if (same) {
@@ -475,7 +475,7 @@
             if (!aside(now)) {
                 outlet.changed(
                         self(),
-                        Standing.ALIVE,
+                        RouterStatus.ALIVE,
                         "an older router of this name lives at " + from.address() + ": this one stands aside");
             }
             asideUntil = now + ASIDE * setup.period();
--- a/src/main/java/pumicemoor/fleet/membership/RouterRecord.java
+++ b/src/main/java/pumicemoor/fleet/membership/RouterRecord.java
@@ -6,7 +6,7 @@
  * A belief about a router. The instance is new with each start and rises with its time; the incarnation is raised by
  * the router itself alone, so whoever has the higher one is better informed, whenever it was heard.
  */
-public record RouterRecord(String name, String address, long instance, long incarnation, Standing standing) {
+public record RouterRecord(String name, String address, long instance, long incarnation, RouterStatus standing) {
 
     private static final Comparator<RouterRecord> ORDER = Comparator.comparingLong(RouterRecord::incarnation)
             .thenComparing(RouterRecord::standing)
@@ -18,7 +18,7 @@
     }
 
     /** The same router with another standing. */
-    public RouterRecord as(Standing next) {
+    public RouterRecord as(RouterStatus next) {
         return new RouterRecord(name, address, instance, incarnation, next);
     }
 }
--- a/src/main/java/pumicemoor/fleet/membership/Standing.java
+++ b/src/main/java/pumicemoor/fleet/membership/RouterStatus.java
@@ -1,7 +1,7 @@
 package pumicemoor.fleet.membership;
 
 /** What is believed of a router; of two beliefs of one incarnation the later in this order holds. */
-public enum Standing {
+public enum RouterStatus {
     ALIVE,
     SUSPECT,
     DEAD,
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -24,7 +24,7 @@
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
-import pumicemoor.fleet.membership.Standing;
+import pumicemoor.fleet.membership.RouterStatus;
 import pumicemoor.fleet.verdicts.Accusation;
 import pumicemoor.fleet.verdicts.Accusation.Cause;
 import pumicemoor.fleet.verdicts.Verdict;
@@ -35,7 +35,7 @@
     private static final long NOW = 1_790_000_000_000_000L;
     private static final long LAST = Membership.lastIncarnation(NOW);
     private static final RouterRecord FROM =
-            new RouterRecord("router-1", "127.0.0.1:7001", 9, 1_790_000_000_000L, Standing.ALIVE);
+            new RouterRecord("router-1", "127.0.0.1:7001", 9, 1_790_000_000_000L, RouterStatus.ALIVE);
     private final PacketCodec codec = new PacketCodec("west");
 
     private static Packet random(Random r) {
@@ -135,7 +135,7 @@
                     "127.0.0.1:" + (1 + r.nextInt(65_535)),
                     1 + r.nextInt(99),
                     1 + r.nextInt(99),
-                    Standing.values()[r.nextInt(4)]));
+                    RouterStatus.values()[r.nextInt(4)]));
         }
         List<Verdict> verdicts = r.nextBoolean()
                 ? List.of()
@@ -254,7 +254,7 @@
         Fleet fleet = fleet();
         String before = members(fleet);
         for (long incarnation : new long[] {0, -1, Long.MAX_VALUE, LAST + 1}) {
-            RouterRecord odd = new RouterRecord("router-2", "127.0.0.1:7002", 9, incarnation, Standing.ALIVE);
+            RouterRecord odd = new RouterRecord("router-2", "127.0.0.1:7002", 9, incarnation, RouterStatus.ALIVE);
             fleet.receive(NOW, codec.write(new Packet(odd, 1, new Packet.Ping(), List.of(), List.of())));
             fleet.receive(NOW, codec.write(new Packet(FROM, 1, new Packet.Ping(), List.of(odd), List.of())));
         }
@@ -280,7 +280,7 @@
                             FROM,
                             1 + i,
                             new Packet.News(),
-                            List.of(new RouterRecord("x" + i, "127.0.0.1:9000", 1, 5, Standing.ALIVE)),
+                            List.of(new RouterRecord("x" + i, "127.0.0.1:9000", 1, 5, RouterStatus.ALIVE)),
                             List.of())));
         }
         assertEquals(51, fleet.rows("members").orElseThrow().size());
@@ -291,7 +291,7 @@
     void oldNewsComingAgainDoesNoHarm() {
         Fleet fleet = fleet();
         List<byte[]> all = new ArrayList<>();
-        for (Standing s : new Standing[] {Standing.ALIVE, Standing.SUSPECT, Standing.DEAD}) {
+        for (RouterStatus s : new RouterStatus[] {RouterStatus.ALIVE, RouterStatus.SUSPECT, RouterStatus.DEAD}) {
             all.add(codec.write(new Packet(
                     FROM,
                     1,
@@ -303,7 +303,7 @@
                 FROM,
                 1,
                 new Packet.News(),
-                List.of(new RouterRecord("router-3", "127.0.0.1:7003", 1, 8, Standing.ALIVE)),
+                List.of(new RouterRecord("router-3", "127.0.0.1:7003", 1, 8, RouterStatus.ALIVE)),
                 List.of())));
         all.forEach(b -> fleet.receive(NOW, b));
         for (int i = 0; i < 100; i++) {
@@ -324,7 +324,7 @@
             fleet.receive(
                     NOW,
                     codec.write(new Packet(
-                            new RouterRecord(grantor, "127.0.0.1:7001", 9, 5, Standing.ALIVE),
+                            new RouterRecord(grantor, "127.0.0.1:7001", 9, 5, RouterStatus.ALIVE),
                             1,
                             new Packet.News(),
                             List.of(),
@@ -344,7 +344,7 @@
             }
         }
         assertTrue(limitAndAsk[1] > 0, "it asks");
-        RouterRecord from = new RouterRecord(grantor, "127.0.0.1:7001", 9, 5, Standing.ALIVE);
+        RouterRecord from = new RouterRecord(grantor, "127.0.0.1:7001", 9, 5, RouterStatus.ALIVE);
         fleet.receive(
                 NOW + 700_001,
                 codec.write(new Packet(
@@ -370,7 +370,7 @@
     @Test
     void theFullestBodiesFitAPacket() {
         RouterRecord longest =
-                new RouterRecord("r".repeat(PacketCodec.LONGEST_NAME), "127.255.255.255:65535", 1, 1, Standing.ALIVE);
+                new RouterRecord("r".repeat(PacketCodec.LONGEST_NAME), "127.255.255.255:65535", 1, 1, RouterStatus.ALIVE);
         Random r = new Random(4);
         for (Packet.Body body : List.of(
                 new Packet.PlanReport(
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -20,13 +20,13 @@
 import pumicemoor.fleet.PacketCodec;
 import pumicemoor.fleet.cells.VirtualCells.Router;
 import pumicemoor.fleet.membership.RouterRecord;
-import pumicemoor.fleet.membership.Standing;
+import pumicemoor.fleet.membership.RouterStatus;
 
 /** How a router finds its cell from any router of the cluster, and what joins and places do that nobody meant. */
 class DiscoveryTest {
 
     private static final PacketCodec JOINS = new PacketCodec(CLUSTER + "/join");
-    private static final RouterRecord STRANGER = new RouterRecord("stranger", "127.9.9.9:7000", 5, 5, Standing.ALIVE);
+    private static final RouterRecord STRANGER = new RouterRecord("stranger", "127.9.9.9:7000", 5, 5, RouterStatus.ALIVE);
 
     private VirtualCells fleet;
 
@@ -109,7 +109,7 @@
         fleet.deliver(one, JOINS.write(packet(2, new Place(0, 1, List.of(), List.of()))));
         assertEquals("b", one.cell(), "only its grantor splits a cell");
         Router grantor = fleet.grantorOf(one);
-        RouterRecord older = new RouterRecord(grantor.name, grantor.address, 5, 5, Standing.ALIVE);
+        RouterRecord older = new RouterRecord(grantor.name, grantor.address, 5, 5, RouterStatus.ALIVE);
         fleet.deliver(
                 one, JOINS.write(new Packet(older, 3, new Place(0, 1, List.of(), List.of()), List.of(), List.of())));
         assertEquals("b", one.cell(), "and that by the process that is known");
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -23,7 +23,7 @@
 import pumicemoor.Hashes;
 import pumicemoor.fleet.drains.World.Peer;
 import pumicemoor.fleet.drains.World.Target;
-import pumicemoor.fleet.membership.Standing;
+import pumicemoor.fleet.membership.RouterStatus;
 
 /** The order in which members go, the budgets, operators' commands, and what a plan's bytes may hold. */
 class DrainRulesTest {
@@ -292,8 +292,8 @@
                 0,
                 3,
                 List.of(
-                        new Peer(Hashes.of("router/r1"), "r1", "127.0.0.1:1", 1, Standing.ALIVE, 0),
-                        new Peer(Hashes.of("router/r2"), "r2", "127.0.0.1:2", 1, Standing.ALIVE, 0)),
+                        new Peer(Hashes.of("router/r1"), "r1", "127.0.0.1:1", 1, RouterStatus.ALIVE, 0),
+                        new Peer(Hashes.of("router/r2"), "r2", "127.0.0.1:2", 1, RouterStatus.ALIVE, 0)),
                 targets,
                 Set.of());
     }
--- a/src/test/java/pumicemoor/fleet/membership/ComparedInPartsTest.java
+++ b/src/test/java/pumicemoor/fleet/membership/ComparedInPartsTest.java
@@ -63,7 +63,7 @@
         public void spread(RouterRecord news) {}
 
         @Override
-        public void changed(RouterRecord news, Standing before, String cause) {}
+        public void changed(RouterRecord news, RouterStatus before, String cause) {}
 
         @Override
         public void dropped(String what) {
@@ -79,7 +79,7 @@
         return "127.0." + (number >> 8) + "." + (number & 255) + ":7000";
     }
 
-    private static RouterRecord router(int number, int incarnation, Standing standing) {
+    private static RouterRecord router(int number, int incarnation, RouterStatus standing) {
         return new RouterRecord("router-" + number, address(number), 5_000 + number, incarnation, standing);
     }
 
@@ -101,7 +101,7 @@
         One b = new One("b", 60_002, inParts);
         RouterRecord[] all = new RouterRecord[common];
         for (int i = 0; i < common; i++) {
-            all[i] = router(i, 1, Standing.ALIVE);
+            all[i] = router(i, 1, RouterStatus.ALIVE);
         }
         for (One one : List.of(a, b)) {
             if (common > 0) {
@@ -124,7 +124,7 @@
     @Test
     void oneDifferenceOfFiveHundredTellsOnePartEachWay() {
         List<One> pair = pair(500, true);
-        pair.get(0).knows(router(7, 2, Standing.DEAD));
+        pair.get(0).knows(router(7, 2, RouterStatus.DEAD));
         exchange(pair.get(0), pair.get(1));
         assertSame(pair.get(0), pair.get(1));
         int told = pair.get(0).told + pair.get(1).told;
@@ -151,7 +151,7 @@
     @Test
     void aFlatFleetTellsAllAsBefore() {
         List<One> pair = pair(100, false);
-        pair.get(0).knows(router(7, 2, Standing.DEAD));
+        pair.get(0).knows(router(7, 2, RouterStatus.DEAD));
         exchange(pair.get(0), pair.get(1));
         assertSame(pair.get(0), pair.get(1));
         assertTrue(pair.get(1).told >= 102, () -> "told " + pair.get(1).told);
@@ -193,8 +193,8 @@
             RouterRecord news = router(
                     random.nextInt(common + 40),
                     1 + random.nextInt(4),
-                    Standing.values()[random.nextInt(Standing.values().length)]);
-            pair.get(random.nextInt(2)).knows(router(0, 1, Standing.ALIVE), news);
+                    RouterStatus.values()[random.nextInt(RouterStatus.values().length)]);
+            pair.get(random.nextInt(2)).knows(router(0, 1, RouterStatus.ALIVE), news);
             newer.add(news);
         }
         pair.forEach(one -> one.sent.clear());
