--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -48,8 +48,8 @@
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.RouterStatus;
-import pumicemoor.fleet.verdicts.Accusation;
-import pumicemoor.fleet.verdicts.Accusation.Cause;
+import pumicemoor.fleet.verdicts.FailureReport;
+import pumicemoor.fleet.verdicts.FailureReport.Cause;
 import pumicemoor.fleet.verdicts.Bench;
 import pumicemoor.fleet.verdicts.Verdict;
 import pumicemoor.fleet.verdicts.VerdictTable;
@@ -81,7 +81,7 @@
         }
     }
 
-    private record Accused(Accusation accusation, long until) {}
+    private record Accused(FailureReport accusation, long until) {}
 
     /** A whole fleet; the routers of a cell; the delegates of all cells. */
     private enum Level {
@@ -422,7 +422,7 @@
             accused.put(
                     j.member(),
                     new Accused(
-                            new Accusation(
+                            new FailureReport(
                                     j.member(),
                                     m.started(),
                                     j.unresponsive() ? Cause.SILENT : Cause.FAILING,
@@ -621,7 +621,7 @@
         RouterRecord to = grantor();
         boolean own = to.name().equals(setup.membership().name());
         boolean vote = votes.vote(now, to.name(), to.instance());
-        List<Accusation> accusations = mayAccuse(to.name())
+        List<FailureReport> accusations = mayAccuse(to.name())
                 ? accused.values().stream()
                         .map(Accused::accusation)
                         .limit(PacketCodec.ACCUSATIONS)
@@ -667,7 +667,7 @@
         RouterRecord to = grantor();
         boolean own = to.name().equals(setup.membership().name());
         boolean vote = votes.vote(now, to.name(), to.instance());
-        List<Accusation> accusations =
+        List<FailureReport> accusations =
                 below.bench.inSum(now).stream().limit(PacketCodec.ACCUSATIONS).toList();
         List<Long> ids =
                 shares.keySet().stream().filter(id -> below.held(id, now) > 0).toList();
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.membership.RouterRecord;
-import pumicemoor.fleet.verdicts.Accusation;
+import pumicemoor.fleet.verdicts.FailureReport;
 import pumicemoor.fleet.verdicts.Verdict;
 
 /**
@@ -44,7 +44,7 @@
      * A router's report to whom it takes for the grantor. Vote: it is bound to that one for a lease's time. Seen is the
      * number of the last grant that came from there, term the highest that it knows.
      */
-    public record Ask(boolean vote, long seen, long term, List<Want> wants, List<Accusation> accusations)
+    public record Ask(boolean vote, long seen, long term, List<Want> wants, List<FailureReport> accusations)
             implements Body {}
 
     /** A part of a limit. */
@@ -106,7 +106,7 @@
             int backing,
             long known,
             List<CellWant> wants,
-            List<Accusation> accusations)
+            List<FailureReport> accusations)
             implements Body {}
 
     /** Where are the routers of my cell? The depth is that of the sender's cell; hops is how often it was passed on. */
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -18,8 +18,8 @@
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.RouterStatus;
-import pumicemoor.fleet.verdicts.Accusation;
-import pumicemoor.fleet.verdicts.Accusation.Cause;
+import pumicemoor.fleet.verdicts.FailureReport;
+import pumicemoor.fleet.verdicts.FailureReport.Cause;
 import pumicemoor.fleet.verdicts.Verdict;
 
 /**
@@ -230,7 +230,7 @@
         }
     }
 
-    private static void write(ByteBuffer out, Accusation c) {
+    private static void write(ByteBuffer out, FailureReport c) {
         out.putLong(c.member())
                 .putLong(c.started())
                 .put((byte) c.cause().ordinal())
@@ -499,9 +499,9 @@
                     amount(in.getDouble()),
                     amount(in.getDouble())));
         }
-        List<Accusation> accusations = new ArrayList<>();
+        List<FailureReport> accusations = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            accusations.add(new Accusation(
+            accusations.add(new FailureReport(
                     in.getLong(),
                     in.getLong(),
                     of(Cause.values(), in.get()),
@@ -520,9 +520,9 @@
         for (int left = in.get() & 0xff; left > 0; left--) {
             wants.add(new Want(in.getLong(), in.getLong(), amount(in.getFloat()), amount(in.getFloat())));
         }
-        List<Accusation> accusations = new ArrayList<>();
+        List<FailureReport> accusations = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            accusations.add(new Accusation(
+            accusations.add(new FailureReport(
                     in.getLong(), in.getLong(), of(Cause.values(), in.get()), in.getShort(), in.getFloat()));
         }
         return new Packet.Ask(vote, seen, term, wants, accusations);
--- a/src/main/java/pumicemoor/fleet/verdicts/Bench.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Bench.java
@@ -19,7 +19,7 @@
     /** The share of a tier that may be out at once, how many accusers it takes, for how long a verdict stands. */
     public record Rules(double mostOut, int witnesses, long hold, long guard) {}
 
-    private record Report(long number, long until, List<Accusation> accusations) {}
+    private record Report(long number, long until, List<FailureReport> accusations) {}
 
     private final Rules rules;
     private final Map<String, Report> reports = new HashMap<>();
@@ -31,7 +31,7 @@
     }
 
     /** A router's report replaces its earlier ones; an older one that comes late changes nothing. */
-    public void reported(String router, long number, long until, List<Accusation> accusations) {
+    public void reported(String router, long number, long until, List<FailureReport> accusations) {
         Report before = reports.get(router);
         if (before == null || number > before.number) {
             reports.put(router, new Report(number, until, accusations));
@@ -63,7 +63,7 @@
                 && reports.values().stream().allMatch(r -> r.accusations().isEmpty())) {
             return List.of(); // as nearly always: a keeper sits at each report
         }
-        Map<Long, List<Accusation>> byMember = byMember();
+        Map<Long, List<FailureReport>> byMember = byMember();
         byMember.keySet().retainAll(tiers.keySet());
         Set<Long> guilty = byMember.entrySet().stream()
                 .filter(e -> count(e.getValue()) >= Math.min(rules.witnesses(), routers))
@@ -72,7 +72,7 @@
         List<Verdict> given = new ArrayList<>();
         for (VerdictTable.Held held : table.standing(now)) {
             Verdict v = held.verdict();
-            List<Accusation> evidence = byMember.getOrDefault(v.member(), List.of());
+            List<FailureReport> evidence = byMember.getOrDefault(v.member(), List.of());
             boolean stands = guilty.contains(v.member()) && evidence.get(0).started() == v.started();
             if (!stands) {
                 given.add(verdict(v.member(), v.started(), table, term, false, List.of(), keeper));
@@ -85,7 +85,7 @@
                     table.standing(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
             byMember.entrySet().stream()
                     .filter(e -> guilty.contains(e.getKey()) && !out.contains(e.getKey()))
-                    .sorted(Comparator.comparingInt((Map.Entry<Long, List<Accusation>> e) -> -count(e.getValue())))
+                    .sorted(Comparator.comparingInt((Map.Entry<Long, List<FailureReport>> e) -> -count(e.getValue())))
                     .forEach(e -> {
                         if (room(e.getKey(), tiers)) {
                             given.add(place(
@@ -104,37 +104,37 @@
         return given;
     }
 
-    private Map<Long, List<Accusation>> byMember() {
-        Map<Long, List<Accusation>> byMember = reports.values().stream()
+    private Map<Long, List<FailureReport>> byMember() {
+        Map<Long, List<FailureReport>> byMember = reports.values().stream()
                 .flatMap(r -> r.accusations().stream())
-                .collect(Collectors.groupingBy(Accusation::member, TreeMap::new, Collectors.toList()));
+                .collect(Collectors.groupingBy(FailureReport::member, TreeMap::new, Collectors.toList()));
         byMember.values().forEach(Bench::keepNewestProcess);
         return byMember;
     }
 
-    private static int count(List<Accusation> accusations) {
-        return accusations.stream().mapToInt(Accusation::accusers).sum();
+    private static int count(List<FailureReport> accusations) {
+        return accusations.stream().mapToInt(FailureReport::accusers).sum();
     }
 
     /** One accusation of each member by all that accuse it now, those with the most accusers first. */
-    public List<Accusation> inSum(long now) {
+    public List<FailureReport> inSum(long now) {
         reports.values().removeIf(r -> now >= r.until);
         return byMember().values().stream()
-                .map(l -> new Accusation(
+                .map(l -> new FailureReport(
                         l.get(0).member(),
                         l.get(0).started(),
                         l.get(0).cause(),
                         l.get(0).strikes(),
                         l.get(0).failShare(),
                         count(l)))
-                .sorted(Comparator.comparingInt(Accusation::accusers).reversed())
+                .sorted(Comparator.comparingInt(FailureReport::accusers).reversed())
                 .toList();
     }
 
-    private static void keepNewestProcess(List<Accusation> accusations) {
-        long started = accusations.stream().mapToLong(Accusation::started).max().orElse(0);
+    private static void keepNewestProcess(List<FailureReport> accusations) {
+        long started = accusations.stream().mapToLong(FailureReport::started).max().orElse(0);
         accusations.removeIf(a -> a.started() != started);
-        accusations.sort(Comparator.comparingInt(Accusation::strikes).reversed());
+        accusations.sort(Comparator.comparingInt(FailureReport::strikes).reversed());
     }
 
     private boolean room(long member, Map<Long, String> tiers) {
@@ -158,10 +158,10 @@
             VerdictTable table,
             long term,
             boolean failing,
-            List<Accusation> evidence,
+            List<FailureReport> evidence,
             String keeper) {
         VerdictTable.Held held = table.on(member);
-        Accusation worst = evidence.isEmpty() ? null : evidence.get(0);
+        FailureReport worst = evidence.isEmpty() ? null : evidence.get(0);
         return new Verdict(
                 member,
                 started,
@@ -169,7 +169,7 @@
                 failing,
                 rules.hold(),
                 Math.min(count(evidence), Short.MAX_VALUE),
-                worst == null ? Accusation.Cause.FAILING : worst.cause(),
+                worst == null ? FailureReport.Cause.FAILING : worst.cause(),
                 worst == null ? 0 : worst.strikes(),
                 worst == null ? 0 : worst.failShare(),
                 keeper);
@@ -180,7 +180,7 @@
         return reports.values().stream()
                 .flatMap(r -> r.accusations().stream())
                 .collect(Collectors.groupingBy(
-                        Accusation::member, TreeMap::new, Collectors.summingLong(Accusation::accusers)));
+                        FailureReport::member, TreeMap::new, Collectors.summingLong(FailureReport::accusers)));
     }
 
     /** The members whose places are taken. */
--- a/src/main/java/pumicemoor/fleet/verdicts/Verdict.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Verdict.java
@@ -1,6 +1,6 @@
 package pumicemoor.fleet.verdicts;
 
-import pumicemoor.fleet.verdicts.Accusation.Cause;
+import pumicemoor.fleet.verdicts.FailureReport.Cause;
 
 /**
  * What the fleet holds of a member. Versions order verdicts, whoever gave them and whenever they come: the keeper's
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -25,8 +25,8 @@
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.RouterStatus;
-import pumicemoor.fleet.verdicts.Accusation;
-import pumicemoor.fleet.verdicts.Accusation.Cause;
+import pumicemoor.fleet.verdicts.FailureReport;
+import pumicemoor.fleet.verdicts.FailureReport.Cause;
 import pumicemoor.fleet.verdicts.Verdict;
 
 /** What a packet may hold comes back as it was; anything else is counted and changes nothing. */
@@ -51,9 +51,9 @@
                         for (int i = r.nextInt(PacketCodec.WANTS + 1); i > 0; i--) {
                             wants.add(new Want(r.nextLong(), r.nextLong(), r.nextInt(1_000), r.nextInt(50)));
                         }
-                        List<Accusation> accusations = new ArrayList<>();
+                        List<FailureReport> accusations = new ArrayList<>();
                         for (int i = r.nextInt(PacketCodec.ACCUSATIONS + 1); i > 0; i--) {
-                            accusations.add(new Accusation(
+                            accusations.add(new FailureReport(
                                     r.nextLong(), r.nextLong(), Cause.values()[r.nextInt(2)], r.nextInt(100), 0.5));
                         }
                         yield new Packet.Ask(r.nextBoolean(), r.nextLong(), r.nextLong(), wants, accusations);
@@ -93,9 +93,9 @@
                                     r.nextDouble() * 1e9,
                                     r.nextDouble() * 1e9));
                         }
-                        List<Accusation> accusations = new ArrayList<>();
+                        List<FailureReport> accusations = new ArrayList<>();
                         for (int i = r.nextInt(PacketCodec.ACCUSATIONS + 1); i > 0; i--) {
-                            accusations.add(new Accusation(
+                            accusations.add(new FailureReport(
                                     r.nextLong(),
                                     r.nextLong(),
                                     Cause.values()[r.nextInt(2)],
--- a/src/test/java/pumicemoor/fleet/verdicts/VerdictTableTest.java
+++ b/src/test/java/pumicemoor/fleet/verdicts/VerdictTableTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import pumicemoor.fleet.verdicts.Accusation.Cause;
+import pumicemoor.fleet.verdicts.FailureReport.Cause;
 
 /** Versions order verdicts, not the time at which they come. */
 class VerdictTableTest {
