--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -51,7 +51,7 @@
 import pumicemoor.fleet.verdicts.FailureReport;
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
 import pumicemoor.fleet.verdicts.Bench;
-import pumicemoor.fleet.verdicts.Verdict;
+import pumicemoor.fleet.verdicts.Ejection;
 import pumicemoor.fleet.verdicts.VerdictTable;
 
 /**
@@ -114,7 +114,7 @@
     private final Map<Long, HeldLease> leases = new TreeMap<>();
     private final Map<Long, LeaseBook> books = new HashMap<>();
     private final Map<Long, CellShare> shares = new TreeMap<>(); // of its own cell, where this is the level above
-    private final List<Verdict> passing = new ArrayList<>(); // verdicts that are new here, for the other level
+    private final List<Ejection> passing = new ArrayList<>(); // verdicts that are new here, for the other level
     private final Map<Long, Want> wants = new HashMap<>();
     private final VerdictTable verdicts = new VerdictTable();
     private final Bench bench;
@@ -587,7 +587,7 @@
     }
 
     /** A verdict with the time that is left of it at the other level. */
-    private Verdict asOf(Verdict v, Fleet other) {
+    private Ejection asOf(Ejection v, Fleet other) {
         VerdictTable.Held h = other.verdicts.on(v.member());
         return h != null && h.verdict().version() == v.version() ? v.withLeft(Math.max(0, h.until() - other.now)) : v;
     }
@@ -935,7 +935,7 @@
                 .forEach(this::take);
     }
 
-    private void take(Verdict v) {
+    private void take(Ejection v) {
         VerdictTable.Held before = verdicts.on(v.member());
         boolean stood = before != null && before.verdict().failing() && now < before.until();
         if (setup.verdicts().isEmpty()
@@ -953,7 +953,7 @@
         }
     }
 
-    private void notice(Verdict v, String cause) {
+    private void notice(Ejection v, String cause) {
         notice(
                 "verdict on " + nameOf(v.member())
                         + (cause.startsWith("ended") ? " " : v.failing() ? ": out, " : ": lifted, ") + cause,
@@ -1100,7 +1100,7 @@
         RouterRecord self = membership.self().as(RouterStatus.ALIVE);
         int room = codec.room(self, body);
         // verdicts first: they are few, and under loss there is always more news of routers than a packet holds
-        List<Verdict> told = verdictNews
+        List<Ejection> told = verdictNews
                 .take(
                         room / 2,
                         membership.times(),
@@ -1122,7 +1122,7 @@
         return body instanceof Ask || body instanceof CellAsk || body instanceof Grant;
     }
 
-    private Verdict asItStands(long member) {
+    private Ejection asItStands(long member) {
         VerdictTable.Held h = verdicts.on(member);
         return h.verdict().withLeft(Math.max(0, h.until() - now));
     }
@@ -1138,7 +1138,7 @@
         RouterRecord self = membership.self().as(RouterStatus.ALIVE);
         int room = codec.room(self, new News());
         List<RouterRecord> routers = new ArrayList<>();
-        List<Verdict> told = new ArrayList<>();
+        List<Ejection> told = new ArrayList<>();
         int used = 0;
         Collection<RouterRecord> table = membership.table();
         for (RouterRecord n : table) {
@@ -1276,7 +1276,7 @@
     }
 
     private Map<String, Object> row(VerdictTable.Held h) {
-        Verdict v = h.verdict();
+        Ejection v = h.verdict();
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("member", nameOf(v.member()));
         row.put("out", v.failing() && now < h.until());
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -5,13 +5,13 @@
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.verdicts.FailureReport;
-import pumicemoor.fleet.verdicts.Verdict;
+import pumicemoor.fleet.verdicts.Ejection;
 
 /**
  * What one router sends to another: who it is, a number that rises with each packet of its process, what it asks or
  * answers, and the news that rides along.
  */
-public record Packet(RouterRecord from, long number, Body body, List<RouterRecord> routers, List<Verdict> verdicts) {
+public record Packet(RouterRecord from, long number, Body body, List<RouterRecord> routers, List<Ejection> verdicts) {
 
     /** What a packet is for. */
     public sealed interface Body {}
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -20,7 +20,7 @@
 import pumicemoor.fleet.membership.RouterStatus;
 import pumicemoor.fleet.verdicts.FailureReport;
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
-import pumicemoor.fleet.verdicts.Verdict;
+import pumicemoor.fleet.verdicts.Ejection;
 
 /**
  * The bytes of a packet, and every check that needs no state. It must never make room for what a packet only claims to
@@ -73,7 +73,7 @@
         return 19 + news.name().length() + news.address().length();
     }
 
-    static int size(Verdict verdict) {
+    static int size(Ejection verdict) {
         return VERDICT_BYTES + verdict.keeper().length();
     }
 
@@ -121,7 +121,7 @@
         out.put((byte) bytes.length).put(bytes);
     }
 
-    private static void write(ByteBuffer out, Verdict v) {
+    private static void write(ByteBuffer out, Ejection v) {
         out.putLong(v.member())
                 .putLong(v.started())
                 .putLong(v.version())
@@ -263,7 +263,7 @@
             for (int left = in.get() & 0xff; left > 0; left--) {
                 routers.add(router(in, lastIncarnation));
             }
-            List<Verdict> verdicts = new ArrayList<>();
+            List<Ejection> verdicts = new ArrayList<>();
             for (int left = in.get() & 0xff; left > 0; left--) {
                 verdicts.add(verdict(in));
             }
@@ -329,8 +329,8 @@
         return news;
     }
 
-    private static Verdict verdict(ByteBuffer in) throws BadPacketException {
-        Verdict v = new Verdict(
+    private static Ejection verdict(ByteBuffer in) throws BadPacketException {
+        Ejection v = new Ejection(
                 in.getLong(),
                 in.getLong(),
                 in.getLong(),
--- a/src/main/java/pumicemoor/fleet/verdicts/Bench.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Bench.java
@@ -49,7 +49,7 @@
      * The verdicts that are to be given now. Tiers names the tier of every member that may be out; new ones are given
      * only where fresh is true, which is when all that a keeper before may have given is known or over.
      */
-    public List<Verdict> sit(
+    public List<Ejection> sit(
             long now,
             long term,
             String keeper,
@@ -69,9 +69,9 @@
                 .filter(e -> count(e.getValue()) >= Math.min(rules.witnesses(), routers))
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
-        List<Verdict> given = new ArrayList<>();
+        List<Ejection> given = new ArrayList<>();
         for (VerdictTable.Held held : table.standing(now)) {
-            Verdict v = held.verdict();
+            Ejection v = held.verdict();
             List<FailureReport> evidence = byMember.getOrDefault(v.member(), List.of());
             boolean stands = guilty.contains(v.member()) && evidence.get(0).started() == v.started();
             if (!stands) {
@@ -146,13 +146,13 @@
         return out + 1 <= Math.floor(rules.mostOut() * size + 1e-9);
     }
 
-    private Verdict place(long now, Verdict v) {
+    private Ejection place(long now, Ejection v) {
         placesUntil.put(v.member(), now + rules.hold() + rules.guard());
         renewAt.put(v.member(), now + rules.hold() / 3);
         return v;
     }
 
-    private Verdict verdict(
+    private Ejection verdict(
             long member,
             long started,
             VerdictTable table,
@@ -162,10 +162,10 @@
             String keeper) {
         VerdictTable.Held held = table.on(member);
         FailureReport worst = evidence.isEmpty() ? null : evidence.get(0);
-        return new Verdict(
+        return new Ejection(
                 member,
                 started,
-                Verdict.next(held == null ? 0 : held.verdict().version(), term),
+                Ejection.next(held == null ? 0 : held.verdict().version(), term),
                 failing,
                 rules.hold(),
                 Math.min(count(evidence), Short.MAX_VALUE),
--- a/src/main/java/pumicemoor/fleet/verdicts/Verdict.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -7,7 +7,7 @@
  * term, then its count. It stands for the time that is left (microseconds), unless a newer one comes. The evidence
  * is that of the accuser with the most strikes; accusers tells how many there were.
  */
-public record Verdict(
+public record Ejection(
         long member,
         long started,
         long version,
@@ -32,7 +32,7 @@
     }
 
     /** The same with this much time left. */
-    public Verdict withLeft(long time) {
-        return new Verdict(member, started, version, failing, time, accusers, cause, strikes, failShare, keeper);
+    public Ejection withLeft(long time) {
+        return new Ejection(member, started, version, failing, time, accusers, cause, strikes, failShare, keeper);
     }
 }
--- a/src/main/java/pumicemoor/fleet/verdicts/VerdictTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/VerdictTable.java
@@ -13,16 +13,16 @@
 public final class VerdictTable {
 
     /** A verdict and until when it stands here. */
-    public record Held(Verdict verdict, long until, long heardAt) {}
+    public record Held(Ejection verdict, long until, long heardAt) {}
 
     private static final int MOST = 4_096;
 
     private final Map<Long, Held> byMember = new TreeMap<>();
 
     /** Takes a verdict; true where it was new. */
-    public boolean take(long now, Verdict v, long longest) {
+    public boolean take(long now, Ejection v, long longest) {
         Held held = byMember.get(v.member());
-        if (!Verdict.possible(v.version())
+        if (!Ejection.possible(v.version())
                 || v.left() > longest
                 || held != null && held.verdict().version() >= v.version()
                 || held == null && byMember.size() >= MOST) {
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -27,7 +27,7 @@
 import pumicemoor.fleet.membership.RouterStatus;
 import pumicemoor.fleet.verdicts.FailureReport;
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
-import pumicemoor.fleet.verdicts.Verdict;
+import pumicemoor.fleet.verdicts.Ejection;
 
 /** What a packet may hold comes back as it was; anything else is counted and changes nothing. */
 class PacketCodecTest {
@@ -137,9 +137,9 @@
                     1 + r.nextInt(99),
                     RouterStatus.values()[r.nextInt(4)]));
         }
-        List<Verdict> verdicts = r.nextBoolean()
+        List<Ejection> verdicts = r.nextBoolean()
                 ? List.of()
-                : List.of(new Verdict(
+                : List.of(new Ejection(
                         r.nextLong(),
                         r.nextLong(),
                         1 + r.nextInt(999),
--- a/src/test/java/pumicemoor/fleet/verdicts/VerdictTableTest.java
+++ b/src/test/java/pumicemoor/fleet/verdicts/VerdictTableTest.java
@@ -16,20 +16,20 @@
 /** Versions order verdicts, not the time at which they come. */
 class VerdictTableTest {
 
-    private static Verdict verdict(long version, boolean failing) {
-        return new Verdict(7, 0, version, failing, 1_000, 2, Cause.SILENT, 2, 0.5, "router-1");
+    private static Ejection verdict(long version, boolean failing) {
+        return new Ejection(7, 0, version, failing, 1_000, 2, Cause.SILENT, 2, 0.5, "router-1");
     }
 
     @Property(tries = 200, seed = "21")
     void whateverTheOrderTheNewestStands(@ForAll long seed) {
-        List<Verdict> all = new java.util.ArrayList<>(LongStream.rangeClosed(1, 9)
+        List<Ejection> all = new java.util.ArrayList<>(LongStream.rangeClosed(1, 9)
                 .mapToObj(v -> verdict(v, v % 2 == 0))
                 .toList());
         all.addAll(all);
         Collections.shuffle(all, new Random(seed));
         VerdictTable table = new VerdictTable();
         long newest = 0;
-        for (Verdict v : all) {
+        for (Ejection v : all) {
             assertEquals(v.version() > newest, table.take(10, v, 5_000));
             newest = Math.max(newest, v.version());
             assertEquals(newest, table.on(7).verdict().version());
