--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -52,7 +52,7 @@
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
 import pumicemoor.fleet.verdicts.Bench;
 import pumicemoor.fleet.verdicts.Ejection;
-import pumicemoor.fleet.verdicts.VerdictTable;
+import pumicemoor.fleet.verdicts.EjectionTable;
 
 /**
  * One router's part in its fleet: membership, leases and verdicts over the same packets. It owns the packets' numbers,
@@ -116,7 +116,7 @@
     private final Map<Long, CellShare> shares = new TreeMap<>(); // of its own cell, where this is the level above
     private final List<Ejection> passing = new ArrayList<>(); // verdicts that are new here, for the other level
     private final Map<Long, Want> wants = new HashMap<>();
-    private final VerdictTable verdicts = new VerdictTable();
+    private final EjectionTable verdicts = new EjectionTable();
     private final Bench bench;
     private final Map<Long, Accused> accused = new TreeMap<>();
     private final Optional<Drains> drains;
@@ -480,7 +480,7 @@
         if (now >= planAt) {
             drains.ifPresent(this::reportPlan);
         }
-        for (VerdictTable.Held ended : verdicts.ended(before, now)) {
+        for (EjectionTable.Held ended : verdicts.ended(before, now)) {
             verdictsNew = true;
             notice(ended.verdict(), "ended: nobody renewed it");
         }
@@ -588,7 +588,7 @@
 
     /** A verdict with the time that is left of it at the other level. */
     private Ejection asOf(Ejection v, Fleet other) {
-        VerdictTable.Held h = other.verdicts.on(v.member());
+        EjectionTable.Held h = other.verdicts.on(v.member());
         return h != null && h.verdict().version() == v.version() ? v.withLeft(Math.max(0, h.until() - other.now)) : v;
     }
 
@@ -936,7 +936,7 @@
     }
 
     private void take(Ejection v) {
-        VerdictTable.Held before = verdicts.on(v.member());
+        EjectionTable.Held before = verdicts.on(v.member());
         boolean stood = before != null && before.verdict().failing() && now < before.until();
         if (setup.verdicts().isEmpty()
                 || !verdicts.take(now, v, setup.verdicts().get().hold())) {
@@ -987,10 +987,10 @@
             long size = members.values().stream().filter(m -> m.role() == role).count();
             room.put(role, (int) Math.floor(setup.verdicts().get().mostOut() * size + 1e-9));
         }
-        List<VerdictTable.Held> standing = new ArrayList<>(verdicts.standing(now));
+        List<EjectionTable.Held> standing = new ArrayList<>(verdicts.standing(now));
         standing.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
         List<EjectedMember> out = new ArrayList<>();
-        for (VerdictTable.Held h : standing) {
+        for (EjectionTable.Held h : standing) {
             Listed m = members.get(h.verdict().member());
             if (m != null && m.started() == h.verdict().started() && room.merge(m.role(), -1, Integer::sum) >= 0) {
                 out.add(new EjectedMember(
@@ -1123,7 +1123,7 @@
     }
 
     private Ejection asItStands(long member) {
-        VerdictTable.Held h = verdicts.on(member);
+        EjectionTable.Held h = verdicts.on(member);
         return h.verdict().withLeft(Math.max(0, h.until() - now));
     }
 
@@ -1153,7 +1153,7 @@
             routers.add(n);
             used += PacketCodec.size(n);
         }
-        for (VerdictTable.Held h : verdicts.all()) {
+        for (EjectionTable.Held h : verdicts.all()) {
             if (used + PacketCodec.size(h.verdict()) > room || told.size() == 255) {
                 put(address, new Packet(self, ++numbers, new News(), routers, told));
                 routers = new ArrayList<>();
@@ -1275,7 +1275,7 @@
         return row;
     }
 
-    private Map<String, Object> row(VerdictTable.Held h) {
+    private Map<String, Object> row(EjectionTable.Held h) {
         Ejection v = h.verdict();
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("member", nameOf(v.member()));
--- a/src/main/java/pumicemoor/fleet/verdicts/Bench.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Bench.java
@@ -39,7 +39,7 @@
     }
 
     /** Counts the places that verdicts of whoever was keeper before take up. */
-    public void heard(VerdictTable.Held held) {
+    public void heard(EjectionTable.Held held) {
         if (held.verdict().failing()) {
             placesUntil.merge(held.verdict().member(), held.until() + rules.guard(), Math::max);
         }
@@ -55,7 +55,7 @@
             String keeper,
             boolean fresh,
             Map<Long, String> tiers,
-            VerdictTable table,
+            EjectionTable table,
             int routers) {
         reports.values().removeIf(r -> now >= r.until);
         placesUntil.values().removeIf(until -> now >= until);
@@ -70,7 +70,7 @@
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
         List<Ejection> given = new ArrayList<>();
-        for (VerdictTable.Held held : table.standing(now)) {
+        for (EjectionTable.Held held : table.standing(now)) {
             Ejection v = held.verdict();
             List<FailureReport> evidence = byMember.getOrDefault(v.member(), List.of());
             boolean stands = guilty.contains(v.member()) && evidence.get(0).started() == v.started();
@@ -155,12 +155,12 @@
     private Ejection verdict(
             long member,
             long started,
-            VerdictTable table,
+            EjectionTable table,
             long term,
             boolean failing,
             List<FailureReport> evidence,
             String keeper) {
-        VerdictTable.Held held = table.on(member);
+        EjectionTable.Held held = table.on(member);
         FailureReport worst = evidence.isEmpty() ? null : evidence.get(0);
         return new Ejection(
                 member,
--- a/src/main/java/pumicemoor/fleet/verdicts/VerdictTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -10,7 +10,7 @@
  * The verdicts as one router knows them. A verdict gives way to one of a higher version alone, never to an older one
  * that comes late; it ends by itself when its time has passed. It owns their versions and ends.
  */
-public final class VerdictTable {
+public final class EjectionTable {
 
     /** A verdict and until when it stands here. */
     public record Held(Ejection verdict, long until, long heardAt) {}
--- a/src/test/java/pumicemoor/fleet/verdicts/VerdictTableTest.java
+++ b/src/test/java/pumicemoor/fleet/verdicts/VerdictTableTest.java
@@ -27,7 +27,7 @@
                 .toList());
         all.addAll(all);
         Collections.shuffle(all, new Random(seed));
-        VerdictTable table = new VerdictTable();
+        EjectionTable table = new EjectionTable();
         long newest = 0;
         for (Ejection v : all) {
             assertEquals(v.version() > newest, table.take(10, v, 5_000));
@@ -39,7 +39,7 @@
 
     @Test
     void itEndsByItselfAndOneThatStandsTooLongIsNotTaken() {
-        VerdictTable table = new VerdictTable();
+        EjectionTable table = new EjectionTable();
         assertFalse(table.take(0, verdict(4, true), 999), "longer than any verdict stands");
         assertTrue(table.take(0, verdict(4, true), 1_000));
         assertEquals(1, table.standing(999).size());
