--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -50,7 +50,7 @@
 import pumicemoor.fleet.membership.RouterStatus;
 import pumicemoor.fleet.verdicts.FailureReport;
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
-import pumicemoor.fleet.verdicts.Bench;
+import pumicemoor.fleet.verdicts.EjectionPolicy;
 import pumicemoor.fleet.verdicts.Ejection;
 import pumicemoor.fleet.verdicts.EjectionTable;
 
@@ -117,7 +117,7 @@
     private final List<Ejection> passing = new ArrayList<>(); // verdicts that are new here, for the other level
     private final Map<Long, Want> wants = new HashMap<>();
     private final EjectionTable verdicts = new EjectionTable();
-    private final Bench bench;
+    private final EjectionPolicy bench;
     private final Map<Long, Accused> accused = new TreeMap<>();
     private final Optional<Drains> drains;
     private final Map<String, Long> dropped = new TreeMap<>();
@@ -188,7 +188,7 @@
         this.startedAt = time;
         this.codec = new PacketCodec(setup.cluster());
         this.votes = new Votes(setup.membership().name(), (level == Level.CELL ? VOTE : 1) * times.lease(), time);
-        this.bench = new Bench(setup.verdicts().orElse(new Bench.Rules(0, 1, 1, 1)));
+        this.bench = new EjectionPolicy(setup.verdicts().orElse(new EjectionPolicy.Rules(0, 1, 1, 1)));
         this.askAt = time + setup.membership().period();
         this.gossipAt = askAt;
         this.membership =
@@ -929,7 +929,7 @@
         if (!office() || setup.verdicts().isEmpty()) {
             return;
         }
-        Bench.Rules rules = setup.verdicts().get();
+        EjectionPolicy.Rules rules = setup.verdicts().get();
         boolean fresh = now >= votes.officeSince() + rules.hold() + rules.guard();
         bench.sit(now, votes.ownTerm(), setup.membership().name(), fresh, tiers, verdicts, routers())
                 .forEach(this::take);
--- a/src/main/java/pumicemoor/fleet/FleetSetup.java
+++ b/src/main/java/pumicemoor/fleet/FleetSetup.java
@@ -7,7 +7,7 @@
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.verdicts.Bench;
+import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
  * What a router's part in a fleet is set up with. Size is how many routers the fleet has at most; what a router may
@@ -19,7 +19,7 @@
         int size,
         LeaseTimes times,
         List<LimitRule> limits,
-        Optional<Bench.Rules> verdicts,
+        Optional<EjectionPolicy.Rules> verdicts,
         Optional<DrainTimes> drains,
         Optional<CellSetup> cells) {
 
@@ -30,7 +30,7 @@
             int size,
             LeaseTimes times,
             List<LimitRule> limits,
-            Optional<Bench.Rules> verdicts,
+            Optional<EjectionPolicy.Rules> verdicts,
             Optional<DrainTimes> drains) {
         this(cluster, membership, size, times, limits, verdicts, drains, Optional.empty());
     }
@@ -42,7 +42,7 @@
             int size,
             LeaseTimes times,
             List<LimitRule> limits,
-            Optional<Bench.Rules> verdicts) {
+            Optional<EjectionPolicy.Rules> verdicts) {
         this(cluster, membership, size, times, limits, verdicts, Optional.empty());
     }
 
--- a/src/main/java/pumicemoor/fleet/verdicts/Bench.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -14,7 +14,7 @@
  * last report in place of those before, and the places that verdicts take up: a place is free again only when nobody can
  * still go by the verdict that held it.
  */
-public final class Bench {
+public final class EjectionPolicy {
 
     /** The share of a tier that may be out at once, how many accusers it takes, for how long a verdict stands. */
     public record Rules(double mostOut, int witnesses, long hold, long guard) {}
@@ -26,7 +26,7 @@
     private final Map<Long, Long> placesUntil = new HashMap<>(); // by member
     private final Map<Long, Long> renewAt = new HashMap<>();
 
-    public Bench(Rules rules) {
+    public EjectionPolicy(Rules rules) {
         this.rules = rules;
     }
 
@@ -108,7 +108,7 @@
         Map<Long, List<FailureReport>> byMember = reports.values().stream()
                 .flatMap(r -> r.accusations().stream())
                 .collect(Collectors.groupingBy(FailureReport::member, TreeMap::new, Collectors.toList()));
-        byMember.values().forEach(Bench::keepNewestProcess);
+        byMember.values().forEach(EjectionPolicy::keepNewestProcess);
         return byMember;
     }
 
--- a/src/main/java/pumicemoor/lab/scale/HollowFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/HollowFleet.java
@@ -35,7 +35,7 @@
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.verdicts.Bench;
+import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
  * A fleet of hollow routers in one process: the real deciding code of each, no sockets, in virtual time. It owns the
@@ -258,8 +258,8 @@
 
     /** Starts a fresh process of a router. */
     void start(Router r) {
-        Optional<Bench.Rules> verdicts =
-                config.verdicts() ? Optional.of(new Bench.Rules(0.2, 2, 5 * SECOND, 2_500 * MILLI)) : Optional.empty();
+        Optional<EjectionPolicy.Rules> verdicts =
+                config.verdicts() ? Optional.of(new EjectionPolicy.Rules(0.2, 2, 5 * SECOND, 2_500 * MILLI)) : Optional.empty();
         Optional<DrainTimes> drains = shape.drains
                 ? Optional.of(
                         new DrainTimes(2 * SECOND, 10 * SECOND, 60 * SECOND, 600 * SECOND, 5 * SECOND, 5 * SECOND))
--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -9,7 +9,7 @@
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.verdicts.Bench;
+import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
  * The section 'fleet': where this router hears the others of its cluster, how many there are at most, what they hold
@@ -27,7 +27,7 @@
         long remember,
         LeaseTimes times,
         List<LimitRule> limits,
-        Optional<Bench.Rules> verdicts,
+        Optional<EjectionPolicy.Rules> verdicts,
         Optional<DrainTimes> drains,
         Optional<CellSetup> cells) {
 
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -36,7 +36,7 @@
 import pumicemoor.fleet.cells.CellSetup;
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.limits.LeaseTimes;
-import pumicemoor.fleet.verdicts.Bench;
+import pumicemoor.fleet.verdicts.EjectionPolicy;
 import pumicemoor.hierarchy.Hierarchy.News;
 import pumicemoor.hierarchy.Shape;
 import pumicemoor.hierarchy.Shape.Kind;
@@ -294,7 +294,7 @@
             }
             limits.add(rule);
         }
-        Optional<Bench.Rules> verdicts = form.verdicts() == null ? Optional.empty() : Optional.of(verdicts(form));
+        Optional<EjectionPolicy.Rules> verdicts = form.verdicts() == null ? Optional.empty() : Optional.of(verdicts(form));
         return new FleetSection(
                 form.cluster(),
                 listen,
@@ -403,14 +403,14 @@
         return new LimitRule(form.name(), scope, form.members(), measure, amount);
     }
 
-    private Bench.Rules verdicts(FleetForm fleet) throws OperatorException {
+    private EjectionPolicy.Rules verdicts(FleetForm fleet) throws OperatorException {
         VerdictsForm form = fleet.verdicts();
         double share = form.mostOut() == null ? 0.1 : form.mostOut();
         if (!(share >= 0 && share <= 1)) {
             throw wrong("fleet.verdicts.most-out", share + " is out of range: 0 to 1");
         }
         long hold = MILLI * time(form.hold(), 5_000, 500, "fleet.verdicts.hold-ms");
-        return new Bench.Rules(
+        return new EjectionPolicy.Rules(
                 share,
                 count(form.witnesses(), 2, "fleet.verdicts.witnesses"),
                 hold,
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -26,7 +26,7 @@
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.verdicts.Bench;
+import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /** A fleet in one process and in virtual time, over a network that loses, delays, doubles, reorders and splits. */
 final class VirtualFleet {
@@ -35,7 +35,7 @@
     static final long SECOND = 1_000_000;
     static final long PERIOD = 200 * MILLI;
     static final LeaseTimes TIMES = new LeaseTimes(3 * SECOND, 300 * MILLI);
-    static final Bench.Rules VERDICTS = new Bench.Rules(0.2, 2, 4 * SECOND, 2 * SECOND);
+    static final EjectionPolicy.Rules VERDICTS = new EjectionPolicy.Rules(0.2, 2, 4 * SECOND, 2 * SECOND);
     static final long ORIGIN = 99;
 
     /** A router and what its decisions were last told. */
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -36,7 +36,7 @@
 import pumicemoor.fleet.LogEvent;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
-import pumicemoor.fleet.verdicts.Bench;
+import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
  * A fleet of cells in one process and in virtual time: routers in roots (zones) of regions over a network with delay by
@@ -50,7 +50,7 @@
     static final long SECOND = 1_000_000;
     static final long PERIOD = 200 * MILLI;
     static final LeaseTimes TIMES = new LeaseTimes(3 * SECOND, 300 * MILLI);
-    static final Bench.Rules VERDICTS = new Bench.Rules(0.2, 2, 4 * SECOND, 2 * SECOND);
+    static final EjectionPolicy.Rules VERDICTS = new EjectionPolicy.Rules(0.2, 2, 4 * SECOND, 2 * SECOND);
     static final long ORIGIN = 99;
     static final long CACHES = 1_000; // the first cache's number
     static final int TEN = 10; // caches
