--- a/src/main/java/pumicemoor/fleet/drains/Audience.java
+++ b/src/main/java/pumicemoor/fleet/drains/Audience.java
@@ -21,7 +21,7 @@
     private final DrainTimes times;
     private final LeaseTimes leases;
     private final String self;
-    private final PlanKeeper keeper;
+    private final PlanLeader keeper;
     private final Map<String, Long> answeredAt = new HashMap<>();
     private final Map<String, Map<Long, Integer>> underWay = new HashMap<>(); // by router
     private final Map<String, Map<Long, Double>> heat = new HashMap<>();
@@ -29,7 +29,7 @@
     private long ownApplied;
     private World world;
 
-    Audience(DrainTimes times, LeaseTimes leases, String self, PlanKeeper keeper) {
+    Audience(DrainTimes times, LeaseTimes leases, String self, PlanLeader keeper) {
         this.times = times;
         this.leases = leases;
         this.self = self;
@@ -90,7 +90,7 @@
         if (p.name().equals(self)) {
             return ownApplied;
         }
-        PlanKeeper.Report r = keeper.report(p.name());
+        PlanLeader.Report r = keeper.report(p.name());
         return r == null || r.instance() != p.instance() ? -1 : r.applied();
     }
 
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -75,7 +75,7 @@
     private final long startedAt;
     private final Outlet outlet;
     private final PlanBook book = new PlanBook();
-    private final PlanKeeper keeper = new PlanKeeper(book);
+    private final PlanLeader keeper = new PlanLeader(book);
     private final Audience audience;
     private final Map<Long, Pending> pending = new LinkedHashMap<>();
     private final Map<Long, Long> sentAt = new TreeMap<>(); // of reports, by their numbers
@@ -280,7 +280,7 @@
         outlet.term(r.term());
         outlet.term(Plan.term(r.held()));
         keeper.reported(
-                from.name(), new PlanKeeper.Report(from.instance(), r.term(), r.held(), r.applied(), r.seasoned()));
+                from.name(), new PlanLeader.Report(from.instance(), r.term(), r.held(), r.applied(), r.seasoned()));
         audience.uses(from.name(), r.uses());
         sit(world);
         boolean office = world.term() > 0 && keeper.inForce() > 0;
@@ -328,7 +328,7 @@
                 touch(world.now() + leases.lease());
             }
             follow();
-            if (keeper.stage() != PlanKeeper.Stage.SETTLED) {
+            if (keeper.stage() != PlanLeader.Stage.SETTLED) {
                 return;
             }
             log(world);
--- a/src/main/java/pumicemoor/fleet/drains/PlanKeeper.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
@@ -9,7 +9,7 @@
  * force is missing; writes the newest of it under its own term; and holds a plan for in force once more than half of the
  * routers have it. Only then may the next be written. It owns the routers' reports; it must never decide what a plan says.
  */
-final class PlanKeeper {
+final class PlanLeader {
 
     /** How far the keeper is: none of its office, reading, waiting for a majority, or done with that. */
     enum Stage {
@@ -28,7 +28,7 @@
     private long term;
     private long inForce;
 
-    PlanKeeper(PlanBook book) {
+    PlanLeader(PlanBook book) {
         this.book = book;
     }
 
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -412,28 +412,28 @@
     void aProcessStartedAnewDoesNotCountAmongThoseWhoRemember() {
         Plan agreed = new Plan(Plan.first(3), List.of(), List.of(), List.of(4L));
         PlanBook fresh = new PlanBook();
-        PlanKeeper keeper = new PlanKeeper(fresh);
+        PlanLeader keeper = new PlanLeader(fresh);
         // of five, two that remember nothing and one that does: what three held may be with the two that are away
-        keeper.reported("b", new PlanKeeper.Report(1, 4, 0, 0, false));
-        keeper.reported("c", new PlanKeeper.Report(1, 4, 0, 0, true));
+        keeper.reported("b", new PlanLeader.Report(1, 4, 0, 0, false));
+        keeper.reported("c", new PlanLeader.Report(1, 4, 0, 0, true));
         keeper.sit(4, 5, false);
-        assertEquals(PlanKeeper.Stage.READING, keeper.stage());
-        keeper.reported("d", new PlanKeeper.Report(1, 3, agreed.stamp(), agreed.stamp(), true));
-        keeper.reported("e", new PlanKeeper.Report(1, 4, 0, 0, true));
+        assertEquals(PlanLeader.Stage.READING, keeper.stage());
+        keeper.reported("d", new PlanLeader.Report(1, 3, agreed.stamp(), agreed.stamp(), true));
+        keeper.reported("e", new PlanLeader.Report(1, 4, 0, 0, true));
         keeper.sit(4, 5, false);
-        assertEquals(PlanKeeper.Stage.READING, keeper.stage(), "d told that before this term began");
-        keeper.reported("d", new PlanKeeper.Report(1, 4, agreed.stamp(), agreed.stamp(), true));
+        assertEquals(PlanLeader.Stage.READING, keeper.stage(), "d told that before this term began");
+        keeper.reported("d", new PlanLeader.Report(1, 4, agreed.stamp(), agreed.stamp(), true));
         keeper.sit(4, 5, false);
-        assertEquals(PlanKeeper.Stage.READING, keeper.stage(), "what d holds has yet to come");
+        assertEquals(PlanLeader.Stage.READING, keeper.stage(), "what d holds has yet to come");
         fresh.hold(agreed);
         assertTrue(keeper.sit(4, 5, false));
         assertEquals(Plan.first(4), fresh.held().stamp());
         assertEquals(List.of(4L), fresh.held().closed());
-        assertEquals(PlanKeeper.Stage.WRITING, keeper.stage(), "in force once three hold it");
-        keeper.reported("b", new PlanKeeper.Report(1, 4, Plan.first(4), 0, false));
+        assertEquals(PlanLeader.Stage.WRITING, keeper.stage(), "in force once three hold it");
+        keeper.reported("b", new PlanLeader.Report(1, 4, Plan.first(4), 0, false));
         keeper.sit(4, 5, false);
         assertEquals(0, keeper.inForce());
-        keeper.reported("c", new PlanKeeper.Report(1, 4, Plan.first(4), 0, true));
+        keeper.reported("c", new PlanLeader.Report(1, 4, Plan.first(4), 0, true));
         keeper.sit(4, 5, false);
         assertEquals(Plan.first(4), keeper.inForce());
     }
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -31,7 +31,7 @@
 
     private static final class Router {
         PlanBook book = new PlanBook();
-        PlanKeeper keeper = new PlanKeeper(book);
+        PlanLeader keeper = new PlanLeader(book);
         int instance = 1;
         long term;
         boolean alive = true;
@@ -63,7 +63,7 @@
             if (r == keeper) {
                 return routers[r].book.applied().stamp();
             }
-            PlanKeeper.Report report = routers[keeper].keeper.report("r" + r);
+            PlanLeader.Report report = routers[keeper].keeper.report("r" + r);
             return report == null || report.instance() != routers[r].instance ? -1 : report.applied();
         }
 
@@ -225,14 +225,14 @@
             Router x = routers[r];
             routers[keeper].keeper.reported(
                     "r" + r,
-                    new PlanKeeper.Report(
+                    new PlanLeader.Report(
                             x.instance,
                             x.term,
                             x.book.held().stamp(),
                             x.book.applied().stamp(),
                             x.book.seasoned()));
             sit();
-            PlanKeeper k = routers[keeper].keeper;
+            PlanLeader k = routers[keeper].keeper;
             x.term = Math.max(x.term, term);
             if (k.inForce() > 0) {
                 x.mayBeInTouch = true;
@@ -265,7 +265,7 @@
         }
 
         private void sit() {
-            PlanKeeper k = routers[keeper].keeper;
+            PlanLeader k = routers[keeper].keeper;
             for (int i = 0; i < 4; i++) {
                 k.sit(term, ROUTERS, false);
                 if (k.inForce() > 0) {
@@ -273,7 +273,7 @@
                     routers[keeper].inTouch = true;
                     routers[keeper].mayBeInTouch = true;
                 }
-                if (k.stage() != PlanKeeper.Stage.SETTLED) {
+                if (k.stage() != PlanLeader.Stage.SETTLED) {
                     return;
                 }
                 Plan held = routers[keeper].book.held();
