--- a/src/main/java/pumicemoor/fleet/drains/Audience.java
+++ b/src/main/java/pumicemoor/fleet/drains/Audience.java
@@ -54,7 +54,7 @@
         stoppedAt.values().forEach(s -> s.keySet().retainAll(fences));
     }
 
-    private static long key(Order o) {
+    private static long key(DrainOrder o) {
         return o.fence() * 31 + o.member();
     }
 
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public String notTold(Order order) {
+    public String notTold(DrainOrder order) {
         return world.peers().stream()
                 .filter(p -> !gone(p) && applied(p) < order.fence())
                 .map(Peer::name)
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public String stillUsed(Order order) {
+    public String stillUsed(DrainOrder order) {
         if (world.now() < order.since() + times.least()) {
             return "any router";
         }
@@ -118,7 +118,7 @@
                 .orElse(null);
     }
 
-    private boolean uses(Peer p, Order order) {
+    private boolean uses(Peer p, DrainOrder order) {
         if (applied(p) < order.fence()) {
             return world.now() < aloneFrom(p) + times.drain();
         }
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public boolean warm(Order order) {
+    public boolean warm(DrainOrder order) {
         if (order.tier() == Tier.ROUTER) { // it has come back once its process goes by the plan
             return world.peers().stream()
                     .anyMatch(p -> p.id() == order.member() && p.lives() && applied(p) >= order.fence());
--- a/src/main/java/pumicemoor/fleet/drains/DrainWords.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainWords.java
@@ -148,7 +148,7 @@
         if (members.size() != 1) {
             throw new Wrong("members", "the work is done on one member at a time");
         }
-        Order order = plan.of(members.get(0)).orElse(null);
+        DrainOrder order = plan.of(members.get(0)).orElse(null);
         if (order == null || order.phase() != Phase.OUT) {
             throw new Wrong("members", "it is not out, as far as this router knows");
         }
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -135,8 +135,8 @@
     /** What is under way at members that drain; then, in turns, how much those that wait are in use. */
     private List<Use> someUses() {
         List<Use> uses = new ArrayList<>();
-        List<Order> waiting = new ArrayList<>();
-        for (Order o : book.applied().orders()) {
+        List<DrainOrder> waiting = new ArrayList<>();
+        for (DrainOrder o : book.applied().orders()) {
             if (o.phase() == Phase.DRAINING && uses.size() < USES) {
                 uses.add(new Use(o.member(), usage.underWay(o.member()), 0));
             } else if (o.phase() == Phase.QUEUED) {
@@ -264,7 +264,7 @@
     }
 
     /** Nothing is sent to who drains or is out; nor to who is named, by a router that may not hear how that went on. */
-    private boolean leftAlone(Order o, long now) {
+    private boolean leftAlone(DrainOrder o, long now) {
         return o.phase() == Phase.DRAINING || o.phase() == Phase.OUT || o.phase() == Phase.NAMED && now >= touchUntil;
     }
 
@@ -372,10 +372,10 @@
         if (plan == logged) {
             return;
         }
-        Map<Long, Order> before = new HashMap<>();
+        Map<Long, DrainOrder> before = new HashMap<>();
         logged.orders().forEach(o -> before.put(o.member(), o));
-        for (Order o : plan.orders()) {
-            Order was = before.remove(o.member());
+        for (DrainOrder o : plan.orders()) {
+            DrainOrder was = before.remove(o.member());
             if (was == null || was.phase() != o.phase()) {
                 line(world, o, was == null ? "none" : lower(was.phase()), lower(o.phase()));
             }
@@ -387,7 +387,7 @@
         causes.clear();
     }
 
-    private void line(World world, Order o, String from, String to) {
+    private void line(World world, DrainOrder o, String from, String to) {
         String cause = causes.getOrDefault(o.member(), "an earlier keeper wrote it");
         outlet.changed(
                 "drain of " + name(world, o.member()) + ": " + to + ", " + cause,
@@ -442,7 +442,7 @@
         audience.see(world, toldStamp, book.held());
         boolean office = world.term() > 0 && keeper.inForce() > 0;
         List<Map<String, Object>> rows = new ArrayList<>();
-        for (Order o : book.applied().orders()) {
+        for (DrainOrder o : book.applied().orders()) {
             Map<String, Object> row = new LinkedHashMap<>();
             row.put("member", name(world, o.member()));
             row.put("tier", lower(o.tier()));
--- a/src/main/java/pumicemoor/fleet/drains/Evidence.java
+++ b/src/main/java/pumicemoor/fleet/drains/Evidence.java
@@ -19,11 +19,11 @@
     double heat(long member);
 
     /** Whether every router that may still send is sure to know of the order's phase; null if so, else who is not. */
-    String notTold(Order order);
+    String notTold(DrainOrder order);
 
     /** Whether nobody uses a member that drains, and nobody can any more; null if so, else who may. */
-    String stillUsed(Order order);
+    String stillUsed(DrainOrder order);
 
     /** Whether a member that came back is warm. */
-    boolean warm(Order order);
+    boolean warm(DrainOrder order);
 }
--- a/src/main/java/pumicemoor/fleet/drains/Plan.java
+++ b/src/main/java/pumicemoor/fleet/drains/Plan.java
@@ -11,7 +11,7 @@
  * wrote it, then its count. Of two plans the one with the higher stamp is the newer, whoever holds it. It must never change;
  * what follows from it is another plan.
  */
-public record Plan(long stamp, List<DrainRequest> requests, List<Order> orders, List<Long> closed) {
+public record Plan(long stamp, List<DrainRequest> requests, List<DrainOrder> orders, List<Long> closed) {
 
     /** Before anyone has asked for anything. */
     public static final Plan NONE = new Plan(0, List.of(), List.of(), List.of());
@@ -39,7 +39,7 @@
     }
 
     /** The order for a member, where there is one. */
-    public Optional<Order> of(long member) {
+    public Optional<DrainOrder> of(long member) {
         return orders.stream().filter(o -> o.member() == member).findFirst();
     }
 
@@ -85,22 +85,22 @@
         while (slot < MOST_REQUESTS && taken(slot)) {
             slot++;
         }
-        Map<Long, Order> all = new TreeMap<>();
+        Map<Long, DrainOrder> all = new TreeMap<>();
         c.members().stream().filter(tiers::containsKey).forEach(m -> all.put(m, null));
         long fresh = all.keySet().stream().filter(m -> of(m).isEmpty()).count();
         if (knows(c.id()) || slot == MOST_REQUESTS || all.isEmpty() || orders.size() + fresh > MOST_ORDERS) {
             return this;
         }
-        List<Order> merged = new ArrayList<>();
-        for (Order o : orders) {
+        List<DrainOrder> merged = new ArrayList<>();
+        for (DrainOrder o : orders) {
             boolean meant = all.containsKey(o.member());
             all.remove(o.member());
             merged.add(
                     !meant
                             ? o
                             : o.phase() == Phase.FINISHED
-                                    ? new Order(o.member(), o.tier(), 1 << slot, Phase.QUEUED, next, now)
-                                    : new Order(
+                                    ? new DrainOrder(o.member(), o.tier(), 1 << slot, Phase.QUEUED, next, now)
+                                    : new DrainOrder(
                                             o.member(),
                                             o.tier(),
                                             o.requests() | 1 << slot,
@@ -109,7 +109,7 @@
                                             o.since()));
         }
         for (long m : all.keySet()) {
-            merged.add(new Order(m, tiers.get(m), 1 << slot, Phase.QUEUED, next, now));
+            merged.add(new DrainOrder(m, tiers.get(m), 1 << slot, Phase.QUEUED, next, now));
         }
         List<DrainRequest> more = new ArrayList<>(requests);
         more.add(new DrainRequest(c.id(), slot, c.mostOut(), c.leastServing()));
@@ -127,8 +127,8 @@
             return this;
         }
         int gone = ended.stream().mapToInt(r -> 1 << r.slot()).sum();
-        List<Order> kept = orders.stream()
-                .map(o -> new Order(o.member(), o.tier(), o.requests() & ~gone, o.phase(), o.fence(), o.since()))
+        List<DrainOrder> kept = orders.stream()
+                .map(o -> new DrainOrder(o.member(), o.tier(), o.requests() & ~gone, o.phase(), o.fence(), o.since()))
                 .filter(o -> o.requests() != 0)
                 .toList();
         List<Long> ids = new ArrayList<>(closed);
--- a/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
@@ -53,10 +53,10 @@
                 }
                 requests.add(r);
             }
-            List<Order> orders = new ArrayList<>();
+            List<DrainOrder> orders = new ArrayList<>();
             Set<Long> members = new HashSet<>();
             for (int left = count(in.getShort(), Plan.MOST_ORDERS); left > 0; left--) {
-                Order o = new Order(
+                DrainOrder o = new DrainOrder(
                         in.getLong(),
                         Tier.values()[in.get()],
                         in.getInt(),
--- a/src/main/java/pumicemoor/fleet/drains/Steps.java
+++ b/src/main/java/pumicemoor/fleet/drains/Steps.java
@@ -25,7 +25,7 @@
     private final long stamp;
     private final long now;
     private final int majority; // of routers, which have to live on
-    private final Map<Long, Order> orders = new LinkedHashMap<>();
+    private final Map<Long, DrainOrder> orders = new LinkedHashMap<>();
     private final List<Step> steps = new ArrayList<>();
     private final Map<Tier, Integer> serving = new EnumMap<>(Tier.class);
     private final Plan plan;
@@ -60,7 +60,7 @@
     }
 
     private void go() {
-        for (Order o : plan.orders()) {
+        for (DrainOrder o : plan.orders()) {
             if (o.phase() == Phase.RETURNING && evidence.warm(o)) {
                 to(o, Phase.FINISHED, "it is back and warm");
             } else if (o.phase() == Phase.DRAINING && evidence.stillUsed(o) == null) {
@@ -71,7 +71,7 @@
         }
         // who came back a moment ago serves from the next plan on: places are counted as the plan before had them
         int out = plan.out();
-        for (Order o : List.copyOf(orders.values())) {
+        for (DrainOrder o : List.copyOf(orders.values())) {
             if (o.phase() == Phase.NAMED && orders.get(o.member()) == o && held(o, out) == null) {
                 to(
                         o,
@@ -86,7 +86,7 @@
                     - orders.values().stream()
                             .filter(o -> o.tier() == tier && o.phase() == Phase.NAMED)
                             .count();
-            Optional<Order> next = first(tier);
+            Optional<DrainOrder> next = first(tier);
             for (; ahead > 0 && next.isPresent(); ahead--) {
                 to(next.get(), Phase.NAMED, "it comes next");
                 next = first(tier);
@@ -98,16 +98,16 @@
      * The next to be named: who fails, since it is out as it is; then by request, the older first, so that nobody waits for
      * ever; within one who holds least of what is asked for; a hash settles ties.
      */
-    private Optional<Order> first(Tier tier) {
+    private Optional<DrainOrder> first(Tier tier) {
         return orders.values().stream()
                 .filter(o -> o.tier() == tier && o.phase() == Phase.QUEUED)
-                .min(Comparator.comparing((Order o) -> !evidence.failing(o.member()))
+                .min(Comparator.comparing((DrainOrder o) -> !evidence.failing(o.member()))
                         .thenComparingInt(o -> age(o))
                         .thenComparingDouble(o -> evidence.heat(o.member()))
                         .thenComparing(o -> Hashes.mix(o.member()), Long::compareUnsigned));
     }
 
-    private int age(Order o) {
+    private int age(DrainOrder o) {
         for (int i = 0; i < plan.requests().size(); i++) {
             if (o.isFor(plan.requests().get(i))) {
                 return i;
@@ -117,7 +117,7 @@
     }
 
     /** What keeps a named member from going, with so many out already; null where nothing does. */
-    private String held(Order o, int out) {
+    private String held(DrainOrder o, int out) {
         int least = Math.max(plan.leastServing(o.tier()), o.tier() == Tier.ROUTER ? majority : 0);
         int left = serving.get(o.tier()) - (evidence.serves(o.member()) ? 1 : 0);
         if (out >= plan.mostOut()) {
@@ -131,7 +131,7 @@
     }
 
     /** What holds a member up, in words; empty for one that waits for nothing but its turn or the operator. */
-    static String heldUp(Plan plan, Order o, long now, int majority, Evidence evidence) {
+    static String heldUp(Plan plan, DrainOrder o, long now, int majority, Evidence evidence) {
         Steps here = new Steps(plan, plan.stamp(), now, majority, evidence);
         return switch (o.phase()) {
             case QUEUED -> "others come first";
@@ -146,7 +146,7 @@
         };
     }
 
-    private void to(Order o, Phase phase, String cause) {
+    private void to(DrainOrder o, Phase phase, String cause) {
         orders.put(o.member(), o.in(phase, stamp, now));
         steps.add(new Step(o.member(), o.tier(), o.phase(), phase, cause));
     }
@@ -170,8 +170,8 @@
                                     .toList());
         }
         List<Step> steps = new ArrayList<>();
-        List<Order> orders = new ArrayList<>();
-        for (Order o : plan.orders()) {
+        List<DrainOrder> orders = new ArrayList<>();
+        for (DrainOrder o : plan.orders()) {
             Phase to = !c.members().contains(o.member())
                     ? null
                     : c.kind() == DrainCommand.Kind.DONE && o.phase() == Phase.OUT && o.fence() == c.fence()
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -13,7 +13,7 @@
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.VirtualFleet.Router;
 import pumicemoor.fleet.drains.DrainTimes;
-import pumicemoor.fleet.drains.Order;
+import pumicemoor.fleet.drains.DrainOrder;
 import pumicemoor.fleet.drains.Phase;
 import pumicemoor.fleet.drains.Plan;
 
@@ -135,7 +135,7 @@
             if (!fleet.acts(r)) {
                 continue;
             }
-            for (Order o : r.fleet.plan().orElseThrow().orders()) {
+            for (DrainOrder o : r.fleet.plan().orElseThrow().orders()) {
                 if (o.phase() == Phase.OUT && fencesSeen.add(o.fence() * 31 + o.member())) {
                     assertTrue(!down.containsKey(o.member()), "a member goes out twice");
                     down.put(o.member(), new Work(fleet.now, o.fence()));
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -72,17 +72,17 @@
         }
 
         @Override
-        public String notTold(Order order) {
+        public String notTold(DrainOrder order) {
             return untold;
         }
 
         @Override
-        public String stillUsed(Order order) {
+        public String stillUsed(DrainOrder order) {
             return null;
         }
 
         @Override
-        public boolean warm(Order order) {
+        public boolean warm(DrainOrder order) {
             return true;
         }
     }
@@ -136,7 +136,7 @@
         for (int i = 0; i < 100 && !plan.requests().isEmpty(); i++) {
             plan.orders().stream()
                     .filter(o -> o.phase() == Phase.OUT)
-                    .map(Order::member)
+                    .map(DrainOrder::member)
                     .toList()
                     .forEach(this::done);
             settle();
@@ -215,7 +215,7 @@
         ask(1, 1, 1, 1L, 2L);
         settle();
         assertEquals(0, plan.out());
-        Order named = plan.orders().stream()
+        DrainOrder named = plan.orders().stream()
                 .filter(o -> o.phase() == Phase.NAMED)
                 .findFirst()
                 .orElseThrow();
@@ -231,7 +231,7 @@
         settle();
         List<Long> out = plan.orders().stream()
                 .filter(o -> o.phase() == Phase.OUT)
-                .map(Order::member)
+                .map(DrainOrder::member)
                 .toList();
         done(out.get(0));
         settle();
@@ -249,7 +249,7 @@
     void doneNamesItsFenceAndCancelLeavesAloneWhoIsOut() {
         ask(1, 1, 1, 1L, 2L, 3L);
         settle();
-        Order out = plan.orders().stream()
+        DrainOrder out = plan.orders().stream()
                 .filter(o -> o.phase() == Phase.OUT)
                 .findFirst()
                 .orElseThrow();
@@ -345,7 +345,7 @@
         Plan out = new Plan(
                 9,
                 List.of(new DrainRequest(1, 0, 1, 1)),
-                List.of(new Order(c.members().get(0), Tier.ROUTER, 1, Phase.OUT, 8, 0)),
+                List.of(new DrainOrder(c.members().get(0), Tier.ROUTER, 1, Phase.OUT, 8, 0)),
                 List.of());
         Map<String, String> done = new HashMap<>(Map.of("drain", "done", "id", "2", "members", "router/r1"));
         assertEquals(8, DrainWords.command(done, "west", world(), out).fence());
@@ -364,9 +364,9 @@
         for (int i = r.nextInt(Plan.MOST_REQUESTS + 1); i > 0; i--) {
             requests.add(new DrainRequest(r.nextLong(), i - 1, 1 + r.nextInt(50), r.nextInt(50)));
         }
-        List<Order> orders = new ArrayList<>();
+        List<DrainOrder> orders = new ArrayList<>();
         for (int i = r.nextInt(Plan.MOST_ORDERS + 1); i > 0; i--) {
-            orders.add(new Order(
+            orders.add(new DrainOrder(
                     i,
                     Tier.values()[r.nextInt(3)],
                     r.nextInt(),
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -82,7 +82,7 @@
         return new Plan(
                 stamp,
                 List.of(new DrainRequest(5, 0, 1, 1)),
-                List.of(new Order(1, Tier.CACHE, 1, one, stamp, 40), new Order(2, Tier.CACHE, 1, two, stamp, 40)),
+                List.of(new DrainOrder(1, Tier.CACHE, 1, one, stamp, 40), new DrainOrder(2, Tier.CACHE, 1, two, stamp, 40)),
                 List.of());
     }
 
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -68,7 +68,7 @@
         }
 
         @Override
-        public String notTold(Order order) {
+        public String notTold(DrainOrder order) {
             for (int r = 0; r < ROUTERS; r++) {
                 if (routers[r].alive && applied(r) < order.fence()) {
                     return "r" + r;
@@ -78,7 +78,7 @@
         }
 
         @Override
-        public String stillUsed(Order order) {
+        public String stillUsed(DrainOrder order) {
             for (int r = 0; r < ROUTERS; r++) {
                 if (routers[r].alive
                         && applied(r) < order.fence()
@@ -115,7 +115,7 @@
         }
 
         @Override
-        public boolean warm(Order order) {
+        public boolean warm(DrainOrder order) {
             return true;
         }
 
@@ -312,7 +312,7 @@
         /** The operator goes by what any router shows to be in force. */
         private void operator() {
             for (Router r : routers) {
-                for (Order o : r.book.applied().orders()) {
+                for (DrainOrder o : r.book.applied().orders()) {
                     if (r.alive && o.phase() == Phase.OUT && fences.add(o.fence())) {
                         assertTrue(out.put(o.member(), o.fence()) == null, "out twice");
                     }
@@ -327,7 +327,7 @@
                 assertTrue(
                         r.book.applied().out() <= 1, () -> "more than may be: " + r.book.applied() + " after " + path);
                 for (long m : out.keySet()) {
-                    Phase phase = r.book.applied().of(m).map(Order::phase).orElse(Phase.FINISHED);
+                    Phase phase = r.book.applied().of(m).map(DrainOrder::phase).orElse(Phase.FINISHED);
                     boolean alone = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !r.inTouch;
                     assertTrue(
                             !r.alive || !r.touched || alone,
