--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -38,7 +38,7 @@
 import pumicemoor.fleet.drains.DrainWords;
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.fleet.drains.Plan;
-import pumicemoor.fleet.drains.Tier;
+import pumicemoor.fleet.drains.MemberKind;
 import pumicemoor.fleet.drains.World;
 import pumicemoor.fleet.limits.CellShare;
 import pumicemoor.fleet.limits.FleetLimit;
@@ -1017,7 +1017,7 @@
                 targets.put(
                         id,
                         new World.Target(
-                                m.name(), m.role() == Role.CACHE ? Tier.CACHE : Tier.PARENT, m.ready(), m.started()));
+                                m.name(), m.role() == Role.CACHE ? MemberKind.CACHE : MemberKind.PARENT, m.ready(), m.started()));
             }
         });
         Set<Long> failing =
--- a/src/main/java/pumicemoor/fleet/drains/Audience.java
+++ b/src/main/java/pumicemoor/fleet/drains/Audience.java
@@ -108,7 +108,7 @@
         if (world.now() < order.since() + times.least()) {
             return "any router";
         }
-        if (order.tier() == Tier.ROUTER) {
+        if (order.tier() == MemberKind.ROUTER) {
             return null; // no router uses another
         }
         return world.peers().stream()
@@ -129,9 +129,9 @@
     }
 
     @Override
-    public int serving(Tier tier) {
+    public int serving(MemberKind tier) {
         return (int)
-                (tier == Tier.ROUTER
+                (tier == MemberKind.ROUTER
                         ? world.peers().stream().filter(p -> serves(p.id())).count()
                         : world.targets().entrySet().stream()
                                 .filter(t -> t.getValue().tier() == tier && serves(t.getKey()))
@@ -165,7 +165,7 @@
 
     @Override
     public boolean warm(DrainOrder order) {
-        if (order.tier() == Tier.ROUTER) { // it has come back once its process goes by the plan
+        if (order.tier() == MemberKind.ROUTER) { // it has come back once its process goes by the plan
             return world.peers().stream()
                     .anyMatch(p -> p.id() == order.member() && p.lives() && applied(p) >= order.fence());
         }
--- a/src/main/java/pumicemoor/fleet/drains/DrainOrder.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainOrder.java
@@ -5,7 +5,7 @@
  * that brought it into its phase: who acts on a phase names it, and is too late once it has changed. Since is that
  * moment by the keeper's clock, Unix microseconds.
  */
-public record DrainOrder(long member, Tier tier, int requests, Phase phase, long fence, long since) {
+public record DrainOrder(long member, MemberKind tier, int requests, Phase phase, long fence, long since) {
 
     DrainOrder in(Phase next, long stamp, long now) {
         return new DrainOrder(member, tier, requests, next, stamp, now);
--- a/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
@@ -12,7 +12,7 @@
         return new DrainTimes(least, drain, gone, overdue, caches, parents);
     }
 
-    long warm(Tier tier) {
-        return tier == Tier.CACHE ? cacheWarm : tier == Tier.PARENT ? parentWarm : 0;
+    long warm(MemberKind tier) {
+        return tier == MemberKind.CACHE ? cacheWarm : tier == MemberKind.PARENT ? parentWarm : 0;
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/DrainWords.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainWords.java
@@ -88,13 +88,13 @@
         return name.startsWith(World.ROUTERS) ? Hashes.of(name) : Hashes.fnv(name);
     }
 
-    private static Map<Tier, Integer> sizes(List<Long> members, World world) {
-        Set<Tier> tiers = EnumSet.noneOf(Tier.class);
+    private static Map<MemberKind, Integer> sizes(List<Long> members, World world) {
+        Set<MemberKind> tiers = EnumSet.noneOf(MemberKind.class);
         members.forEach(m -> tiers.add(
-                world.targets().containsKey(m) ? world.targets().get(m).tier() : Tier.ROUTER));
-        Map<Tier, Integer> sizes = new HashMap<>();
+                world.targets().containsKey(m) ? world.targets().get(m).tier() : MemberKind.ROUTER));
+        Map<MemberKind, Integer> sizes = new HashMap<>();
         tiers.forEach(t -> sizes.put(t, (int)
-                (t == Tier.ROUTER
+                (t == MemberKind.ROUTER
                         ? world.peers().stream().filter(World.Peer::lives).count()
                         : world.targets().values().stream()
                                 .filter(x -> x.tier() == t)
@@ -115,7 +115,7 @@
         if (most < 1 || most > Drains.MOST_OUT) {
             throw new Wrong("max-at-once", most + " is out of range: 1 to " + Drains.MOST_OUT);
         }
-        for (Map.Entry<Tier, Integer> tier : sizes(members, world).entrySet()) {
+        for (Map.Entry<MemberKind, Integer> tier : sizes(members, world).entrySet()) {
             if (most > tier.getValue()) {
                 throw new Wrong("max-at-once", most + " is over the tier: " + describe(tier));
             }
@@ -125,7 +125,7 @@
 
     private static int least(Map<String, String> fields, List<Long> members, World world) throws Wrong {
         int least = number(fields, "min-serving");
-        for (Map.Entry<Tier, Integer> tier : sizes(members, world).entrySet()) {
+        for (Map.Entry<MemberKind, Integer> tier : sizes(members, world).entrySet()) {
             if (least < 0 || least >= tier.getValue()) {
                 throw new Wrong(
                         "min-serving",
@@ -140,7 +140,7 @@
         return least;
     }
 
-    private static String describe(Map.Entry<Tier, Integer> tier) {
+    private static String describe(Map.Entry<MemberKind, Integer> tier) {
         return tier.getValue() + " of kind " + tier.getKey().name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -347,9 +347,9 @@
         long stamp = keeper.nextStamp();
         Plan plan = book.held();
         List<Steps.Step> steps = new ArrayList<>();
-        Map<Long, Tier> tiers = new HashMap<>();
+        Map<Long, MemberKind> tiers = new HashMap<>();
         world.targets().forEach((id, t) -> tiers.put(id, t.tier()));
-        world.peers().forEach(p -> tiers.put(p.id(), Tier.ROUTER));
+        world.peers().forEach(p -> tiers.put(p.id(), MemberKind.ROUTER));
         for (Pending p : pending.values()) {
             Steps.Outcome told = Steps.told(plan, p.command(), tiers, stamp, world.now());
             plan = told.plan();
--- a/src/main/java/pumicemoor/fleet/drains/Evidence.java
+++ b/src/main/java/pumicemoor/fleet/drains/Evidence.java
@@ -4,7 +4,7 @@
 interface Evidence {
 
     /** How many of a tier serve now, whatever the plan says of them: listed, ready, and nothing held against them. */
-    int serving(Tier tier);
+    int serving(MemberKind tier);
 
     /** Whether this member is among those. */
     boolean serves(long member);
--- a/src/main/java/pumicemoor/fleet/drains/Tier.java
+++ b/src/main/java/pumicemoor/fleet/drains/MemberKind.java
@@ -1,7 +1,7 @@
 package pumicemoor.fleet.drains;
 
 /** The kinds of members that can be taken out; a budget of members that must serve holds for each by itself. */
-public enum Tier {
+public enum MemberKind {
     CACHE,
     PARENT,
     ROUTER
--- a/src/main/java/pumicemoor/fleet/drains/Plan.java
+++ b/src/main/java/pumicemoor/fleet/drains/Plan.java
@@ -58,7 +58,7 @@
     }
 
     /** The most that any open request wants to serve in this tier. */
-    public int leastServing(Tier tier) {
+    public int leastServing(MemberKind tier) {
         return requests.stream()
                 .filter(r ->
                         orders.stream().anyMatch(o -> o.tier() == tier && o.isFor(r) && o.phase() != Phase.FINISHED))
@@ -80,7 +80,7 @@
      * With one more request; a member that is in the plan already is there for both. The same plan where the request was
      * taken before or there is no room for it.
      */
-    Plan with(DrainCommand c, Map<Long, Tier> tiers, long next, long now) {
+    Plan with(DrainCommand c, Map<Long, MemberKind> tiers, long next, long now) {
         int slot = 0;
         while (slot < MOST_REQUESTS && taken(slot)) {
             slot++;
--- a/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
@@ -58,7 +58,7 @@
             for (int left = count(in.getShort(), Plan.MOST_ORDERS); left > 0; left--) {
                 DrainOrder o = new DrainOrder(
                         in.getLong(),
-                        Tier.values()[in.get()],
+                        MemberKind.values()[in.get()],
                         in.getInt(),
                         Phase.values()[in.get()],
                         in.getLong(),
--- a/src/main/java/pumicemoor/fleet/drains/Steps.java
+++ b/src/main/java/pumicemoor/fleet/drains/Steps.java
@@ -16,7 +16,7 @@
 final class Steps {
 
     /** A member's way from one phase to the next, and why. */
-    record Step(long member, Tier tier, Phase from, Phase to, String cause) {}
+    record Step(long member, MemberKind tier, Phase from, Phase to, String cause) {}
 
     /** The plan that follows, and the steps that lead there; where there are none it is the plan itself. */
     record Outcome(Plan plan, List<Step> steps) {}
@@ -27,7 +27,7 @@
     private final int majority; // of routers, which have to live on
     private final Map<Long, DrainOrder> orders = new LinkedHashMap<>();
     private final List<Step> steps = new ArrayList<>();
-    private final Map<Tier, Integer> serving = new EnumMap<>(Tier.class);
+    private final Map<MemberKind, Integer> serving = new EnumMap<>(MemberKind.class);
     private final Plan plan;
 
     private Steps(Plan plan, long stamp, long now, int majority, Evidence evidence) {
@@ -37,7 +37,7 @@
         this.majority = majority;
         this.evidence = evidence;
         plan.orders().forEach(o -> orders.put(o.member(), o));
-        for (Tier tier : Tier.values()) {
+        for (MemberKind tier : MemberKind.values()) {
             serving.put(
                     tier,
                     evidence.serving(tier)
@@ -81,7 +81,7 @@
                 serving.merge(o.tier(), evidence.serves(o.member()) ? -1 : 0, Integer::sum);
             }
         }
-        for (Tier tier : Tier.values()) {
+        for (MemberKind tier : MemberKind.values()) {
             long ahead = plan.mostOut()
                     - orders.values().stream()
                             .filter(o -> o.tier() == tier && o.phase() == Phase.NAMED)
@@ -98,7 +98,7 @@
      * The next to be named: who fails, since it is out as it is; then by request, the older first, so that nobody waits for
      * ever; within one who holds least of what is asked for; a hash settles ties.
      */
-    private Optional<DrainOrder> first(Tier tier) {
+    private Optional<DrainOrder> first(MemberKind tier) {
         return orders.values().stream()
                 .filter(o -> o.tier() == tier && o.phase() == Phase.QUEUED)
                 .min(Comparator.comparing((DrainOrder o) -> !evidence.failing(o.member()))
@@ -118,7 +118,7 @@
 
     /** What keeps a named member from going, with so many out already; null where nothing does. */
     private String held(DrainOrder o, int out) {
-        int least = Math.max(plan.leastServing(o.tier()), o.tier() == Tier.ROUTER ? majority : 0);
+        int least = Math.max(plan.leastServing(o.tier()), o.tier() == MemberKind.ROUTER ? majority : 0);
         int left = serving.get(o.tier()) - (evidence.serves(o.member()) ? 1 : 0);
         if (out >= plan.mostOut()) {
             return "as many are out as may be: " + out;
@@ -152,7 +152,7 @@
     }
 
     /** The plan after an operator's command; the plan itself where it changes nothing. */
-    static Outcome told(Plan plan, DrainCommand c, Map<Long, Tier> tiers, long stamp, long now) {
+    static Outcome told(Plan plan, DrainCommand c, Map<Long, MemberKind> tiers, long stamp, long now) {
         if (c.kind() == DrainCommand.Kind.REQUEST) {
             Plan next = plan.with(c, tiers, stamp, now);
             return new Outcome(
--- a/src/main/java/pumicemoor/fleet/drains/World.java
+++ b/src/main/java/pumicemoor/fleet/drains/World.java
@@ -35,7 +35,7 @@
     }
 
     /** A member that may be taken out; ready where the list has it so. */
-    public record Target(String name, Tier tier, boolean ready, long started) {}
+    public record Target(String name, MemberKind tier, boolean ready, long started) {}
 
     int majority() {
         return routers / 2 + 1;
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -32,20 +32,20 @@
     private static final class Known implements Evidence {
         final Set<Long> failing = new HashSet<>();
         final Map<Long, Double> heat = new HashMap<>();
-        final Map<Long, Tier> tiers = new HashMap<>();
+        final Map<Long, MemberKind> tiers = new HashMap<>();
         String untold;
 
         Known() {
             for (long m = 0; m < 10; m++) {
-                tiers.put(m, Tier.CACHE);
+                tiers.put(m, MemberKind.CACHE);
             }
             for (long m = 20; m < 25; m++) {
-                tiers.put(m, Tier.ROUTER);
+                tiers.put(m, MemberKind.ROUTER);
             }
         }
 
         @Override
-        public int serving(Tier tier) {
+        public int serving(MemberKind tier) {
             return (int) tiers.entrySet().stream()
                     .filter(t -> t.getValue() == tier && !failing.contains(t.getKey()))
                     .count();
@@ -284,7 +284,7 @@
     private static World world() {
         Map<Long, Target> targets = new HashMap<>();
         for (int i = 0; i < 5; i++) {
-            targets.put(Hashes.fnv("box-" + i), new Target("box-" + i, Tier.CACHE, true, 0));
+            targets.put(Hashes.fnv("box-" + i), new Target("box-" + i, MemberKind.CACHE, true, 0));
         }
         return new World(
                 0,
@@ -345,7 +345,7 @@
         Plan out = new Plan(
                 9,
                 List.of(new DrainRequest(1, 0, 1, 1)),
-                List.of(new DrainOrder(c.members().get(0), Tier.ROUTER, 1, Phase.OUT, 8, 0)),
+                List.of(new DrainOrder(c.members().get(0), MemberKind.ROUTER, 1, Phase.OUT, 8, 0)),
                 List.of());
         Map<String, String> done = new HashMap<>(Map.of("drain", "done", "id", "2", "members", "router/r1"));
         assertEquals(8, DrainWords.command(done, "west", world(), out).fence());
@@ -368,7 +368,7 @@
         for (int i = r.nextInt(Plan.MOST_ORDERS + 1); i > 0; i--) {
             orders.add(new DrainOrder(
                     i,
-                    Tier.values()[r.nextInt(3)],
+                    MemberKind.values()[r.nextInt(3)],
                     r.nextInt(),
                     Phase.values()[r.nextInt(6)],
                     1 + r.nextInt(900),
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -74,7 +74,7 @@
                 0,
                 3,
                 List.of(),
-                Map.of(1L, new Target("box-1", Tier.CACHE, true, 0), 2L, new Target("box-2", Tier.CACHE, true, 0)),
+                Map.of(1L, new Target("box-1", MemberKind.CACHE, true, 0), 2L, new Target("box-2", MemberKind.CACHE, true, 0)),
                 Set.of());
     }
 
@@ -82,7 +82,7 @@
         return new Plan(
                 stamp,
                 List.of(new DrainRequest(5, 0, 1, 1)),
-                List.of(new DrainOrder(1, Tier.CACHE, 1, one, stamp, 40), new DrainOrder(2, Tier.CACHE, 1, two, stamp, 40)),
+                List.of(new DrainOrder(1, MemberKind.CACHE, 1, one, stamp, 40), new DrainOrder(2, MemberKind.CACHE, 1, two, stamp, 40)),
                 List.of());
     }
 
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public int serving(Tier tier) {
+        public int serving(MemberKind tier) {
             return MEMBERS;
         }
 
@@ -279,9 +279,9 @@
                 Plan held = routers[keeper].book.held();
                 Plan next = held;
                 if (!held.knows(1)) {
-                    Map<Long, Tier> tiers = new TreeMap<>();
+                    Map<Long, MemberKind> tiers = new TreeMap<>();
                     for (long m = 0; m < MEMBERS; m++) {
-                        tiers.put(m, Tier.CACHE);
+                        tiers.put(m, MemberKind.CACHE);
                     }
                     next = Steps.told(
                                     next,
