--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -39,7 +39,7 @@
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.fleet.drains.Plan;
 import pumicemoor.fleet.drains.MemberKind;
-import pumicemoor.fleet.drains.World;
+import pumicemoor.fleet.drains.FleetSnapshot;
 import pumicemoor.fleet.limits.CellShare;
 import pumicemoor.fleet.limits.FleetLimit;
 import pumicemoor.fleet.limits.HeldLease;
@@ -1008,21 +1008,21 @@
     // ---- drains ---------------------------------------------------------------------------------------
 
     /** What is known beside the plan; a process that may not yet know of every router is no keeper of it. */
-    private World world() {
+    private FleetSnapshot world() {
         boolean keeps =
                 office() && now >= startedAt + INFORMED * setup.membership().period();
-        Map<Long, World.Target> targets = new TreeMap<>();
+        Map<Long, FleetSnapshot.Target> targets = new TreeMap<>();
         members.forEach((id, m) -> {
             if (m.role() != Role.ORIGIN) {
                 targets.put(
                         id,
-                        new World.Target(
+                        new FleetSnapshot.Target(
                                 m.name(), m.role() == Role.CACHE ? MemberKind.CACHE : MemberKind.PARENT, m.ready(), m.started()));
             }
         });
         Set<Long> failing =
                 verdicts.standing(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
-        return new World(
+        return new FleetSnapshot(
                 now,
                 keeps ? votes.ownTerm() : 0,
                 votes.officeSince(),
@@ -1032,9 +1032,9 @@
                 failing);
     }
 
-    private World.Peer peer(RouterRecord n) {
-        return new World.Peer(
-                Hashes.of(World.ROUTERS + n.name()),
+    private FleetSnapshot.Peer peer(RouterRecord n) {
+        return new FleetSnapshot.Peer(
+                Hashes.of(FleetSnapshot.ROUTERS + n.name()),
                 n.name(),
                 n.address(),
                 n.instance(),
--- a/src/main/java/pumicemoor/fleet/drains/Audience.java
+++ b/src/main/java/pumicemoor/fleet/drains/Audience.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import pumicemoor.fleet.Packet.Use;
-import pumicemoor.fleet.drains.World.Peer;
-import pumicemoor.fleet.drains.World.Target;
+import pumicemoor.fleet.drains.FleetSnapshot.Peer;
+import pumicemoor.fleet.drains.FleetSnapshot.Target;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.RouterStatus;
 
@@ -27,7 +27,7 @@
     private final Map<String, Map<Long, Double>> heat = new HashMap<>();
     private final Map<String, Map<Long, Long>> stoppedAt = new HashMap<>(); // by router, then by fence and member
     private long ownApplied;
-    private World world;
+    private FleetSnapshot world;
 
     Audience(DrainTimes times, LeaseTimes leases, String self, PlanLeader keeper) {
         this.times = times;
@@ -37,7 +37,7 @@
     }
 
     /** What is known now; of routers that are no more nothing is kept. */
-    void see(World now, long applied, Plan plan) {
+    void see(FleetSnapshot now, long applied, Plan plan) {
         world = now;
         ownApplied = applied;
         Set<String> names = new HashSet<>();
--- a/src/main/java/pumicemoor/fleet/drains/DrainWords.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainWords.java
@@ -28,7 +28,7 @@
     private DrainWords() {}
 
     /** Reads a command; done without a fence is about the phase that this router knows the member to be in. */
-    public static DrainCommand command(Map<String, String> fields, String cluster, World world, Plan plan)
+    public static DrainCommand command(Map<String, String> fields, String cluster, FleetSnapshot world, Plan plan)
             throws Wrong {
         String asked = fields.getOrDefault("cluster", cluster);
         if (!asked.equals(cluster)) {
@@ -59,7 +59,7 @@
         }
     }
 
-    private static List<Long> members(String text, World world, Plan plan) throws Wrong {
+    private static List<Long> members(String text, FleetSnapshot world, Plan plan) throws Wrong {
         Map<String, Long> byName = new HashMap<>();
         world.peers().forEach(p -> byName.put(p.asMember(), p.id()));
         world.targets().forEach((id, t) -> byName.put(t.name(), id));
@@ -85,17 +85,17 @@
 
     /** The number of a member by its name, as it is everywhere in the program. */
     private static long memberId(String name) {
-        return name.startsWith(World.ROUTERS) ? Hashes.of(name) : Hashes.fnv(name);
+        return name.startsWith(FleetSnapshot.ROUTERS) ? Hashes.of(name) : Hashes.fnv(name);
     }
 
-    private static Map<MemberKind, Integer> sizes(List<Long> members, World world) {
+    private static Map<MemberKind, Integer> sizes(List<Long> members, FleetSnapshot world) {
         Set<MemberKind> tiers = EnumSet.noneOf(MemberKind.class);
         members.forEach(m -> tiers.add(
                 world.targets().containsKey(m) ? world.targets().get(m).tier() : MemberKind.ROUTER));
         Map<MemberKind, Integer> sizes = new HashMap<>();
         tiers.forEach(t -> sizes.put(t, (int)
                 (t == MemberKind.ROUTER
-                        ? world.peers().stream().filter(World.Peer::lives).count()
+                        ? world.peers().stream().filter(FleetSnapshot.Peer::lives).count()
                         : world.targets().values().stream()
                                 .filter(x -> x.tier() == t)
                                 .count())));
@@ -110,7 +110,7 @@
         }
     }
 
-    private static int most(Map<String, String> fields, List<Long> members, World world) throws Wrong {
+    private static int most(Map<String, String> fields, List<Long> members, FleetSnapshot world) throws Wrong {
         int most = number(fields, "max-at-once");
         if (most < 1 || most > Drains.MOST_OUT) {
             throw new Wrong("max-at-once", most + " is out of range: 1 to " + Drains.MOST_OUT);
@@ -123,7 +123,7 @@
         return most;
     }
 
-    private static int least(Map<String, String> fields, List<Long> members, World world) throws Wrong {
+    private static int least(Map<String, String> fields, List<Long> members, FleetSnapshot world) throws Wrong {
         int least = number(fields, "min-serving");
         for (Map.Entry<MemberKind, Integer> tier : sizes(members, world).entrySet()) {
             if (least < 0 || least >= tier.getValue()) {
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -15,7 +15,7 @@
 import pumicemoor.fleet.Packet.PlanGrant;
 import pumicemoor.fleet.Packet.PlanReport;
 import pumicemoor.fleet.Packet.Use;
-import pumicemoor.fleet.drains.World.Peer;
+import pumicemoor.fleet.drains.FleetSnapshot.Peer;
 import pumicemoor.fleet.limits.LeaseTimes;
 
 /**
@@ -241,7 +241,7 @@
     }
 
     /** What the decisions are to go by from now on; null where that is as before. */
-    public View takeView(long now, World world) {
+    public View takeView(long now, FleetSnapshot world) {
         world.targets().forEach((id, t) -> {
             if (returned.getOrDefault(id, Long.MAX_VALUE) <= t.started()) {
                 returned.remove(id);
@@ -276,7 +276,7 @@
     // ---- the keeper -----------------------------------------------------------------------------------
 
     /** A router's report, answered at once. */
-    public void reported(World world, Peer from, long number, PlanReport r) {
+    public void reported(FleetSnapshot world, Peer from, long number, PlanReport r) {
         outlet.term(r.term());
         outlet.term(Plan.term(r.held()));
         keeper.reported(
@@ -303,7 +303,7 @@
     }
 
     /** A command that another router passed on. */
-    public void passedOn(World world, DrainCommand c) {
+    public void passedOn(FleetSnapshot world, DrainCommand c) {
         if (world.term() > 0) {
             command(world.now(), c);
             sit(world);
@@ -311,7 +311,7 @@
     }
 
     /** Does what is to be done in office; out of it nothing. */
-    public void sit(World world) {
+    public void sit(FleetSnapshot world) {
         audience.see(world, toldStamp, book.held());
         audience.uses(self, someUses());
         if (world.term() == 0) {
@@ -339,11 +339,11 @@
         }
     }
 
-    private void sendAll(World world) {
+    private void sendAll(FleetSnapshot world) {
         world.peers().stream().filter(p -> p.lives() && !p.name().equals(self)).forEach(p -> sendPieces(p.address()));
     }
 
-    private boolean writeNext(World world) {
+    private boolean writeNext(FleetSnapshot world) {
         long stamp = keeper.nextStamp();
         Plan plan = book.held();
         List<Steps.Step> steps = new ArrayList<>();
@@ -367,7 +367,7 @@
     }
 
     /** A line for each step, once it is in force; one that an earlier keeper wrote has no other cause here. */
-    private void log(World world) {
+    private void log(FleetSnapshot world) {
         Plan plan = book.applied();
         if (plan == logged) {
             return;
@@ -387,7 +387,7 @@
         causes.clear();
     }
 
-    private void line(World world, DrainOrder o, String from, String to) {
+    private void line(FleetSnapshot world, DrainOrder o, String from, String to) {
         String cause = causes.getOrDefault(o.member(), "an earlier keeper wrote it");
         outlet.changed(
                 "drain of " + name(world, o.member()) + ": " + to + ", " + cause,
@@ -414,8 +414,8 @@
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    private static String name(World world, long member) {
-        World.Target t = world.targets().get(member);
+    private static String name(FleetSnapshot world, long member) {
+        FleetSnapshot.Target t = world.targets().get(member);
         return t != null
                 ? t.name()
                 : world.peers().stream()
@@ -438,7 +438,7 @@
     }
 
     /** The plan in force, member by member; what holds one up is known to the keeper alone. */
-    public List<Map<String, Object>> rows(World world, String keeperName) {
+    public List<Map<String, Object>> rows(FleetSnapshot world, String keeperName) {
         audience.see(world, toldStamp, book.held());
         boolean office = world.term() > 0 && keeper.inForce() > 0;
         List<Map<String, Object>> rows = new ArrayList<>();
--- a/src/main/java/pumicemoor/fleet/drains/World.java
+++ b/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
@@ -9,7 +9,7 @@
  * What a router knows beside the plan at one moment: its term where it is the keeper (0 where it is not) and since when,
  * how many routers the fleet is taken for, the routers and the members one by one, and which of those fail.
  */
-public record World(
+public record FleetSnapshot(
         long now,
         long term,
         long officeSince,
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pumicemoor.Hashes;
-import pumicemoor.fleet.drains.World.Peer;
-import pumicemoor.fleet.drains.World.Target;
+import pumicemoor.fleet.drains.FleetSnapshot.Peer;
+import pumicemoor.fleet.drains.FleetSnapshot.Target;
 import pumicemoor.fleet.membership.RouterStatus;
 
 /** The order in which members go, the budgets, operators' commands, and what a plan's bytes may hold. */
@@ -281,12 +281,12 @@
         assertEquals(List.of(1L), plan.closed());
     }
 
-    private static World world() {
+    private static FleetSnapshot world() {
         Map<Long, Target> targets = new HashMap<>();
         for (int i = 0; i < 5; i++) {
             targets.put(Hashes.fnv("box-" + i), new Target("box-" + i, MemberKind.CACHE, true, 0));
         }
-        return new World(
+        return new FleetSnapshot(
                 0,
                 0,
                 0,
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -14,7 +14,7 @@
 import pumicemoor.fleet.Packet.Piece;
 import pumicemoor.fleet.Packet.PlanGrant;
 import pumicemoor.fleet.Packet.PlanReport;
-import pumicemoor.fleet.drains.World.Target;
+import pumicemoor.fleet.drains.FleetSnapshot.Target;
 import pumicemoor.fleet.limits.LeaseTimes;
 
 /** What one router goes by: plans in force alone, and the named left alone once it may not hear of what came of them. */
@@ -67,8 +67,8 @@
                 }
             });
 
-    private static World world(long now) {
-        return new World(
+    private static FleetSnapshot world(long now) {
+        return new FleetSnapshot(
                 now,
                 0,
                 0,
