--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -76,7 +76,7 @@
     private final Outlet outlet;
     private final PlanBook book = new PlanBook();
     private final PlanLeader keeper = new PlanLeader(book);
-    private final Audience audience;
+    private final RouterAcknowledgements audience;
     private final Map<Long, Pending> pending = new LinkedHashMap<>();
     private final Map<Long, Long> sentAt = new TreeMap<>(); // of reports, by their numbers
     private final Map<Long, String> causes = new HashMap<>(); // of steps being written, by member
@@ -105,7 +105,7 @@
         this.startedAt = startedAt;
         this.usage = usage;
         this.outlet = outlet;
-        this.audience = new Audience(times, leases, self, keeper);
+        this.audience = new RouterAcknowledgements(times, leases, self, keeper);
     }
 
     // ---- any router -----------------------------------------------------------------------------------
--- a/src/main/java/pumicemoor/fleet/drains/Audience.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -16,7 +16,7 @@
  * any more has left alone, a lease after its last answer, whatever it knows to be named. It owns when each was last
  * answered and what each has under way; it must never send.
  */
-final class Audience implements Evidence {
+final class RouterAcknowledgements implements Evidence {
 
     private final DrainTimes times;
     private final LeaseTimes leases;
@@ -29,7 +29,7 @@
     private long ownApplied;
     private FleetSnapshot world;
 
-    Audience(DrainTimes times, LeaseTimes leases, String self, PlanLeader keeper) {
+    RouterAcknowledgements(DrainTimes times, LeaseTimes leases, String self, PlanLeader keeper) {
         this.times = times;
         this.leases = leases;
         this.self = self;
