--- a/src/main/java/pumicemoor/fleet/drains/Evidence.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainConditions.java
@@ -1,7 +1,7 @@
 package pumicemoor.fleet.drains;
 
 /** What the keeper knows beside the plan, asked member by member. */
-interface Evidence {
+interface DrainConditions {
 
     /** How many of a tier serve now, whatever the plan says of them: listed, ready, and nothing held against them. */
     int serving(MemberKind tier);
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -16,7 +16,7 @@
  * any more has left alone, a lease after its last answer, whatever it knows to be named. It owns when each was last
  * answered and what each has under way; it must never send.
  */
-final class RouterAcknowledgements implements Evidence {
+final class RouterAcknowledgements implements DrainConditions {
 
     private final DrainTimes times;
     private final LeaseTimes leases;
--- a/src/main/java/pumicemoor/fleet/drains/Steps.java
+++ b/src/main/java/pumicemoor/fleet/drains/Steps.java
@@ -21,7 +21,7 @@
     /** The plan that follows, and the steps that lead there; where there are none it is the plan itself. */
     record Outcome(Plan plan, List<Step> steps) {}
 
-    private final Evidence evidence;
+    private final DrainConditions evidence;
     private final long stamp;
     private final long now;
     private final int majority; // of routers, which have to live on
@@ -30,7 +30,7 @@
     private final Map<MemberKind, Integer> serving = new EnumMap<>(MemberKind.class);
     private final Plan plan;
 
-    private Steps(Plan plan, long stamp, long now, int majority, Evidence evidence) {
+    private Steps(Plan plan, long stamp, long now, int majority, DrainConditions evidence) {
         this.plan = plan;
         this.stamp = stamp;
         this.now = now;
@@ -48,7 +48,7 @@
         }
     }
 
-    static Outcome after(Plan plan, long stamp, long now, int majority, Evidence evidence) {
+    static Outcome after(Plan plan, long stamp, long now, int majority, DrainConditions evidence) {
         Steps next = new Steps(plan, stamp, now, majority, evidence);
         next.go();
         if (next.steps.isEmpty()) {
@@ -131,7 +131,7 @@
     }
 
     /** What holds a member up, in words; empty for one that waits for nothing but its turn or the operator. */
-    static String heldUp(Plan plan, DrainOrder o, long now, int majority, Evidence evidence) {
+    static String heldUp(Plan plan, DrainOrder o, long now, int majority, DrainConditions evidence) {
         Steps here = new Steps(plan, plan.stamp(), now, majority, evidence);
         return switch (o.phase()) {
             case QUEUED -> "others come first";
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -29,7 +29,7 @@
 class DrainRulesTest {
 
     /** What is known here: members 0 to 9 are caches, 20 to 24 routers. */
-    private static final class Known implements Evidence {
+    private static final class Known implements DrainConditions {
         final Set<Long> failing = new HashSet<>();
         final Map<Long, Double> heat = new HashMap<>();
         final Map<Long, MemberKind> tiers = new HashMap<>();
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -41,7 +41,7 @@
     }
 
     /** One state, reached by a list of actions. */
-    private static final class Model implements Evidence {
+    private static final class Model implements DrainConditions {
         final Router[] routers = new Router[ROUTERS];
         final List<Flying> flying = new ArrayList<>();
         final Map<Long, Long> out = new TreeMap<>(); // members that an operator works on, by the fence of their way out
