--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -346,16 +346,16 @@
     private boolean writeNext(FleetSnapshot world) {
         long stamp = keeper.nextStamp();
         Plan plan = book.held();
-        List<Steps.Step> steps = new ArrayList<>();
+        List<PlanTransitions.Step> steps = new ArrayList<>();
         Map<Long, MemberKind> tiers = new HashMap<>();
         world.targets().forEach((id, t) -> tiers.put(id, t.tier()));
         world.peers().forEach(p -> tiers.put(p.id(), MemberKind.ROUTER));
         for (Pending p : pending.values()) {
-            Steps.Outcome told = Steps.told(plan, p.command(), tiers, stamp, world.now());
+            PlanTransitions.Outcome told = PlanTransitions.told(plan, p.command(), tiers, stamp, world.now());
             plan = told.plan();
             steps.addAll(told.steps());
         }
-        Steps.Outcome next = Steps.after(plan, stamp, world.now(), world.majority(), audience);
+        PlanTransitions.Outcome next = PlanTransitions.after(plan, stamp, world.now(), world.majority(), audience);
         steps.addAll(next.steps());
         if (next.plan() == book.held()) {
             forgetTaken(world.now());
@@ -455,7 +455,7 @@
             row.put(
                     "held-up",
                     office
-                            ? Steps.heldUp(book.applied(), o, world.now(), world.majority(), audience)
+                            ? PlanTransitions.heldUp(book.applied(), o, world.now(), world.majority(), audience)
                             : "(ask " + keeperName + ")");
             rows.add(row);
         }
--- a/src/main/java/pumicemoor/fleet/drains/Steps.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
@@ -13,7 +13,7 @@
  * What follows next from a plan and what is known of members. It owns the order in which members go out and the budgets;
  * it must never remember anything itself.
  */
-final class Steps {
+final class PlanTransitions {
 
     /** A member's way from one phase to the next, and why. */
     record Step(long member, MemberKind tier, Phase from, Phase to, String cause) {}
@@ -30,7 +30,7 @@
     private final Map<MemberKind, Integer> serving = new EnumMap<>(MemberKind.class);
     private final Plan plan;
 
-    private Steps(Plan plan, long stamp, long now, int majority, DrainConditions evidence) {
+    private PlanTransitions(Plan plan, long stamp, long now, int majority, DrainConditions evidence) {
         this.plan = plan;
         this.stamp = stamp;
         this.now = now;
@@ -49,7 +49,7 @@
     }
 
     static Outcome after(Plan plan, long stamp, long now, int majority, DrainConditions evidence) {
-        Steps next = new Steps(plan, stamp, now, majority, evidence);
+        PlanTransitions next = new PlanTransitions(plan, stamp, now, majority, evidence);
         next.go();
         if (next.steps.isEmpty()) {
             return new Outcome(plan, List.of());
@@ -132,7 +132,7 @@
 
     /** What holds a member up, in words; empty for one that waits for nothing but its turn or the operator. */
     static String heldUp(Plan plan, DrainOrder o, long now, int majority, DrainConditions evidence) {
-        Steps here = new Steps(plan, plan.stamp(), now, majority, evidence);
+        PlanTransitions here = new PlanTransitions(plan, plan.stamp(), now, majority, evidence);
         return switch (o.phase()) {
             case QUEUED -> "others come first";
             case NAMED -> Optional.ofNullable(here.held(o, plan.out())).orElse("");
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -92,7 +92,7 @@
     private final List<Long> wentOut = new ArrayList<>();
 
     private void ask(long id, int most, int least, Long... members) {
-        plan = Steps.told(
+        plan = PlanTransitions.told(
                         plan,
                         new DrainCommand(DrainCommand.Kind.REQUEST, id, most, least, 0, List.of(members)),
                         known.tiers,
@@ -102,7 +102,7 @@
     }
 
     private void done(long member) {
-        plan = Steps.told(
+        plan = PlanTransitions.told(
                         plan,
                         new DrainCommand(
                                 DrainCommand.Kind.DONE,
@@ -119,7 +119,7 @@
 
     private boolean step() {
         Plan before = plan;
-        Steps.Outcome next = Steps.after(plan, plan.stamp() + 1, 0, 3, known);
+        PlanTransitions.Outcome next = PlanTransitions.after(plan, plan.stamp() + 1, 0, 3, known);
         plan = next.plan();
         next.steps().stream().filter(s -> s.to() == Phase.OUT).forEach(s -> wentOut.add(s.member()));
         return plan != before;
@@ -182,7 +182,7 @@
                 .findFirst()
                 .orElseThrow()
                 .member();
-        assertTrue(Steps.heldUp(plan, plan.of(waits).orElseThrow(), 0, 3, known).contains("would serve, 8 must"));
+        assertTrue(PlanTransitions.heldUp(plan, plan.of(waits).orElseThrow(), 0, 3, known).contains("would serve, 8 must"));
         known.failing.add(waits);
         settle();
         assertEquals(2, plan.out(), "who fails is out as it is");
@@ -219,7 +219,7 @@
                 .filter(o -> o.phase() == Phase.NAMED)
                 .findFirst()
                 .orElseThrow();
-        assertEquals("router router-7 has not been told", Steps.heldUp(plan, named, 0, 3, known));
+        assertEquals("router router-7 has not been told", PlanTransitions.heldUp(plan, named, 0, 3, known));
         known.tiers.remove(named.member());
         settle();
         assertEquals(Phase.FINISHED, plan.of(named.member()).orElseThrow().phase());
@@ -256,7 +256,7 @@
         Plan before = plan;
         assertSame(
                 before,
-                Steps.told(
+                PlanTransitions.told(
                                 plan,
                                 new DrainCommand(
                                         DrainCommand.Kind.DONE, 5, 0, 0, out.fence() - 1, List.of(out.member())),
@@ -265,7 +265,7 @@
                                 0)
                         .plan(),
                 "an old fence");
-        plan = Steps.told(
+        plan = PlanTransitions.told(
                         plan,
                         new DrainCommand(DrainCommand.Kind.CANCEL, 6, 0, 0, 0, List.of(1L, 2L, 3L)),
                         known.tiers,
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -283,7 +283,7 @@
                     for (long m = 0; m < MEMBERS; m++) {
                         tiers.put(m, MemberKind.CACHE);
                     }
-                    next = Steps.told(
+                    next = PlanTransitions.told(
                                     next,
                                     new DrainCommand(DrainCommand.Kind.REQUEST, 1, 1, 1, 0, List.of(0L, 1L, 2L, 3L)),
                                     tiers,
@@ -292,7 +292,7 @@
                             .plan();
                 }
                 for (Map.Entry<Long, Long> d : done.entrySet()) {
-                    next = Steps.told(
+                    next = PlanTransitions.told(
                                     next,
                                     new DrainCommand(
                                             DrainCommand.Kind.DONE, 9, 0, 0, d.getValue(), List.of(d.getKey())),
@@ -301,7 +301,7 @@
                                     0)
                             .plan();
                 }
-                next = Steps.after(next, k.nextStamp(), 0, 2, this).plan();
+                next = PlanTransitions.after(next, k.nextStamp(), 0, 2, this).plan();
                 if (next == held) {
                     return;
                 }
