--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -74,7 +74,7 @@
     private final long instance;
     private final long startedAt;
     private final Outlet outlet;
-    private final PlanBook book = new PlanBook();
+    private final PlanStore book = new PlanStore();
     private final PlanLeader keeper = new PlanLeader(book);
     private final RouterAcknowledgements audience;
     private final Map<Long, Pending> pending = new LinkedHashMap<>();
--- a/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
@@ -22,13 +22,13 @@
     /** What a router last told of the plans that it holds, and which term it knew when it told that. */
     record Report(long instance, long term, long held, long applied, boolean seasoned) {}
 
-    private final PlanBook book;
+    private final PlanStore book;
     private final Map<String, Report> reports = new TreeMap<>();
     private Stage stage = Stage.IDLE;
     private long term;
     private long inForce;
 
-    PlanLeader(PlanBook book) {
+    PlanLeader(PlanStore book) {
         this.book = book;
     }
 
--- a/src/main/java/pumicemoor/fleet/drains/PlanBook.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanStore.java
@@ -9,7 +9,7 @@
  * on. It owns the pieces of a plan on its way. A plan gives way to one of a higher stamp alone. A process that has started
  * anew remembers nothing and does not count among those who do until a keeper has told it what is in force.
  */
-final class PlanBook {
+final class PlanStore {
 
     static final int PIECE = 900; // bytes
 
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -393,10 +393,10 @@
         spoilt[r.nextInt(spoilt.length)] ^= (byte) (1 + r.nextInt(255));
         Plan other = PlanCodec.read(spoilt); // another plan, or none; never a fault
         assertTrue(other == null || !other.equals(plan) || Arrays.equals(bytes, spoilt));
-        PlanBook sender = new PlanBook();
+        PlanStore sender = new PlanStore();
         assertTrue(sender.hold(plan));
         List<byte[]> pieces = sender.pieces();
-        PlanBook book = new PlanBook();
+        PlanStore book = new PlanStore();
         List<Integer> order = new ArrayList<>(
                 java.util.stream.IntStream.range(0, pieces.size()).boxed().toList());
         java.util.Collections.shuffle(order, r);
@@ -411,7 +411,7 @@
     @Test
     void aProcessStartedAnewDoesNotCountAmongThoseWhoRemember() {
         Plan agreed = new Plan(Plan.first(3), List.of(), List.of(), List.of(4L));
-        PlanBook fresh = new PlanBook();
+        PlanStore fresh = new PlanStore();
         PlanLeader keeper = new PlanLeader(fresh);
         // of five, two that remember nothing and one that does: what three held may be with the two that are away
         keeper.reported("b", new PlanLeader.Report(1, 4, 0, 0, false));
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -87,7 +87,7 @@
     }
 
     private void give(Plan plan) {
-        PlanBook book = new PlanBook();
+        PlanStore book = new PlanStore();
         book.hold(plan);
         List<byte[]> pieces = book.pieces();
         for (int i = 0; i < pieces.size(); i++) {
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -30,7 +30,7 @@
     private record Flying(int to, int instance, boolean office, long inForce, Plan plan, boolean intime) {}
 
     private static final class Router {
-        PlanBook book = new PlanBook();
+        PlanStore book = new PlanStore();
         PlanLeader keeper = new PlanLeader(book);
         int instance = 1;
         long term;
