--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -35,7 +35,7 @@
 import pumicemoor.fleet.Packet.PlanReport;
 import pumicemoor.fleet.Packet.Want;
 import pumicemoor.fleet.drains.DrainCommand;
-import pumicemoor.fleet.drains.DrainWords;
+import pumicemoor.fleet.drains.DrainCommandParser;
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.fleet.drains.Plan;
 import pumicemoor.fleet.drains.MemberKind;
@@ -1076,7 +1076,7 @@
             return "refused: this router has no section 'fleet.drains' in its operator's file";
         }
         try {
-            DrainCommand c = DrainWords.command(
+            DrainCommand c = DrainCommandParser.command(
                     fields, setup.cluster(), world(), drains.get().plan());
             if (!drains.get().command(now, c)) {
                 return "refused: too many commands wait to be taken";
@@ -1085,7 +1085,7 @@
             planAt = Math.min(
                     planAt, Math.max(now, plannedAt + setup.membership().period() / 4));
             return "waits " + Long.toUnsignedString(c.id(), 16);
-        } catch (DrainWords.Wrong e) {
+        } catch (DrainCommandParser.Wrong e) {
             return "refused: " + e.getMessage();
         }
     }
--- a/src/main/java/pumicemoor/fleet/drains/DrainWords.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
@@ -13,7 +13,7 @@
  * Operators' commands as text fields, checked against what a router knows before anything is changed; the first trouble is
  * named with its field. It must never keep anything.
  */
-public final class DrainWords {
+public final class DrainCommandParser {
 
     /** What is wrong with a command. */
     public static final class Wrong extends Exception {
@@ -25,7 +25,7 @@
         }
     }
 
-    private DrainWords() {}
+    private DrainCommandParser() {}
 
     /** Reads a command; done without a fence is about the phase that this router knows the member to be in. */
     public static DrainCommand command(Map<String, String> fields, String cluster, FleetSnapshot world, Plan plan)
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -322,8 +322,8 @@
         fields.put(field, value == null ? "" : value);
         String said = "";
         try {
-            DrainWords.command(fields, "west", world(), Plan.NONE);
-        } catch (DrainWords.Wrong e) {
+            DrainCommandParser.command(fields, "west", world(), Plan.NONE);
+        } catch (DrainCommandParser.Wrong e) {
             said = e.getMessage();
         }
         assertTrue(said.startsWith(words), said);
@@ -331,8 +331,8 @@
 
     private static DrainCommand read(Map<String, String> fields) {
         try {
-            return DrainWords.command(fields, "west", world(), Plan.NONE);
-        } catch (DrainWords.Wrong e) {
+            return DrainCommandParser.command(fields, "west", world(), Plan.NONE);
+        } catch (DrainCommandParser.Wrong e) {
             throw new AssertionError(e);
         }
     }
@@ -341,19 +341,19 @@
     void aRouterIsNamedWithItsKindAndDoneIsAboutWhoIsOut() throws Exception {
         Map<String, String> fields =
                 Map.of("drain", "request", "id", "1", "members", "router/r1", "max-at-once", "1", "min-serving", "1");
-        DrainCommand c = DrainWords.command(fields, "west", world(), Plan.NONE);
+        DrainCommand c = DrainCommandParser.command(fields, "west", world(), Plan.NONE);
         Plan out = new Plan(
                 9,
                 List.of(new DrainRequest(1, 0, 1, 1)),
                 List.of(new DrainOrder(c.members().get(0), MemberKind.ROUTER, 1, Phase.OUT, 8, 0)),
                 List.of());
         Map<String, String> done = new HashMap<>(Map.of("drain", "done", "id", "2", "members", "router/r1"));
-        assertEquals(8, DrainWords.command(done, "west", world(), out).fence());
+        assertEquals(8, DrainCommandParser.command(done, "west", world(), out).fence());
         done.put("fence", "7");
         String said = "";
         try {
-            DrainWords.command(done, "west", world(), out);
-        } catch (DrainWords.Wrong e) {
+            DrainCommandParser.command(done, "west", world(), out);
+        } catch (DrainCommandParser.Wrong e) {
             said = e.getMessage();
         }
         assertEquals("fence: 7 is not that of its way out, 8", said);
