--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -14,8 +14,8 @@
 import pumicemoor.RouterApi.FillSource;
 import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
-import pumicemoor.hierarchy.Shape.Kind;
-import pumicemoor.hierarchy.Shape.Unit;
+import pumicemoor.hierarchy.Topology.Kind;
+import pumicemoor.hierarchy.Topology.Unit;
 import pumicemoor.hierarchy.ShapeCheck.Problem;
 import pumicemoor.hierarchy.Timeline.Branch;
 import pumicemoor.hierarchy.Timeline.Count;
@@ -123,7 +123,7 @@
      * Begins with a shape that is wholly in use everywhere; number is that of the last piece in it. Refuses a
      * shape with problems: see ShapeCheck.
      */
-    public Hierarchy(Shape first, long number, long now, Setup setup, Consumer<LogEvent> log) {
+    public Hierarchy(Topology first, long number, long now, Setup setup, Consumer<LogEvent> log) {
         this.setup = setup;
         this.log = log;
         this.version = first.version();
@@ -139,7 +139,7 @@
      * be under way that this router cannot know: it stays silent until any such change is over.
      */
     public static Hierarchy start(
-            Shape shape, Optional<Shape> before, long number, long now, Setup setup, Consumer<LogEvent> log) {
+            Topology shape, Optional<Topology> before, long number, long now, Setup setup, Consumer<LogEvent> log) {
         if (before.isPresent()) {
             Hierarchy h = new Hierarchy(before.get(), number, Math.min(now, shape.announced()), setup, log);
             pieces(before.get().units(), shape, h.number + 1).forEach(h::apply);
@@ -169,7 +169,7 @@
     }
 
     /** A whole shape, as the operator's file gives it; the problems where it is refused, and then nothing changes. */
-    public List<Problem> take(long now, Shape shape, Set<String> members) {
+    public List<Problem> take(long now, Topology shape, Set<String> members) {
         advance(now);
         List<Problem> problems = new ArrayList<>(ShapeCheck.problems(shape, members));
         if (setup.news() != News.FILE) {
@@ -194,7 +194,7 @@
     }
 
     /** The pieces that lead from some units to a whole shape, children of removed units first by name. */
-    public static List<Piece> pieces(Map<String, Unit> from, Shape to, long firstNumber) {
+    public static List<Piece> pieces(Map<String, Unit> from, Topology to, long firstNumber) {
         List<Unit> changed = to.units().values().stream()
                 .filter(u -> !u.equals(from.get(u.name())))
                 .toList();
@@ -334,7 +334,7 @@
             }
         }
         long version = pieces.get(0).version();
-        List<Problem> problems = ShapeCheck.problems(new Shape(version, announced, skipsAllowed, result), Set.of());
+        List<Problem> problems = ShapeCheck.problems(new Topology(version, announced, skipsAllowed, result), Set.of());
         if (!problems.isEmpty()) {
             refuseShape(version, problems.get(0).text());
             return;
--- a/src/main/java/pumicemoor/hierarchy/MovePlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MovePlan.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import pumicemoor.hierarchy.Shape.Kind;
+import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.ShapeCheck.Problem;
 import pumicemoor.hierarchy.Timeline.Change;
 
@@ -28,7 +28,7 @@
     }
 
     /** Plays the change; the old shape must be one without problems. */
-    public static MovePlan between(Shape old, Shape next, Timing timing) {
+    public static MovePlan between(Topology old, Topology next, Timing timing) {
         List<Problem> problems = new ArrayList<>(ShapeCheck.problems(next, Set.of()));
         next.units().values().stream()
                 .filter(u -> old.units().containsKey(u.name())
--- a/src/main/java/pumicemoor/hierarchy/Piece.java
+++ b/src/main/java/pumicemoor/hierarchy/Piece.java
@@ -1,8 +1,8 @@
 package pumicemoor.hierarchy;
 
 import java.util.Map;
-import pumicemoor.hierarchy.Shape.Kind;
-import pumicemoor.hierarchy.Shape.Unit;
+import pumicemoor.hierarchy.Topology.Kind;
+import pumicemoor.hierarchy.Topology.Unit;
 
 /**
  * One piece of news: from its number on, a unit has these parents, or is no more. Numbers count from 1 without
--- a/src/main/java/pumicemoor/hierarchy/ShapeCheck.java
+++ b/src/main/java/pumicemoor/hierarchy/ShapeCheck.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pumicemoor.hierarchy.Shape.Kind;
-import pumicemoor.hierarchy.Shape.Unit;
+import pumicemoor.hierarchy.Topology.Kind;
+import pumicemoor.hierarchy.Topology.Unit;
 
 /**
  * What is wrong with a whole shape, found before anything of it is taken over. It only reads; it must never
@@ -49,7 +49,7 @@
     private ShapeCheck() {}
 
     /** All problems, the first twenty at most. Members empty: they are not known yet and not looked at. */
-    public static List<Problem> problems(Shape shape, Set<String> members) {
+    public static List<Problem> problems(Topology shape, Set<String> members) {
         List<Problem> problems = new ArrayList<>();
         Map<String, Unit> units = shape.units();
         if (units.size() > MOST_UNITS) {
@@ -77,7 +77,7 @@
     }
 
     private static void unitProblems(
-            Shape shape, Unit unit, Set<String> members, boolean hubs, List<Problem> problems) {
+            Topology shape, Unit unit, Set<String> members, boolean hubs, List<Problem> problems) {
         String name = "'" + unit.name() + "'";
         if (unit.kind() != Kind.DEPOT && !members.isEmpty() && !members.contains(unit.name())) {
             problems.add(new Problem(Trouble.UNKNOWN_MEMBER, unit.name(), name + " is no member that is listed"));
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -13,9 +13,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import pumicemoor.hierarchy.Shape.Kind;
-import pumicemoor.hierarchy.Shape.Link;
-import pumicemoor.hierarchy.Shape.Unit;
+import pumicemoor.hierarchy.Topology.Kind;
+import pumicemoor.hierarchy.Topology.Link;
+import pumicemoor.hierarchy.Topology.Unit;
 
 /**
  * Which links are in use at each moment of a change. It owns the pieces that are to come, the links and their
@@ -101,7 +101,7 @@
     private long lastAt = Long.MIN_VALUE; // when the last piece acts
 
     /** Begins with a shape wholly in use. */
-    Timeline(Shape shape, long start, Timing timing, Consumer<Change> changes) {
+    Timeline(Topology shape, long start, Timing timing, Consumer<Change> changes) {
         this.timing = timing;
         this.changes = changes;
         this.now = start;
--- a/src/main/java/pumicemoor/hierarchy/Shape.java
+++ b/src/main/java/pumicemoor/hierarchy/Topology.java
@@ -7,7 +7,7 @@
  * A whole hierarchy: which unit may fill from which others, with weights. A plain value; it must never know
  * members' addresses or what is in force. Announced is Unix microseconds.
  */
-public record Shape(long version, long announced, boolean skipsAllowed, Map<String, Unit> units) {
+public record Topology(long version, long announced, boolean skipsAllowed, Map<String, Unit> units) {
 
     /** The levels, from the clients up. A depot stands for all its caches that are no units of their own. */
     public enum Kind {
@@ -45,7 +45,7 @@
         }
     }
 
-    public Shape {
+    public Topology {
         units = java.util.Collections.unmodifiableMap(new TreeMap<>(units));
     }
 
--- a/src/main/java/pumicemoor/operator/HierarchySection.java
+++ b/src/main/java/pumicemoor/operator/HierarchySection.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import pumicemoor.hierarchy.Hierarchy.News;
-import pumicemoor.hierarchy.Shape;
+import pumicemoor.hierarchy.Topology;
 import pumicemoor.hierarchy.Timing;
 
 /**
@@ -12,4 +12,4 @@
  * one told.
  */
 public record HierarchySection(
-        News news, String depot, Timing timing, Shape shape, Optional<Shape> before, long lastPiece) {}
+        News news, String depot, Timing timing, Topology shape, Optional<Topology> before, long lastPiece) {}
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -38,9 +38,9 @@
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.verdicts.EjectionPolicy;
 import pumicemoor.hierarchy.Hierarchy.News;
-import pumicemoor.hierarchy.Shape;
-import pumicemoor.hierarchy.Shape.Kind;
-import pumicemoor.hierarchy.Shape.Unit;
+import pumicemoor.hierarchy.Topology;
+import pumicemoor.hierarchy.Topology.Kind;
+import pumicemoor.hierarchy.Topology.Unit;
 import pumicemoor.hierarchy.ShapeCheck;
 import pumicemoor.hierarchy.ShapeCheck.Problem;
 import pumicemoor.hierarchy.Timing;
@@ -499,8 +499,8 @@
         if (form.shape() == null) {
             throw wrong("hierarchy.shape", "it is missing");
         }
-        Shape shape = shape("hierarchy.shape", form.shape());
-        Optional<Shape> before =
+        Topology shape = shape("hierarchy.shape", form.shape());
+        Optional<Topology> before =
                 form.before() == null ? Optional.empty() : Optional.of(shape("hierarchy.before", form.before()));
         if (before.isPresent() && before.get().version() >= shape.version()) {
             throw wrong(
@@ -532,7 +532,7 @@
         return time;
     }
 
-    private Shape shape(String path, ShapeForm form) throws OperatorException {
+    private Topology shape(String path, ShapeForm form) throws OperatorException {
         if (form.version() == null || form.version() < 1) {
             throw wrong(path + ".version", form.version() == null ? "it is missing" : "it is under 1");
         }
@@ -544,7 +544,7 @@
         addAll(units, path + ".hubs", Kind.HUB, form.hubs());
         addAll(units, path + ".depots", Kind.DEPOT, form.depots());
         addAll(units, path + ".caches", Kind.CACHE, form.caches());
-        Shape shape = new Shape(
+        Topology shape = new Topology(
                 form.version(), announced(path, form.announced()), Boolean.TRUE.equals(form.allowSkips()), units);
         List<Problem> problems = ShapeCheck.problems(shape, Set.of());
         if (!problems.isEmpty()) {
--- a/src/main/java/pumicemoor/wire/ShapeNews.java
+++ b/src/main/java/pumicemoor/wire/ShapeNews.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.Map;
 import pumicemoor.hierarchy.Piece;
-import pumicemoor.hierarchy.Shape.Kind;
+import pumicemoor.hierarchy.Topology.Kind;
 
 /**
  * News of the hierarchy as the coordinator of an installation with a feed tells it, under 'shape' in its events:
--- a/src/test/java/pumicemoor/hierarchy/FillOrderTest.java
+++ b/src/test/java/pumicemoor/hierarchy/FillOrderTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import pumicemoor.hierarchy.Shape.Link;
+import pumicemoor.hierarchy.Topology.Link;
 
 class FillOrderTest {
 
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -90,11 +90,11 @@
                                 && "h2".equals(l.fields().get("unit"))
                                 && "h1".equals(l.fields().get("parent"))),
                 log.toString());
-        assertTrue(h.timeline().linksInUse().contains(new Shape.Link("h2", "o")), "service goes on the old way");
+        assertTrue(h.timeline().linksInUse().contains(new Topology.Link("h2", "o")), "service goes on the old way");
         h.advance(T0 + 14 * SECOND);
-        assertFalse(h.timeline().linksInUse().contains(new Shape.Link("h2", "h1")), "others may still follow h1 <- h2");
+        assertFalse(h.timeline().linksInUse().contains(new Topology.Link("h2", "h1")), "others may still follow h1 <- h2");
         h.advance(T0 + 15 * SECOND);
-        assertTrue(h.timeline().linksInUse().contains(new Shape.Link("h2", "h1")));
+        assertTrue(h.timeline().linksInUse().contains(new Topology.Link("h2", "h1")));
         assertEquals(1, h.snapshot().loopsHeld());
     }
 
@@ -129,10 +129,10 @@
         Hierarchy h = at(News.FILE, "d:h1", "h1:o");
         h.take(T0, Shapes.shape(2, T0, "d:o"), Set.of()); // the only one
         h.advance(T0 + 8 * SECOND);
-        assertTrue(h.timeline().linksInUse().contains(new Shape.Link("h1", "o")));
+        assertTrue(h.timeline().linksInUse().contains(new Topology.Link("h1", "o")));
         assertEquals(Set.of(id("o")), now(home(h, T0 + 8 * SECOND)));
         h.advance(T0 + 100 * SECOND);
-        assertEquals(Set.of(new Shape.Link("d", "o")), h.timeline().linksInUse());
+        assertEquals(Set.of(new Topology.Link("d", "o")), h.timeline().linksInUse());
         assertEquals(Stage.AS_WANTED, h.snapshot().stage());
     }
 
@@ -205,7 +205,7 @@
     void aPieceThatCannotBeIsRefusedByItself(String line) {
         Hierarchy h = at(News.FEED, "d:h1", "h1:o");
         Piece bad = piece(1, T0, 0, line);
-        h.take(T0, line.equals("d:") ? new Piece(1, T0, 2, 0, "d", Shape.Kind.DEPOT, Map.of(), false) : bad);
+        h.take(T0, line.equals("d:") ? new Piece(1, T0, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : bad);
         assertEquals(1, h.snapshot().piecesRefused());
         h.take(T0, piece(2, T0, 0, "d:o"));
         assertEquals(Map.of("o", 1.0), h.wanted().get("d").parents());
@@ -233,8 +233,8 @@
 
     @Test
     void whoStartsInTheMiddleFollowsTheChangeIfItIsToldWhatWasBeforeElseNothing() {
-        Shape before = Shapes.shape(1, 0, "d:h1", "h1:o", "h2:o");
-        Shape shape = Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o");
+        Topology before = Shapes.shape(1, 0, "d:h1", "h1:o", "h2:o");
+        Topology shape = Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o");
         Setup setup = new Setup("d", News.FILE, TIMING, 0);
         Hierarchy told = Hierarchy.start(shape, Optional.of(before), 0, T0 + 7 * SECOND, setup, log::add);
         assertEquals(0.5, told.snapshot().shareMoved(), 0.001);
@@ -248,7 +248,7 @@
 
     @Test
     void aPlanShowsTheStepsThatTheTimelineWillTake() {
-        Shape old = Shapes.shape(1, 0, "d:h1", "h1:h2", "h2:o");
+        Topology old = Shapes.shape(1, 0, "d:h1", "h1:h2", "h2:o");
         MovePlan plan = MovePlan.between(old, Shapes.shape(2, 0, "d:h1", "h1:o", "h2:h1"), TIMING);
         assertTrue(plan.usable());
         assertEquals(List.of("h1 <- o"), plan.steps().get(0).begin());
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -18,8 +18,8 @@
 import net.jqwik.api.Property;
 import pumicemoor.hierarchy.Hierarchy.News;
 import pumicemoor.hierarchy.Hierarchy.Setup;
-import pumicemoor.hierarchy.Shape.Link;
-import pumicemoor.hierarchy.Shape.Unit;
+import pumicemoor.hierarchy.Topology.Link;
+import pumicemoor.hierarchy.Topology.Unit;
 
 /**
  * Five routers that hear the same pieces at different times, out of order, twice, or not for a while. At every
@@ -50,7 +50,7 @@
         Day(long seed, boolean wholeOnly) {
             random = new Random(seed);
             this.wholeOnly = wholeOnly;
-            Shape first = randomShape(1, 0);
+            Topology first = randomShape(1, 0);
             target.putAll(first.units());
             first.units().keySet().stream().filter(n -> n.startsWith("d")).forEach(alwaysThere::add);
             for (int i = 0; i < ROUTERS; i++) {
@@ -61,7 +61,7 @@
         }
 
         /** Hubs in a random order, each filling from some behind it, so that two shapes often disagree. */
-        Shape randomShape(long version, long announced) {
+        Topology randomShape(long version, long announced) {
             List<String> order = new ArrayList<>();
             for (int i = 0; i < HUBS; i++) {
                 if (random.nextInt(6) > 0) {
@@ -87,7 +87,7 @@
         void announce(long now) {
             List<Piece> pieces = new ArrayList<>();
             if (wholeOnly || random.nextInt(3) == 0) {
-                Shape next = randomShape(++version, now);
+                Topology next = randomShape(++version, now);
                 pieces.addAll(Hierarchy.pieces(target, next, number + 1));
                 target.clear();
                 target.putAll(next.units());
--- a/src/test/java/pumicemoor/hierarchy/Shapes.java
+++ b/src/test/java/pumicemoor/hierarchy/Shapes.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import pumicemoor.hierarchy.Shape.Kind;
-import pumicemoor.hierarchy.Shape.Link;
-import pumicemoor.hierarchy.Shape.Unit;
+import pumicemoor.hierarchy.Topology.Kind;
+import pumicemoor.hierarchy.Topology.Link;
+import pumicemoor.hierarchy.Topology.Unit;
 
 /** Shapes for tests from short texts, and a plain walk for loops that shares nothing with what is tested. */
 final class Shapes {
@@ -17,14 +17,14 @@
     private Shapes() {}
 
     /** From lines like "d0:h1,h2"; d is a depot, c a cache, h a hub, o the origin. */
-    static Shape shape(long version, long announced, String... lines) {
+    static Topology shape(long version, long announced, String... lines) {
         Map<String, Unit> units = new TreeMap<>();
         units.put("o", new Unit("o", Kind.ORIGIN, Map.of()));
         for (String line : lines) {
             String name = line.substring(0, line.indexOf(':'));
             units.put(name, new Unit(name, kind(name), parents(line.substring(line.indexOf(':') + 1))));
         }
-        return new Shape(version, announced, true, units);
+        return new Topology(version, announced, true, units);
     }
 
     static Kind kind(String name) {
