--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.Topology.Unit;
-import pumicemoor.hierarchy.ShapeCheck.Problem;
+import pumicemoor.hierarchy.TopologyValidator.Problem;
 import pumicemoor.hierarchy.Timeline.Branch;
 import pumicemoor.hierarchy.Timeline.Count;
 
@@ -31,7 +31,7 @@
     /** Pieces held at most until those before them have come. */
     static final int MOST_EARLY = 1_000;
     /** Pieces of one whole shape at most. */
-    static final int MOST_TOGETHER = ShapeCheck.MOST_UNITS;
+    static final int MOST_TOGETHER = TopologyValidator.MOST_UNITS;
 
     /** Where news of the shape comes from: whole from the operator's file, or by pieces from the coordinator. */
     public enum News {
@@ -171,13 +171,13 @@
     /** A whole shape, as the operator's file gives it; the problems where it is refused, and then nothing changes. */
     public List<Problem> take(long now, Topology shape, Set<String> members) {
         advance(now);
-        List<Problem> problems = new ArrayList<>(ShapeCheck.problems(shape, members));
+        List<Problem> problems = new ArrayList<>(TopologyValidator.problems(shape, members));
         if (setup.news() != News.FILE) {
-            problems.add(new Problem(ShapeCheck.Trouble.NO_WAY, "", "the shape comes from the coordinator here"));
+            problems.add(new Problem(TopologyValidator.Trouble.NO_WAY, "", "the shape comes from the coordinator here"));
         }
         if (shape.version() <= version && !shape.units().equals(wanted)) {
             problems.add(new Problem(
-                    ShapeCheck.Trouble.NO_WAY,
+                    TopologyValidator.Trouble.NO_WAY,
                     "",
                     "version " + shape.version() + " is not above version " + version + ", which is in force"));
         }
@@ -303,7 +303,7 @@
         if (known != null && known.kind() != piece.kind()) {
             return "'" + piece.unit() + "' is a " + known.kind() + " and can't become another";
         }
-        if (known == null && wanted.size() >= ShapeCheck.MOST_UNITS) {
+        if (known == null && wanted.size() >= TopologyValidator.MOST_UNITS) {
             return "there are " + wanted.size() + " units already";
         }
         if (piece.kind() == Kind.ORIGIN || piece.parents().isEmpty()) {
@@ -311,7 +311,7 @@
         }
         for (Map.Entry<String, Double> parent : piece.parents().entrySet()) {
             Unit above = wanted.get(parent.getKey());
-            if (!(parent.getValue() > 0 && parent.getValue() <= ShapeCheck.MOST_WEIGHT)
+            if (!(parent.getValue() > 0 && parent.getValue() <= TopologyValidator.MOST_WEIGHT)
                     || parent.getKey().equals(piece.unit())
                     || above != null && (above.kind() == Kind.DEPOT || above.kind().level < piece.kind().level)) {
                 return "'" + piece.unit() + "' may not fill from '" + parent.getKey() + "' with the weight "
@@ -334,7 +334,7 @@
             }
         }
         long version = pieces.get(0).version();
-        List<Problem> problems = ShapeCheck.problems(new Topology(version, announced, skipsAllowed, result), Set.of());
+        List<Problem> problems = TopologyValidator.problems(new Topology(version, announced, skipsAllowed, result), Set.of());
         if (!problems.isEmpty()) {
             refuseShape(version, problems.get(0).text());
             return;
--- a/src/main/java/pumicemoor/hierarchy/MovePlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MovePlan.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import pumicemoor.hierarchy.Topology.Kind;
-import pumicemoor.hierarchy.ShapeCheck.Problem;
+import pumicemoor.hierarchy.TopologyValidator.Problem;
 import pumicemoor.hierarchy.Timeline.Change;
 
 /**
@@ -29,13 +29,13 @@
 
     /** Plays the change; the old shape must be one without problems. */
     public static MovePlan between(Topology old, Topology next, Timing timing) {
-        List<Problem> problems = new ArrayList<>(ShapeCheck.problems(next, Set.of()));
+        List<Problem> problems = new ArrayList<>(TopologyValidator.problems(next, Set.of()));
         next.units().values().stream()
                 .filter(u -> old.units().containsKey(u.name())
                         && old.units().get(u.name()).kind() != u.kind()
                         && u.kind() != Kind.ORIGIN)
                 .forEach(u -> problems.add(new Problem(
-                        ShapeCheck.Trouble.DOWNWARD,
+                        TopologyValidator.Trouble.DOWNWARD,
                         u.name(),
                         "'" + u.name()
                                 + "' is a " + old.units().get(u.name()).kind() + " and can't become a " + u.kind()
--- a/src/main/java/pumicemoor/hierarchy/ShapeCheck.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
@@ -15,7 +15,7 @@
  * What is wrong with a whole shape, found before anything of it is taken over. It only reads; it must never
  * repair a shape.
  */
-public final class ShapeCheck {
+public final class TopologyValidator {
 
     /** The largest weight of a parent. */
     public static final double MOST_WEIGHT = 1_000_000;
@@ -46,7 +46,7 @@
         }
     }
 
-    private ShapeCheck() {}
+    private TopologyValidator() {}
 
     /** All problems, the first twenty at most. Members empty: they are not known yet and not looked at. */
     public static List<Problem> problems(Topology shape, Set<String> members) {
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -48,7 +48,7 @@
 import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.hierarchy.Hierarchy;
-import pumicemoor.hierarchy.ShapeCheck.Problem;
+import pumicemoor.hierarchy.TopologyValidator.Problem;
 import pumicemoor.node.Counters.Name;
 import pumicemoor.node.Effect.Code;
 import pumicemoor.node.Input.AnswerStatus;
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -41,8 +41,8 @@
 import pumicemoor.hierarchy.Topology;
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.Topology.Unit;
-import pumicemoor.hierarchy.ShapeCheck;
-import pumicemoor.hierarchy.ShapeCheck.Problem;
+import pumicemoor.hierarchy.TopologyValidator;
+import pumicemoor.hierarchy.TopologyValidator.Problem;
 import pumicemoor.hierarchy.Timing;
 import pumicemoor.operator.OperatorConfig.LogFormat;
 
@@ -546,7 +546,7 @@
         addAll(units, path + ".caches", Kind.CACHE, form.caches());
         Topology shape = new Topology(
                 form.version(), announced(path, form.announced()), Boolean.TRUE.equals(form.allowSkips()), units);
-        List<Problem> problems = ShapeCheck.problems(shape, Set.of());
+        List<Problem> problems = TopologyValidator.problems(shape, Set.of());
         if (!problems.isEmpty()) {
             Problem first = problems.get(0);
             Unit unit = units.get(first.unit());
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -18,7 +18,7 @@
 import pumicemoor.hierarchy.Hierarchy.Setup;
 import pumicemoor.hierarchy.Hierarchy.Snapshot;
 import pumicemoor.hierarchy.Hierarchy.Stage;
-import pumicemoor.hierarchy.ShapeCheck.Trouble;
+import pumicemoor.hierarchy.TopologyValidator.Trouble;
 
 /** One router's hierarchy by news and time; members have the hash of their name as number. */
 class HierarchyTest {
@@ -277,7 +277,7 @@
     void troublesAreFound(String lines, Trouble trouble) {
         assertEquals(
                 trouble,
-                ShapeCheck.problems(Shapes.shape(1, 0, lines.split(";")), Set.of())
+                TopologyValidator.problems(Shapes.shape(1, 0, lines.split(";")), Set.of())
                         .get(0)
                         .trouble());
     }
