--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -173,11 +173,11 @@
         advance(now);
         List<Problem> problems = new ArrayList<>(TopologyValidator.problems(shape, members));
         if (setup.news() != News.FILE) {
-            problems.add(new Problem(TopologyValidator.Trouble.NO_WAY, "", "the shape comes from the coordinator here"));
+            problems.add(new Problem(TopologyValidator.ViolationKind.NO_WAY, "", "the shape comes from the coordinator here"));
         }
         if (shape.version() <= version && !shape.units().equals(wanted)) {
             problems.add(new Problem(
-                    TopologyValidator.Trouble.NO_WAY,
+                    TopologyValidator.ViolationKind.NO_WAY,
                     "",
                     "version " + shape.version() + " is not above version " + version + ", which is in force"));
         }
--- a/src/main/java/pumicemoor/hierarchy/MovePlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MovePlan.java
@@ -35,7 +35,7 @@
                         && old.units().get(u.name()).kind() != u.kind()
                         && u.kind() != Kind.ORIGIN)
                 .forEach(u -> problems.add(new Problem(
-                        TopologyValidator.Trouble.DOWNWARD,
+                        TopologyValidator.ViolationKind.DOWNWARD,
                         u.name(),
                         "'" + u.name()
                                 + "' is a " + old.units().get(u.name()).kind() + " and can't become a " + u.kind()
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -18,7 +18,7 @@
 import pumicemoor.hierarchy.Hierarchy.Setup;
 import pumicemoor.hierarchy.Hierarchy.Snapshot;
 import pumicemoor.hierarchy.Hierarchy.Stage;
-import pumicemoor.hierarchy.TopologyValidator.Trouble;
+import pumicemoor.hierarchy.TopologyValidator.ViolationKind;
 
 /** One router's hierarchy by news and time; members have the hash of their name as number. */
 class HierarchyTest {
@@ -215,12 +215,12 @@
     void aWholeShapeThatIsRefusedLeavesAllAsItWas() {
         Hierarchy h = at(News.FILE, "d:h1", "h1:o");
         assertEquals(
-                Trouble.LOOP,
+                ViolationKind.LOOP,
                 h.take(T0, Shapes.shape(2, T0, "d:h1", "h1:h2", "h2:h1"), Set.of())
                         .get(0)
                         .trouble());
         assertEquals(
-                Trouble.UNKNOWN_MEMBER,
+                ViolationKind.UNKNOWN_MEMBER,
                 h.take(T0, Shapes.shape(2, T0, "d:h1", "h1:o"), Set.of("o"))
                         .get(0)
                         .trouble());
@@ -274,7 +274,7 @@
                 "c1:c2;c2:c1|LOOP",
                 "h1:c1;c1:o|DOWNWARD"
             })
-    void troublesAreFound(String lines, Trouble trouble) {
+    void troublesAreFound(String lines, ViolationKind trouble) {
         assertEquals(
                 trouble,
                 TopologyValidator.problems(Shapes.shape(1, 0, lines.split(";")), Set.of())
