--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -16,7 +16,7 @@
 import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.Topology.Unit;
-import pumicemoor.hierarchy.TopologyValidator.Problem;
+import pumicemoor.hierarchy.TopologyValidator.Violation;
 import pumicemoor.hierarchy.Timeline.Branch;
 import pumicemoor.hierarchy.Timeline.Count;
 
@@ -169,14 +169,14 @@
     }
 
     /** A whole shape, as the operator's file gives it; the problems where it is refused, and then nothing changes. */
-    public List<Problem> take(long now, Topology shape, Set<String> members) {
+    public List<Violation> take(long now, Topology shape, Set<String> members) {
         advance(now);
-        List<Problem> problems = new ArrayList<>(TopologyValidator.problems(shape, members));
+        List<Violation> problems = new ArrayList<>(TopologyValidator.problems(shape, members));
         if (setup.news() != News.FILE) {
-            problems.add(new Problem(TopologyValidator.ViolationKind.NO_WAY, "", "the shape comes from the coordinator here"));
+            problems.add(new Violation(TopologyValidator.ViolationKind.NO_WAY, "", "the shape comes from the coordinator here"));
         }
         if (shape.version() <= version && !shape.units().equals(wanted)) {
-            problems.add(new Problem(
+            problems.add(new Violation(
                     TopologyValidator.ViolationKind.NO_WAY,
                     "",
                     "version " + shape.version() + " is not above version " + version + ", which is in force"));
@@ -334,7 +334,7 @@
             }
         }
         long version = pieces.get(0).version();
-        List<Problem> problems = TopologyValidator.problems(new Topology(version, announced, skipsAllowed, result), Set.of());
+        List<Violation> problems = TopologyValidator.problems(new Topology(version, announced, skipsAllowed, result), Set.of());
         if (!problems.isEmpty()) {
             refuseShape(version, problems.get(0).text());
             return;
--- a/src/main/java/pumicemoor/hierarchy/MovePlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MovePlan.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Set;
 import pumicemoor.hierarchy.Topology.Kind;
-import pumicemoor.hierarchy.TopologyValidator.Problem;
+import pumicemoor.hierarchy.TopologyValidator.Violation;
 import pumicemoor.hierarchy.Timeline.Change;
 
 /**
  * What will happen when one shape follows another, found by playing the same timeline that routers follow. It
  * owns nothing that lasts; it must never be a second way to compute a change.
  */
-public record MovePlan(List<Step> steps, List<Problem> problems, boolean arrives) {
+public record MovePlan(List<Step> steps, List<Violation> problems, boolean arrives) {
 
     /** A step: so long after the announcement (microseconds) these links begin, leave, and end. */
     public record Step(
@@ -29,12 +29,12 @@
 
     /** Plays the change; the old shape must be one without problems. */
     public static MovePlan between(Topology old, Topology next, Timing timing) {
-        List<Problem> problems = new ArrayList<>(TopologyValidator.problems(next, Set.of()));
+        List<Violation> problems = new ArrayList<>(TopologyValidator.problems(next, Set.of()));
         next.units().values().stream()
                 .filter(u -> old.units().containsKey(u.name())
                         && old.units().get(u.name()).kind() != u.kind()
                         && u.kind() != Kind.ORIGIN)
-                .forEach(u -> problems.add(new Problem(
+                .forEach(u -> problems.add(new Violation(
                         TopologyValidator.ViolationKind.DOWNWARD,
                         u.name(),
                         "'" + u.name()
--- a/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
@@ -39,7 +39,7 @@
     }
 
     /** One trouble at one unit, in words. */
-    public record Problem(ViolationKind trouble, String unit, String text) {
+    public record Violation(ViolationKind trouble, String unit, String text) {
         @Override
         public String toString() {
             return text;
@@ -49,14 +49,14 @@
     private TopologyValidator() {}
 
     /** All problems, the first twenty at most. Members empty: they are not known yet and not looked at. */
-    public static List<Problem> problems(Topology shape, Set<String> members) {
-        List<Problem> problems = new ArrayList<>();
+    public static List<Violation> problems(Topology shape, Set<String> members) {
+        List<Violation> problems = new ArrayList<>();
         Map<String, Unit> units = shape.units();
         if (units.size() > MOST_UNITS) {
-            return List.of(new Problem(ViolationKind.TOO_LARGE, "", "more than " + MOST_UNITS + " units"));
+            return List.of(new Violation(ViolationKind.TOO_LARGE, "", "more than " + MOST_UNITS + " units"));
         }
         if (units.values().stream().filter(u -> u.kind() == Kind.ORIGIN).count() != 1) {
-            problems.add(new Problem(ViolationKind.NO_ORIGIN, "", "a shape has one origin"));
+            problems.add(new Violation(ViolationKind.NO_ORIGIN, "", "a shape has one origin"));
         }
         boolean hubs = units.values().stream().anyMatch(u -> u.kind() == Kind.HUB);
         for (Unit unit : units.values()) {
@@ -65,11 +65,11 @@
         if (problems.isEmpty()) {
             loop(units)
                     .ifPresent(path -> problems.add(
-                            new Problem(ViolationKind.LOOP, path.get(0), "a loop: " + String.join(" <- ", path))));
+                            new Violation(ViolationKind.LOOP, path.get(0), "a loop: " + String.join(" <- ", path))));
             Set<String> reached = withWay(units);
             units.keySet().stream()
                     .filter(u -> !reached.contains(u))
-                    .forEach(u -> problems.add(new Problem(ViolationKind.NO_WAY, u, "'" + u + "' has no way to the origin")));
+                    .forEach(u -> problems.add(new Violation(ViolationKind.NO_WAY, u, "'" + u + "' has no way to the origin")));
         }
         return problems.size() > MOST_PROBLEMS
                 ? List.copyOf(problems.subList(0, MOST_PROBLEMS))
@@ -77,25 +77,25 @@
     }
 
     private static void unitProblems(
-            Topology shape, Unit unit, Set<String> members, boolean hubs, List<Problem> problems) {
+            Topology shape, Unit unit, Set<String> members, boolean hubs, List<Violation> problems) {
         String name = "'" + unit.name() + "'";
         if (unit.kind() != Kind.DEPOT && !members.isEmpty() && !members.contains(unit.name())) {
-            problems.add(new Problem(ViolationKind.UNKNOWN_MEMBER, unit.name(), name + " is no member that is listed"));
+            problems.add(new Violation(ViolationKind.UNKNOWN_MEMBER, unit.name(), name + " is no member that is listed"));
         }
         if (unit.kind() != Kind.ORIGIN && unit.parents().isEmpty()) {
-            problems.add(new Problem(ViolationKind.ORPHAN, unit.name(), name + " fills from nobody"));
+            problems.add(new Violation(ViolationKind.ORPHAN, unit.name(), name + " fills from nobody"));
         }
         unit.parents().forEach((parentName, weight) -> {
             Unit parent = shape.units().get(parentName);
             if (!(weight > 0 && weight <= MOST_WEIGHT)) {
-                problems.add(new Problem(
+                problems.add(new Violation(
                         ViolationKind.WEIGHT,
                         unit.name(),
                         name + " gives '" + parentName + "' the weight " + weight + ": over 0, at most "
                                 + (long) MOST_WEIGHT));
             }
             if (parent == null) {
-                problems.add(new Problem(
+                problems.add(new Violation(
                         ViolationKind.UNKNOWN_UNIT,
                         unit.name(),
                         name + " fills from '" + parentName + "', which the shape does not have"));
@@ -103,13 +103,13 @@
                     || parent.kind().level < unit.kind().level
                     || unit.kind() == Kind.ORIGIN
                     || unit.kind() == Kind.DEPOT && parent.kind() == Kind.CACHE) {
-                problems.add(new Problem(
+                problems.add(new Violation(
                         ViolationKind.DOWNWARD,
                         unit.name(),
                         name + " may not fill from '" + parentName + "': a "
                                 + parent.kind().name().toLowerCase(java.util.Locale.ROOT) + " is not above it"));
             } else if (hubs && !shape.skipsAllowed() && parent.kind().level > unit.kind().level + 1) {
-                problems.add(new Problem(
+                problems.add(new Violation(
                         ViolationKind.LEVEL_SKIPPED,
                         unit.name(),
                         name + " fills from '" + parentName + "' past the hubs; allow-skips permits that"));
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -48,7 +48,7 @@
 import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.hierarchy.Hierarchy;
-import pumicemoor.hierarchy.TopologyValidator.Problem;
+import pumicemoor.hierarchy.TopologyValidator.Violation;
 import pumicemoor.node.Counters.Name;
 import pumicemoor.node.Effect.Code;
 import pumicemoor.node.Input.AnswerStatus;
@@ -853,7 +853,7 @@
             return "news, depot and times of the hierarchy can't be changed while running";
         }
         if (!old.shape().equals(fresh.shape())) {
-            List<Problem> problems = hierarchy
+            List<Violation> problems = hierarchy
                     .get()
                     .take(
                             now,
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -42,7 +42,7 @@
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.Topology.Unit;
 import pumicemoor.hierarchy.TopologyValidator;
-import pumicemoor.hierarchy.TopologyValidator.Problem;
+import pumicemoor.hierarchy.TopologyValidator.Violation;
 import pumicemoor.hierarchy.Timing;
 import pumicemoor.operator.OperatorConfig.LogFormat;
 
@@ -546,9 +546,9 @@
         addAll(units, path + ".caches", Kind.CACHE, form.caches());
         Topology shape = new Topology(
                 form.version(), announced(path, form.announced()), Boolean.TRUE.equals(form.allowSkips()), units);
-        List<Problem> problems = TopologyValidator.problems(shape, Set.of());
+        List<Violation> problems = TopologyValidator.problems(shape, Set.of());
         if (!problems.isEmpty()) {
-            Problem first = problems.get(0);
+            Violation first = problems.get(0);
             Unit unit = units.get(first.unit());
             String group = unit == null || unit.kind() == Kind.ORIGIN
                     ? ".origin"
