--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -106,8 +106,8 @@
     private final Consumer<LogEvent> log;
     private final Timeline timeline;
     private final TreeMap<String, Unit> wanted;
-    private final TreeMap<Long, Piece> early = new TreeMap<>();
-    private final List<Piece> together = new ArrayList<>(); // of a whole shape that has not all come
+    private final TreeMap<Long, TopologyUpdate> early = new TreeMap<>();
+    private final List<TopologyUpdate> together = new ArrayList<>(); // of a whole shape that has not all come
     private final Map<String, Long> started = new HashMap<>();
     private final boolean skipsAllowed;
     private long version;
@@ -185,7 +185,7 @@
             refuseShape(shape.version(), problems.get(0).text());
             return List.copyOf(problems);
         }
-        List<Piece> pieces = pieces(wanted, shape, number + 1);
+        List<TopologyUpdate> pieces = pieces(wanted, shape, number + 1);
         pieces.forEach(this::apply);
         version = shape.version();
         shapesTaken++;
@@ -194,7 +194,7 @@
     }
 
     /** The pieces that lead from some units to a whole shape, children of removed units first by name. */
-    public static List<Piece> pieces(Map<String, Unit> from, Topology to, long firstNumber) {
+    public static List<TopologyUpdate> pieces(Map<String, Unit> from, Topology to, long firstNumber) {
         List<Unit> changed = to.units().values().stream()
                 .filter(u -> !u.equals(from.get(u.name())))
                 .toList();
@@ -202,9 +202,9 @@
                 .filter(u -> !to.units().containsKey(u.name()))
                 .toList();
         int count = changed.size() + gone.size();
-        List<Piece> pieces = new ArrayList<>(count);
+        List<TopologyUpdate> pieces = new ArrayList<>(count);
         for (Unit u : changed) {
-            pieces.add(new Piece(
+            pieces.add(new TopologyUpdate(
                     firstNumber + pieces.size(),
                     to.announced(),
                     to.version(),
@@ -215,7 +215,7 @@
                     false));
         }
         for (Unit u : gone) {
-            pieces.add(new Piece(
+            pieces.add(new TopologyUpdate(
                     firstNumber + pieces.size(),
                     to.announced(),
                     to.version(),
@@ -229,7 +229,7 @@
     }
 
     /** One piece from the coordinator. Twice is no matter; behind a gap it waits for those before it. */
-    public void take(long now, Piece piece) {
+    public void take(long now, TopologyUpdate piece) {
         advance(now);
         if (piece.number() <= number || early.containsKey(piece.number())) {
             twice++;
@@ -256,7 +256,7 @@
         advance(now);
     }
 
-    private void inTurn(Piece piece) {
+    private void inTurn(TopologyUpdate piece) {
         number = piece.number();
         if (!together.isEmpty()
                 && (piece.version() != together.get(0).version()
@@ -281,7 +281,7 @@
     }
 
     /** A piece by itself: it may close a loop for a while, but its own form must be right. */
-    private void loose(Piece piece) {
+    private void loose(TopologyUpdate piece) {
         String problem = problem(piece);
         if (problem == null) {
             apply(piece);
@@ -295,7 +295,7 @@
         }
     }
 
-    private String problem(Piece piece) {
+    private String problem(TopologyUpdate piece) {
         Unit known = wanted.get(piece.unit());
         if (piece.removed()) {
             return known == null ? "there is no unit '" + piece.unit() + "'" : null;
@@ -322,10 +322,10 @@
     }
 
     /** All pieces of a whole shape: taken together at one moment, or not at all. */
-    private void whole(List<Piece> pieces) {
+    private void whole(List<TopologyUpdate> pieces) {
         Map<String, Unit> result = new TreeMap<>(wanted);
         long announced = 0;
-        for (Piece p : pieces) {
+        for (TopologyUpdate p : pieces) {
             announced = Math.max(announced, p.announced());
             if (p.removed()) {
                 result.remove(p.unit());
@@ -339,14 +339,14 @@
             refuseShape(version, problems.get(0).text());
             return;
         }
-        for (Piece p : pieces) {
-            apply(new Piece(p.number(), announced, version, p.pieces(), p.unit(), p.kind(), p.parents(), p.removed()));
+        for (TopologyUpdate p : pieces) {
+            apply(new TopologyUpdate(p.number(), announced, version, p.pieces(), p.unit(), p.kind(), p.parents(), p.removed()));
         }
         this.version = Math.max(this.version, version);
         shapesTaken++;
     }
 
-    private void apply(Piece piece) {
+    private void apply(TopologyUpdate piece) {
         number = Math.max(number, piece.number());
         if (piece.removed()) {
             wanted.remove(piece.unit());
--- a/src/main/java/pumicemoor/hierarchy/MovePlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MovePlan.java
@@ -45,9 +45,9 @@
         }
         List<Change> changes = new ArrayList<>();
         Timeline timeline = new Timeline(old, 0, timing, changes::add);
-        for (Piece p : Hierarchy.pieces(old.units(), next, 1)) {
+        for (TopologyUpdate p : Hierarchy.pieces(old.units(), next, 1)) {
             timeline.take(
-                    new Piece(p.number(), 0, p.version(), p.pieces(), p.unit(), p.kind(), p.parents(), p.removed()));
+                    new TopologyUpdate(p.number(), 0, p.version(), p.pieces(), p.unit(), p.kind(), p.parents(), p.removed()));
         }
         for (long at = timeline.nextChange(); at < Long.MAX_VALUE; at = timeline.nextChange()) {
             timeline.advance(at);
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -61,7 +61,7 @@
         Map<String, Double> before = Map.of();
         Map<String, Double> earlier = Map.of(); // the same, remembered when the move is over
         Set<String> held = Set.of(); // wanted parents that would close a loop
-        Piece next; // waits for the end of the move
+        TopologyUpdate next; // waits for the end of the move
         long from = Long.MIN_VALUE; // when the move began
         long until = Long.MIN_VALUE; // when it ends
         double startShare; // share of the objects at the new parents when the move began
@@ -80,7 +80,7 @@
 
     private record Timer(long at, Link link) {}
 
-    private record Coming(long at, Piece piece) {}
+    private record Coming(long at, TopologyUpdate piece) {}
 
     private final Timing timing;
     private final Consumer<Change> changes;
@@ -119,7 +119,7 @@
     }
 
     /** Takes a piece, each after the one before it; it acts the lead after its announcement. */
-    void take(Piece piece) {
+    void take(TopologyUpdate piece) {
         long at = Math.max(lastAt, piece.announced() + timing.lead());
         if (at < now) {
             counts[Count.LATE.ordinal()]++;
@@ -179,7 +179,7 @@
         }
         List<String> touched = new ArrayList<>(unmet);
         while (!coming.isEmpty() && coming.peek().at() <= now) {
-            Piece piece = coming.poll().piece();
+            TopologyUpdate piece = coming.poll().piece();
             Branch branch = branch(piece.unit());
             branch.next = piece;
             touched.add(piece.unit());
@@ -221,7 +221,7 @@
 
     /** Takes over the piece that waits for a unit, unless its move must be over first. */
     private void adopt(Branch branch) {
-        Piece piece = branch.next;
+        TopologyUpdate piece = branch.next;
         if (piece == null) {
             return;
         }
--- a/src/main/java/pumicemoor/hierarchy/Piece.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
@@ -9,7 +9,7 @@
  * a gap; of several pieces for one unit the highest number holds. The count of a whole shape is that of its
  * pieces when they are to be taken together or not at all, else 0. Announced is Unix microseconds.
  */
-public record Piece(
+public record TopologyUpdate(
         long number,
         long announced,
         long version,
@@ -19,7 +19,7 @@
         Map<String, Double> parents,
         boolean removed) {
 
-    public Piece {
+    public TopologyUpdate {
         parents = Map.copyOf(parents);
     }
 
--- a/src/main/java/pumicemoor/wire/ShapeNews.java
+++ b/src/main/java/pumicemoor/wire/ShapeNews.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import pumicemoor.hierarchy.Piece;
+import pumicemoor.hierarchy.TopologyUpdate;
 import pumicemoor.hierarchy.Topology.Kind;
 
 /**
@@ -19,7 +19,7 @@
 public sealed interface ShapeNews {
 
     /** A piece, with its number. */
-    record Told(Piece piece) implements ShapeNews {}
+    record Told(TopologyUpdate piece) implements ShapeNews {}
 
     /** All pieces announced until a time (Unix microseconds) have numbers up to this one. */
     record Certain(long asOf, long lastNumber) implements ShapeNews {}
@@ -42,7 +42,7 @@
         String unit = news.text("unit");
         Map<String, Double> parents =
                 new LinkedHashMap<>(news.objectOrEmpty("parents").numbersByName());
-        return new Told(new Piece(
+        return new Told(new TopologyUpdate(
                 number,
                 news.integer("announced_ms") * 1_000,
                 news.integer("version"),
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -46,10 +46,10 @@
         return Set.copyOf(list.current().stream().map(s -> s.member()).toList());
     }
 
-    private static Piece piece(long number, long announced, int of, String line) {
+    private static TopologyUpdate piece(long number, long announced, int of, String line) {
         String unit = line.substring(0, line.indexOf(':'));
         String parents = line.substring(line.indexOf(':') + 1);
-        return new Piece(number, announced, 2, of, unit, Shapes.kind(unit), Shapes.parents(parents), parents.isEmpty());
+        return new TopologyUpdate(number, announced, 2, of, unit, Shapes.kind(unit), Shapes.parents(parents), parents.isEmpty());
     }
 
     @Test
@@ -204,8 +204,8 @@
     @CsvSource({"h1:d", "h1:h1", "d:", "h9:", "o:h1"})
     void aPieceThatCannotBeIsRefusedByItself(String line) {
         Hierarchy h = at(News.FEED, "d:h1", "h1:o");
-        Piece bad = piece(1, T0, 0, line);
-        h.take(T0, line.equals("d:") ? new Piece(1, T0, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : bad);
+        TopologyUpdate bad = piece(1, T0, 0, line);
+        h.take(T0, line.equals("d:") ? new TopologyUpdate(1, T0, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : bad);
         assertEquals(1, h.snapshot().piecesRefused());
         h.take(T0, piece(2, T0, 0, "d:o"));
         assertEquals(Map.of("o", 1.0), h.wanted().get("d").parents());
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -85,7 +85,7 @@
         }
 
         void announce(long now) {
-            List<Piece> pieces = new ArrayList<>();
+            List<TopologyUpdate> pieces = new ArrayList<>();
             if (wholeOnly || random.nextInt(3) == 0) {
                 Topology next = randomShape(++version, now);
                 pieces.addAll(Hierarchy.pieces(target, next, number + 1));
@@ -104,7 +104,7 @@
                 if (!removed && parents.isEmpty()) {
                     parents.put("o", 1.0);
                 }
-                pieces.add(new Piece(number + 1, now, ++version, 0, unit, Shapes.kind(unit), parents, removed));
+                pieces.add(new TopologyUpdate(number + 1, now, ++version, 0, unit, Shapes.kind(unit), parents, removed));
                 if (removed) {
                     target.remove(unit);
                 } else {
@@ -113,7 +113,7 @@
             }
             number += pieces.size();
             for (int r = 0; r < ROUTERS; r++) {
-                for (Piece p : pieces) {
+                for (TopologyUpdate p : pieces) {
                     tell(r, now, p);
                     if (random.nextInt(5) == 0) {
                         tell(r, now, p);
@@ -122,7 +122,7 @@
             }
         }
 
-        void tell(int r, long now, Piece piece) {
+        void tell(int r, long now, TopologyUpdate piece) {
             long delay = random.nextInt(10) == 0 ? random.nextInt((int) (20 * SECOND)) : random.nextInt((int) SECOND);
             inbox.get(r).add(new Told(now + delay, () -> routers.get(r).take(clock(r, now + delay), piece)));
         }
