--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -43,7 +43,7 @@
      * What a router is set to: the unit that stands for the caches of its location, where news comes from, and
      * how long a member that has started is cold.
      */
-    public record Setup(String depot, News news, Timing timing, long coldTime) {}
+    public record Setup(String depot, News news, MigrationTiming timing, long coldTime) {}
 
     /** How a change goes on, from "nothing known for certain" to "all is as wanted". */
     public enum Stage {
@@ -152,7 +152,7 @@
         long hubs = shape.units().values().stream()
                 .filter(u -> u.kind() == Kind.HUB)
                 .count();
-        Timing timing = setup.timing();
+        MigrationTiming timing = setup.timing();
         h.silentUntil = shape.announced() == 0
                 ? 0
                 : shape.announced() + timing.lead() + (hubs + 1) * (timing.move() + timing.gap());
--- a/src/main/java/pumicemoor/hierarchy/Timing.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
@@ -7,9 +7,9 @@
  * ended; it covers the longest fill and the skew of clocks. Remember: how long after a move a new parent may still
  * fill from the one before it.
  */
-public record Timing(long lead, long move, long gap, long remember) {
+public record MigrationTiming(long lead, long move, long gap, long remember) {
 
-    public Timing {
+    public MigrationTiming {
         if (lead < 0 || move < 0 || gap <= 0 || remember < 0) {
             throw new IllegalArgumentException(
                     "times of a change: lead " + lead + ", move " + move + ", gap " + gap + ", remember " + remember);
--- a/src/main/java/pumicemoor/hierarchy/MovePlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MovePlan.java
@@ -28,7 +28,7 @@
     }
 
     /** Plays the change; the old shape must be one without problems. */
-    public static MovePlan between(Topology old, Topology next, Timing timing) {
+    public static MovePlan between(Topology old, Topology next, MigrationTiming timing) {
         List<Violation> problems = new ArrayList<>(TopologyValidator.problems(next, Set.of()));
         next.units().values().stream()
                 .filter(u -> old.units().containsKey(u.name())
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -82,7 +82,7 @@
 
     private record Coming(long at, TopologyUpdate piece) {}
 
-    private final Timing timing;
+    private final MigrationTiming timing;
     private final Consumer<Change> changes;
     private final FillOrder order = new FillOrder();
     private final TreeMap<String, Branch> branches = new TreeMap<>();
@@ -101,7 +101,7 @@
     private long lastAt = Long.MIN_VALUE; // when the last piece acts
 
     /** Begins with a shape wholly in use. */
-    Timeline(Topology shape, long start, Timing timing, Consumer<Change> changes) {
+    Timeline(Topology shape, long start, MigrationTiming timing, Consumer<Change> changes) {
         this.timing = timing;
         this.changes = changes;
         this.now = start;
--- a/src/main/java/pumicemoor/operator/HierarchySection.java
+++ b/src/main/java/pumicemoor/operator/HierarchySection.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import pumicemoor.hierarchy.Hierarchy.News;
 import pumicemoor.hierarchy.Topology;
-import pumicemoor.hierarchy.Timing;
+import pumicemoor.hierarchy.MigrationTiming;
 
 /**
  * The section 'hierarchy': where its news comes from, the times of a change, the shape, and the shape before it
@@ -12,4 +12,4 @@
  * one told.
  */
 public record HierarchySection(
-        News news, String depot, Timing timing, Topology shape, Optional<Topology> before, long lastPiece) {}
+        News news, String depot, MigrationTiming timing, Topology shape, Optional<Topology> before, long lastPiece) {}
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -43,7 +43,7 @@
 import pumicemoor.hierarchy.Topology.Unit;
 import pumicemoor.hierarchy.TopologyValidator;
 import pumicemoor.hierarchy.TopologyValidator.Violation;
-import pumicemoor.hierarchy.Timing;
+import pumicemoor.hierarchy.MigrationTiming;
 import pumicemoor.operator.OperatorConfig.LogFormat;
 
 /**
@@ -491,7 +491,7 @@
         if (!Set.of("file", "feed").contains(news)) {
             throw wrong("hierarchy.news", "'" + news + "' is neither file nor feed");
         }
-        Timing timing = new Timing(
+        MigrationTiming timing = new MigrationTiming(
                 MILLI * time(form.lead(), 5_000, 0, "hierarchy.lead-ms"),
                 MILLI * time(form.move(), 60_000, 0, "hierarchy.move-ms"),
                 MILLI * time(form.gap(), 10_000, 100, "hierarchy.gap-ms"),
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -24,7 +24,7 @@
 class HierarchyTest {
 
     private static final long SECOND = 1_000_000;
-    private static final Timing TIMING = new Timing(2 * SECOND, 10 * SECOND, 3 * SECOND, 20 * SECOND);
+    private static final MigrationTiming TIMING = new MigrationTiming(2 * SECOND, 10 * SECOND, 3 * SECOND, 20 * SECOND);
     private static final long T0 = 1_000 * SECOND;
 
     private final List<LogEvent> log = new ArrayList<>();
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -28,7 +28,7 @@
 class ManyRoutersTest {
 
     private static final long SECOND = 1_000_000;
-    private static final Timing TIMING = new Timing(4 * SECOND, 6 * SECOND, 4 * SECOND, 5 * SECOND);
+    private static final MigrationTiming TIMING = new MigrationTiming(4 * SECOND, 6 * SECOND, 4 * SECOND, 5 * SECOND);
     private static final int ROUTERS = 5;
     private static final int HUBS = 5;
     private static final long STEP = SECOND / 2;
