--- a/src/main/java/pumicemoor/cli/HierarchyCommand.java
+++ b/src/main/java/pumicemoor/cli/HierarchyCommand.java
@@ -6,7 +6,7 @@
 import org.kohsuke.args4j.spi.SubCommand;
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
-import pumicemoor.hierarchy.MovePlan;
+import pumicemoor.hierarchy.MigrationPlan;
 import pumicemoor.operator.HierarchySection;
 import pumicemoor.operator.OperatorException;
 import pumicemoor.operator.OperatorFile;
@@ -58,7 +58,7 @@
                 throw new WireException(next + ": version " + to.shape().version() + " is not above version "
                         + from.shape().version() + " of " + old);
             }
-            MovePlan plan = MovePlan.between(from.shape(), to.shape(), to.timing());
+            MigrationPlan plan = MigrationPlan.between(from.shape(), to.shape(), to.timing());
             if (!plan.usable()) {
                 throw new WireException(next + ": refused: "
                         + (plan.problems().isEmpty()
@@ -67,7 +67,7 @@
             }
             System.out.println("version " + from.shape().version() + " to "
                     + to.shape().version() + ", " + plan.steps().size() + " steps; times count from the announcement");
-            for (MovePlan.Step step : plan.steps()) {
+            for (MigrationPlan.Step step : plan.steps()) {
                 System.out.printf("at %.1f s%n", step.after() / 1e6);
                 print("begins to fill from", step.begin());
                 print("leaves by a rising share", step.leave());
--- a/src/main/java/pumicemoor/hierarchy/MovePlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -11,7 +11,7 @@
  * What will happen when one shape follows another, found by playing the same timeline that routers follow. It
  * owns nothing that lasts; it must never be a second way to compute a change.
  */
-public record MovePlan(List<Step> steps, List<Violation> problems, boolean arrives) {
+public record MigrationPlan(List<Step> steps, List<Violation> problems, boolean arrives) {
 
     /** A step: so long after the announcement (microseconds) these links begin, leave, and end. */
     public record Step(
@@ -28,7 +28,7 @@
     }
 
     /** Plays the change; the old shape must be one without problems. */
-    public static MovePlan between(Topology old, Topology next, MigrationTiming timing) {
+    public static MigrationPlan between(Topology old, Topology next, MigrationTiming timing) {
         List<Violation> problems = new ArrayList<>(TopologyValidator.problems(next, Set.of()));
         next.units().values().stream()
                 .filter(u -> old.units().containsKey(u.name())
@@ -41,7 +41,7 @@
                                 + "' is a " + old.units().get(u.name()).kind() + " and can't become a " + u.kind()
                                 + " while it runs")));
         if (!problems.isEmpty()) {
-            return new MovePlan(List.of(), List.copyOf(problems), false);
+            return new MigrationPlan(List.of(), List.copyOf(problems), false);
         }
         List<Change> changes = new ArrayList<>();
         Timeline timeline = new Timeline(old, 0, timing, changes::add);
@@ -76,7 +76,7 @@
             }
             i = end;
         }
-        return new MovePlan(List.copyOf(steps), List.of(), timeline.quiet());
+        return new MigrationPlan(List.copyOf(steps), List.of(), timeline.quiet());
     }
 
     private static List<String> links(List<Change> changes, Change.What what) {
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -249,16 +249,16 @@
     @Test
     void aPlanShowsTheStepsThatTheTimelineWillTake() {
         Topology old = Shapes.shape(1, 0, "d:h1", "h1:h2", "h2:o");
-        MovePlan plan = MovePlan.between(old, Shapes.shape(2, 0, "d:h1", "h1:o", "h2:h1"), TIMING);
+        MigrationPlan plan = MigrationPlan.between(old, Shapes.shape(2, 0, "d:h1", "h1:o", "h2:h1"), TIMING);
         assertTrue(plan.usable());
         assertEquals(List.of("h1 <- o"), plan.steps().get(0).begin());
         assertEquals(List.of("h2 <- h1"), plan.steps().get(0).held());
-        MovePlan.Step second = plan.steps().stream()
+        MigrationPlan.Step second = plan.steps().stream()
                 .filter(s -> s.begin().contains("h2 <- h1"))
                 .findFirst()
                 .orElseThrow();
         assertEquals(TIMING.lead() + TIMING.move() + TIMING.gap(), second.after());
-        assertFalse(MovePlan.between(old, Shapes.shape(2, 0, "d:h1", "h1:h2", "h2:h1"), TIMING)
+        assertFalse(MigrationPlan.between(old, Shapes.shape(2, 0, "d:h1", "h1:h2", "h2:h1"), TIMING)
                 .usable());
     }
 
