--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -34,7 +34,7 @@
     static final int MOST_TOGETHER = TopologyValidator.MOST_UNITS;
 
     /** Where news of the shape comes from: whole from the operator's file, or by pieces from the coordinator. */
-    public enum News {
+    public enum UpdateSource {
         FILE,
         FEED
     }
@@ -43,7 +43,7 @@
      * What a router is set to: the unit that stands for the caches of its location, where news comes from, and
      * how long a member that has started is cold.
      */
-    public record Setup(String depot, News news, MigrationTiming timing, long coldTime) {}
+    public record Setup(String depot, UpdateSource news, MigrationTiming timing, long coldTime) {}
 
     /** How a change goes on, from "nothing known for certain" to "all is as wanted". */
     public enum Stage {
@@ -172,7 +172,7 @@
     public List<Violation> take(long now, Topology shape, Set<String> members) {
         advance(now);
         List<Violation> problems = new ArrayList<>(TopologyValidator.problems(shape, members));
-        if (setup.news() != News.FILE) {
+        if (setup.news() != UpdateSource.FILE) {
             problems.add(new Violation(TopologyValidator.ViolationKind.NO_WAY, "", "the shape comes from the coordinator here"));
         }
         if (shape.version() <= version && !shape.units().equals(wanted)) {
@@ -369,7 +369,7 @@
 
     /** Lives through what has become due, as far as all news until then is certain to have come. */
     public void advance(long now) {
-        if (setup.news() == News.FILE) {
+        if (setup.news() == UpdateSource.FILE) {
             certain = Math.max(certain, now);
         }
         timeline.advance(Math.min(now, certain + setup.timing().lead()));
@@ -390,7 +390,7 @@
     /** When advance wants to be called next; Long.MAX_VALUE for never. */
     public long nextDue() {
         long next = Math.min(timeline.nextChange(), tooOld && silentUntil > certain ? silentUntil : Long.MAX_VALUE);
-        if (setup.news() == News.FILE) {
+        if (setup.news() == UpdateSource.FILE) {
             return next;
         }
         long old = tooOld
--- a/src/main/java/pumicemoor/operator/HierarchySection.java
+++ b/src/main/java/pumicemoor/operator/HierarchySection.java
@@ -1,7 +1,7 @@
 package pumicemoor.operator;
 
 import java.util.Optional;
-import pumicemoor.hierarchy.Hierarchy.News;
+import pumicemoor.hierarchy.Hierarchy.UpdateSource;
 import pumicemoor.hierarchy.Topology;
 import pumicemoor.hierarchy.MigrationTiming;
 
@@ -12,4 +12,4 @@
  * one told.
  */
 public record HierarchySection(
-        News news, String depot, MigrationTiming timing, Topology shape, Optional<Topology> before, long lastPiece) {}
+        UpdateSource news, String depot, MigrationTiming timing, Topology shape, Optional<Topology> before, long lastPiece) {}
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -37,7 +37,7 @@
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.verdicts.EjectionPolicy;
-import pumicemoor.hierarchy.Hierarchy.News;
+import pumicemoor.hierarchy.Hierarchy.UpdateSource;
 import pumicemoor.hierarchy.Topology;
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.Topology.Unit;
@@ -516,7 +516,7 @@
             throw wrong("hierarchy.last-piece", "pieces come with news: feed only");
         }
         return new HierarchySection(
-                news.equals("file") ? News.FILE : News.FEED,
+                news.equals("file") ? UpdateSource.FILE : UpdateSource.FEED,
                 form.depot() == null ? "" : form.depot(),
                 timing,
                 shape,
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
-import pumicemoor.hierarchy.Hierarchy.News;
+import pumicemoor.hierarchy.Hierarchy.UpdateSource;
 import pumicemoor.hierarchy.Hierarchy.Setup;
 import pumicemoor.hierarchy.Hierarchy.Snapshot;
 import pumicemoor.hierarchy.Hierarchy.Stage;
@@ -29,7 +29,7 @@
 
     private final List<LogEvent> log = new ArrayList<>();
 
-    private Hierarchy at(News news, String... lines) {
+    private Hierarchy at(UpdateSource news, String... lines) {
         return new Hierarchy(Shapes.shape(1, 0, lines), 0, T0, new Setup("d", news, TIMING, 5 * SECOND), log::add);
     }
 
@@ -54,7 +54,7 @@
 
     @Test
     void aNewShapeActsAtTheLeadAndMovesByARisingShare() {
-        Hierarchy h = at(News.FILE, "d:h1", "h1:o", "h2:o");
+        Hierarchy h = at(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
         assertEquals(List.of(), h.take(T0, Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o"), Set.of("h1", "h2", "o")));
         assertEquals(Set.of(id("h1")), now(home(h, T0 + 2 * SECOND - 1)));
         FillSources moving = home(h, T0 + 2 * SECOND);
@@ -79,7 +79,7 @@
 
     @Test
     void whatWouldCloseALoopIsHeldUntilTheOtherSideHasMoved() {
-        Hierarchy h = at(News.FILE, "d:h1", "h1:h2", "h2:o");
+        Hierarchy h = at(UpdateSource.FILE, "d:h1", "h1:h2", "h2:o");
         h.take(T0, Shapes.shape(2, T0, "d:h1", "h1:o", "h2:h1"), Set.of());
         h.advance(T0 + 3 * SECOND);
         assertEquals(Stage.HELD, h.snapshot().stage());
@@ -100,7 +100,7 @@
 
     @Test
     void rolledBackInTheMiddleItReturnsByTheShareThatHadMoved() {
-        Hierarchy h = at(News.FILE, "d:h1", "h1:o", "h2:o");
+        Hierarchy h = at(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
         h.take(T0, Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o"), Set.of());
         h.take(T0 + 5 * SECOND, Shapes.shape(3, T0 + 5 * SECOND, "d:h1", "h1:o", "h2:o"), Set.of());
         // the roll-back acts at 7 s, with half moved; seeds must turn round first, which takes the gap
@@ -115,7 +115,7 @@
 
     @Test
     void anotherShapeInTheMiddleOfAMoveWaitsForItsEnd() {
-        Hierarchy h = at(News.FILE, "d:h1", "h1:o", "h2:o", "h3:o");
+        Hierarchy h = at(UpdateSource.FILE, "d:h1", "h1:o", "h2:o", "h3:o");
         h.take(T0, Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o", "h3:o"), Set.of());
         h.take(T0 + 4 * SECOND, Shapes.shape(3, T0 + 4 * SECOND, "d:h3", "h1:o", "h2:o", "h3:o"), Set.of());
         assertEquals(Set.of(id("h2")), now(home(h, T0 + 11 * SECOND)));
@@ -126,7 +126,7 @@
 
     @Test
     void aHubThatIsRemovedStaysUntilNobodyFillsThroughIt() {
-        Hierarchy h = at(News.FILE, "d:h1", "h1:o");
+        Hierarchy h = at(UpdateSource.FILE, "d:h1", "h1:o");
         h.take(T0, Shapes.shape(2, T0, "d:o"), Set.of()); // the only one
         h.advance(T0 + 8 * SECOND);
         assertTrue(h.timeline().linksInUse().contains(new Topology.Link("h1", "o")));
@@ -138,7 +138,7 @@
 
     @Test
     void aHubThatStartsColdInTheMiddleTakesItsShareFromNothingAgain() {
-        Hierarchy h = at(News.FILE, "d:h1", "h1:o", "h2:o");
+        Hierarchy h = at(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
         h.take(T0, Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o"), Set.of());
         h.advance(T0 + 6 * SECOND);
         h.members(Map.of("h1", 0L, "h2", T0 + 6 * SECOND));
@@ -151,7 +151,7 @@
 
     @Test
     void piecesOfAWholeShapeActTogetherOrNotAtAll() {
-        Hierarchy h = at(News.FEED, "d:h1", "h1:o", "h2:o");
+        Hierarchy h = at(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
         h.take(T0, piece(1, T0, 2, "d:h2"));
         h.certain(T0 + 3 * SECOND, T0 + 3 * SECOND, 1);
         assertEquals(Set.of(id("h1")), now(home(h, T0 + 3 * SECOND)));
@@ -170,7 +170,7 @@
 
     @Test
     void piecesTwiceAndOutOfOrderAreTakenOnceAndInOrder() {
-        Hierarchy h = at(News.FEED, "d:h1", "h1:o", "h2:o");
+        Hierarchy h = at(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
         h.take(T0, piece(2, T0, 0, "d:h1,h2"));
         h.take(T0, piece(2, T0, 0, "d:h1,h2"));
         assertEquals(Stage.WAITING_FOR_NEWS, h.snapshot().stage());
@@ -184,7 +184,7 @@
 
     @Test
     void withoutCertainNewsNothingMovesAndAfterTheGapNothingIsSaid() {
-        Hierarchy h = at(News.FEED, "d:h1", "h1:o", "h2:o");
+        Hierarchy h = at(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
         h.take(T0, piece(1, T0, 0, "d:h2"));
         assertEquals(Set.of(id("h1")), now(home(h, T0 + SECOND)));
         assertEquals(T0 + 2 * SECOND, h.nextDue(), "it wants to be called when the piece acts");
@@ -203,7 +203,7 @@
     @ParameterizedTest
     @CsvSource({"h1:d", "h1:h1", "d:", "h9:", "o:h1"})
     void aPieceThatCannotBeIsRefusedByItself(String line) {
-        Hierarchy h = at(News.FEED, "d:h1", "h1:o");
+        Hierarchy h = at(UpdateSource.FEED, "d:h1", "h1:o");
         TopologyUpdate bad = piece(1, T0, 0, line);
         h.take(T0, line.equals("d:") ? new TopologyUpdate(1, T0, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : bad);
         assertEquals(1, h.snapshot().piecesRefused());
@@ -213,7 +213,7 @@
 
     @Test
     void aWholeShapeThatIsRefusedLeavesAllAsItWas() {
-        Hierarchy h = at(News.FILE, "d:h1", "h1:o");
+        Hierarchy h = at(UpdateSource.FILE, "d:h1", "h1:o");
         assertEquals(
                 ViolationKind.LOOP,
                 h.take(T0, Shapes.shape(2, T0, "d:h1", "h1:h2", "h2:h1"), Set.of())
@@ -235,7 +235,7 @@
     void whoStartsInTheMiddleFollowsTheChangeIfItIsToldWhatWasBeforeElseNothing() {
         Topology before = Shapes.shape(1, 0, "d:h1", "h1:o", "h2:o");
         Topology shape = Shapes.shape(2, T0, "d:h2", "h1:o", "h2:o");
-        Setup setup = new Setup("d", News.FILE, TIMING, 0);
+        Setup setup = new Setup("d", UpdateSource.FILE, TIMING, 0);
         Hierarchy told = Hierarchy.start(shape, Optional.of(before), 0, T0 + 7 * SECOND, setup, log::add);
         assertEquals(0.5, told.snapshot().shareMoved(), 0.001);
         Hierarchy untold = Hierarchy.start(shape, Optional.empty(), 0, T0 + 7 * SECOND, setup, log::add);
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import pumicemoor.hierarchy.Hierarchy.News;
+import pumicemoor.hierarchy.Hierarchy.UpdateSource;
 import pumicemoor.hierarchy.Hierarchy.Setup;
 import pumicemoor.hierarchy.Topology.Link;
 import pumicemoor.hierarchy.Topology.Unit;
@@ -55,7 +55,7 @@
             first.units().keySet().stream().filter(n -> n.startsWith("d")).forEach(alwaysThere::add);
             for (int i = 0; i < ROUTERS; i++) {
                 skew[i] = random.nextInt((int) (SECOND / 2));
-                routers.add(new Hierarchy(first, 0, 0, new Setup("d0", News.FEED, TIMING, 0), t -> {}));
+                routers.add(new Hierarchy(first, 0, 0, new Setup("d0", UpdateSource.FEED, TIMING, 0), t -> {}));
                 inbox.add(new ArrayList<>());
             }
         }
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pumicemoor.fleet.cells.CellSetup;
-import pumicemoor.hierarchy.Hierarchy.News;
+import pumicemoor.hierarchy.Hierarchy.UpdateSource;
 
 class OperatorFileTest {
 
@@ -33,7 +33,7 @@
     @Test
     void aGoodFileIsReadWithItsDefaults() throws Exception {
         HierarchySection h = OperatorFile.parse("f", GOOD).hierarchy().orElseThrow();
-        assertEquals(News.FILE, h.news());
+        assertEquals(UpdateSource.FILE, h.news());
         assertEquals(4_000_000, h.timing().lead());
         assertEquals(60_000_000, h.timing().move());
         assertEquals(4, h.shape().units().size());
