--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -56,7 +56,7 @@
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.wire.Message;
 import pumicemoor.wire.Rows;
-import pumicemoor.wire.ShapeNews;
+import pumicemoor.wire.TopologyMessage;
 import pumicemoor.wire.Vocabulary;
 import pumicemoor.wire.WireException;
 
@@ -802,13 +802,13 @@
         return fleet.flatMap(f -> f.rows(subject)).map(Rows::json);
     }
 
-    private void shapeTold(ShapeNews news) {
+    private void shapeTold(TopologyMessage news) {
         if (hierarchy.isEmpty()) {
             return; // this installation has none
         }
-        if (news instanceof ShapeNews.Told t) {
+        if (news instanceof TopologyMessage.Told t) {
             hierarchy.get().take(now, t.piece());
-        } else if (news instanceof ShapeNews.Certain c) {
+        } else if (news instanceof TopologyMessage.Certain c) {
             hierarchy.get().certain(now, c.asOf(), c.lastNumber());
         }
     }
@@ -910,7 +910,7 @@
         counters.add(Name.UPDATES);
         part(index, "evict", update, this::purged); // each by itself: one that can't be read costs no other
         part(index, "endpoints", update, this::listed);
-        part(index, "shape", update, shape -> shapeTold(ShapeNews.read(shape)));
+        part(index, "shape", update, shape -> shapeTold(TopologyMessage.read(shape)));
     }
 
     /** One part of an event; it is read as a whole before anything follows from it. */
--- a/src/main/java/pumicemoor/wire/ShapeNews.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -16,13 +16,13 @@
  * {"certain_ms":1764576000123,"piece":7}      no piece past number 7 was announced until then
  * </pre>
  */
-public sealed interface ShapeNews {
+public sealed interface TopologyMessage {
 
     /** A piece, with its number. */
-    record Told(TopologyUpdate piece) implements ShapeNews {}
+    record Told(TopologyUpdate piece) implements TopologyMessage {}
 
     /** All pieces announced until a time (Unix microseconds) have numbers up to this one. */
-    record Certain(long asOf, long lastNumber) implements ShapeNews {}
+    record Certain(long asOf, long lastNumber) implements TopologyMessage {}
 
     private static Kind kind(String text) throws WireException {
         for (Kind kind : Kind.values()) {
@@ -34,7 +34,7 @@
     }
 
     /** Reads one; the exception names the field that cannot be used. */
-    static ShapeNews read(Message news) throws WireException {
+    static TopologyMessage read(Message news) throws WireException {
         long number = news.integer("piece");
         if (news.has("certain_ms")) {
             return new Certain(news.integer("certain_ms") * 1_000, number);
