--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -32,7 +32,7 @@
 import pumicemoor.operator.OperatorConfig.LogFormat;
 import pumicemoor.operator.OperatorException;
 import pumicemoor.operator.OperatorFile;
-import pumicemoor.wire.Drill;
+import pumicemoor.wire.SimulatorAdapter;
 import pumicemoor.wire.WireException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
@@ -232,7 +232,7 @@
             try (FileInputStream in = new FileInputStream(FileDescriptor.in);
                     BufferedOutputStream out =
                             new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-                new Drill(in, out).run();
+                new SimulatorAdapter(in, out).run();
             }
         }
     }
--- a/src/main/java/pumicemoor/wire/Drill.java
+++ b/src/main/java/pumicemoor/wire/SimulatorAdapter.java
@@ -31,7 +31,7 @@
 import pumicemoor.RouterApi.TimerDue;
 
 /** Hosts the instances of one simulator process: reads batches of events, answers each with one reply. */
-public final class Drill {
+public final class SimulatorAdapter {
 
     private static final Map<String, MemberListKind> LIST_KINDS = Map.of(
             "delta",
@@ -57,11 +57,11 @@
 
     private record Instance(int number, Vocabulary words, RouterApi router) {}
 
-    public Drill(InputStream in, OutputStream out) throws IOException {
+    public SimulatorAdapter(InputStream in, OutputStream out) throws IOException {
         this(in, out, Logic::new);
     }
 
-    Drill(InputStream in, OutputStream out, BiFunction<Settings, Long, RouterApi> routers) throws IOException {
+    SimulatorAdapter(InputStream in, OutputStream out, BiFunction<Settings, Long, RouterApi> routers) throws IOException {
         this.routers = routers;
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
--- a/src/test/java/pumicemoor/wire/DrillTest.java
+++ b/src/test/java/pumicemoor/wire/DrillTest.java
@@ -41,7 +41,7 @@
     private static String run(String input, BiFunction<Settings, Long, RouterApi> routers)
             throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, routers).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, routers).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
