--- a/src/main/java/pumicemoor/calls/CallBook.java
+++ b/src/main/java/pumicemoor/calls/CallRegistry.java
@@ -8,7 +8,7 @@
  * for each id of a request that must not run twice, from its call until long after its end, at most so many; it
  * must never be asked about others. After a start it knows nothing, and then a repeat can't be known to have not run.
  */
-public final class CallBook {
+public final class CallRegistry {
 
     /** What is known: a member was named and no end seen, it ended without having run, or it may have run. */
     private enum Known {
@@ -24,7 +24,7 @@
     private long forgottenEarly;
 
     /** Keeps the ids of ended calls so long (microseconds), at most so many with the open ones. */
-    public CallBook(int most, long kept) {
+    public CallRegistry(int most, long kept) {
         this.most = most;
         this.kept = kept;
     }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -33,7 +33,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import pumicemoor.RouterApi;
-import pumicemoor.calls.CallBook;
+import pumicemoor.calls.CallRegistry;
 import pumicemoor.calls.CallRules;
 import pumicemoor.calls.CallRules.About;
 import pumicemoor.calls.CallState;
@@ -94,7 +94,7 @@
     private ProcessorSection section;
     private CallRules rules;
     private final FairAdmission admission;
-    private final CallBook book = new CallBook(BOOK, BOOK_KEPT);
+    private final CallRegistry book = new CallRegistry(BOOK, BOOK_KEPT);
     private final TlsFiles tls;
     private final Map<Long, Stream> streams = new HashMap<>();
     private final Map<String, Held> held = new HashMap<>();
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -108,7 +108,7 @@
 
     @Test
     void theBookLetsNothingRunTwice() {
-        CallBook book = new CallBook(3, 10 * SECOND);
+        CallRegistry book = new CallRegistry(3, 10 * SECOND);
         assertTrue(book.mayBegin(0, "a", false));
         assertFalse(book.mayBegin(0, "a", true), "it is open");
         book.ended(1, "a", true);
