--- a/src/main/java/pumicemoor/extproc/FrontRehearsal.java
+++ b/src/main/java/pumicemoor/extproc/FrontRehearsal.java
@@ -23,7 +23,7 @@
 import pumicemoor.node.Effect;
 import pumicemoor.node.Input;
 import pumicemoor.operator.ProcessorSection;
-import pumicemoor.wire.Vocabulary;
+import pumicemoor.wire.SettingsReader;
 
 /**
  * Makes calls to a front of its own before the real one listens, so that the first callers don't wait for classes
@@ -40,7 +40,7 @@
     private FrontRehearsal() {}
 
     /** Goes on until so many calls are done or the longest time has passed; tells how many were. */
-    static int run(ProcessorSection real, Vocabulary words) throws IOException, InterruptedException {
+    static int run(ProcessorSection real, SettingsReader words) throws IOException, InterruptedException {
         String requestClass = real.rules().get(0).requestClass();
         ProcessorSection section = new ProcessorSection(
                 "127.0.0.1:0",
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -49,7 +49,7 @@
 import pumicemoor.node.Input.AnswerStatus;
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.ProcessorSection;
-import pumicemoor.wire.Vocabulary;
+import pumicemoor.wire.SettingsReader;
 import pumicemoor.wire.WireException;
 
 /**
@@ -90,7 +90,7 @@
         STREAMS_EXPIRED
     }
 
-    private final Vocabulary words;
+    private final SettingsReader words;
     private ProcessorSection section;
     private CallRules rules;
     private final FairAdmission admission;
@@ -164,7 +164,7 @@
         }
     }
 
-    public ProcessorFront(ProcessorSection section, Vocabulary words) throws IOException {
+    public ProcessorFront(ProcessorSection section, SettingsReader words) throws IOException {
         TRANSPORT_LOG.setLevel(Level.SEVERE);
         this.section = section;
         this.words = words;
@@ -177,7 +177,7 @@
     }
 
     /** The classes that rules name must be known; the exception names the first that is not. */
-    public static void check(ProcessorSection section, Vocabulary words) throws WireException {
+    public static void check(ProcessorSection section, SettingsReader words) throws WireException {
         for (ProcessorSection.RuleText rule : section.rules()) {
             words.requestClass(rule.requestClass());
         }
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import pumicemoor.wire.Message;
-import pumicemoor.wire.Vocabulary;
+import pumicemoor.wire.SettingsReader;
 import pumicemoor.wire.WireException;
 
 /**
@@ -18,7 +18,7 @@
         String coordinator,
         long seed,
         Figures figures,
-        Vocabulary words,
+        SettingsReader words,
         long knownIndex,
         List<Message> known,
         Message whole) {
@@ -49,7 +49,7 @@
                         (int) limits.integer("sockets", 1024),
                         policy.integer("keepalive-us", 0),
                         (int) policy.integer("multiplex", 100)),
-                new Vocabulary(settings),
+                new SettingsReader(settings),
                 known.integer("index", 0),
                 new ArrayList<>(known.objects("updates")),
                 all);
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -57,7 +57,7 @@
 import pumicemoor.wire.Message;
 import pumicemoor.wire.Rows;
 import pumicemoor.wire.TopologyMessage;
-import pumicemoor.wire.Vocabulary;
+import pumicemoor.wire.SettingsReader;
 import pumicemoor.wire.WireException;
 
 /**
@@ -101,7 +101,7 @@
 
     private final RouterApi router;
     private final Settings settings;
-    private final Vocabulary words;
+    private final SettingsReader words;
     private final ResourceLimits limits;
     private final Counters counters;
     private final Map<String, Request> requests = new HashMap<>();
@@ -185,7 +185,7 @@
         boolean written;
     }
 
-    public Reducer(RouterApi router, Vocabulary words, ResourceLimits limits, Counters counters) {
+    public Reducer(RouterApi router, SettingsReader words, ResourceLimits limits, Counters counters) {
         this.router = router;
         this.settings = words.settings();
         this.words = words;
--- a/src/main/java/pumicemoor/wire/Vocabulary.java
+++ b/src/main/java/pumicemoor/wire/SettingsReader.java
@@ -23,7 +23,7 @@
 import pumicemoor.RouterApi.WeightMeaning;
 
 /** The names that one instance's settings define, and the settings and list lines read with them. */
-public final class Vocabulary {
+public final class SettingsReader {
 
     private static final Map<String, Idempotency> EFFECTS =
             Map.of("pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
@@ -65,7 +65,7 @@
     private final int originKind;
     private final List<String> kinds;
 
-    public Vocabulary(Message info) throws WireException {
+    public SettingsReader(Message info) throws WireException {
         Message specifics = info.objectOrEmpty("specifics");
         zones = info.texts("zones");
         kinds = info.texts("kinds");
--- a/src/main/java/pumicemoor/wire/SimulatorAdapter.java
+++ b/src/main/java/pumicemoor/wire/SimulatorAdapter.java
@@ -55,7 +55,7 @@
     private boolean inBatch;
     private boolean started;
 
-    private record Instance(int number, Vocabulary words, RouterApi router) {}
+    private record Instance(int number, SettingsReader words, RouterApi router) {}
 
     public SimulatorAdapter(InputStream in, OutputStream out) throws IOException {
         this(in, out, Logic::new);
@@ -129,7 +129,7 @@
 
     private void start(Message message) throws IOException, WireException {
         int number = (int) message.integer("router");
-        Vocabulary words = new Vocabulary(message.object("info"));
+        SettingsReader words = new SettingsReader(message.object("info"));
         long salt = message.integer("salt");
         try {
             instances.put(number, new Instance(number, words, routers.apply(words.settings(), salt)));
@@ -168,7 +168,7 @@
         return e + (trace.length > 0 ? " at " + trace[0] : "");
     }
 
-    private Event event(String name, Message m, Vocabulary words) throws WireException {
+    private Event event(String name, Message m, SettingsReader words) throws WireException {
         return switch (name) {
             case "Fleet" -> members(m, words);
             case "Arrival" ->
@@ -209,7 +209,7 @@
         };
     }
 
-    private MemberListUpdate members(Message m, Vocabulary words) throws WireException {
+    private MemberListUpdate members(Message m, SettingsReader words) throws WireException {
         MemberListKind kind = LIST_KINDS.get(m.text("mode"));
         if (kind == null) {
             throw new WireException("field 'mode' has the unknown value '" + m.text("mode") + "'");
