--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -19,955 +19,1154 @@
 import java.util.stream.Stream;
 
 /**
- * All decisions of one router. The interface, with its settings, events and actions, is in RouterApi.java.
+ * Makes all decisions of one router. The interface, with its settings, events and actions, is {@link RouterApi}.
  * The ordinary path, after Coral: a request goes to its object's hashed edge cache of the location. On a
- * miss there it names as fill source a sibling seen holding or filling the object, else the object's hashed
- * parent, else the origin. Everything else here is a departure that acts when something is wrong.
+ * miss there it names as fill source a sibling known to hold or to be filling the object, else the object's
+ * hashed parent, else the origin. Everything else here departs from that path only while something is wrong.
  */
 public final class Logic implements RouterApi {
-    private static final long MILLI = 1_000; // microseconds
-    private static final long SECOND = 1_000_000; // microseconds
-    private static final long TICK = 20 * MILLI; // sweep for overdue work; far below any aim
-    private static final int HOLDERS = 4; // caches remembered an object; the design's start
-    private static final long FILLING_LIFE = 20 * SECOND; // a reference to a fill; the design's start
-    private static final long HOLDING_LIFE = 30 * SECOND; // a reference to a copy; the design's start
-    private static final int OBJECTS = 20_000; // objects remembered; bounds memory
-    private static final int NOTES_A_MINUTE = 12; // peer notes an object; the design's figure
-    private static final int NOTE_BYTES = 256; // longest peer note that is sent
-    private static final double RETRY_SHARE = 0.2; // further attempts earned by a request
-    private static final double RETRY_BURST = 40; // that a location's routers may save up: one cache's work
-    private static final int ATTEMPTS = 7; // attempts for a request at most, those that only look too
-    private static final double QUICK_AIM = 0.2; // a failure within this share of the tightest aim is quick
-    private static final int QUICK_FAILURES = 2; // quick failures of a request before it tries elsewhere
-    private static final int STRIKES = 2; // failures in a row that take a member out
-    private static final double FAIL_SHARE = 0.75; // share of failures that takes a member out
-    private static final double FAIL_GAIN = 0.15; // weight of the newest outcome in that share
-    private static final long DOWN_FIRST = SECOND; // first time out; doubled each time
-    private static final long DOWN_LONGEST = 8 * SECOND; // longest time out
-    private static final long PATIENCE = 250 * MILLI; // least time before silence counts
-    private static final double PATIENCE_WORK = 4; // times the expected time, before silence counts
-    private static final double MEAN_GAIN = 0.05; // weight of the newest in averages
-    private static final double CREW_SPAN = 700 * MILLI; // a fellow router; its load is ours over so long
-    private static final double CREW_GAIN = 0.2; // largest LATE_GAIN: one late attempt alone cuts nothing
-    private static final double LIMIT_START = 48; // attempts a member of untold size may have of a location
-    private static final double LIMIT_WEIGHT = 2; // that guess over the weight, where weights are told
-    private static final double LIMIT_PARENT = 2; // that guess for a parent, times, over all locations
-    private static final double LIMIT_LEAST = 2; // never fewer, so that recovery shows
-    private static final double LIMIT_CUT = 0.8; // factor on the limit when attempts come late
-    private static final double LATE_GAIN = 0.1; // weight of the newest attempt in the share that is late
-    private static final double LATE_BORNE = 0.2; // share that may be late before the limit falls
-    private static final double LARGE_LESS = 0.6; // share of a limit closed to the largest requests
-    private static final double ORIGIN_PART = 0.5; // a fill from a parent counts so much on the origin
-    private static final int WAITERS = 8; // waiting requests tried again when an attempt ends
-    private static final double COLD_SAFETY = 0.65; // share of a cold member's budget that is used
-    private static final double COLD_BURST = 0.25; // of the budget of a span that may be saved up
-    private static final double FLOW_SPAN = 5 * SECOND; // over which the work served is averaged
-    private static final double COLD_WIDTH = 3; // transfers that a member of unknown size is taken for
-    private static final double COLD_SMALLER = 0.5; // such a member against the mean of the warm ones
-    private static final double RETRY_AFTER_AIM = 0.5; // advice to come back after this share of the aim
-    private static final int LONGEST_WAY = 8; // members that a source's fill may pass through
-    private static final long TOLD_BY = 7 * SECOND; // what is purged counts as told by then, heard or not
-    private static final int PURGE_LIVES = 3; // purges are kept this many times purgeDone
-    private static final double QUOTA_SPAN = 100 * MILLI; // of the fleet's limits that may be saved up
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long TICK_MICROS = 20 * MICROS_PER_MILLI; // between sweeps; far below any latency target
+    private static final int MAX_HOLDERS_PER_OBJECT = 4;
+    private static final long FILLING_TTL_MICROS = 20 * MICROS_PER_SECOND; // of a reference to a fill in progress
+    private static final long HOLDING_TTL_MICROS = 30 * MICROS_PER_SECOND; // of a reference to a copy
+    private static final int MAX_TRACKED_OBJECTS = 20_000; // bounds memory
+    private static final int MAX_PEER_MESSAGES_PER_MINUTE = 12; // for one object
+    private static final int MAX_PEER_MESSAGE_BYTES = 256;
+    private static final double RETRY_TOKENS_PER_REQUEST = 0.2; // one token pays for one further attempt
+    /** Retry tokens that the routers of a location may save up together: the work of one cache. */
+    private static final double RETRY_BURST_TOKENS = 40;
+
+    private static final int MAX_ATTEMPTS = 7; // per request, cache-only lookups included
+    /** A failure within this fraction of the tightest latency target is a quick one. */
+    private static final double QUICK_FAILURE_FRACTION = 0.2;
+
+    private static final int MAX_QUICK_FAILURES = 2; // of a request before it tries another member
+    private static final int EJECTION_CONSECUTIVE_FAILURES = 2;
+    private static final double EJECTION_FAILURE_RATE = 0.75;
+    private static final double FAILURE_RATE_GAIN = 0.15; // weight of the newest outcome in the failure rate
+    private static final long BASE_EJECTION_MICROS = MICROS_PER_SECOND; // doubled with each further ejection
+    private static final long MAX_EJECTION_MICROS = 8 * MICROS_PER_SECOND;
+    private static final long MIN_SILENCE_MICROS = 250 * MICROS_PER_MILLI; // silence counts after this at the earliest
+    private static final double SILENCE_MULTIPLE = 4; // multiple of the expected time that is added to it
+    private static final double MEAN_GAIN = 0.05; // weight of the newest value in moving averages
+    /**
+     * Each other router of the location adds this to the time over which this router's load is averaged, to stand
+     * for the load of all of them.
+     */
+    private static final double LOAD_MICROS_PER_ROUTER = 700 * MICROS_PER_MILLI;
+    /** Upper bound of the late share's gain, so that one late attempt alone never cuts a limit. */
+    private static final double MAX_LATE_SHARE_GAIN = 0.2;
+    /** Attempts that a location may have open at a member of unknown capacity. */
+    private static final double INITIAL_LIMIT = 48;
+
+    private static final double INITIAL_LIMIT_PER_WEIGHT = 2; // the same where weights are known
+    /** A parent's initial limit over all locations, as a multiple of the limit by its weight. */
+    private static final double PARENT_LIMIT_MULTIPLE = 2;
+
+    private static final double MIN_LIMIT = 2; // some attempts always go out, so that a recovery is noticed
+    private static final double LIMIT_CUT_FACTOR = 0.8; // applied to the limit when attempts come late
+    private static final double LATE_SHARE_GAIN = 0.1; // weight of the newest attempt in the late share
+    private static final double TOLERATED_LATE_SHARE = 0.2; // above this the limit is cut
+    private static final double LARGE_REQUEST_RESERVE = 0.6; // share of a limit that the largest requests can't use
+    /** Load on the origin, and on each member of the fill path, of a fill that a parent may answer by itself. */
+    private static final double UPSTREAM_LOAD = 0.5;
+
+    private static final int MAX_WAITERS_ROUTED = 8; // waiting requests that are routed again when an attempt ends
+    private static final double SLOW_START_SAFETY = 0.65; // share of the slow-start budget that is used
+    private static final double SLOW_START_BURST = 0.25; // share of a window's budget that may be saved up
+    private static final double THROUGHPUT_WINDOW_MICROS = 5 * MICROS_PER_SECOND;
+    /** Assumed capacity, in transfers at a time, of a member in slow start whose capacity is not known. */
+    private static final double SLOW_START_TRANSFERS = 3;
+    /** Such a member's assumed throughput, as a fraction of the mean of the warm members. */
+    private static final double SLOW_START_THROUGHPUT_FRACTION = 0.5;
+
+    private static final double RETRY_AFTER_FRACTION = 0.5; // of the latency target, advised as retry-after
+    private static final int MAX_FILL_PATH_MEMBERS = 8;
+    /** A purge older than this counts as delivered to every router, whether it was received here or not. */
+    private static final long PURGE_DELIVERY_MICROS = 7 * MICROS_PER_SECOND;
+
+    private static final int PURGE_RETENTION_MULTIPLE = 3; // purges are kept for this many purge settle times
+    private static final double QUOTA_BURST_MICROS = 100 * MICROS_PER_MILLI; // of a limit share that may be saved up
 
     private final Settings settings;
     private final boolean weighted;
-    private final long tightestAim;
-    private final int crew; // routers of this location; they act alike, so ours times crew stands for all
+    private final long tightestLatencyTarget;
+    private final int localRouters; // of this location; they behave alike, so this router's load stands for each
     private final Random random;
-    private final Map<Long, Node> nodes = new TreeMap<>();
-    private List<Node> caches = List.of(), parents = List.of(); // listed, caches of this location only
-    private Node origin;
-    private Map<Long, FillSources> given = Map.of(); // who may be filled from whom; empty: by the list alone
-    private final Quotas quotas = new Quotas(QUOTA_SPAN); // what this router may have of the fleet's limits
-    private List<EjectedMember> verdicts; // members out by the fleet's word; null: nobody asks for ours
-    private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, Entry> table = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<Long, MemberState> members = new TreeMap<>();
+    private List<MemberState> caches = List.of(); // ready caches of this location
+    private List<MemberState> parents = List.of();
+    private MemberState origin;
+    private Map<Long, FillSources> fillSources = Map.of(); // by member; empty: the listed parents and the origin
+    private final Quotas quotas = new Quotas(QUOTA_BURST_MICROS);
+    private List<EjectedMember> ejections; // agreed by the fleet; null: no health reports are wanted either
+    private final Map<String, RequestState> requests = new LinkedHashMap<>();
+    private final Map<String, ObjectHistory> objects = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Entry> eldest) {
-            return size() > OBJECTS;
+        protected boolean removeEldestEntry(Map.Entry<String, ObjectHistory> eldest) {
+            return size() > MAX_TRACKED_OBJECTS;
         }
     };
-    private final TreeSet<Job> waiting =
-            new TreeSet<>(Comparator.comparingDouble((Job j) -> -j.priority).thenComparingLong(j -> j.number));
+    private final TreeSet<RequestState> waiting = new TreeSet<>(
+            Comparator.comparingDouble((RequestState r) -> -r.priority).thenComparingLong(r -> r.sequence));
     private final Map<String, Long> purgedObjects = new LinkedHashMap<>();
     private final Map<Integer, Long> purgedGroups = new LinkedHashMap<>();
-    private final Set<Integer> nearPeers = new TreeSet<>(); // routers that told of caches of this location
-    private final double[] meanWork;
-    private double fillWait = PATIENCE; // time that a fill adds to a transfer, lately
-    private double meanPriority, retryTokens;
-    private boolean ticking;
-    private long arrivals, lastFill, now, watchAgainAt = Long.MAX_VALUE, heardAt = Long.MAX_VALUE;
-    private Consumer<Action> out;
-
-    /** A member of the list and what its outcomes have shown. */
-    private static final class Node {
-        Member member;
-        boolean listed; // ready by the list
-        double load, limit, lateShare; // what it has of ours, may have of all, and the share that came late
-        double meanLoad, failShare; // what it has of ours over a while, as of loadAt; of failures
-        long loadAt, cutAt, pressedAt = Long.MIN_VALUE / 2; // when the limit fell, when it held a request up
-        int open, asked, strikes; // attempts that are out, that may reach it at all, failures in a row
-        long lastAnswer, struckAt, downUntil, downFor, coldFrom;
-        double flow, credit; // work served lately, in transfers, as of flowAt; budget left while cold
-        long flowAt, creditAt;
-    }
-
-    /** A request that is owed an answer, or whose attempts are still out. */
-    private static final class Job {
-        RequestArrived request;
-        RequestClass type;
+    private final Set<Integer> localPeers = new TreeSet<>(); // routers that have announced caches of this location
+    private final double[] meanWorkMicros; // by request class
+    private double meanFillMicros = MIN_SILENCE_MICROS; // time that a fill adds to a transfer
+    private double meanPriority;
+    private double retryTokens;
+    private boolean timerStarted;
+    private long arrivals;
+    private long lastFillAt;
+    private long now;
+    private long rewatchAt = Long.MAX_VALUE;
+    private long lastHeartbeatAt = Long.MAX_VALUE;
+    private Consumer<Action> actions;
+
+    /** A listed member, its load from this router and what the outcomes of its attempts have shown. */
+    private static final class MemberState {
+        Member listing;
+        boolean ready; // by the member list
+        double load; // of this router's open attempts, each with its share
+        double limit; // load that all routers of the location together may have here
+        double lateShare; // moving average of the share of late attempts
+        double meanLoad; // moving average of load, as of loadUpdatedAt
+        double failureRate; // moving average
+        long loadUpdatedAt;
+        long limitCutAt;
+        long limitReachedAt = Long.MIN_VALUE / 2; // when the limit last held a request up
+        int openAttempts; // attempts with this member as their target
+        int reachingAttempts; // attempts that may reach this member in any place
+        int consecutiveFailures;
+        long lastAnswerAt;
+        long connectionFailedAt;
+        long ejectedUntil;
+        long ejectionMicros;
+        long slowStartFrom;
+        double throughput; // transfers served at a time, averaged, as of throughputUpdatedAt
+        double slowStartCredit; // budget left, as of creditUpdatedAt
+        long throughputUpdatedAt;
+        long creditUpdatedAt;
+    }
+
+    /** A request that still needs its final answer, or whose attempts are still open. */
+    private static final class RequestState {
+        RequestArrived arrival;
+        RequestClass requestClass;
         String key; // object and part
-        double work, priority; // time to send it at full pace, worth for that
-        long number, startBy, deadline; // startBy: after this it can't be on time
-        int attempts, quickFailures;
-        boolean mayHaveRun, closed, streaming, missed, parentMissed; // a look found none here, there
-        boolean stale, retry; // an old copy will do now; the next attempt is a further one, on the budget
+        double workMicros; // time to send the answer at full rate
+        double priority; // value per microsecond of work
+        long sequence;
+        long latestStart; // started later, it can't be on time
+        long deadline;
+        int attempts;
+        int quickFailures;
+        boolean mayHaveRun;
+        boolean closed;
+        boolean streaming;
+        boolean cacheMissed; // a cache-only lookup has found no copy
+        boolean parentMissed; // the same at the parent
+        boolean acceptStale; // a copy past its freshness, within the class's grace, will do
+        boolean retry; // the next attempt is a retry and takes a retry token
         final Map<Integer, Attempt> open = new TreeMap<>();
-        final Set<Long> failed = new HashSet<>();
+        final Set<Long> failedMembers = new HashSet<>();
     }
 
-    /** An attempt that is out, and the shares of it that count on the limits of members. */
+    /** An open attempt, with the load that it adds to each member that it may reach. */
     private static final class Attempt {
         int number;
-        Node target, source, blamed; // blamed: for being late, so far
-        long sent, lateFrom, due; // due: silence counts from here
-        boolean overdue, cancelled, expectHit, look, lookAtParent, away;
-        final Map<Node, Double> charges = new LinkedHashMap<>();
+        MemberState target;
+        MemberState source;
+        MemberState blamed; // the member last held responsible for its being late
+        long sentAt;
+        long lateAfter;
+        long silentAfter; // from here on a member that has sent nothing counts as silent
+        boolean overdue;
+        boolean cancelled;
+        boolean expectHit;
+        boolean cacheLookup; // a cache-only lookup
+        boolean parentLookup; // a lookup that the parent must not forward
+        boolean mayCrossZones;
+        final Map<MemberState, Double> loadByMember = new LinkedHashMap<>();
     }
 
-    /** What is remembered of an object (or part): who holds it, how often it was asked for. */
-    private static final class Entry {
+    /** What is remembered of an object, or of a part of one. */
+    private static final class ObjectHistory {
         final List<Holder> holders = new ArrayList<>();
-        int seen, notes;
-        long noteMinute;
+        int requestCount;
+        int messagesSent; // in the minute that began at minuteStart
+        long minuteStart;
     }
 
-    private record Holder(Node node, long started, long since, long until) {}
+    /** A cache that holds a copy since heldSince, or, where that is negative, is filling one. */
+    private record Holder(MemberState cache, long started, long heldSince, long expiresAt) {}
 
     public Logic(Settings settings, long salt) {
         this.settings = settings;
         this.random = new Random(salt);
-        this.crew = settings.routersByLocation().isEmpty()
+        this.localRouters = settings.routersByLocation().isEmpty()
                 ? settings.routers()
                 : Math.max(1, settings.routersByLocation().get(settings.location()));
-        this.retryTokens = Math.max(1, RETRY_BURST / crew);
+        this.retryTokens = Math.max(1, RETRY_BURST_TOKENS / localRouters);
         this.weighted = settings.weights() == WeightMeaning.NOMINAL || settings.weights() == WeightMeaning.ROUGH;
-        this.tightestAim =
+        this.tightestLatencyTarget =
                 settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(0);
-        this.meanWork = new double[settings.classes().size()];
+        this.meanWorkMicros = new double[settings.classes().size()];
     }
 
     @Override
     public void handle(long time, Event event, Consumer<Action> sink) {
         now = time;
-        out = sink;
-        if (!ticking) {
-            ticking = true;
-            out.accept(new SetTimer(TICK, 0));
+        actions = sink;
+        if (!timerStarted) {
+            timerStarted = true;
+            actions.accept(new SetTimer(TICK_MICROS, 0));
             if (settings.watchMembers()) {
-                out.accept(new WatchMembers(true));
+                actions.accept(new WatchMembers(true));
             }
         }
         if (event instanceof RequestArrived e) {
-            arrived(e);
+            handleArrival(e);
         } else if (event instanceof AttemptEnded e) {
-            ended(e);
-        } else if (event instanceof RequestAbandoned e && jobs.containsKey(e.id())) {
-            close(jobs.get(e.id()));
+            handleAttemptEnd(e);
+        } else if (event instanceof RequestAbandoned e && requests.containsKey(e.id())) {
+            close(requests.get(e.id()));
         } else if (event instanceof TimerDue) {
-            tick();
+            handleTick();
         } else if (event instanceof MemberListUpdate e) {
-            listed(e);
+            handleMemberList(e);
         } else if (event instanceof Purged e && e.object() == null) {
             purgedGroups.merge(e.group(), now - e.age(), Math::max);
         } else if (event instanceof Purged e) {
             purgedObjects.merge(e.object(), now - e.age(), Math::max);
         } else if (event instanceof DiscoveryHeartbeat) {
-            heardAt = now;
-        } else if (event instanceof AnswerStarted e && jobs.containsKey(e.id())) {
-            jobs.get(e.id()).streaming = true;
+            lastHeartbeatAt = now;
+        } else if (event instanceof AnswerStarted e && requests.containsKey(e.id())) {
+            requests.get(e.id()).streaming = true;
         } else if (event instanceof PeerMessage e) {
-            peerNote(e);
+            handlePeerMessage(e);
         } else if (event instanceof FillSourcesUpdate e) {
-            given = e.lists();
+            fillSources = e.lists();
         } else if (event instanceof LimitSharesUpdate e) {
-            quotas.follow(e.shares(), now);
+            quotas.update(e.shares(), now);
         } else if (event instanceof EjectionsUpdate e) {
-            verdicts = e.ejected();
+            ejections = e.ejected();
         }
     }
 
-    private void listed(MemberListUpdate e) {
-        if (e.kind() == MemberListKind.FAILED) {
-            watchAgainAt = now + SECOND;
-        } else if (e.kind() != MemberListKind.DELTA) {
-            nodes.values().forEach(n -> n.listed = false);
+    private void handleMemberList(MemberListUpdate update) {
+        if (update.kind() == MemberListKind.FAILED) {
+            rewatchAt = now + MICROS_PER_SECOND;
+        } else if (update.kind() != MemberListKind.DELTA) {
+            members.values().forEach(m -> m.ready = false);
         }
-        for (Member m : e.members()) {
-            Node n = nodes.get(m.id());
-            if (n == null || n.member.started() != m.started()) {
-                if (n != null) {
-                    n.listed = false; // what was known of the process before its restart is void
+        for (Member listing : update.members()) {
+            MemberState member = members.get(listing.id());
+            if (member == null || member.listing.started() != listing.started()) {
+                if (member != null) {
+                    member.ready = false; // what was known of the process before its restart is void
                 }
-                n = new Node();
-                n.limit = weighted ? LIMIT_WEIGHT * m.weight() : LIMIT_START;
-                if (weighted && m.role() == Role.PARENT) { // all locations share it
-                    n.limit *= LIMIT_PARENT * crew / Math.max(1, settings.routers());
+                member = new MemberState();
+                member.limit = weighted ? INITIAL_LIMIT_PER_WEIGHT * listing.weight() : INITIAL_LIMIT;
+                if (weighted && listing.role() == Role.PARENT) { // all locations share it
+                    member.limit *= PARENT_LIMIT_MULTIPLE * localRouters / Math.max(1, settings.routers());
                 }
-                n.limit = Math.max(LIMIT_LEAST, n.limit);
-                nodes.put(m.id(), n);
+                member.limit = Math.max(MIN_LIMIT, member.limit);
+                members.put(listing.id(), member);
             }
-            n.member = m;
-            n.listed = m.state() == State.READY;
-            n.coldFrom = Math.max(n.coldFrom, m.started());
+            member.listing = listing;
+            member.ready = listing.state() == State.READY;
+            member.slowStartFrom = Math.max(member.slowStartFrom, listing.started());
         }
-        nodes.values().removeIf(n -> !n.listed && n.member.state() != State.DRAINING);
-        caches = listed(Role.CACHE)
-                .filter(n -> n.member.zone() == settings.location())
+        members.values().removeIf(m -> !m.ready && m.listing.state() != State.DRAINING);
+        caches = readyMembers(Role.CACHE)
+                .filter(m -> m.listing.zone() == settings.location())
                 .toList();
-        parents = listed(Role.PARENT).toList();
-        origin = listed(Role.ORIGIN).findFirst().orElse(null);
-    }
-
-    private Stream<Node> listed(Role role) {
-        return nodes.values().stream().filter(n -> n.listed && n.member.role() == role);
-    }
-
-    private void arrived(RequestArrived r) {
-        Job job = new Job();
-        job.request = r;
-        job.type = settings.classes().get(r.requestClass());
-        job.key = r.object() + '#' + r.part();
-        job.number = arrivals++;
-        double mean = meanWork[r.requestClass()];
-        job.work = mean > 0 ? mean : job.type.latencyTarget(); // guesses too small make all seem late
-        if (r.sizeKb() > 0 && settings.fills().transferKbPerSecond() > 0) {
-            job.work = r.sizeKb() / settings.fills().transferKbPerSecond() * SECOND;
-            meanWork[r.requestClass()] = mean == 0 ? job.work : mean + MEAN_GAIN * (job.work - mean);
-        }
-        job.priority = job.type.value() / job.work;
-        meanPriority += (meanPriority == 0 ? 1 : MEAN_GAIN) * (job.priority - meanPriority);
-        job.deadline = now + r.timeLeft();
-        job.startBy = Math.min(
-                job.deadline - 2 * TICK,
-                now + (long) (job.type.latencyTarget() + (job.type.latencyTargetStretch() - 1) * job.work - fillWait));
-        jobs.put(r.id(), job);
-        retryTokens = Math.min(Math.max(1, RETRY_BURST / crew), retryTokens + RETRY_SHARE);
-        entry(job).seen++;
-        route(job);
-    }
-
-    private void tick() {
-        out.accept(new SetTimer(TICK, 0));
-        if (now >= watchAgainAt) {
-            watchAgainAt = Long.MAX_VALUE;
-            out.accept(new WatchMembers(true));
-        }
-        quotas.told(now, id -> nodes.containsKey(id) ? nodes.get(id).asked : 0, out::accept);
+        parents = readyMembers(Role.PARENT).toList();
+        origin = readyMembers(Role.ORIGIN).findFirst().orElse(null);
+    }
+
+    private Stream<MemberState> readyMembers(Role role) {
+        return members.values().stream().filter(m -> m.ready && m.listing.role() == role);
+    }
+
+    private void handleArrival(RequestArrived arrival) {
+        RequestState request = new RequestState();
+        request.arrival = arrival;
+        request.requestClass = settings.classes().get(arrival.requestClass());
+        request.key = arrival.object() + '#' + arrival.part();
+        request.sequence = arrivals++;
+        double mean = meanWorkMicros[arrival.requestClass()];
+        // an estimate that is too small would make every answer seem late
+        request.workMicros = mean > 0 ? mean : request.requestClass.latencyTarget();
+        if (arrival.sizeKb() > 0 && settings.fills().transferKbPerSecond() > 0) {
+            request.workMicros = arrival.sizeKb() / settings.fills().transferKbPerSecond() * MICROS_PER_SECOND;
+            meanWorkMicros[arrival.requestClass()] =
+                    mean == 0 ? request.workMicros : mean + MEAN_GAIN * (request.workMicros - mean);
+        }
+        request.priority = request.requestClass.value() / request.workMicros;
+        meanPriority += (meanPriority == 0 ? 1 : MEAN_GAIN) * (request.priority - meanPriority);
+        request.deadline = now + arrival.timeLeft();
+        request.latestStart = Math.min(
+                request.deadline - 2 * TICK_MICROS,
+                now
+                        + (long) (request.requestClass.latencyTarget()
+                                + (request.requestClass.latencyTargetStretch() - 1) * request.workMicros
+                                - meanFillMicros));
+        requests.put(arrival.id(), request);
+        retryTokens = Math.min(Math.max(1, RETRY_BURST_TOKENS / localRouters), retryTokens + RETRY_TOKENS_PER_REQUEST);
+        history(request).requestCount++;
+        route(request);
+    }
+
+    private void handleTick() {
+        actions.accept(new SetTimer(TICK_MICROS, 0));
+        if (now >= rewatchAt) {
+            rewatchAt = Long.MAX_VALUE;
+            actions.accept(new WatchMembers(true));
+        }
+        quotas.reportDemand(
+                now, id -> members.containsKey(id) ? members.get(id).reachingAttempts : 0, actions::accept);
         List.copyOf(waiting).forEach(this::route);
-        for (Job job : new ArrayList<>(jobs.values())) {
-            for (Attempt a : job.open.values()) {
-                if (a.blamed == null && now >= a.lateFrom) {
-                    tooMuch(a, null);
+        for (RequestState request : new ArrayList<>(requests.values())) {
+            for (Attempt attempt : request.open.values()) {
+                if (attempt.blamed == null && now >= attempt.lateAfter) {
+                    recordLate(attempt, null);
                 }
-                if (!a.overdue && now >= a.due) {
-                    a.overdue = true;
-                    overdue(job, a);
+                if (!attempt.overdue && now >= attempt.silentAfter) {
+                    attempt.overdue = true;
+                    handleSilence(request, attempt);
                 }
             }
         }
         Predicate<Long> settled =
-                at -> at < now - PURGE_LIVES * settings.rules().purgeSettleTime();
+                at -> at < now - PURGE_RETENTION_MULTIPLE * settings.rules().purgeSettleTime();
         purgedObjects.values().removeIf(settled);
         purgedGroups.values().removeIf(settled);
     }
 
-    /** Sends the next attempt, holds the request, or gives it up. Uncacheable classes run at the origin. */
-    private void route(Job job) {
-        waiting.remove(job);
-        if (job.closed || job.streaming || !job.open.isEmpty()) {
+    /**
+     * Sends the next attempt of a request, queues the request, or gives it up. Uncacheable classes are served by the
+     * origin.
+     */
+    private void route(RequestState request) {
+        waiting.remove(request);
+        if (request.closed || request.streaming || !request.open.isEmpty()) {
             return;
         }
         boolean direct = settings.fills().direct();
-        Node edge = edge(job);
-        if (job.attempts >= Math.min(ATTEMPTS, settings.limits().maxAttempts())
-                || job.retry && retryTokens < 1
-                || job.quickFailures > QUICK_FAILURES + 1 // it fails wherever it is sent
-                || now >= job.deadline
-                || job.mayHaveRun && job.type.idempotency() != Idempotency.SAFE) {
-            giveUp(job);
-        } else if (job.type.uncacheable() && origin != null && (direct || edge != null)) {
+        MemberState edge = edgeCache(request);
+        if (request.attempts >= Math.min(MAX_ATTEMPTS, settings.limits().maxAttempts())
+                || request.retry && retryTokens < 1
+                || request.quickFailures > MAX_QUICK_FAILURES + 1 // it fails wherever it is sent
+                || now >= request.deadline
+                || request.mayHaveRun && request.requestClass.idempotency() != Idempotency.SAFE) {
+            giveUp(request);
+        } else if (request.requestClass.uncacheable() && origin != null && (direct || edge != null)) {
             send(
-                    job,
+                    request,
                     direct ? origin : edge,
                     origin,
-                    direct ? new Lookup(job.request.id(), origin.member.id(), 0) : get(job, edge, origin, false));
-        } else if (job.type.uncacheable()
-                || edge == null && !direct && caches.stream().noneMatch(this::up)) {
-            giveUp(job);
+                    direct
+                            ? new Lookup(request.arrival.id(), origin.listing.id(), 0)
+                            : newFetch(request, edge, origin, false));
+        } else if (request.requestClass.uncacheable()
+                || edge == null && !direct && caches.stream().noneMatch(this::isUsable)) {
+            giveUp(request);
         } else if (edge != null) {
-            fetch(job, edge);
+            routeToCache(request, edge);
         } else {
-            passBy(job);
+            routePastCaches(request);
         }
     }
 
-    /** With no cache that has room, past the caches, where allowed, to a parent or the origin with room. */
-    private void passBy(Job job) {
-        Node source = settings.fills().direct() ? source(job, null) : null;
-        if (source == null || full(source, 1, job)) {
-            hold(job);
-        } else if (source.member.role() == Role.ORIGIN) {
-            send(job, source, source, new Lookup(job.request.id(), source.member.id(), 0));
+    /**
+     * Sends a request that no cache has capacity for straight to a parent or the origin, where that is allowed and
+     * has capacity.
+     */
+    private void routePastCaches(RequestState request) {
+        MemberState source = settings.fills().direct() ? fillSource(request, null) : null;
+        if (source == null || isFull(source, 1, request)) {
+            waitOrGiveUp(request);
+        } else if (source.listing.role() == Role.ORIGIN) {
+            send(request, source, source, new Lookup(request.arrival.id(), source.listing.id(), 0));
         } else {
-            List<Node> way = way(job, source, null);
-            Node behind = !way.isEmpty() ? way.get(0) : origin == null ? source : origin;
-            send(job, source, behind, get(job, source, behind, false));
+            List<MemberState> path = fillPath(request, source, null);
+            MemberState upstream = !path.isEmpty() ? path.get(0) : origin == null ? source : origin;
+            send(request, source, upstream, newFetch(request, source, upstream, false));
         }
     }
 
-    /** The ordinary path. While the source is full, the request first looks whether the cache, then the
-     * parent, holds a copy, and only then waits for its turn to fill. */
-    private void fetch(Job job, Node edge) {
-        Node found = source(job, edge);
-        Node source = found == null ? edge : found;
-        boolean full = source != edge && full(source, 1, job);
-        boolean originFull = source.member.role() == Role.PARENT
+    /**
+     * Sends a request along the ordinary path. While the source is full, a cache-only lookup first checks whether the
+     * cache, then the parent, holds a copy; only then does the request wait for its turn to fill.
+     */
+    private void routeToCache(RequestState request, MemberState edge) {
+        MemberState found = fillSource(request, edge);
+        MemberState source = found == null ? edge : found;
+        boolean full = source != edge && isFull(source, 1, request);
+        boolean originFull = source.listing.role() == Role.PARENT
                 && origin != null
-                && full(origin, job.parentMissed ? 1 : ORIGIN_PART, job);
-        if ((full || originFull) && !job.missed) {
-            send(job, edge, edge, get(job, edge, edge, false));
-        } else if (full || originFull && job.parentMissed) {
-            hold(job);
+                && isFull(origin, request.parentMissed ? 1 : UPSTREAM_LOAD, request);
+        if ((full || originFull) && !request.cacheMissed) {
+            send(request, edge, edge, newFetch(request, edge, edge, false));
+        } else if (full || originFull && request.parentMissed) {
+            waitOrGiveUp(request);
         } else {
-            if (!holds(entry(job), job, edge)) {
-                remember(entry(job), edge, -1, now + FILLING_LIFE);
+            if (!holds(history(request), request, edge)) {
+                remember(history(request), edge, -1, now + FILLING_TTL_MICROS);
             }
-            send(job, edge, source, get(job, edge, source, originFull));
+            send(request, edge, source, newFetch(request, edge, source, originFull));
         }
     }
 
-    /** An attempt that may fill. One-time objects, and parts, rank below objects asked for again. */
-    private Fetch get(Job job, Node target, Node source, boolean onlyIfHeld) {
-        boolean kept = target.member.role() == Role.CACHE && !job.type.uncacheable();
+    /** A fetch that may fill. Objects requested once, and parts, are kept at a lower rank than those requested again. */
+    private Fetch newFetch(RequestState request, MemberState target, MemberState source, boolean onlyIfCached) {
+        boolean kept = target.listing.role() == Role.CACHE && !request.requestClass.uncacheable();
         return new Fetch(
-                job.request.id(),
-                target.member.id(),
-                source.member.id(),
-                !kept ? 0 : job.type.parts() ? 1 : Math.min(2, entry(job).seen),
-                oldest(job),
+                request.arrival.id(),
+                target.listing.id(),
+                source.listing.id(),
+                !kept ? 0 : request.requestClass.parts() ? 1 : Math.min(2, history(request).requestCount),
+                maxAge(request),
                 settings.fills().joins(),
-                onlyIfHeld,
+                onlyIfCached,
                 false,
-                job.type.freshFor() > 0 && source != target && !onlyIfHeld,
+                request.requestClass.freshFor() > 0 && source != target && !onlyIfCached,
                 0,
-                source == target || onlyIfHeld
+                source == target || onlyIfCached
                         ? List.of()
-                        : way(job, source, target).stream()
-                                .map(n -> n.member.id())
+                        : fillPath(request, source, target).stream()
+                                .map(m -> m.listing.id())
                                 .toList());
     }
 
-    /** The hashed edge cache; while that is out, cold or full, a holder with room, else one half idle. */
-    private Node edge(Job job) {
-        List<Node> order = ranked(caches, job.key, Map.of());
-        order.removeIf(n -> !up(n) || !coldRoom(n, job));
-        if (order.stream().anyMatch(n -> !job.failed.contains(n.member.id()))) {
-            order.removeIf(n -> job.failed.contains(n.member.id()));
+    /**
+     * Picks the hashed edge cache; while that is not usable, in slow start or full, a holder with capacity, else a
+     * cache that is at most half full.
+     */
+    private MemberState edgeCache(RequestState request) {
+        List<MemberState> order = rendezvousOrder(caches, request.key, Map.of());
+        order.removeIf(m -> !isUsable(m) || !slowStartAllows(m, request));
+        if (order.stream().anyMatch(m -> !request.failedMembers.contains(m.listing.id()))) {
+            order.removeIf(m -> request.failedMembers.contains(m.listing.id()));
         }
-        for (Node n : order) {
-            if (!full(n, 1, job) && (n == order.get(0) || holds(entry(job), job, n))) {
-                return n;
+        for (MemberState cache : order) {
+            if (!isFull(cache, 1, request) && (cache == order.get(0) || holds(history(request), request, cache))) {
+                return cache;
             }
         }
         return order.stream()
-                .filter(n -> !full(n, n.limit / 2, job))
+                .filter(m -> !isFull(m, m.limit / 2, request))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** The fill source: a remembered sibling, else the object's hashed parent, else the origin. Past a parent
-     * that is late and full goes what another, neither late nor full, can take: one may be slow by itself. */
-    private Node source(Job job, Node edge) {
-        Predicate<Node> usable = n -> up(n) && !job.failed.contains(n.member.id()) && coldRoom(n, job);
+    /**
+     * Picks the fill source: a remembered sibling, else the object's hashed parent, else the origin. A parent that is
+     * both late and full may be slow by itself, so what it can't take goes to another that is neither.
+     */
+    private MemberState fillSource(RequestState request, MemberState edge) {
+        Predicate<MemberState> usable = m ->
+                isUsable(m) && !request.failedMembers.contains(m.listing.id()) && slowStartAllows(m, request);
         if (edge != null && settings.fills().siblings() != SiblingScope.NONE) {
-            for (Holder h : entry(job).holders) {
-                if (h.node != edge && alive(h, job) && usable.test(h.node) && mayWait(job, edge, h)) {
-                    return h.node;
+            for (Holder holder : history(request).holders) {
+                if (holder.cache != edge
+                        && isValid(holder, request)
+                        && usable.test(holder.cache)
+                        && mayWaitForFill(request, edge, holder)) {
+                    return holder.cache;
                 }
             }
         }
-        List<Node> order =
-                parents(edge, job.request.object()).stream().filter(usable).toList();
-        Node home = order.isEmpty() ? origin : order.get(0);
-        return order.isEmpty() || home.lateShare <= LATE_BORNE || !full(home, 1, job)
+        List<MemberState> order = rankedSources(edge, request.arrival.object()).stream()
+                .filter(usable)
+                .toList();
+        MemberState home = order.isEmpty() ? origin : order.get(0);
+        return order.isEmpty() || home.lateShare <= TOLERATED_LATE_SHARE || !isFull(home, 1, request)
                 ? home
                 : order.stream()
-                        .filter(n -> n.lateShare <= LATE_BORNE / 2 && !full(n, 1, job))
+                        .filter(m -> m.lateShare <= TOLERATED_LATE_SHARE / 2 && !isFull(m, 1, request))
                         .findFirst()
                         .orElse(home);
     }
 
-    /** A cache's parents in the order of the object: all listed, or those given, by how far it has moved. */
-    private List<Node> parents(Node child, String object) {
-        FillSources list = list(child);
-        if (list == null) {
-            return ranked(parents, object, Map.of());
+    /**
+     * What a member may fill an object from, in the object's order: all listed parents, or the configured sources,
+     * previous or current first by whether the object has migrated.
+     */
+    private List<MemberState> rankedSources(MemberState child, String object) {
+        FillSources sources = fillSourcesOf(child);
+        if (sources == null) {
+            return rendezvousOrder(parents, object, Map.of());
         }
-        List<Node> to = ranked(list.current(), object), from = ranked(list.previous(), object);
-        boolean moved = from.isEmpty() || !to.isEmpty() && moved(list, to.get(0), object);
-        Set<Node> order = new LinkedHashSet<>(moved ? to : from);
-        order.addAll(moved ? from : to);
+        List<MemberState> current = rendezvousOrder(sources.current(), object),
+                previous = rendezvousOrder(sources.previous(), object);
+        boolean migrated = previous.isEmpty() || !current.isEmpty() && hasMigrated(sources, current.get(0), object);
+        Set<MemberState> order = new LinkedHashSet<>(migrated ? current : previous);
+        order.addAll(migrated ? previous : current);
         return new ArrayList<>(order);
     }
 
-    private FillSources list(Node child) {
-        FillSources own = child == null ? null : given.get(child.member.id());
-        return own != null || child != null && child.member.role() != Role.CACHE
+    private FillSources fillSourcesOf(MemberState child) {
+        FillSources own = child == null ? null : fillSources.get(child.listing.id());
+        return own != null || child != null && child.listing.role() != Role.CACHE
                 ? own
-                : given.get(FillSourcesUpdate.LOCATION);
+                : fillSources.get(FillSourcesUpdate.LOCATION);
     }
 
-    private List<Node> ranked(List<FillSource> sources, String object) {
-        Map<Node, Double> weights = new LinkedHashMap<>();
+    private List<MemberState> rendezvousOrder(List<FillSource> sources, String object) {
+        Map<MemberState, Double> weights = new LinkedHashMap<>();
         sources.stream()
-                .filter(s -> nodes.containsKey(s.member()) && nodes.get(s.member()).listed)
-                .forEach(s -> weights.put(nodes.get(s.member()), s.weight()));
-        return ranked(weights.keySet(), object, weights);
+                .filter(s -> members.containsKey(s.member()) && members.get(s.member()).ready)
+                .forEach(s -> weights.put(members.get(s.member()), s.weight()));
+        return rendezvousOrder(weights.keySet(), object, weights);
     }
 
-    /** Whether an object has moved to its new home; it does once, at its own place in the rising share. */
-    private boolean moved(FillSources list, Node home, String object) {
-        FillSource s = list.current().stream()
-                .filter(n -> n.member() == home.member.id())
+    /**
+     * Whether an object has migrated to its new home. The share of migrated objects rises, and each object migrates
+     * once, when the share passes the object's own hashed position.
+     */
+    private boolean hasMigrated(FillSources sources, MemberState home, String object) {
+        FillSource source = sources.current().stream()
+                .filter(s -> s.member() == home.listing.id())
                 .findFirst()
                 .orElseThrow();
-        double place = (Hashes.mix(~Hashes.fnv(object)) >>> 11) * 0x1.0p-53;
-        double span = s.rampEnd() - s.rampStart();
-        double passed = span <= 0 ? 1 : (now - s.rampStart()) / span;
-        return (list.reverting() ? 1 - place : place) < s.share() + (1 - s.share()) * Math.max(0, passed);
-    }
-
-    /** What a source is to fill from on its way to the origin; at first, for a moved object, its old home. */
-    private List<Node> way(Job job, Node source, Node child) {
-        List<Node> way = new ArrayList<>();
-        Predicate<Node> usable = n -> up(n) && !job.failed.contains(n.member.id()) && coldRoom(n, job);
-        FillSources moving = source.member.role() == Role.PARENT ? list(child) : null;
-        List<Node> old = moving == null ? List.of() : ranked(moving.earlier(), job.request.object());
-        for (Node at = source; at != null && given.containsKey(at.member.id()) && way.size() < LONGEST_WAY; ) {
-            Node home = at != source || old.isEmpty() ? null : old.get(0);
-            boolean seeded = home != null
-                    && usable.test(home)
-                    && given.get(at.member.id()).seeds().contains(home.member.id());
+        double position = (Hashes.mix(~Hashes.fnv(object)) >>> 11) * 0x1.0p-53;
+        double rampMicros = source.rampEnd() - source.rampStart();
+        double progress = rampMicros <= 0 ? 1 : (now - source.rampStart()) / rampMicros;
+        return (sources.reverting() ? 1 - position : position)
+                < source.share() + (1 - source.share()) * Math.max(0, progress);
+    }
+
+    /**
+     * The members through which a source fills, in order, up to the origin. A migrated object first comes from its old
+     * home, where the source may fill from that.
+     */
+    private List<MemberState> fillPath(RequestState request, MemberState source, MemberState child) {
+        List<MemberState> path = new ArrayList<>();
+        Predicate<MemberState> usable = m ->
+                isUsable(m) && !request.failedMembers.contains(m.listing.id()) && slowStartAllows(m, request);
+        FillSources migrating = source.listing.role() == Role.PARENT ? fillSourcesOf(child) : null;
+        List<MemberState> oldHomes =
+                migrating == null ? List.of() : rendezvousOrder(migrating.earlier(), request.arrival.object());
+        for (MemberState at = source;
+                at != null && fillSources.containsKey(at.listing.id()) && path.size() < MAX_FILL_PATH_MEMBERS; ) {
+            MemberState oldHome = at != source || oldHomes.isEmpty() ? null : oldHomes.get(0);
+            boolean seeded = oldHome != null
+                    && usable.test(oldHome)
+                    && fillSources.get(at.listing.id()).seeds().contains(oldHome.listing.id());
             at = seeded
-                    ? home
-                    : parents(at, job.request.object()).stream()
+                    ? oldHome
+                    : rankedSources(at, request.arrival.object()).stream()
                             .filter(usable)
                             .findFirst()
                             .orElse(null);
-            if (at != null && at.member.role() != Role.ORIGIN) {
-                way.add(at);
+            if (at != null && at.listing.role() != Role.ORIGIN) {
+                path.add(at);
             }
         }
-        return way;
+        return path;
     }
 
-    /** Whether a fill may wait for this one's: where sources are given, only in the object's order. */
-    private boolean mayWait(Job job, Node edge, Holder h) {
-        List<Node> order = given.isEmpty() || h.since >= 0 ? List.of() : ranked(caches, job.key, Map.of());
-        return order.indexOf(h.node) <= order.indexOf(edge);
+    /**
+     * Whether a fill may wait for the fill of this holder. Where fill sources are configured, it may only wait for a
+     * cache that precedes it in the object's order, so that two caches never wait for each other.
+     */
+    private boolean mayWaitForFill(RequestState request, MemberState edge, Holder holder) {
+        List<MemberState> order = fillSources.isEmpty() || holder.heldSince >= 0
+                ? List.of()
+                : rendezvousOrder(caches, request.key, Map.of());
+        return order.indexOf(holder.cache) <= order.indexOf(edge);
     }
 
-    /** Whether a member has as much of ours as it can serve in time. The more work a request is for its
-     * worth, the sooner it finds a member full: a few large ones fill a link that would serve many small
-     * ones. */
-    private boolean full(Node n, double share, Job job) {
-        double small = job.priority / (job.priority + meanPriority);
-        boolean full = !allowed(n, job) || crewLoad(n) + share > n.limit * (1 - LARGE_LESS * (1 - small));
-        n.pressedAt = full ? now : n.pressedAt;
+    /**
+     * Whether a member has as much load of this location as it can serve in time. The more work a request is for its
+     * value, the sooner it finds a member full: a few large requests fill a link that would serve many small ones.
+     */
+    private boolean isFull(MemberState member, double addedLoad, RequestState request) {
+        double small = request.priority / (request.priority + meanPriority);
+        boolean full = !quotaAllows(member, request)
+                || locationLoad(member) + addedLoad > member.limit * (1 - LARGE_REQUEST_RESERVE * (1 - small));
+        member.limitReachedAt = full ? now : member.limitReachedAt;
         return full;
     }
 
-    /** Whether the fleet's limits leave this router an attempt that may reach a member. */
-    private boolean allowed(Node n, Job job) {
-        return quotas.room(now, n.member.id(), warm(n), n.asked, job.number, away(n));
+    /** Whether this router's shares of the fleet's limits allow one more attempt that may reach a member. */
+    private boolean quotaAllows(MemberState member, RequestState request) {
+        return quotas.allows(
+                now,
+                member.listing.id(),
+                isWarm(member),
+                member.reachingAttempts,
+                request.sequence,
+                inOtherZone(member));
     }
 
-    private boolean away(Node n) {
-        return n.member.zone() != settings.location();
+    private boolean inOtherZone(MemberState member) {
+        return member.listing.zone() != settings.location();
     }
 
-    /** Without room a request waits while it can be on time, most worth for its size first. */
-    private void hold(Job job) {
-        if (now < job.startBy) {
-            waiting.add(job);
+    /** Queues a request that no member has capacity for, highest value per work first, while it can be on time. */
+    private void waitOrGiveUp(RequestState request) {
+        if (now < request.latestStart) {
+            waiting.add(request);
         } else {
-            giveUp(job);
-        }
-    }
-
-    private void send(Job job, Node target, Node source, Action action) {
-        Attempt a = new Attempt();
-        a.number = job.attempts;
-        a.target = target;
-        a.source = source;
-        a.sent = now;
-        a.look = source == target && target.member.role() == Role.CACHE;
-        a.lookAtParent = action instanceof Fetch f && f.onlyIfCached();
-        a.expectHit = a.look || holds(entry(job), job, target);
-        a.lateFrom = now + (a.expectHit ? job.type.latencyTarget() : tightestAim) + (long) (job.type.latencyTargetStretch() * job.work);
-        a.due = now + PATIENCE + (long) (PATIENCE_WORK * (job.work + (a.expectHit ? 0 : fillWait)));
-        a.charges.put(target, 1.0);
+            giveUp(request);
+        }
+    }
+
+    private void send(RequestState request, MemberState target, MemberState source, Action action) {
+        Attempt attempt = new Attempt();
+        attempt.number = request.attempts;
+        attempt.target = target;
+        attempt.source = source;
+        attempt.sentAt = now;
+        attempt.cacheLookup = source == target && target.listing.role() == Role.CACHE;
+        attempt.parentLookup = action instanceof Fetch f && f.onlyIfCached();
+        attempt.expectHit = attempt.cacheLookup || holds(history(request), request, target);
+        attempt.lateAfter = now
+                + (attempt.expectHit ? request.requestClass.latencyTarget() : tightestLatencyTarget)
+                + (long) (request.requestClass.latencyTargetStretch() * request.workMicros);
+        attempt.silentAfter = now
+                + MIN_SILENCE_MICROS
+                + (long) (SILENCE_MULTIPLE * (request.workMicros + (attempt.expectHit ? 0 : meanFillMicros)));
+        attempt.loadByMember.put(target, 1.0);
         if (source != target) {
-            a.charges.put(source, a.expectHit ? 0.0 : 1.0);
-            if (source.member.role() == Role.PARENT && !a.lookAtParent && origin != null) {
-                a.charges.put(origin, a.expectHit ? 0 : job.parentMissed ? 1 : ORIGIN_PART);
+            attempt.loadByMember.put(source, attempt.expectHit ? 0.0 : 1.0);
+            if (source.listing.role() == Role.PARENT && !attempt.parentLookup && origin != null) {
+                attempt.loadByMember.put(origin, attempt.expectHit ? 0 : request.parentMissed ? 1 : UPSTREAM_LOAD);
             }
             if (action instanceof Fetch f) {
-                f.fillPath().forEach(n -> a.charges.putIfAbsent(nodes.get(n), a.expectHit ? 0 : ORIGIN_PART));
+                f.fillPath()
+                        .forEach(id -> attempt.loadByMember.putIfAbsent(
+                                members.get(id), attempt.expectHit ? 0 : UPSTREAM_LOAD));
             }
         }
-        if (!a.charges.keySet().stream().allMatch(n -> allowed(n, job))) {
-            hold(job); // all that it may reach count in full, also where a hit is expected
+        if (!attempt.loadByMember.keySet().stream().allMatch(m -> quotaAllows(m, request))) {
+            waitOrGiveUp(request); // quotas count every member that it may reach in full, also where a hit is expected
             return;
         }
-        retryTokens -= job.retry ? 1 : 0;
-        job.retry = false;
-        job.attempts++;
-        job.mayHaveRun = true;
-        job.open.put(a.number, a);
-        target.open++;
-        a.charges.forEach((n, share) -> charge(job, n, share));
-        a.away = a.charges.keySet().stream().anyMatch(this::away);
-        quotas.begin(a.away);
-        out.accept(action);
-    }
-
-    /** What the routers of this location have at a member, as far as ours shows it: at once where it is
-     * alone, else over a while, since one request of ours doesn't mean that each of the others has one
-     * too. */
-    private double crewLoad(Node n) {
-        n.meanLoad +=
-                (n.load - n.meanLoad) * (crew == 1 ? 1 : 1 - Math.exp((n.loadAt - now) / (CREW_SPAN * (crew - 1))));
-        n.loadAt = now;
-        return crew * n.meanLoad;
-    }
-
-    private void charge(Job job, Node n, double share) {
-        crewLoad(n);
-        n.load += share;
-        n.asked++;
-        n.credit -= countedWork(n, job);
-        quotas.spend(n.member.id());
-    }
-
-    /** What a member has served is what it can bear, however much it is sent. */
-    private void flowed(Node n, Job job) {
-        n.flow = n.flow * Math.exp((n.flowAt - now) / FLOW_SPAN) + countedWork(n, job) / FLOW_SPAN;
-        n.flowAt = now;
-    }
-
-    private void ended(AttemptEnded e) {
-        Job job = jobs.get(e.id());
-        Attempt a = job == null ? null : job.open.remove(e.attempt());
-        if (a == null) {
+        retryTokens -= request.retry ? 1 : 0;
+        request.retry = false;
+        request.attempts++;
+        request.mayHaveRun = true;
+        request.open.put(attempt.number, attempt);
+        target.openAttempts++;
+        attempt.loadByMember.forEach((member, load) -> addLoad(request, member, load));
+        attempt.mayCrossZones = attempt.loadByMember.keySet().stream().anyMatch(this::inOtherZone);
+        quotas.beginAttempt(attempt.mayCrossZones);
+        actions.accept(action);
+    }
+
+    /**
+     * Estimates the load that all routers of this location have at a member from this router's own: at once where it
+     * is the only one, else averaged over time, since one request here doesn't mean that each of the others has one
+     * too.
+     */
+    private double locationLoad(MemberState member) {
+        member.meanLoad += (member.load - member.meanLoad)
+                * (localRouters == 1
+                        ? 1
+                        : 1
+                                - Math.exp((member.loadUpdatedAt - now)
+                                        / (LOAD_MICROS_PER_ROUTER * (localRouters - 1))));
+        member.loadUpdatedAt = now;
+        return localRouters * member.meanLoad;
+    }
+
+    private void addLoad(RequestState request, MemberState member, double load) {
+        locationLoad(member);
+        member.load += load;
+        member.reachingAttempts++;
+        member.slowStartCredit -= countedWork(member, request);
+        quotas.spend(member.listing.id());
+    }
+
+    /** Records work that a member has served: that is what it can bear, however much it is sent. */
+    private void recordThroughput(MemberState member, RequestState request) {
+        member.throughput = member.throughput * Math.exp((member.throughputUpdatedAt - now) / THROUGHPUT_WINDOW_MICROS)
+                + countedWork(member, request) / THROUGHPUT_WINDOW_MICROS;
+        member.throughputUpdatedAt = now;
+    }
+
+    private void handleAttemptEnd(AttemptEnded event) {
+        RequestState request = requests.get(event.id());
+        Attempt attempt = request == null ? null : request.open.remove(event.attempt());
+        if (attempt == null) {
             return;
         }
-        a.target.open--;
-        a.charges.forEach((n, share) -> {
-            crewLoad(n);
-            n.asked--;
-            n.load = Math.max(0, n.load - share);
+        attempt.target.openAttempts--;
+        attempt.loadByMember.forEach((member, load) -> {
+            locationLoad(member);
+            member.reachingAttempts--;
+            member.load = Math.max(0, member.load - load);
         });
-        quotas.end(a.away, away(a.target) || e.filled(!a.expectHit) ? e.kb() : 0);
-        job.mayHaveRun = !e.outcome().provesNotRun || !job.open.isEmpty();
-        judge(job, a, e);
-        if (e.closed()) {
-            close(job);
-        } else if (!job.closed) {
-            route(job);
-        } else if (job.open.isEmpty()) {
-            jobs.remove(e.id());
-        }
-        waiting.stream().limit(WAITERS).toList().forEach(this::route);
-    }
-
-    /** Learns from an outcome: who holds what, who is slow, who has failed. */
-    private void judge(Job job, Attempt a, AttemptEnded e) {
-        job.retry = true;
-        if (e.outcome() == Outcome.OK) {
-            served(job, a, e);
-        } else if (e.outcome() == Outcome.MISS && (a.look || a.lookAtParent)) {
-            good(a.target);
-            job.retry = false;
-            job.missed = true;
-            job.parentMissed = a.lookAtParent;
-            if (a.look) {
-                forget(entry(job), a.target);
+        quotas.endAttempt(
+                attempt.mayCrossZones, inOtherZone(attempt.target) || event.filled(!attempt.expectHit) ? event.kb() : 0);
+        request.mayHaveRun = !event.outcome().provesNotRun || !request.open.isEmpty();
+        recordOutcome(request, attempt, event);
+        if (event.closed()) {
+            close(request);
+        } else if (!request.closed) {
+            route(request);
+        } else if (request.open.isEmpty()) {
+            requests.remove(event.id());
+        }
+        waiting.stream().limit(MAX_WAITERS_ROUTED).toList().forEach(this::route);
+    }
+
+    /** Updates from an outcome which members hold the object, which are slow and which have failed. */
+    private void recordOutcome(RequestState request, Attempt attempt, AttemptEnded event) {
+        request.retry = true;
+        if (event.outcome() == Outcome.OK) {
+            recordSuccess(request, attempt, event);
+        } else if (event.outcome() == Outcome.MISS && (attempt.cacheLookup || attempt.parentLookup)) {
+            recordAnswer(attempt.target);
+            request.retry = false;
+            request.cacheMissed = true;
+            request.parentMissed = attempt.parentLookup;
+            if (attempt.cacheLookup) {
+                forget(history(request), attempt.target);
             }
-        } else if (e.outcome() == Outcome.MISS) {
-            good(a.target);
-            job.failed.add(a.source.member.id());
-            forget(entry(job), a.source);
-        } else if (e.fillResult().ordinal() >= FillResult.SOURCE_REFUSED.ordinal()) {
-            good(a.target);
-            forget(entry(job), a.source);
-            failed(job, a, a.source, e.latency());
-            if (e.fillResult() != FillResult.NO_PLACE) {
-                tooMuch(a, e.fillResult() == FillResult.ORIGIN_FAILED ? null : a.source);
+        } else if (event.outcome() == Outcome.MISS) {
+            recordAnswer(attempt.target);
+            request.failedMembers.add(attempt.source.listing.id());
+            forget(history(request), attempt.source);
+        } else if (event.fillResult().ordinal() >= FillResult.SOURCE_REFUSED.ordinal()) {
+            recordAnswer(attempt.target);
+            forget(history(request), attempt.source);
+            recordFailure(request, attempt, attempt.source, event.latency());
+            if (event.fillResult() != FillResult.NO_PLACE) {
+                recordLate(attempt, event.fillResult() == FillResult.ORIGIN_FAILED ? null : attempt.source);
             }
-        } else if (e.outcome() == Outcome.FULL) {
-            a.target.lastAnswer = now;
-            paced(a.target, a, true);
-            job.failed.add(a.target.member.id());
-        } else if (e.outcome() == Outcome.ERROR) {
-            a.target.lastAnswer = now;
-            failed(job, a, a.target, e.latency());
-        } else if (e.outcome() == Outcome.CONNECT_FAILED || e.outcome() == Outcome.RESET) {
-            job.failed.add(a.target.member.id());
-            forget(entry(job), a.target);
-            if (a.sent >= a.target.struckAt) { // what was out when one broke tells of the same trouble
-                a.target.struckAt = now;
-                strike(a.target, e.outcome() == Outcome.CONNECT_FAILED); // who resets is there, warm
+        } else if (event.outcome() == Outcome.FULL) {
+            attempt.target.lastAnswerAt = now;
+            updateLimit(attempt.target, attempt, true);
+            request.failedMembers.add(attempt.target.listing.id());
+        } else if (event.outcome() == Outcome.ERROR) {
+            attempt.target.lastAnswerAt = now;
+            recordFailure(request, attempt, attempt.target, event.latency());
+        } else if (event.outcome() == Outcome.CONNECT_FAILED || event.outcome() == Outcome.RESET) {
+            request.failedMembers.add(attempt.target.listing.id());
+            forget(history(request), attempt.target);
+            // attempts that were open when a connection broke fail for the same reason and are not counted again
+            if (attempt.sentAt >= attempt.target.connectionFailedAt) {
+                attempt.target.connectionFailedAt = now;
+                // a member that resets connections is still running, and so still warm
+                countFailure(attempt.target, event.outcome() == Outcome.CONNECT_FAILED);
             }
-        } else if (e.outcome() == Outcome.TIMEOUT // a client that left early tells nothing of the member
-                || e.outcome() == Outcome.CANCELLED && (!job.closed || now >= a.lateFrom)) {
-            tooMuch(a, null);
-            Node guilty = a.target.lastAnswer < a.sent ? a.target : a.source;
-            job.failed.add(guilty.member.id());
-            forget(entry(job), guilty);
+        } else if (event.outcome() == Outcome.TIMEOUT // a client that leaves early says nothing about the member
+                || event.outcome() == Outcome.CANCELLED && (!request.closed || now >= attempt.lateAfter)) {
+            recordLate(attempt, null);
+            MemberState silent = attempt.target.lastAnswerAt < attempt.sentAt ? attempt.target : attempt.source;
+            request.failedMembers.add(silent.listing.id());
+            forget(history(request), silent);
         }
     }
 
-    private void served(Job job, Attempt a, AttemptEnded e) {
-        boolean hit =
-                e.fillResult() == FillResult.HIT || e.fillResult() == FillResult.STALE || e.fillResult() == FillResult.NONE && a.expectHit;
-        boolean late = now > a.lateFrom;
-        good(a.target);
-        flowed(a.target, job);
+    private void recordSuccess(RequestState request, Attempt attempt, AttemptEnded event) {
+        boolean hit = event.fillResult() == FillResult.HIT
+                || event.fillResult() == FillResult.STALE
+                || event.fillResult() == FillResult.NONE && attempt.expectHit;
+        boolean late = now > attempt.lateAfter;
+        recordAnswer(attempt.target);
+        recordThroughput(attempt.target, request);
         if (hit) {
-            int type = job.request.requestClass();
-            if (job.request.sizeKb() <= 0 && a.target.lateShare < LATE_BORNE) {
-                double slow = weighted ? Math.max(1, crewLoad(a.target) / a.target.member.weight()) : 1;
-                double gain = meanWork[type] == 0 ? 1 : MEAN_GAIN;
-                meanWork[type] += gain * (e.latency() / slow - meanWork[type]);
+            int classIndex = request.arrival.requestClass();
+            if (request.arrival.sizeKb() <= 0 && attempt.target.lateShare < TOLERATED_LATE_SHARE) {
+                double slowdown =
+                        weighted ? Math.max(1, locationLoad(attempt.target) / attempt.target.listing.weight()) : 1;
+                double gain = meanWorkMicros[classIndex] == 0 ? 1 : MEAN_GAIN;
+                meanWorkMicros[classIndex] += gain * (event.latency() / slowdown - meanWorkMicros[classIndex]);
             }
-            paced(a.target, a, late);
-        } else if (a.source != a.target) {
-            good(a.source);
-            flowed(a.source, job);
-            lastFill = now;
-            fillWait += MEAN_GAIN * (Math.max(0, e.latency() - job.work) - fillWait);
-            boolean byOrigin = e.fillResult() == FillResult.FILLED_BY_ORIGIN;
-            paced(byOrigin && origin != null ? origin : a.source, a, late);
-            if (!late && unnamedBehind(a)) {
-                paced(origin, a, false);
+            updateLimit(attempt.target, attempt, late);
+        } else if (attempt.source != attempt.target) {
+            recordAnswer(attempt.source);
+            recordThroughput(attempt.source, request);
+            lastFillAt = now;
+            meanFillMicros += MEAN_GAIN * (Math.max(0, event.latency() - request.workMicros) - meanFillMicros);
+            boolean byOrigin = event.fillResult() == FillResult.FILLED_BY_ORIGIN;
+            updateLimit(byOrigin && origin != null ? origin : attempt.source, attempt, late);
+            if (!late && mayHideOrigin(attempt)) {
+                updateLimit(origin, attempt, false);
             }
-        } else if (a.target == origin) { // may be all that shows its state, where notes are few
-            paced(origin, a, late);
+        } else if (attempt.target == origin) { // the only sign of its state where few fill results are reported
+            updateLimit(origin, attempt, late);
         }
-        if (!job.type.uncacheable() && a.target.member.role() == Role.CACHE) {
-            remember(entry(job), a.target, now, now + HOLDING_LIFE);
-            tellPeers(job, a.target);
+        if (!request.requestClass.uncacheable() && attempt.target.listing.role() == Role.CACHE) {
+            remember(history(request), attempt.target, now, now + HOLDING_TTL_MICROS);
+            announceHolder(request, attempt.target);
         }
     }
 
-    /** Counts an attempt late: for whom a note names, else once for the likely cache, source or origin. */
-    private void tooMuch(Attempt a, Node known) {
+    /**
+     * Counts an attempt as late against the member that its fill result names, else, once, against the likely cause:
+     * the cache, the source or the origin.
+     */
+    private void recordLate(Attempt attempt, MemberState named) {
         boolean behindParent = settings.fills().fillReporting() == FillReporting.ALL
                 && origin != null
-                && a.source.member.role() == Role.PARENT
-                && origin.lateShare >= a.source.lateShare;
-        if (known == a.source || a.blamed == null) {
-            paced(known != null ? known : a.expectHit ? a.target : behindParent ? origin : a.source, a, true);
-            if (known == null
-                    && !a.expectHit
-                    && unnamedBehind(a)
-                    && parents.stream().noneMatch(p -> up(p) && p.lateShare <= LATE_BORNE)) {
-                paced(origin, a, true); // what comes late from all parents has one cause behind them
+                && attempt.source.listing.role() == Role.PARENT
+                && origin.lateShare >= attempt.source.lateShare;
+        if (named == attempt.source || attempt.blamed == null) {
+            updateLimit(
+                    named != null
+                            ? named
+                            : attempt.expectHit ? attempt.target : behindParent ? origin : attempt.source,
+                    attempt,
+                    true);
+            if (named == null
+                    && !attempt.expectHit
+                    && mayHideOrigin(attempt)
+                    && parents.stream().noneMatch(m -> isUsable(m) && m.lateShare <= TOLERATED_LATE_SHARE)) {
+                updateLimit(origin, attempt, true); // when all parents are late, the cause is upstream of them
             }
         }
     }
 
-    /** Whether a parent's fill may have come from the origin with no note to tell. */
-    private boolean unnamedBehind(Attempt a) {
-        return settings.fills().fillReporting() != FillReporting.ALL && origin != null && a.source.member.role() == Role.PARENT;
+    /** Whether a parent's fill may have come from the origin without a fill result that says so. */
+    private boolean mayHideOrigin(Attempt attempt) {
+        return settings.fills().fillReporting() != FillReporting.ALL
+                && origin != null
+                && attempt.source.listing.role() == Role.PARENT;
     }
 
-    /** The limit of what a member has of ours, against any jam: it falls when an attempt sent after the last
-     * fall comes late or not at all, and rises slowly while it is used and all is on time. */
-    private void paced(Node n, Attempt a, boolean late) {
-        if (late && a.blamed == n) {
+    /**
+     * Adapts the limit of the load at a member, against overload of any kind: an attempt that was sent after the last
+     * cut and comes late, or not at all, cuts it; it rises slowly while it is reached and all attempts are on time.
+     */
+    private void updateLimit(MemberState member, Attempt attempt, boolean late) {
+        if (late && attempt.blamed == member) {
             return;
         }
-        a.blamed = late ? n : a.blamed;
-        n.lateShare += Math.min(CREW_GAIN, LATE_GAIN * Math.sqrt(crew)) * ((late ? 1 : 0) - n.lateShare);
+        attempt.blamed = late ? member : attempt.blamed;
+        member.lateShare += Math.min(MAX_LATE_SHARE_GAIN, LATE_SHARE_GAIN * Math.sqrt(localRouters))
+                * ((late ? 1 : 0) - member.lateShare);
         if (!late) {
-            // nobody tells the origin's size: its limit doubles in a round trip until it falls first
-            double rise = n == origin && n.cutAt == 0 ? crew : crew / n.limit;
-            n.limit += now - n.pressedAt < SECOND ? rise : 0;
-        } else if (a.sent > n.cutAt && n.lateShare > LATE_BORNE) {
-            n.limit = Math.max(LIMIT_LEAST, n.limit * LIMIT_CUT);
-            n.cutAt = now;
+            // the origin's capacity is not known: until its first cut the limit doubles in a round trip
+            double increase = member == origin && member.limitCutAt == 0 ? localRouters : localRouters / member.limit;
+            member.limit += now - member.limitReachedAt < MICROS_PER_SECOND ? increase : 0;
+        } else if (attempt.sentAt > member.limitCutAt && member.lateShare > TOLERATED_LATE_SHARE) {
+            member.limit = Math.max(MIN_LIMIT, member.limit * LIMIT_CUT_FACTOR);
+            member.limitCutAt = now;
         }
     }
 
-    /** Silence, whatever its cause: nothing has come from the target (else from the source) since the attempt
-     * went out, though it should have, while others were heard. The request moves on; two such in a row take
-     * the member out. While all sources are silent, none is blamed: then what lies behind them is. */
-    private void overdue(Job job, Attempt a) {
-        boolean targetSilent = a.target.lastAnswer < a.sent;
-        Node guilty = targetSilent && (a.expectHit || a.source.lastAnswer >= a.sent)
-                ? a.target
-                : !targetSilent && !a.expectHit && a.source.lastAnswer < a.sent && lastFill >= a.sent ? a.source : null;
-        if (guilty != null) {
-            strike(guilty, true);
-            cancel(job, a);
+    /**
+     * Handles an attempt whose target, or else whose source, has sent nothing since the attempt went out, whatever the
+     * cause, though it should have and others have answered. The request moves on to another member; two such
+     * failures in a row eject the silent one. While all sources are silent none of them is blamed, since the cause
+     * then lies upstream of them.
+     */
+    private void handleSilence(RequestState request, Attempt attempt) {
+        boolean targetSilent = attempt.target.lastAnswerAt < attempt.sentAt;
+        MemberState silent =
+                targetSilent && (attempt.expectHit || attempt.source.lastAnswerAt >= attempt.sentAt)
+                        ? attempt.target
+                        : !targetSilent
+                                        && !attempt.expectHit
+                                        && attempt.source.lastAnswerAt < attempt.sentAt
+                                        && lastFillAt >= attempt.sentAt
+                                ? attempt.source
+                                : null;
+        if (silent != null) {
+            countFailure(silent, true);
+            cancel(request, attempt);
         }
     }
 
-    /** A failure that came quickly has cost little: the same member, which has the object, is tried again,
-     * and only one that fails most of what it gets is left. A failure that took its time is a strike. */
-    private void failed(Job job, Attempt a, Node n, long latency) {
-        n.failShare += job.quickFailures > 0 ? 0 : FAIL_GAIN * (1 - n.failShare); // each request tells once
-        if (n.failShare > FAIL_SHARE) {
-            down(n, false);
+    /**
+     * Records a failed request. A quick failure has cost little: the same member, which has the object, is tried
+     * again, and is avoided only once it fails most of its requests. A slow failure counts towards an ejection.
+     */
+    private void recordFailure(RequestState request, Attempt attempt, MemberState member, long latency) {
+        // each request counts once
+        member.failureRate += request.quickFailures > 0 ? 0 : FAILURE_RATE_GAIN * (1 - member.failureRate);
+        if (member.failureRate > EJECTION_FAILURE_RATE) {
+            eject(member, false);
         }
-        if (latency > QUICK_AIM * tightestAim) {
-            strike(n, false);
+        if (latency > QUICK_FAILURE_FRACTION * tightestLatencyTarget) {
+            countFailure(member, false);
         }
-        if (latency > QUICK_AIM * tightestAim || ++job.quickFailures > QUICK_FAILURES) {
-            job.failed.add(n.member.id());
+        if (latency > QUICK_FAILURE_FRACTION * tightestLatencyTarget || ++request.quickFailures > MAX_QUICK_FAILURES) {
+            request.failedMembers.add(member.listing.id());
         }
     }
 
-    private void strike(Node n, boolean lost) {
-        if (++n.strikes >= STRIKES) {
-            down(n, lost);
+    private void countFailure(MemberState member, boolean unresponsive) {
+        if (++member.consecutiveFailures >= EJECTION_CONSECUTIVE_FAILURES) {
+            eject(member, unresponsive);
         }
     }
 
-    private void down(Node n, boolean lost) {
-        if (now < n.downUntil) {
+    /** Leaves a member alone for a while; one that was unresponsive is in slow start afterwards. */
+    private void eject(MemberState member, boolean unresponsive) {
+        if (now < member.ejectedUntil) {
             return;
         }
-        n.downFor = Math.min(DOWN_LONGEST, n.downFor == 0 ? DOWN_FIRST : 2 * n.downFor);
-        n.downUntil = now + n.downFor;
-        n.failShare = FAIL_SHARE / 2;
-        if (lost) {
-            n.coldFrom = Math.max(n.coldFrom, n.downUntil);
+        member.ejectionMicros = Math.min(
+                MAX_EJECTION_MICROS, member.ejectionMicros == 0 ? BASE_EJECTION_MICROS : 2 * member.ejectionMicros);
+        member.ejectedUntil = now + member.ejectionMicros;
+        member.failureRate = EJECTION_FAILURE_RATE / 2;
+        if (unresponsive) {
+            member.slowStartFrom = Math.max(member.slowStartFrom, member.ejectedUntil);
         }
-        judged(n, true, lost, " is out for " + n.downFor / MILLI + " ms");
+        reportHealth(
+                member, true, unresponsive, " is out for " + member.ejectionMicros / MICROS_PER_MILLI + " ms");
     }
 
-    private void good(Node n) {
-        n.lastAnswer = now;
-        n.strikes = 0;
-        n.failShare -= FAIL_GAIN * n.failShare;
-        if (n.downFor > 0 && now >= n.downUntil) {
-            n.downFor = 0;
-            judged(n, false, false, " is back");
+    private void recordAnswer(MemberState member) {
+        member.lastAnswerAt = now;
+        member.consecutiveFailures = 0;
+        member.failureRate -= FAILURE_RATE_GAIN * member.failureRate;
+        if (member.ejectionMicros > 0 && now >= member.ejectedUntil) {
+            member.ejectionMicros = 0;
+            reportHealth(member, false, false, " is back");
         }
     }
 
-    private void judged(Node n, boolean failing, boolean silent, String what) {
-        out.accept(new Log("member " + n.member.id() + what));
-        if (verdicts != null) {
-            out.accept(new MemberHealthReport(n.member.id(), failing, silent, n.strikes, n.failShare, n.downUntil));
+    private void reportHealth(MemberState member, boolean failing, boolean unresponsive, String change) {
+        actions.accept(new Log("member " + member.listing.id() + change));
+        if (ejections != null) {
+            actions.accept(new MemberHealthReport(
+                    member.listing.id(),
+                    failing,
+                    unresponsive,
+                    member.consecutiveFailures,
+                    member.failureRate,
+                    member.ejectedUntil));
         }
     }
 
-    /** Answers at once: refused where harmless, else failed; before that a copy within grace will do. */
-    private void giveUp(Job job) {
-        Node edge = job.stale
-                        || job.type.staleGrace() == 0
-                        || job.mayHaveRun && job.type.idempotency() != Idempotency.SAFE
-                        || job.attempts >= settings.limits().maxAttempts()
-                        || now >= job.deadline
-                        || job.closed
+    /**
+     * Sends the final answer at once: a refusal where the request can be repeated without harm, else a failure. A
+     * stale copy within the class's grace is tried first.
+     */
+    private void giveUp(RequestState request) {
+        MemberState edge = request.acceptStale
+                        || request.requestClass.staleGrace() == 0
+                        || request.mayHaveRun && request.requestClass.idempotency() != Idempotency.SAFE
+                        || request.attempts >= settings.limits().maxAttempts()
+                        || now >= request.deadline
+                        || request.closed
                 ? null
-                : edge(job);
+                : edgeCache(request);
         if (edge != null) {
-            job.stale = true;
-            Node parent = source(job, edge);
-            send(job, edge, parent == null ? edge : parent, get(job, edge, parent == null ? edge : parent, true));
+            request.acceptStale = true;
+            MemberState source = fillSource(request, edge);
+            send(
+                    request,
+                    edge,
+                    source == null ? edge : source,
+                    newFetch(request, edge, source == null ? edge : source, true));
             return;
         }
-        boolean harmless = !job.mayHaveRun
-                || job.type.idempotency() == Idempotency.SAFE
-                || job.type.idempotency() == Idempotency.KEYED && job.type.deduplicationScope() == DeduplicationScope.ALL;
-        if (!job.closed) {
-            long after = (long) Math.min(settings.limits().maxRetryAfter(), RETRY_AFTER_AIM * job.type.latencyTarget());
-            out.accept(
+        boolean harmless = !request.mayHaveRun
+                || request.requestClass.idempotency() == Idempotency.SAFE
+                || request.requestClass.idempotency() == Idempotency.KEYED
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+        if (!request.closed) {
+            long retryAfter = (long) Math.min(
+                    settings.limits().maxRetryAfter(), RETRY_AFTER_FRACTION * request.requestClass.latencyTarget());
+            actions.accept(
                     !harmless
-                            ? new Fail(job.request.id())
-                            : new Refuse(job.request.id(), settings.limits().retryAfter() ? after : 0));
+                            ? new Fail(request.arrival.id())
+                            : new Refuse(request.arrival.id(), settings.limits().retryAfter() ? retryAfter : 0));
         }
-        close(job);
+        close(request);
     }
 
-    private void close(Job job) {
-        job.closed = true;
-        waiting.remove(job);
-        job.open.values().forEach(a -> cancel(job, a));
-        if (job.open.isEmpty()) {
-            jobs.remove(job.request.id());
+    private void close(RequestState request) {
+        request.closed = true;
+        waiting.remove(request);
+        request.open.values().forEach(a -> cancel(request, a));
+        if (request.open.isEmpty()) {
+            requests.remove(request.arrival.id());
         }
     }
 
-    private void cancel(Job job, Attempt a) {
-        if (settings.limits().cancel() && !a.cancelled && !job.streaming) {
-            a.cancelled = true;
-            out.accept(new Cancel(job.request.id(), a.number));
+    private void cancel(RequestState request, Attempt attempt) {
+        if (settings.limits().cancel() && !attempt.cancelled && !request.streaming) {
+            attempt.cancelled = true;
+            actions.accept(new Cancel(request.arrival.id(), attempt.number));
         }
     }
 
-    private Entry entry(Job job) {
-        return table.computeIfAbsent(job.key, k -> new Entry());
+    private ObjectHistory history(RequestState request) {
+        return objects.computeIfAbsent(request.key, k -> new ObjectHistory());
     }
 
-    private void remember(Entry entry, Node node, long since, long until) {
-        forget(entry, node);
-        entry.holders.add(0, new Holder(node, node.member.started(), since, until));
-        if (entry.holders.size() > HOLDERS) {
-            entry.holders.remove(HOLDERS);
+    private void remember(ObjectHistory history, MemberState cache, long heldSince, long expiresAt) {
+        forget(history, cache);
+        history.holders.add(0, new Holder(cache, cache.listing.started(), heldSince, expiresAt));
+        if (history.holders.size() > MAX_HOLDERS_PER_OBJECT) {
+            history.holders.remove(MAX_HOLDERS_PER_OBJECT);
         }
     }
 
-    private static void forget(Entry entry, Node node) {
-        entry.holders.removeIf(h -> h.node == node);
+    private static void forget(ObjectHistory history, MemberState cache) {
+        history.holders.removeIf(h -> h.cache == cache);
     }
 
-    /** Whether a reference says that this cache holds a good copy. */
-    private boolean holds(Entry entry, Job job, Node node) {
-        return entry.holders.stream().anyMatch(h -> h.node == node && h.since >= 0 && alive(h, job));
+    /** Whether a reference says that this cache holds a usable copy. */
+    private boolean holds(ObjectHistory history, RequestState request, MemberState cache) {
+        return history.holders.stream().anyMatch(h -> h.cache == cache && h.heldSince >= 0 && isValid(h, request));
     }
 
-    private boolean alive(Holder h, Job job) {
-        return h.until > now
-                && h.started == h.node.member.started()
-                && (h.since < 0
-                        || h.since > purgedAt(job) && (job.type.freshFor() == 0 || now - h.since < job.type.freshFor()));
+    private boolean isValid(Holder holder, RequestState request) {
+        return holder.expiresAt > now
+                && holder.started == holder.cache.listing.started()
+                && (holder.heldSince < 0
+                        || holder.heldSince > purgedAt(request)
+                                && (request.requestClass.freshFor() == 0
+                                        || now - holder.heldSince < request.requestClass.freshFor()));
     }
 
-    private void tellPeers(Job job, Node node) {
-        byte[] key = job.key.getBytes(StandardCharsets.UTF_8);
-        Entry entry = entry(job);
-        if (!settings.limits().peerMessages() || key.length + Long.BYTES > NOTE_BYTES) {
+    /** Sends a peer message that this cache holds the object. */
+    private void announceHolder(RequestState request, MemberState cache) {
+        byte[] key = request.key.getBytes(StandardCharsets.UTF_8);
+        ObjectHistory history = history(request);
+        if (!settings.limits().peerMessages() || key.length + Long.BYTES > MAX_PEER_MESSAGE_BYTES) {
             return;
         }
-        if (now - entry.noteMinute >= 60 * SECOND) {
-            entry.noteMinute = now;
-            entry.notes = 0;
+        if (now - history.minuteStart >= 60 * MICROS_PER_SECOND) {
+            history.minuteStart = now;
+            history.messagesSent = 0;
         }
-        if (entry.notes++ < NOTES_A_MINUTE) {
-            ByteBuffer text = ByteBuffer.allocate(Long.BYTES + key.length)
-                    .putLong(node.member.id())
+        if (history.messagesSent++ < MAX_PEER_MESSAGES_PER_MINUTE) {
+            ByteBuffer payload = ByteBuffer.allocate(Long.BYTES + key.length)
+                    .putLong(cache.listing.id())
                     .put(key);
-            // only a location's routers, found by what they tell, use a note; one to a tier is paid by all
-            Stream<Integer> to = nearPeers.size() < crew - 1 ? Stream.of(-1) : nearPeers.stream();
-            to.forEach(peer -> out.accept(new SendToPeer(peer, text.array())));
+            // A message to the whole tier costs every router, but only the routers of this location use it. They are
+            // known by the messages that they have sent themselves.
+            Stream<Integer> recipients = localPeers.size() < localRouters - 1 ? Stream.of(-1) : localPeers.stream();
+            recipients.forEach(peer -> actions.accept(new SendToPeer(peer, payload.array())));
         }
     }
 
-    private void peerNote(PeerMessage e) {
-        if (settings.limits().peerMessages() && e.payload().length > Long.BYTES) {
-            ByteBuffer text = ByteBuffer.wrap(e.payload());
-            Node node = nodes.get(text.getLong());
-            String key = StandardCharsets.UTF_8.decode(text).toString();
-            if (caches.contains(node)) {
-                nearPeers.add(e.from());
-                remember(table.computeIfAbsent(key, k -> new Entry()), node, now, now + HOLDING_LIFE);
+    private void handlePeerMessage(PeerMessage message) {
+        if (settings.limits().peerMessages() && message.payload().length > Long.BYTES) {
+            ByteBuffer payload = ByteBuffer.wrap(message.payload());
+            MemberState cache = members.get(payload.getLong());
+            String key = StandardCharsets.UTF_8.decode(payload).toString();
+            if (caches.contains(cache)) {
+                localPeers.add(message.from());
+                remember(
+                        objects.computeIfAbsent(key, k -> new ObjectHistory()), cache, now, now + HOLDING_TTL_MICROS);
             }
         }
     }
 
-    private long purgedAt(Job job) {
+    private long purgedAt(RequestState request) {
         return Math.max(
-                purgedObjects.getOrDefault(job.request.object(), Long.MIN_VALUE),
-                purgedGroups.getOrDefault(job.request.group(), Long.MIN_VALUE));
+                purgedObjects.getOrDefault(request.arrival.object(), Long.MIN_VALUE),
+                purgedGroups.getOrDefault(request.arrival.group(), Long.MIN_VALUE));
     }
 
-    /** The oldest copy that will do: never one from before a purge told of, nor, while no news comes, from
-     * before one that counts as told though it was not heard; 0 would mean any age. */
-    private long oldest(Job job) {
-        long at = purgedAt(job);
-        boolean unheard = now - heardAt > TOLD_BY - SECOND; // signs of life are a second apart
-        long since = Math.min(
-                at == Long.MIN_VALUE ? Long.MAX_VALUE : Math.max(1, now - at), unheard ? TOLD_BY : Long.MAX_VALUE);
-        long fresh = job.type.freshFor() + (job.stale ? job.type.staleGrace() : 0);
-        return fresh > 0 ? Math.min(fresh, since) : since == Long.MAX_VALUE ? 0 : since;
+    /**
+     * The greatest age of a copy that may be served. A copy from before a received purge never is; nor, while no
+     * heartbeats arrive, one from before a purge that counts as delivered though it was not received. 0 would mean any
+     * age.
+     */
+    private long maxAge(RequestState request) {
+        long at = purgedAt(request);
+        // heartbeats are a second apart
+        boolean updatesMissing = now - lastHeartbeatAt > PURGE_DELIVERY_MICROS - MICROS_PER_SECOND;
+        long sincePurge = Math.min(
+                at == Long.MIN_VALUE ? Long.MAX_VALUE : Math.max(1, now - at),
+                updatesMissing ? PURGE_DELIVERY_MICROS : Long.MAX_VALUE);
+        long freshFor =
+                request.requestClass.freshFor() + (request.acceptStale ? request.requestClass.staleGrace() : 0);
+        return freshFor > 0 ? Math.min(freshFor, sincePurge) : sincePurge == Long.MAX_VALUE ? 0 : sincePurge;
     }
 
-    /** Who has a case of its own tries the member by itself; all others go by the fleet's word. */
-    private boolean up(Node n) {
-        return n.listed
-                && now >= n.downUntil
-                && (n.downFor != 0
-                        ? n.open == 0
-                        : verdicts == null || verdicts.stream().noneMatch(v -> v.covers(n.member, now)));
+    /**
+     * Whether a member may be sent attempts. A router that has ejected it tries it again itself, with one attempt at
+     * a time; all others follow the fleet's ejections.
+     */
+    private boolean isUsable(MemberState member) {
+        return member.ready
+                && now >= member.ejectedUntil
+                && (member.ejectionMicros != 0
+                        ? member.openAttempts == 0
+                        : ejections == null || ejections.stream().noneMatch(e -> e.covers(member.listing, now)));
     }
 
-    /** These members in the key's rendezvous order. */
-    private List<Node> ranked(Collection<Node> members, String key, Map<Node, Double> weights) {
+    /** These members in the key's order by weighted rendezvous hashing. */
+    private List<MemberState> rendezvousOrder(
+            Collection<MemberState> candidates, String key, Map<MemberState, Double> weights) {
         long hash = Hashes.fnv(key);
-        TreeMap<Double, Node> ranked = new TreeMap<>(Comparator.reverseOrder());
-        for (Node n : members) {
-            double draw = ((Hashes.mix(hash ^ Hashes.mix(n.member.id())) >>> 11) + 1) * 0x1.0p-53;
+        TreeMap<Double, MemberState> ranked = new TreeMap<>(Comparator.reverseOrder());
+        for (MemberState member : candidates) {
+            double draw = ((Hashes.mix(hash ^ Hashes.mix(member.listing.id())) >>> 11) + 1) * 0x1.0p-53;
             ranked.put(
                     Math.log(draw)
-                            / (weighted && n.member.weight() > 0 ? n.member.weight() : 1)
-                            / weights.getOrDefault(n, 1.0),
-                    n);
+                            / (weighted && member.listing.weight() > 0 ? member.listing.weight() : 1)
+                            / weights.getOrDefault(member, 1.0),
+                    member);
         }
         return new ArrayList<>(ranked.values());
     }
 
-    /** Whether a member that has just started can take this request too. Each router earns its share of what
-     * the member is sure to bear as time passes, and spends it by the work sent. A share far under a request
-     * is saved up until it allows one, from a random start, so that routers don't all send at once. */
-    private boolean coldRoom(Node n, Job job) {
-        if (warm(n)) {
+    /**
+     * Whether a member can take this request as well, which is limited while it is in slow start. Each router earns its
+     * share of the load that the member can safely bear as time passes, and spends it by the work that it sends. A
+     * share far below one request is saved up until it allows one, from a random start, so that the routers don't all
+     * send at once.
+     */
+    private boolean slowStartAllows(MemberState member, RequestState request) {
+        if (isWarm(member)) {
             return true;
         }
-        boolean parent = n.member.role() == Role.PARENT;
-        SlowStart cold = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
-        int routers = parent ? Math.max(1, settings.routers()) : crew;
-        double width = weighted
-                ? n.member.weight() / routers
-                : Math.max(COLD_WIDTH / routers, COLD_SMALLER * usualFlow(parent ? parents : caches));
-        double span = settings.rules().overloadWindow();
-        double work = countedWork(n, job);
-        if (n.creditAt < n.coldFrom) {
-            n.creditAt = now;
-            n.credit = -random.nextDouble() * work;
+        boolean parent = member.listing.role() == Role.PARENT;
+        SlowStart slowStart = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
+        int routers = parent ? Math.max(1, settings.routers()) : localRouters;
+        double capacity = weighted
+                ? member.listing.weight() / routers
+                : Math.max(
+                        SLOW_START_TRANSFERS / routers,
+                        SLOW_START_THROUGHPUT_FRACTION * meanWarmThroughput(parent ? parents : caches));
+        double window = settings.rules().overloadWindow();
+        double work = countedWork(member, request);
+        if (member.creditUpdatedAt < member.slowStartFrom) {
+            member.creditUpdatedAt = now;
+            member.slowStartCredit = -random.nextDouble() * work;
         }
-        double share = cold.initialShare() + (1 - cold.initialShare()) * (n.creditAt - n.coldFrom) / cold.rampDuration();
-        double rate = COLD_SAFETY * cold.overloadFactor() * share * width;
-        n.credit = Math.min(n.credit + rate * (now - n.creditAt), rate * span * COLD_BURST);
-        n.creditAt = now;
-        return n.credit > 0 && work <= rate * routers * span;
+        double share = slowStart.initialShare()
+                + (1 - slowStart.initialShare())
+                        * (member.creditUpdatedAt - member.slowStartFrom)
+                        / slowStart.rampDuration();
+        double rate = SLOW_START_SAFETY * slowStart.overloadFactor() * share * capacity;
+        member.slowStartCredit = Math.min(
+                member.slowStartCredit + rate * (now - member.creditUpdatedAt), rate * window * SLOW_START_BURST);
+        member.creditUpdatedAt = now;
+        return member.slowStartCredit > 0 && work <= rate * routers * window;
     }
 
-    /** How the rule counts a request: at a cache by the mean of its class, at a parent by its own work. */
-    private double countedWork(Node n, Job job) {
-        double mean = meanWork[job.request.requestClass()];
-        return n.member.role() == Role.CACHE && mean > 0 ? mean : job.work;
+    /** A request's work as the overload rule counts it: the mean of its class at a cache, its own work at a parent. */
+    private double countedWork(MemberState member, RequestState request) {
+        double mean = meanWorkMicros[request.arrival.requestClass()];
+        return member.listing.role() == Role.CACHE && mean > 0 ? mean : request.workMicros;
     }
 
-    private boolean warm(Node n) {
+    private boolean isWarm(MemberState member) {
         Rules rules = settings.rules();
-        return n.member.role() == Role.ORIGIN
-                || n.coldFrom == 0
-                || now - n.coldFrom >= (n.member.role() == Role.PARENT ? rules.parentSlowStart() : rules.cacheSlowStart()).rampDuration();
+        return member.listing.role() == Role.ORIGIN
+                || member.slowStartFrom == 0
+                || now - member.slowStartFrom
+                        >= (member.listing.role() == Role.PARENT ? rules.parentSlowStart() : rules.cacheSlowStart())
+                                .rampDuration();
     }
 
-    /** What a warm member of this kind serves this router, in transfers, lately. */
-    private double usualFlow(List<Node> members) {
-        return members.stream()
-                .filter(n -> n.flow > 0 && warm(n))
-                .mapToDouble(n -> n.flow * Math.exp((n.flowAt - now) / FLOW_SPAN))
+    /** The mean throughput, in transfers at a time, with which the warm ones of these members serve this router. */
+    private double meanWarmThroughput(List<MemberState> candidates) {
+        return candidates.stream()
+                .filter(m -> m.throughput > 0 && isWarm(m))
+                .mapToDouble(m -> m.throughput * Math.exp((m.throughputUpdatedAt - now) / THROUGHPUT_WINDOW_MICROS))
                 .average()
                 .orElse(0);
     }
