--- a/src/main/java/pumicemoor/Hashes.java
+++ b/src/main/java/pumicemoor/Hashes.java
@@ -1,11 +1,11 @@
 package pumicemoor;
 
-/** Numbers for names that are the same at every router and every start. */
+/** Hashes of names, the same in every router and after every restart. */
 public final class Hashes {
 
     private Hashes() {}
 
-    /** FNV-1a over the text's characters. */
+    /** The FNV-1a hash of the text's characters. */
     public static long fnv(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -14,14 +14,14 @@
         return hash;
     }
 
-    /** A number that depends on every bit of the given one (the finaliser of SplitMix64). */
-    public static long mix(long z) {
-        long y = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
-        y = (y ^ (y >>> 27)) * 0x94d049bb133111ebL;
-        return y ^ (y >>> 31);
+    /** Mixes all bits of a number (the finalizer of SplitMix64). */
+    public static long mix(long value) {
+        long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
+        return mixed ^ (mixed >>> 31);
     }
 
-    /** A well spread number for a name. */
+    /** A uniformly distributed hash of a name. */
     public static long of(String name) {
         return mix(fnv(name));
     }
--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -357,7 +357,7 @@
         if (request.closed || request.streaming || !request.open.isEmpty()) {
             return;
         }
-        boolean direct = settings.fills().direct();
+        boolean direct = settings.fills().bypassCaches();
         MemberState edge = edgeCache(request);
         if (request.attempts >= Math.min(MAX_ATTEMPTS, settings.limits().maxAttempts())
                 || request.retry && retryTokens < 1
@@ -388,7 +388,7 @@
      * has capacity.
      */
     private void routePastCaches(RequestState request) {
-        MemberState source = settings.fills().direct() ? fillSource(request, null) : null;
+        MemberState source = settings.fills().bypassCaches() ? fillSource(request, null) : null;
         if (source == null || isFull(source, 1, request)) {
             waitOrGiveUp(request);
         } else if (source.listing.role() == Role.ORIGIN) {
--- a/src/main/java/pumicemoor/Quota.java
+++ b/src/main/java/pumicemoor/Quota.java
@@ -1,86 +1,90 @@
 package pumicemoor;
 
-import pumicemoor.RouterApi.LimitShare;
-import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.LimitDemand;
+import pumicemoor.RouterApi.LimitMeasure;
+import pumicemoor.RouterApi.LimitShare;
 
 /**
- * What is left unspent of one allowance, and how much of it was wanted: a token bucket for what is counted by the
- * second. What a request brings across zones is known only at its end: till then it is taken for the mean. It only
- * keeps count; whether a request is sent, held or refused it must never decide.
+ * Counts the use of one limit share and the demand for it: a token bucket for what is counted by the second. The
+ * kilobytes that a request moves between zones are known only at its end; until then they are taken as the mean. This
+ * class only counts; it must never decide whether a request is sent, queued or refused.
  */
 final class Quota {
 
-    private static final double NEWEST = 0.1; // weight of the newest in the mean
+    private static final double MEAN_GAIN = 0.1; // weight of the newest value in the mean
 
-    private final double span; // microseconds that a bucket may save up for
-    private LimitShare given;
+    private final double burstMicros; // time over which the bucket may save up
+    private LimitShare share;
     private double tokens;
-    private double wanted;
-    private double mean; // kilobytes that an attempt brought across
-    private int open; // attempts that may still bring some
-    private long at;
-    private long denied; // requests numbered under this were counted as wanted when they were first held up
+    private double demand;
+    private double meanKb; // that an attempt has moved between zones
+    private int openAttempts; // that may still move some
+    private long refilledAt;
+    private long nextUncounted; // requests numbered below this entered the demand when they were first denied
 
-    /** An empty bucket of this depth; it starts to fill now. */
-    Quota(double span, LimitShare given, long now) {
-        this.span = span;
-        this.given = given;
-        this.at = now;
+    /** An empty bucket of this depth, which starts to fill now. */
+    Quota(double burstMicros, LimitShare share, long now) {
+        this.burstMicros = burstMicros;
+        this.share = share;
+        this.refilledAt = now;
     }
 
-    Quota follow(LimitShare next, long now) {
-        share(now);
-        given = next;
+    Quota update(LimitShare next, long now) {
+        refill(now);
+        share = next;
         return this;
     }
 
     LimitMeasure measure() {
-        return given.measure();
+        return share.measure();
     }
 
-    /** What this router may have of it now; up to now the bucket fills by what it could have had before. */
-    private double share(long now) {
-        double share = now < given.expiresAt() ? given.amount() : given.amountAfterExpiry();
-        tokens = Math.min(Math.max(1, share * span / 1e6), tokens + share * (now - at) / 1e6);
-        at = now;
-        return share;
+    /** Fills the bucket up to now by the amount that was in force until now, and returns that amount. */
+    private double refill(long now) {
+        double amount = now < share.expiresAt() ? share.amount() : share.amountAfterExpiry();
+        tokens = Math.min(
+                Math.max(1, amount * burstMicros / 1e6), tokens + amount * (now - refilledAt) / 1e6);
+        refilledAt = now;
+        return amount;
     }
 
-    /** Whether there is room for a request more, of this number, where so many are under way. */
-    boolean room(long now, int underWay, long request) {
-        double share = share(now);
-        boolean room = given.measure() == LimitMeasure.KB_PER_SECOND
-                ? tokens > open * mean
-                : given.measure().wholeNumbers ? underWay < Math.floor(share) : tokens >= 1;
-        if (!room && request >= denied) {
-            denied = request + 1;
-            wanted += given.measure() == LimitMeasure.KB_PER_SECOND ? mean : 1;
+    /** Whether the share allows one more request, with this sequence number, while so many are in flight. */
+    boolean allows(long now, int inFlight, long request) {
+        double amount = refill(now);
+        boolean allowed = share.measure() == LimitMeasure.KB_PER_SECOND
+                ? tokens > openAttempts * meanKb
+                : share.measure().wholeNumbers ? inFlight < Math.floor(amount) : tokens >= 1;
+        if (!allowed && request >= nextUncounted) {
+            nextUncounted = request + 1;
+            demand += share.measure() == LimitMeasure.KB_PER_SECOND ? meanKb : 1;
         }
-        return room;
+        return allowed;
     }
 
     void spend() {
         tokens--;
-        wanted += given.measure().wholeNumbers ? 0 : 1;
+        demand += share.measure().wholeNumbers ? 0 : 1;
     }
 
-    void begin() {
-        open++;
+    void beginAttempt() {
+        openAttempts++;
     }
 
-    void end(double kb) {
-        open = Math.max(0, open - 1); // one that began before the allowance came was not counted
+    void endAttempt(double kb) {
+        openAttempts = Math.max(0, openAttempts - 1); // an attempt from before the share arrived was not counted
         tokens -= kb;
-        wanted += kb;
-        mean += kb > 0 ? (mean == 0 ? 1 : NEWEST) * (kb - mean) : 0;
+        demand += kb;
+        meanKb += kb > 0 ? (meanKb == 0 ? 1 : MEAN_GAIN) * (kb - meanKb) : 0;
     }
 
-    /** How much was wanted since this was last asked: by the second, or under way at once. */
-    LimitDemand told(int underWay) {
-        LimitDemand since =
-                new LimitDemand(given.member(), given.measure(), wanted + (given.measure().wholeNumbers ? underWay : 0), underWay);
-        wanted = 0;
-        return since;
+    /**
+     * Returns the demand since the last call: the requests or kilobytes, sent or denied, and, where the limit counts
+     * requests in flight, those of now.
+     */
+    LimitDemand takeDemand(int inFlight) {
+        LimitDemand taken =
+                new LimitDemand(share.member(), share.measure(), demand + (share.measure().wholeNumbers ? inFlight : 0), inFlight);
+        demand = 0;
+        return taken;
     }
 }
--- a/src/main/java/pumicemoor/Quotas.java
+++ b/src/main/java/pumicemoor/Quotas.java
@@ -6,78 +6,80 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
-import pumicemoor.RouterApi.LimitShare;
-import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.LimitDemand;
+import pumicemoor.RouterApi.LimitMeasure;
+import pumicemoor.RouterApi.LimitShare;
 
 /**
- * What is left unspent of every allowance, by member; empty where none is given. It only keeps count; whether a request
- * is sent, held or refused it must never decide.
+ * Counts the use of all limit shares by member; empty where this router has none. This class only counts; it must never
+ * decide whether a request is sent, queued or refused.
  */
 final class Quotas {
 
-    private static final long SECOND = 1_000_000; // microseconds
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final double span; // microseconds that a bucket may save up for
+    private final double burstMicros; // time over which a bucket may save up
     private Map<Long, List<Quota>> byMember = Map.of();
-    private long toldAt;
+    private long demandReportedAt;
 
-    Quotas(double span) {
-        this.span = span;
+    Quotas(double burstMicros) {
+        this.burstMicros = burstMicros;
     }
 
-    /** Goes over to these allowances; what each bucket had saved up stays. */
-    void follow(List<LimitShare> allowances, long now) {
+    /** Replaces the limit shares; a bucket whose member and measure stay keeps what it has saved up. */
+    void update(List<LimitShare> shares, long now) {
         Map<Long, List<Quota>> next = new TreeMap<>();
-        for (LimitShare a : allowances) {
-            next.computeIfAbsent(a.member(), m -> new ArrayList<>())
-                    .add(of(a.member()).stream()
-                            .filter(q -> q.measure() == a.measure())
+        for (LimitShare share : shares) {
+            next.computeIfAbsent(share.member(), id -> new ArrayList<>())
+                    .add(quotasOf(share.member()).stream()
+                            .filter(q -> q.measure() == share.measure())
                             .findFirst()
-                            .orElseGet(() -> new Quota(span, a, now))
-                            .follow(a, now));
+                            .orElseGet(() -> new Quota(burstMicros, share, now))
+                            .update(share, now));
         }
         byMember = next;
     }
 
-    private List<Quota> of(long member) {
+    private List<Quota> quotasOf(long member) {
         return byMember.getOrDefault(member, List.of());
     }
 
     /**
-     * Whether there is room at a member for a request more, of this number, where so many are under way; for one that is
-     * away, in another zone, also for what crosses zones.
+     * Whether a member's limits allow one more request, with this sequence number, while so many are in flight there;
+     * for a member in another zone, whether the limit of the traffic between zones allows it too.
      */
-    boolean room(long now, long member, boolean warm, int underWay, long request, boolean away) {
-        return of(member).stream()
-                        .allMatch(q -> q.measure() == LimitMeasure.COLD_IN_FLIGHT && warm || q.room(now, underWay, request))
-                && (!away || of(LimitShare.ACROSS_ZONES).stream().allMatch(q -> q.room(now, 0, request)));
+    boolean allows(long now, long member, boolean warm, int inFlight, long request, boolean inOtherZone) {
+        return quotasOf(member).stream()
+                        .allMatch(q ->
+                                q.measure() == LimitMeasure.COLD_IN_FLIGHT && warm || q.allows(now, inFlight, request))
+                && (!inOtherZone || quotasOf(LimitShare.ACROSS_ZONES).stream().allMatch(q -> q.allows(now, 0, request)));
     }
 
     void spend(long member) {
-        of(member).forEach(Quota::spend);
+        quotasOf(member).forEach(Quota::spend);
     }
 
-    /** An attempt that may cross zones is sent. */
-    void begin(boolean away) {
-        if (away) {
-            of(LimitShare.ACROSS_ZONES).forEach(Quota::begin);
+    /** Counts a new attempt, where it may cross zones. */
+    void beginAttempt(boolean mayCrossZones) {
+        if (mayCrossZones) {
+            quotasOf(LimitShare.ACROSS_ZONES).forEach(Quota::beginAttempt);
         }
     }
 
-    /** It has ended, and this is what crossed. */
-    void end(boolean away, double kb) {
-        if (away) {
-            of(LimitShare.ACROSS_ZONES).forEach(q -> q.end(kb));
+    /** Counts the end of an attempt, with the kilobytes that it has moved between zones. */
+    void endAttempt(boolean mayCrossZones, double kb) {
+        if (mayCrossZones) {
+            quotasOf(LimitShare.ACROSS_ZONES).forEach(q -> q.endAttempt(kb));
         }
     }
 
-    /** Tells once a second what was wanted in it; the function says how many are under way at a member. */
-    void told(long now, ToIntFunction<Long> underWay, Consumer<LimitDemand> sink) {
-        if (now < toldAt + SECOND) {
+    /** Reports the demand once a second; the function returns how many requests are in flight at a member. */
+    void reportDemand(long now, ToIntFunction<Long> inFlight, Consumer<LimitDemand> sink) {
+        if (now < demandReportedAt + MICROS_PER_SECOND) {
             return;
         }
-        toldAt = now;
-        byMember.forEach((member, list) -> list.forEach(q -> sink.accept(q.told(underWay.applyAsInt(member)))));
+        demandReportedAt = now;
+        byMember.forEach(
+                (member, quotas) -> quotas.forEach(q -> sink.accept(q.takeDemand(inFlight.applyAsInt(member)))));
     }
 }
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -5,18 +5,18 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the decision module: the settings it is handed at its start, the events it sees and the
- * actions it asks for, free of any protocol. Times are microseconds, sizes are kilobytes; a class, a zone
- * and a cell are given as numbers, the places of their entries in the settings.
+ * The interface of the decision module: the settings that it gets at its start, the events that it receives and
+ * the actions that it returns, independent of any protocol. Times are microseconds, sizes are kilobytes; a class,
+ * a zone and a cell are numbers, the indexes of their entries in the settings.
  */
 public interface RouterApi {
 
-    /** Takes one event at the given time and hands every action it wants, in order, to the sink. */
+    /** Handles one event at the given time and passes the resulting actions, in order, to the sink. */
     void handle(long now, Event event, Consumer<Action> sink);
 
     // ---- settings -------------------------------------------------------------------------------------
 
-    /** What a router is told when it starts; nothing in it changes while it runs. */
+    /** The configuration of a router, fixed from its start to its end. */
     record Settings(
             int router,
             int routers,
@@ -33,7 +33,7 @@
             WeightMeaning weights,
             boolean clientsMarkRetries) {}
 
-    /** What a weight in the list of members stands for. */
+    /** What a weight in the member list stands for. */
     enum WeightMeaning {
         NONE,
         NOMINAL,
@@ -41,21 +41,21 @@
         LIVE
     }
 
-    /** Whether a request may run more than once: always, within a group that drops repeats, never. */
+    /** Whether a request may run more than once: always, only within a deduplication scope, or never. */
     enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** The members that drop the repeats of a keyed request. */
+    /** The members among which duplicates of a keyed request are dropped. */
     enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** A class of requests; fresh 0 means that a copy is good until it is purged. */
+    /** A class of requests; freshFor 0 means that a copy is fresh until it is purged. */
     record RequestClass(
             String name,
             long latencyTarget,
@@ -73,19 +73,19 @@
             long staleGrace,
             double staleValue) {}
 
-    /** What the site allows. */
+    /** What this installation allows its routers. */
     record Limits(
             int maxAttempts,
             int maxOpenRequests,
             boolean probes,
             boolean peerMessages,
             boolean cancel,
-            boolean secondCopies,
+            boolean hedging,
             boolean retryAfter,
             long maxRetryAfter,
             long connectTimeout) {}
 
-    /** The figures of the rules; those of cold members once for caches and once for parents. */
+    /** The figures of the rules that a router must keep; slow start has its own for caches and for parents. */
     record Rules(
             long answerSlack,
             long drainGrace,
@@ -97,13 +97,14 @@
             long askWithin) {}
 
     /**
-     * A member starts with this share of its capacity, has all by warmAfter, falls over past the multiple.
+     * How a member that has just started gains capacity: it has the initial share at first and all of it after
+     * rampDuration. It fails when it gets more than overloadFactor times its capacity of the moment.
      */
     record SlowStart(double initialShare, long rampDuration, double overloadFactor) {}
 
-    /** Points taken off the result, each times its rate. */
+    /** Costs that are subtracted from a result, each multiplied by its rate. */
     record Costs(
-            double crossZone, double waste, double probe, double peer, double lateFail, double origin, double linkIn) {}
+            double crossZone, double waste, double probe, double peer, double lateFailure, double origin, double inboundLink) {}
 
     /** Which caches may be the source of a fill. */
     enum SiblingScope {
@@ -112,56 +113,56 @@
         ANY
     }
 
-    /** What an outcome tells of how a request was served. */
+    /** How much an outcome reports of how a request was served. */
     enum FillReporting {
         NONE,
         HIT_ONLY,
         ALL
     }
 
-    /** How fills work here; a pace or link of 0 is not told. */
+    /** How fills work in this installation; a rate or link of 0 is unknown. */
     record Fills(
-            boolean direct,
+            boolean bypassCaches,
             boolean joins,
             SiblingScope siblings,
             FillReporting fillReporting,
             double transferKbPerSecond,
-            double originFallMultiple,
-            long originBears,
+            double originOverloadFactor,
+            long originOverloadWindow,
             List<Double> linkKbPerSecond) {}
 
-    /** How load reports come. */
+    /** How load reports are obtained. */
     enum LoadReportSource {
         NONE,
         PROBE,
         ANSWER
     }
 
-    /** Load reports and what their two free fields mean. */
+    /** Load reports and the meaning of their two free fields. */
     record LoadReports(LoadReportSource source, List<String> fields) {}
 
     // ---- members --------------------------------------------------------------------------------------
 
-    /** What a member is for. */
+    /** The role of a member. */
     enum Role {
         CACHE,
         PARENT,
         ORIGIN
     }
 
-    /** What the list says of a member. */
+    /** The state of a member by the member list. */
     enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** One line of the list; started 0 means long ago. */
+    /** One entry of the member list; started 0 means long ago. */
     record Member(long id, Role role, int zone, int cell, double weight, long started, State state) {}
 
     // ---- events ---------------------------------------------------------------------------------------
 
-    /** What a router may see. */
+    /** An event that a router may receive. */
     sealed interface Event
             permits MemberListUpdate,
                     FillSourcesUpdate,
@@ -177,7 +178,7 @@
                     DiscoveryHeartbeat,
                     PeerMessage {}
 
-    /** How a list has come: as changes, whole, as last held before a start, or not at all. */
+    /** How a member list was obtained: as changes, whole, as saved before a start, or not at all. */
     enum MemberListKind {
         DELTA,
         SNAPSHOT,
@@ -185,70 +186,76 @@
         FAILED
     }
 
-    /** News of the members. */
+    /** An update of the member list. */
     record MemberListUpdate(MemberListKind kind, long version, List<Member> members) implements Event {}
 
     /**
-     * A member that may be filled from, with the weight of its part of the objects. While objects move to it,
-     * they come as a share that rises evenly, from the given one at opensAt to all of them at fullAt.
+     * A member that may be filled from, with the weight of its part of the objects. While objects migrate to it, the
+     * share that it serves rises linearly, from the given share at rampStart to all of them at rampEnd.
      */
     record FillSource(long member, double weight, double share, long rampStart, long rampEnd) {}
 
     /**
-     * What a member may be filled from, and what it was filled from until its objects have moved; back means
-     * that those which moved last return first. Earlier is what it was filled from before the last change, for
-     * as long as that is remembered. Seeds are the members that this one may fill from instead, for objects
-     * that were theirs.
+     * The current fill sources of a member, and the previous ones, which serve the objects that have not migrated yet;
+     * reverting means that the objects that migrated last return first. Earlier are the sources before the last change,
+     * for as long as these are remembered. Seeds are the members that this one may fill from instead, for objects that
+     * were theirs.
      */
     record FillSources(List<FillSource> current, List<FillSource> previous, List<FillSource> earlier, boolean reverting, List<Long> seeds) {}
 
     /**
-     * What members may be filled from, by member, in place of the listed parents and the origin; under LOCATION
-     * for caches of this location without a list of their own. Who has no list is filled as before, as all are
-     * where there are none.
+     * The fill sources by member, in place of the listed parents and the origin; under LOCATION those of the caches of
+     * this location that have none of their own. A member without any is filled from the listed parents and the origin,
+     * as are all members where the map is empty.
      */
     record FillSourcesUpdate(long version, Map<Long, FillSources> lists) implements Event {
         public static final long LOCATION = 0;
     }
 
-    /** What an allowance counts: requests a second, those under way, also only while the member is cold; kilobytes. */
+    /**
+     * What a limit counts: requests a second, requests in flight, requests in flight only while the member is in slow
+     * start, or kilobytes a second.
+     */
     enum LimitMeasure {
         PER_SECOND(false),
         IN_FLIGHT(true),
         COLD_IN_FLIGHT(true),
         KB_PER_SECOND(false);
 
-        /** Whether parts of it are whole numbers. */
+        /** Whether a share of such a limit is a whole number. */
         public final boolean wholeNumbers;
 
-        LimitMeasure(boolean whole) {
-            this.wholeNumbers = whole;
+        LimitMeasure(boolean wholeNumbers) {
+            this.wholeNumbers = wholeNumbers;
         }
     }
 
-    /** What this router may have of a member: so much until then, and so much afterwards where nothing else is told. */
+    /**
+     * This router's share of a member's limit: an amount until it expires, and an amount for afterwards, in force where
+     * no further update arrives.
+     */
     record LimitShare(long member, LimitMeasure measure, double amount, long expiresAt, double amountAfterExpiry) {
 
-        /** Stands in a member's place for all that crosses zones. */
+        /** Takes the place of a member id in the limit of all traffic between zones. */
         public static final long ACROSS_ZONES = 0;
     }
 
-    /** All allowances that are in force, in place of those before; a member without one is not limited so. */
+    /** All limit shares in force, in place of the previous ones; a member without a share is not limited. */
     record LimitSharesUpdate(List<LimitShare> shares) implements Event {}
 
-    /** A process of a member that all routers leave alone until then, on what some of them have seen of it. */
+    /** A process of a member that all routers avoid until then, because some of them have reported it as failing. */
     record EjectedMember(long member, long started, long until) {
 
-        /** Whether it means this process of this member, and still does. */
+        /** Whether this process of this member is meant and the ejection has not expired. */
         public boolean covers(Member m, long now) {
             return member == m.id() && started == m.started() && now < until;
         }
     }
 
-    /** All that are out so, in place of those before. Where this is told, judgements of members are wanted. */
+    /** All ejections in force, in place of the previous ones. A router that receives these sends health reports. */
     record EjectionsUpdate(List<EjectedMember> ejected) implements Event {}
 
-    /** A request; sizeKb 0 means not told, tenant and group as given. */
+    /** A request; sizeKb 0 means that the size is not known. */
     record RequestArrived(
             String id,
             int requestClass,
@@ -257,13 +264,13 @@
             int group,
             double sizeKb,
             long timeLeft,
-            boolean repeat)
+            boolean clientRetry)
             implements Event {}
 
     /** A streamed answer has begun. */
     record AnswerStarted(String id, int attempt, long member, long latency) implements Event {}
 
-    /** How an attempt may end. */
+    /** The result of an attempt. */
     enum Outcome {
         OK(false),
         ERROR(false),
@@ -275,7 +282,7 @@
         MOOT(true),
         MISS(true);
 
-        /** Whether this outcome proves that the request never ran. */
+        /** Whether this outcome proves that the request was never executed. */
         public final boolean provesNotRun;
 
         Outcome(boolean provesNotRun) {
@@ -283,7 +290,7 @@
         }
     }
 
-    /** What an outcome may tell of a fill. */
+    /** How a request was filled, or why its fill failed, where the answer reports it. */
     enum FillResult {
         NONE,
         HIT,
@@ -299,8 +306,8 @@
     }
 
     /**
-     * The end of an attempt; closed means that the request is over. Load is empty when none came along; kb is what the
-     * answer's body had, 0 where that is not told.
+     * The end of an attempt; closed means that the request is over too. Load is empty when the answer had no load
+     * report; kb is the size of the answer's body, 0 where it is not known.
      */
     record AttemptEnded(
             String id,
@@ -315,7 +322,7 @@
             double kb)
             implements Event {
 
-        /** One whose answer's size is not told. */
+        /** The end of an attempt whose answer has no known size. */
         public AttemptEnded(
                 String id,
                 int attempt,
@@ -323,39 +330,42 @@
                 Outcome outcome,
                 long latency,
                 boolean closed,
-                FillResult note,
+                FillResult fillResult,
                 long waited,
                 Map<String, Double> load) {
-            this(id, attempt, member, outcome, latency, closed, note, waited, load, 0);
+            this(id, attempt, member, outcome, latency, closed, fillResult, waited, load, 0);
         }
 
-        /** Whether this attempt has brought a fill itself; where that is not told, whether one was expected. */
+        /** Whether this attempt caused a fill itself; where that is not reported, whether one was expected. */
         public boolean filled(boolean expected) {
             return fillResult == FillResult.FILLED || fillResult == FillResult.FILLED_BY_ORIGIN || fillResult == FillResult.NONE && expected;
         }
     }
 
-    /** The client has left, or the answer is overdue. */
+    /** The client has disconnected, or the answer is overdue. */
     record RequestAbandoned(String id) implements Event {}
 
     /** The end of a probe. */
     record ProbeEnded(long member, Outcome outcome, long latency, Map<String, Double> load) implements Event {}
 
-    /** A timer set earlier is due. */
+    /** A timer that was set earlier has expired. */
     record TimerDue(long token) implements Event {}
 
-    /** A purge made that long ago, of an object or, where object is null, of a whole group. */
+    /** A purge that was made age microseconds ago, of an object or, where object is null, of a whole group. */
     record Purged(String object, int group, long age) implements Event {}
 
-    /** All purges and lists told until now have come; where this is never told, they always have. */
+    /**
+     * Every purge and list sent until now has been received. A router that never receives a heartbeat assumes that this
+     * always holds.
+     */
     record DiscoveryHeartbeat() implements Event {}
 
-    /** A message of another router. */
+    /** A message from another router. */
     record PeerMessage(int from, byte[] payload) implements Event {}
 
     // ---- actions --------------------------------------------------------------------------------------
 
-    /** What a router may ask for. */
+    /** An action that a router may request. */
     sealed interface Action
             permits Lookup,
                     Fetch,
@@ -372,13 +382,13 @@
                     MemberHealthReport,
                     Log {}
 
-    /** An attempt that asks a member only for a fresh copy that it holds; the origin holds everything. */
+    /** An attempt that requests only a fresh copy that the member already holds; the origin holds everything. */
     record Lookup(String id, long member, long timeout) implements Action {}
 
     /**
      * An attempt that names the source of a fill (the member itself for none), the rank at which the copy is
-     * kept (0 for not at all) and the oldest copy that will do (0 for the class's own bound). The way names, in
-     * order, what the source itself fills from; empty leaves that to it.
+     * kept (0 for not at all) and the greatest acceptable age of a copy (0 for the class's own bound). The fill path
+     * names, in order, the members that the source itself fills through; empty leaves that to the source.
      */
     record Fetch(
             String id,
@@ -394,56 +404,56 @@
             List<Long> fillPath)
             implements Action {
 
-        /** One whose source fills as it always does. */
+        /** A fetch that leaves the fill path to the source. */
         public Fetch(
                 String id,
                 long member,
                 long source,
                 int keepRank,
-                long oldest,
+                long maxAge,
                 boolean join,
-                boolean onlyIfHeld,
-                boolean passParent,
+                boolean onlyIfCached,
+                boolean bypassParent,
                 boolean renew,
                 long timeout) {
-            this(id, member, source, keepRank, oldest, join, onlyIfHeld, passParent, renew, timeout, List.of());
+            this(id, member, source, keepRank, maxAge, join, onlyIfCached, bypassParent, renew, timeout, List.of());
         }
     }
 
-    /** Final answer: turned away, trying again is harmless; retryAfter 0 gives no advice. */
+    /** Final answer: refused, and retrying is harmless; retryAfter 0 gives no advice. */
     record Refuse(String id, long retryAfter) implements Action {}
 
-    /** Final answer: failed, nothing promised. */
+    /** Final answer: failed, and the request may have been executed. */
     record Fail(String id) implements Action {}
 
-    /** Calls an attempt off. */
+    /** Cancels an attempt. */
     record Cancel(String id, int attempt) implements Action {}
 
-    /** Asks a member for its load. */
+    /** Requests a load report from a member. */
     record Probe(long member) implements Action {}
 
     /** Closes idle connections to a member. */
     record CloseIdle(long member) implements Action {}
 
-    /** Asks for a TimerDue event. */
+    /** Requests a TimerDue event after a delay. */
     record SetTimer(long delay, long token) implements Action {}
 
-    /** Sends a note to one router, or to all for a negative number. */
+    /** Sends a message to one router, or to all routers for a negative number. */
     record SendToPeer(int router, byte[] payload) implements Action {}
 
-    /** Asks for changes of the list, or no more of them. */
+    /** Turns updates of the member list on or off. */
     record WatchMembers(boolean enabled) implements Action {}
 
-    /** Asks for the whole list once. */
+    /** Requests the whole member list once. */
     record RequestMemberList() implements Action {}
 
-    /** How much of an allowance was wanted lately, in its measure, and how much is in use. */
+    /** The recent demand for a limit share, in the limit's measure, and how much of the share is in use. */
     record LimitDemand(long member, LimitMeasure measure, double demand, double inUse) implements Action {}
 
-    /** This router has taken a member out until then, or found it good again; silent: it gave no sign of life. */
+    /** This router has ejected a member until then, or found it healthy again; unresponsive: it sent nothing at all. */
     record MemberHealthReport(long member, boolean failing, boolean unresponsive, int consecutiveFailures, double failureRate, long until)
             implements Action {}
 
-    /** A line for on-call staff. */
+    /** A log line for on-call staff. */
     record Log(String text) implements Action {}
 }
