--- a/src/test/java/pumicemoor/ArchitectureTest.java
+++ b/src/test/java/pumicemoor/ArchitectureTest.java
@@ -10,24 +10,24 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Holds the arrows between the floors of docs/architecture.md. */
+/** Checks the dependencies between the layers of docs/architecture.md. */
 class ArchitectureTest {
 
-    private static final String[] DECIDING = {
+    private static final String[] DECISION_PACKAGES = {
         "pumicemoor", "pumicemoor.hierarchy..", "pumicemoor.calls..", "pumicemoor.fleet.."
     };
-    private static final String[] LOWER = {
+    private static final String[] LOWER_LAYERS = {
         "pumicemoor", "pumicemoor.hierarchy..", "pumicemoor.calls..", "pumicemoor.fleet..", "pumicemoor.node.."
     };
-    private static final JavaClasses ALL = new ClassFileImporter()
+    private static final JavaClasses PRODUCTION_CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("pumicemoor");
 
     @Test
-    void decisionsUseNothingButTheJdkAndWhatTheyDecide() {
+    void decisionPackagesDependOnTheJdkAndOnEachOtherOnly() {
         classes()
                 .that()
-                .resideInAnyPackage(DECIDING)
+                .resideInAnyPackage(DECISION_PACKAGES)
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
@@ -37,21 +37,21 @@
                         "pumicemoor.calls..",
                         "pumicemoor.fleet..",
                         "com.google.re2j..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         classes()
                 .that()
                 .resideInAPackage("pumicemoor")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("java..", "pumicemoor")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
-    void noFileSocketThreadOrClockBelowTheFronts() {
+    void lowerLayersUseNoFilesSocketsThreadsOrClocks() {
         noClasses()
                 .that()
-                .resideInAnyPackage(LOWER)
+                .resideInAnyPackage(LOWER_LAYERS)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("java.net..", "java.nio.file..", "io.netty..", "java.util.concurrent.locks..")
@@ -64,11 +64,11 @@
                 .callMethod(System.class, "nanoTime")
                 .orShould()
                 .callMethod(java.time.Instant.class, "now")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
-    void theWallClockIsReadByTheRouterClockAlone() {
+    void onlyRouterClockReadsTheWallClock() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("pumicemoor.lab..")
@@ -81,29 +81,29 @@
                 .orShould()
                 .dependOnClassesThat()
                 .haveFullyQualifiedName("java.time.Clock")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     @Test
-    void noArrowUpAndNoCircle() {
+    void noDependencyPointsUpwardsAndNoneIsCyclic() {
         noClasses()
                 .that()
                 .resideInAnyPackage("pumicemoor.wire..", "pumicemoor.operator..", "pumicemoor.node..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("pumicemoor.net..", "pumicemoor.extproc..", "pumicemoor.cli..", "pumicemoor.lab..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideOutsideOfPackages("pumicemoor.lab..", "pumicemoor.cli..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("pumicemoor.lab..", "pumicemoor.cli..")
-                .check(ALL);
-        slices().matching("pumicemoor.(*)..").should().beFreeOfCycles().check(ALL);
+                .check(PRODUCTION_CLASSES);
+        slices().matching("pumicemoor.(*)..").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
     }
 
-    /** Statistics and plots are the scale tool's alone: nothing that serves may load them. */
+    /** Only the scale tool may use the libraries for statistics and plots: nothing that serves requests may load them. */
     @Test
     void statisticsAndPlotsStayInTheScaleTool() {
         noClasses()
@@ -117,13 +117,13 @@
                         "org.apache.batik..",
                         "java.awt..",
                         "javax.swing..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideOutsideOfPackages("pumicemoor.lab..", "pumicemoor.cli..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("pumicemoor.lab.scale..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 }
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pumicemoor.RouterHarness.MILLI;
-import static pumicemoor.RouterHarness.SECOND;
-import static pumicemoor.RouterHarness.fetch;
-import static pumicemoor.RouterHarness.only;
+import static pumicemoor.RouterHarness.MICROS_PER_MILLI;
+import static pumicemoor.RouterHarness.MICROS_PER_SECOND;
+import static pumicemoor.RouterHarness.onlyFetch;
+import static pumicemoor.RouterHarness.ofType;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -27,484 +27,485 @@
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.SendToPeer;
 
-/** What the router does besides the ordinary path, each when its condition holds and not otherwise. */
+/** Tests each departure from the ordinary path: it happens under its condition and not otherwise. */
 class DeparturesTest {
 
-    /** Requests that fill the first limit (48) of a member of untold size, and one more. */
-    private static final int CROWD = 50;
+    /** More requests than the initial limit (48) of a member of unknown capacity. */
+    private static final int REQUESTS_ABOVE_INITIAL_LIMIT = 50;
 
-    /** A router of a location with this many routers, allowed to tell peers, before three caches and two parents. */
-    private static RouterHarness noting(int routersHere) {
-        RouterHarness r = new RouterHarness();
-        r.peerNotes = true;
-        r.routersHere = routersHere;
-        return r.fleet(3, 2).start();
+    /** A router that may send peer messages, in a location of this many routers, with three caches and two parents. */
+    private static RouterHarness withPeerMessages(int localRouters) {
+        RouterHarness router = new RouterHarness();
+        router.peerMessages = true;
+        router.localRouters = localRouters;
+        return router.addFleet(3, 2).start();
     }
 
-    /**
-     * Asks for objects of the one parent of this fleet until fills are held up; returns all that was sent.
-     */
-    private static List<Fetch> crowd(RouterHarness r, int requests) {
+    /** Requests this many objects of the fleet's one parent; returns all fetches that were sent. */
+    private static List<Fetch> requestMany(RouterHarness router, int requests) {
         List<Fetch> sent = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
-            sent.addAll(only(Fetch.class, r.ask("crowd" + i)));
+            sent.addAll(ofType(Fetch.class, router.request("crowd" + i)));
         }
         return sent;
     }
 
     @Test
-    void withTheSourceFullARequestLooksBeforeItWaits() {
-        RouterHarness r = new RouterHarness().fleet(5, 1).start();
-        List<Fetch> sent = crowd(r, CROWD);
-        Fetch look = sent.get(sent.size() - 1);
+    void whileTheSourceIsFullACacheOnlyLookupComesBeforeTheWait() {
+        RouterHarness router = new RouterHarness().addFleet(5, 1).start();
+        List<Fetch> sent = requestMany(router, REQUESTS_ABOVE_INITIAL_LIMIT);
+        Fetch lookup = sent.get(sent.size() - 1);
         assertEquals(101, sent.get(0).source());
-        assertEquals(look.member(), look.source(), "asks the cache alone");
+        assertEquals(lookup.member(), lookup.source(), "a cache-only lookup");
         assertEquals(
                 0,
-                only(Fetch.class, r.end(look, 0, Outcome.MISS, FillResult.NONE)).stream()
-                        .filter(f -> f.id().equals(look.id()))
+                ofType(Fetch.class, router.endAttempt(lookup, 0, Outcome.MISS, FillResult.NONE)).stream()
+                        .filter(fetch -> fetch.id().equals(lookup.id()))
                         .count(),
-                "waits for room at the source");
+                "waits for capacity at the source");
     }
 
     @Test
-    void waitingRequestIsSentWhenRoomComes() {
-        RouterHarness r = new RouterHarness().fleet(5, 1).start();
-        List<Fetch> sent = crowd(r, CROWD);
-        Fetch look = sent.get(sent.size() - 1);
-        r.end(look, 0, Outcome.MISS, FillResult.NONE);
+    void aWaitingRequestIsSentWhenCapacityBecomesFree() {
+        RouterHarness router = new RouterHarness().addFleet(5, 1).start();
+        List<Fetch> sent = requestMany(router, REQUESTS_ABOVE_INITIAL_LIMIT);
+        Fetch lookup = sent.get(sent.size() - 1);
+        router.endAttempt(lookup, 0, Outcome.MISS, FillResult.NONE);
         List<Action> next = new ArrayList<>();
-        for (Fetch f : sent.subList(0, 8)) {
-            next.addAll(r.end(f, 0, Outcome.OK, FillResult.FILLED));
+        for (Fetch fetch : sent.subList(0, 8)) {
+            next.addAll(router.endAttempt(fetch, 0, Outcome.OK, FillResult.FILLED));
         }
-        assertTrue(only(Fetch.class, next).stream().anyMatch(f -> f.id().equals(look.id())));
+        assertTrue(ofType(Fetch.class, next).stream().anyMatch(fetch -> fetch.id().equals(lookup.id())));
     }
 
     @Test
-    void largeRequestFindsAMemberFullSoonerThanASmallOne() {
-        RouterHarness r = new RouterHarness().fleet(1, 1).start();
-        for (int i = 0; i < 30; i++) { // past the share of a first limit of 48 open to the largest
-            r.ask("o" + i, RouterHarness.PAGE, 1_000);
+    void aLargeRequestFindsAMemberFullSoonerThanASmallOne() {
+        RouterHarness router = new RouterHarness().addFleet(1, 1).start();
+        for (int i = 0; i < 30; i++) { // more than the largest requests may use of the initial limit of 48
+            router.request("o" + i, RouterHarness.PAGE, 1_000);
         }
-        assertTrue(only(Fetch.class, r.ask("large", RouterHarness.PAGE, 40_000)).isEmpty());
-        assertFalse(only(Fetch.class, r.ask("small", RouterHarness.PAGE, 10)).isEmpty());
+        assertTrue(ofType(Fetch.class, router.request("large", RouterHarness.PAGE, 40_000)).isEmpty());
+        assertFalse(ofType(Fetch.class, router.request("small", RouterHarness.PAGE, 10)).isEmpty());
     }
 
     @Test
-    void lateAnswersLowerWhatAMemberMayHave() {
-        int before = crowd(new RouterHarness().fleet(1, 1).start(), 40).size();
-        RouterHarness r = new RouterHarness().fleet(1, 1).start();
+    void lateAnswersLowerTheLimitOfAMember() {
+        int before = requestMany(new RouterHarness().addFleet(1, 1).start(), 40).size();
+        RouterHarness router = new RouterHarness().addFleet(1, 1).start();
         for (int round = 0; round < 8; round++) {
-            List<Fetch> sent = only(Fetch.class, r.ask("late" + round));
-            r.now += 2 * SECOND;
-            sent.forEach(f -> r.end(f, 0, Outcome.OK, FillResult.HIT));
+            List<Fetch> sent = ofType(Fetch.class, router.request("late" + round));
+            router.now += 2 * MICROS_PER_SECOND;
+            sent.forEach(fetch -> router.endAttempt(fetch, 0, Outcome.OK, FillResult.HIT));
         }
-        assertTrue(crowd(r, 40).size() < before);
+        assertTrue(requestMany(router, 40).size() < before);
     }
 
     @Test
-    void clientsThatLeaveEarlyDoNotLowerWhatAMemberMayHave() {
-        int before = crowd(new RouterHarness().fleet(1, 1).start(), 40).size();
-        RouterHarness r = new RouterHarness().fleet(1, 1).start();
+    void clientsThatDisconnectEarlyDoNotLowerTheLimitOfAMember() {
+        int before = requestMany(new RouterHarness().addFleet(1, 1).start(), 40).size();
+        RouterHarness router = new RouterHarness().addFleet(1, 1).start();
         for (int round = 0; round < 30; round++) {
-            Fetch sent = fetch(r.ask("left" + round));
-            r.now += 30 * MILLI;
-            List<Cancel> cancels = only(Cancel.class, r.handle(new RequestAbandoned(sent.id())));
+            Fetch sent = onlyFetch(router.request("left" + round));
+            router.now += 30 * MICROS_PER_MILLI;
+            List<Cancel> cancels = ofType(Cancel.class, router.handle(new RequestAbandoned(sent.id())));
             assertEquals(1, cancels.size());
-            r.handle(new AttemptEnded(
-                    sent.id(), 0, sent.member(), Outcome.CANCELLED, 30 * MILLI, true, FillResult.NONE, 0, Map.of()));
+            router.handle(new AttemptEnded(
+                    sent.id(), 0, sent.member(), Outcome.CANCELLED, 30 * MICROS_PER_MILLI, true, FillResult.NONE, 0, Map.of()));
         }
-        assertEquals(before, crowd(r, 40).size());
+        assertEquals(before, requestMany(router, 40).size());
     }
 
     @Test
-    void quickFailureIsTriedAgainAtTheSameCache() {
-        RouterHarness r = new RouterHarness().fleet(3, 2).start();
-        Fetch sent = fetch(r.ask("a"));
-        Fetch again = fetch(r.handle(new AttemptEnded(
-                sent.id(), 0, sent.member(), Outcome.ERROR, 2 * MILLI, false, FillResult.NONE, 0, Map.of())));
-        assertEquals(sent.member(), again.member());
+    void aQuickFailureIsRetriedAtTheSameCache() {
+        RouterHarness router = new RouterHarness().addFleet(3, 2).start();
+        Fetch sent = onlyFetch(router.request("a"));
+        Fetch retry = onlyFetch(router.handle(new AttemptEnded(
+                sent.id(), 0, sent.member(), Outcome.ERROR, 2 * MICROS_PER_MILLI, false, FillResult.NONE, 0, Map.of())));
+        assertEquals(sent.member(), retry.member());
     }
 
     @Test
-    void brokenConnectionMovesTheRequestToAnotherCache() {
-        RouterHarness r = new RouterHarness().fleet(3, 2).start();
-        Fetch sent = fetch(r.ask("a"));
-        Fetch next = fetch(r.end(sent, 0, Outcome.RESET, FillResult.NONE));
+    void aBrokenConnectionMovesTheRequestToAnotherCache() {
+        RouterHarness router = new RouterHarness().addFleet(3, 2).start();
+        Fetch sent = onlyFetch(router.request("a"));
+        Fetch next = onlyFetch(router.endAttempt(sent, 0, Outcome.RESET, FillResult.NONE));
         assertNotEquals(sent.member(), next.member());
     }
 
     @Test
-    void aRequestThatFailsWhereverItIsSentIsGivenUpAndTakesNoMemberOut() {
-        RouterHarness r = new RouterHarness().fleet(4, 2).start();
+    void aRequestThatFailsAtEveryMemberIsAbandonedAndEjectsNone() {
+        RouterHarness router = new RouterHarness().addFleet(4, 2).start();
         for (int i = 0; i < 30; i++) {
-            r.serve("good" + i, FillResult.FILLED);
+            router.requestAndServe("good" + i, FillResult.FILLED);
         }
         for (int i = 0; i < 4; i++) {
-            List<Action> actions = r.ask("bad");
-            for (int attempt = 0; !only(Fetch.class, actions).isEmpty(); attempt++) {
+            List<Action> actions = router.request("bad");
+            for (int attempt = 0; !ofType(Fetch.class, actions).isEmpty(); attempt++) {
                 assertTrue(attempt < 4, "sent a fifth time");
-                Fetch sent = fetch(actions);
-                actions = r.handle(new AttemptEnded(
-                        sent.id(), attempt, sent.member(), Outcome.ERROR, MILLI, false, FillResult.NONE, 0, Map.of()));
-                assertEquals(List.of(), only(Log.class, actions));
+                Fetch sent = onlyFetch(actions);
+                actions = router.handle(new AttemptEnded(
+                        sent.id(), attempt, sent.member(), Outcome.ERROR, MICROS_PER_MILLI, false, FillResult.NONE, 0, Map.of()));
+                assertEquals(List.of(), ofType(Log.class, actions));
             }
-            assertEquals(1, only(Refuse.class, actions).size());
+            assertEquals(1, ofType(Refuse.class, actions).size());
         }
     }
 
     @Test
-    void whatWasOutTogetherAndBreaksTogetherDoesNotTakeAMemberOut() {
-        RouterHarness r = new RouterHarness().fleet(1, 2).start();
+    void attemptsThatFailOnOneBrokenConnectionDoNotEjectTheMember() {
+        RouterHarness router = new RouterHarness().addFleet(1, 2).start();
         List<Fetch> sent = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            sent.add(fetch(r.ask("a")));
+            sent.add(onlyFetch(router.request("a")));
         }
-        r.now += 100 * MILLI;
-        List<Action> all = new ArrayList<>();
-        sent.forEach(f -> all.addAll(r.end(f, 0, Outcome.RESET, FillResult.NONE)));
-        assertEquals(List.of(), only(Log.class, all), "one connection has broken, the cache is not out");
-        r.now += 100 * MILLI;
-        Fetch next = fetch(r.ask("a"));
-        r.now += 100 * MILLI;
+        router.now += 100 * MICROS_PER_MILLI;
+        List<Action> actions = new ArrayList<>();
+        sent.forEach(fetch -> actions.addAll(router.endAttempt(fetch, 0, Outcome.RESET, FillResult.NONE)));
+        assertEquals(List.of(), ofType(Log.class, actions), "one connection has broken, the cache is not ejected");
+        router.now += 100 * MICROS_PER_MILLI;
+        Fetch next = onlyFetch(router.request("a"));
+        router.now += 100 * MICROS_PER_MILLI;
         assertEquals(
-                1, only(Log.class, r.end(next, 0, Outcome.RESET, FillResult.NONE)).size(), "but after another");
+                1, ofType(Log.class, router.endAttempt(next, 0, Outcome.RESET, FillResult.NONE)).size(), "ejected after another one");
     }
 
     @Test
-    void aCacheLeftForResetsAloneIsAsWarmAsBeforeWhenItIsBack() {
-        RouterHarness r = new RouterHarness().fleet(2, 2).start();
-        long home = r.serve("a", FillResult.FILLED).member();
+    void aCacheEjectedForResetsOnlyHasNoSlowStartAfterwards() {
+        RouterHarness router = new RouterHarness().addFleet(2, 2).start();
+        long home = router.requestAndServe("a", FillResult.FILLED).member();
         for (int i = 0; i < 2; i++) {
-            Fetch sent = fetch(r.ask("a"));
+            Fetch sent = onlyFetch(router.request("a"));
             assertEquals(home, sent.member());
-            r.now += 10 * MILLI;
-            r.end(sent, 0, Outcome.RESET, FillResult.NONE);
-            r.now += 10 * MILLI;
+            router.now += 10 * MICROS_PER_MILLI;
+            router.endAttempt(sent, 0, Outcome.RESET, FillResult.NONE);
+            router.now += 10 * MICROS_PER_MILLI;
         }
-        assertNotEquals(home, fetch(r.ask("a")).member(), "out");
-        r.now += 2 * SECOND;
+        assertNotEquals(home, onlyFetch(router.request("a")).member(), "ejected");
+        router.now += 2 * MICROS_PER_SECOND;
         for (int i = 0; i < 4; i++) {
-            assertEquals(home, r.serve("a", FillResult.HIT).member(), "no share of a cold budget is waited for");
+            assertEquals(home, router.requestAndServe("a", FillResult.HIT).member(), "does not wait for a slow-start budget");
         }
     }
 
     @Test
-    void cacheThatRefusesConnectionsTwiceIsLeftForAWhileAndTriedAgain() {
-        RouterHarness r = new RouterHarness().fleet(2, 2).start();
-        long gone = 0;
+    void aCacheThatRefusesConnectionsTwiceIsEjectedForAWhileAndTriedAgain() {
+        RouterHarness router = new RouterHarness().addFleet(2, 2).start();
+        long refusing = 0;
         for (int i = 0; i < 2; i++) {
-            Fetch sent = fetch(r.ask("a"));
-            gone = sent.member();
-            r.end(sent, 0, Outcome.CONNECT_FAILED, FillResult.NONE);
+            Fetch sent = onlyFetch(router.request("a"));
+            refusing = sent.member();
+            router.endAttempt(sent, 0, Outcome.CONNECT_FAILED, FillResult.NONE);
         }
-        assertNotEquals(gone, fetch(r.ask("a")).member());
-        r.now += 15 * SECOND;
-        assertEquals(gone, fetch(r.ask("a")).member());
+        assertNotEquals(refusing, onlyFetch(router.request("a")).member());
+        router.now += 15 * MICROS_PER_SECOND;
+        assertEquals(refusing, onlyFetch(router.request("a")).member());
     }
 
     @Test
-    void silentCacheIsLeftWhileOthersAnswer() {
-        RouterHarness r = new RouterHarness().fleet(2, 1).start();
-        Fetch first = r.serve("a", FillResult.FILLED);
-        r.now += MILLI;
-        List<Action> later = new ArrayList<>(r.ask("a"));
-        later.addAll(r.ask("a"));
+    void aSilentCacheIsEjectedWhileOthersAnswer() {
+        RouterHarness router = new RouterHarness().addFleet(2, 1).start();
+        Fetch first = router.requestAndServe("a", FillResult.FILLED);
+        router.now += MICROS_PER_MILLI;
+        List<Action> later = new ArrayList<>(router.request("a"));
+        later.addAll(router.request("a"));
         for (int i = 0; i < 8; i++) {
-            later.addAll(r.pass(200 * MILLI));
+            later.addAll(router.advance(200 * MICROS_PER_MILLI));
         }
-        assertTrue(only(Cancel.class, later).size() >= 2);
-        assertNotEquals(first.member(), fetch(r.ask("a")).member());
+        assertTrue(ofType(Cancel.class, later).size() >= 2);
+        assertNotEquals(first.member(), onlyFetch(router.request("a")).member());
     }
 
     @Test
-    void sourcesAreNotBlamedWhileAllOfThemAreSilent() {
-        RouterHarness r = new RouterHarness().fleet(3, 2).start();
-        Fetch sent = fetch(r.ask("a"));
-        r.serve("other", FillResult.HIT);
-        List<Action> later = r.pass(3 * SECOND);
-        assertEquals(0, only(Cancel.class, later).size(), "waits for " + sent);
+    void noSourceIsBlamedWhileAllOfThemAreSilent() {
+        RouterHarness router = new RouterHarness().addFleet(3, 2).start();
+        Fetch sent = onlyFetch(router.request("a"));
+        router.requestAndServe("other", FillResult.HIT);
+        List<Action> later = router.advance(3 * MICROS_PER_SECOND);
+        assertEquals(0, ofType(Cancel.class, later).size(), "waits for " + sent);
     }
 
     @Test
-    void retriesKeepToOneBudget() {
-        RouterHarness r = new RouterHarness().fleet(4, 2).start();
+    void retriesStayWithinTheRetryBudget() {
+        RouterHarness router = new RouterHarness().addFleet(4, 2).start();
         int sent = 0;
         int requests = 400;
         for (int i = 0; i < requests; i++) {
-            List<Fetch> next = only(Fetch.class, r.ask("o" + i));
+            List<Fetch> next = ofType(Fetch.class, router.request("o" + i));
             for (int attempt = 0; !next.isEmpty(); attempt++) {
                 sent++;
-                Fetch f = next.get(0);
-                next = only(Fetch.class, r.end(f, attempt, Outcome.MISS, FillResult.SOURCE_LACKS));
+                Fetch fetch = next.get(0);
+                next = ofType(Fetch.class, router.endAttempt(fetch, attempt, Outcome.MISS, FillResult.SOURCE_LACKS));
             }
         }
         assertTrue(sent <= requests * 1.2 + 41, sent + " attempts");
     }
 
     @Test
-    void withNoCacheARequestGoesStraightToItsParentWhereThatIsAllowed() {
-        RouterHarness r = new RouterHarness();
-        r.direct = true;
-        r.fleet(0, 2).start();
-        Fetch sent = fetch(r.ask("a"));
+    void withoutCachesARequestGoesToItsParentWhereThatIsAllowed() {
+        RouterHarness router = new RouterHarness();
+        router.bypassCaches = true;
+        router.addFleet(0, 2).start();
+        Fetch sent = onlyFetch(router.request("a"));
         assertTrue(sent.member() > 100);
         assertEquals(900, sent.source());
         assertEquals(0, sent.keepRank());
     }
 
     @Test
-    void withNoCacheAndNoWayPastARequestIsRefusedWithAdvice() {
-        RouterHarness r = new RouterHarness().fleet(0, 2).start();
-        Refuse refused = only(Refuse.class, r.ask("a")).get(0);
-        assertEquals(250 * MILLI, refused.retryAfter());
-        RouterHarness silent = new RouterHarness();
-        silent.retryAfter = false;
-        silent.fleet(0, 2).start();
-        assertEquals(0, only(Refuse.class, silent.ask("a")).get(0).retryAfter());
+    void withoutCachesAndBypassARequestIsRefusedWithRetryAdvice() {
+        RouterHarness router = new RouterHarness().addFleet(0, 2).start();
+        Refuse refused = ofType(Refuse.class, router.request("a")).get(0);
+        assertEquals(250 * MICROS_PER_MILLI, refused.retryAfter());
+        RouterHarness withoutAdvice = new RouterHarness();
+        withoutAdvice.retryAfter = false;
+        withoutAdvice.addFleet(0, 2).start();
+        assertEquals(0, ofType(Refuse.class, withoutAdvice.request("a")).get(0).retryAfter());
     }
 
     @Test
-    void originIsTheSourceWhenNoParentIsListed() {
-        RouterHarness r = new RouterHarness().fleet(2, 0).start();
-        assertEquals(900, fetch(r.ask("a")).source());
+    void theOriginIsTheSourceWhenNoParentIsListed() {
+        RouterHarness router = new RouterHarness().addFleet(2, 0).start();
+        assertEquals(900, onlyFetch(router.request("a")).source());
     }
 
     @Test
-    void beforeARefusalACopyPastItsFreshnessWillDo() {
-        RouterHarness r = new RouterHarness();
-        r.fresh = 2 * SECOND;
-        r.grace = 3 * SECOND;
-        r.fleet(2, 1).start();
-        Fetch sent = fetch(r.ask("a"));
-        r.now += 600 * MILLI;
+    void aStaleCopyIsTriedBeforeARefusal() {
+        RouterHarness router = new RouterHarness();
+        router.freshFor = 2 * MICROS_PER_SECOND;
+        router.staleGrace = 3 * MICROS_PER_SECOND;
+        router.addFleet(2, 1).start();
+        Fetch sent = onlyFetch(router.request("a"));
+        router.now += 600 * MICROS_PER_MILLI;
         int attempt = 0;
-        List<Action> next = r.end(sent, attempt, Outcome.FULL, FillResult.SOURCE_FAILED);
-        while (!only(Fetch.class, next).isEmpty() && fetch(next).maxAge() == 2 * SECOND) {
-            next = r.end(fetch(next), ++attempt, Outcome.FULL, FillResult.SOURCE_FAILED);
+        List<Action> next = router.endAttempt(sent, attempt, Outcome.FULL, FillResult.SOURCE_FAILED);
+        while (!ofType(Fetch.class, next).isEmpty() && onlyFetch(next).maxAge() == 2 * MICROS_PER_SECOND) {
+            next = router.endAttempt(onlyFetch(next), ++attempt, Outcome.FULL, FillResult.SOURCE_FAILED);
         }
-        Fetch stale = fetch(next);
-        assertEquals(5 * SECOND, stale.maxAge());
+        Fetch stale = onlyFetch(next);
+        assertEquals(5 * MICROS_PER_SECOND, stale.maxAge());
         assertTrue(stale.onlyIfCached());
         assertEquals(
                 1,
-                only(Refuse.class, r.end(stale, ++attempt, Outcome.MISS, FillResult.NONE))
+                ofType(Refuse.class, router.endAttempt(stale, ++attempt, Outcome.MISS, FillResult.NONE))
                         .size());
     }
 
     @Test
-    void objectsAskedForAgainAreKeptAboveOneTimeObjects() {
-        RouterHarness r = new RouterHarness().fleet(3, 2).start();
-        assertEquals(1, r.serve("a", FillResult.FILLED).keepRank());
-        assertEquals(2, r.serve("a", FillResult.HIT).keepRank());
+    void objectsRequestedAgainAreKeptAboveOneTimeObjects() {
+        RouterHarness router = new RouterHarness().addFleet(3, 2).start();
+        assertEquals(1, router.requestAndServe("a", FillResult.FILLED).keepRank());
+        assertEquals(2, router.requestAndServe("a", FillResult.HIT).keepRank());
     }
 
     @Test
-    void peersHearOfNewHoldersOnlyWhereAllowedAndTwelveTimesAMinute() {
-        RouterHarness r = noting(2);
-        int notes = 0;
+    void newHoldersAreAnnouncedOnlyWhereAllowedAndTwelveTimesAMinute() {
+        RouterHarness router = withPeerMessages(2);
+        int messages = 0;
         for (int i = 0; i < 20; i++) {
-            Fetch f = fetch(r.ask("a"));
-            notes += only(SendToPeer.class, r.end(f, 0, Outcome.OK, FillResult.FILLED))
+            Fetch fetch = onlyFetch(router.request("a"));
+            messages += ofType(SendToPeer.class, router.endAttempt(fetch, 0, Outcome.OK, FillResult.FILLED))
                     .size();
         }
-        assertEquals(12, notes);
-        RouterHarness quiet = new RouterHarness().fleet(3, 2).start();
-        Fetch f = fetch(quiet.ask("a"));
+        assertEquals(12, messages);
+        RouterHarness silent = new RouterHarness().addFleet(3, 2).start();
+        Fetch fetch = onlyFetch(silent.request("a"));
         assertEquals(
                 0,
-                only(SendToPeer.class, quiet.end(f, 0, Outcome.OK, FillResult.FILLED))
+                ofType(SendToPeer.class, silent.endAttempt(fetch, 0, Outcome.OK, FillResult.FILLED))
                         .size());
     }
 
     @Test
-    void peersNoteNamesASibling() {
-        RouterHarness teller = noting(2);
-        long home = fetch(teller.ask("a")).member();
-        teller.change(home, State.DRAINING, 0);
-        Fetch f = fetch(teller.ask("a"));
-        SendToPeer note = only(SendToPeer.class, teller.end(f, 0, Outcome.OK, FillResult.FILLED))
+    void aHolderFromAPeerMessageBecomesTheSource() {
+        RouterHarness announcer = withPeerMessages(2);
+        long home = onlyFetch(announcer.request("a")).member();
+        announcer.changeMember(home, State.DRAINING, 0);
+        Fetch fetch = onlyFetch(announcer.request("a"));
+        SendToPeer message = ofType(SendToPeer.class, announcer.endAttempt(fetch, 0, Outcome.OK, FillResult.FILLED))
                 .get(0);
-        RouterHarness hearer = noting(1);
-        hearer.handle(new PeerMessage(1, note.payload()));
-        assertEquals(f.member(), fetch(hearer.ask("a")).source());
+        RouterHarness receiver = withPeerMessages(1);
+        receiver.handle(new PeerMessage(1, message.payload()));
+        assertEquals(fetch.member(), onlyFetch(receiver.request("a")).source());
     }
 
     /**
-     * Guards the cost of notes in a tier of very many routers: once the routers of the location are known by
-     * what they told, a note goes to each of them and no longer to all; alone in its location, a router tells
-     * nobody.
+     * Guards the cost of peer messages in a tier of very many routers: once the routers of the location are known by
+     * their own messages, a message goes to each of them and no longer to all; a router that is alone in its location
+     * sends none.
      */
     @Test
-    void notesGoToTheRoutersOfTheLocationOnceKnown() {
-        RouterHarness r = noting(2);
-        Fetch first = fetch(r.ask("a"));
+    void peerMessagesGoOnlyToTheRoutersOfTheLocationOnceTheseAreKnown() {
+        RouterHarness router = withPeerMessages(2);
+        Fetch first = onlyFetch(router.request("a"));
         assertEquals(
                 -1,
-                only(SendToPeer.class, r.end(first, 0, Outcome.OK, FillResult.FILLED))
+                ofType(SendToPeer.class, router.endAttempt(first, 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
                         .router());
-        r.handle(new PeerMessage(
+        router.handle(new PeerMessage(
                 7,
-                only(SendToPeer.class, r.end(fetch(r.ask("b")), 0, Outcome.OK, FillResult.FILLED))
+                ofType(SendToPeer.class, router.endAttempt(onlyFetch(router.request("b")), 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
                         .payload()));
-        List<SendToPeer> told = only(SendToPeer.class, r.end(fetch(r.ask("c")), 0, Outcome.OK, FillResult.FILLED));
-        assertEquals(List.of(7), told.stream().map(SendToPeer::router).toList());
-        RouterHarness alone = noting(1);
-        assertTrue(only(SendToPeer.class, alone.end(fetch(alone.ask("a")), 0, Outcome.OK, FillResult.FILLED))
+        List<SendToPeer> sent = ofType(SendToPeer.class, router.endAttempt(onlyFetch(router.request("c")), 0, Outcome.OK, FillResult.FILLED));
+        assertEquals(List.of(7), sent.stream().map(SendToPeer::router).toList());
+        RouterHarness alone = withPeerMessages(1);
+        assertTrue(ofType(SendToPeer.class, alone.endAttempt(onlyFetch(alone.request("a")), 0, Outcome.OK, FillResult.FILLED))
                 .isEmpty());
     }
 
     @Test
-    void uncacheableRequestsPassThroughUntouched() {
-        RouterHarness r = new RouterHarness().fleet(3, 2).start();
-        Fetch through = fetch(r.ask("w", RouterHarness.WRITE, 0));
-        assertEquals(900, through.source());
-        assertEquals(0, through.keepRank());
+    void uncacheableRequestsGoToTheOriginAndAreNotKept() {
+        RouterHarness router = new RouterHarness().addFleet(3, 2).start();
+        Fetch fetch = onlyFetch(router.request("w", RouterHarness.WRITE, 0));
+        assertEquals(900, fetch.source());
+        assertEquals(0, fetch.keepRank());
         RouterHarness direct = new RouterHarness();
-        direct.direct = true;
-        direct.fleet(3, 2).start();
+        direct.bypassCaches = true;
+        direct.addFleet(3, 2).start();
         assertEquals(
                 900,
-                only(Lookup.class, direct.ask("w", RouterHarness.WRITE, 0))
+                ofType(Lookup.class, direct.request("w", RouterHarness.WRITE, 0))
                         .get(0)
                         .member());
     }
 
-    /** Work is not told: a fresh router must not take transfers of usual length for a jam. */
+    /** Guards against a new router that doesn't know sizes and takes transfers of the usual duration for overload. */
     @Test
-    void aFreshRouterThatIsNotToldSizesKeepsItsLimitsWhileTransfersTakeTheirUsualTime() {
-        RouterHarness r = new RouterHarness().fleet(1, 1).start();
+    void aNewRouterWithoutKnownSizesKeepsItsLimitsWhileTransfersTakeTheirUsualTime() {
+        RouterHarness router = new RouterHarness().addFleet(1, 1).start();
         for (int i = 0; i < 12; i++) {
-            Fetch fetch = fetch(r.ask("o" + i, RouterHarness.PAGE, 0));
-            r.pass(1_200 * MILLI);
-            r.handle(new AttemptEnded(
-                    fetch.id(), 0, fetch.member(), Outcome.OK, 1_200 * MILLI, true, FillResult.HIT, 0, Map.of()));
+            Fetch fetch = onlyFetch(router.request("o" + i, RouterHarness.PAGE, 0));
+            router.advance(1_200 * MICROS_PER_MILLI);
+            router.handle(new AttemptEnded(
+                    fetch.id(), 0, fetch.member(), Outcome.OK, 1_200 * MICROS_PER_MILLI, true, FillResult.HIT, 0, Map.of()));
         }
         for (int i = 0; i < 6; i++) {
             assertEquals(
-                    1, only(Fetch.class, r.ask("o" + i, RouterHarness.PAGE, 0)).size());
+                    1, ofType(Fetch.class, router.request("o" + i, RouterHarness.PAGE, 0)).size());
         }
     }
 
-    /** One parent slow by itself: it is blamed, not the origin behind it, and what it can't take goes past it. */
+    /** If one parent alone is slow, its limit falls, not the origin's, and what it can't take goes to another parent. */
     @Test
-    void fillsGoPastAParentThatAloneIsLateAndFull() {
-        RouterHarness r = new RouterHarness().fleet(1, 2).start();
+    void fillsBypassAParentThatAloneIsLateAndFull() {
+        RouterHarness router = new RouterHarness().addFleet(1, 2).start();
         long slow = 101;
         for (int i = 0; i < 40; i++) {
-            Fetch fetch = fetch(r.ask("o" + i));
-            r.pass(fetch.source() == slow ? 4 * SECOND : 100 * MILLI);
-            r.end(fetch, 0, Outcome.OK, fetch.source() == slow ? FillResult.FILLED : FillResult.FILLED_BY_ORIGIN);
+            Fetch fetch = onlyFetch(router.request("o" + i));
+            router.advance(fetch.source() == slow ? 4 * MICROS_PER_SECOND : 100 * MICROS_PER_MILLI);
+            router.endAttempt(fetch, 0, Outcome.OK, fetch.source() == slow ? FillResult.FILLED : FillResult.FILLED_BY_ORIGIN);
         }
-        int wentPast = 0;
+        int bypassed = 0;
         for (int i = 0; i < 30; i++) {
             long home =
-                    fetch(new RouterHarness().fleet(1, 2).start().ask("p" + i)).source();
-            for (Fetch fetch : only(Fetch.class, r.ask("p" + i))) {
-                wentPast += home == slow && fetch.source() == 102 ? 1 : 0;
+                    onlyFetch(new RouterHarness().addFleet(1, 2).start().request("p" + i)).source();
+            for (Fetch fetch : ofType(Fetch.class, router.request("p" + i))) {
+                bypassed += home == slow && fetch.source() == 102 ? 1 : 0;
             }
         }
-        assertTrue(wentPast > 0);
+        assertTrue(bypassed > 0);
     }
 
-    /** Notes don't tell of the origin here; that it turns direct requests away does, and fills spare it. */
+    /** Fill results don't name the origin here, but its refusals of direct requests lower its limit for fills too. */
     @Test
-    void fillsSpareAnOriginThatTurnsDirectRequestsAway() {
-        RouterHarness r = new RouterHarness().fleet(1, 1);
-        r.direct = true;
-        r.notes = RouterApi.FillReporting.HIT_ONLY;
-        r.start();
+    void fillsSpareAnOriginThatRefusesDirectRequests() {
+        RouterHarness router = new RouterHarness().addFleet(1, 1);
+        router.bypassCaches = true;
+        router.fillReporting = RouterApi.FillReporting.HIT_ONLY;
+        router.start();
         for (int i = 0; i < 30; i++) {
-            r.now += 10 * MILLI;
-            RouterApi.Lookup write = RouterHarness.lookup(r.ask("w" + i, RouterHarness.WRITE, 100));
-            r.end(write.id(), 0, write.member(), Outcome.FULL, FillResult.NONE);
+            router.now += 10 * MICROS_PER_MILLI;
+            RouterApi.Lookup write = RouterHarness.onlyLookup(router.request("w" + i, RouterHarness.WRITE, 100));
+            router.endAttempt(write.id(), 0, write.member(), Outcome.FULL, FillResult.NONE);
         }
-        long looks = 0;
+        long lookups = 0;
         for (int i = 0; i < 6; i++) {
-            looks += only(Fetch.class, r.ask("o" + i)).stream()
-                    .filter(f -> f.source() == f.member())
+            lookups += ofType(Fetch.class, router.request("o" + i)).stream()
+                    .filter(fetch -> fetch.source() == fetch.member())
                     .count();
         }
-        assertTrue(looks > 0);
+        assertTrue(lookups > 0);
     }
 
-    /** Answers all that is out, 0.1 s after it left, and what follows from that; looks find nothing. */
-    private static int answerAll(RouterHarness r, List<Fetch> out, FillResult note) {
-        java.util.Deque<Fetch> open = new java.util.ArrayDeque<>(out);
+    /**
+     * Answers these fetches, and those that follow from them, one every 5 ms and each with a latency of 0.1 s; lookups
+     * find nothing. Returns the number of fills.
+     */
+    private static int answerAll(RouterHarness router, List<Fetch> open, FillResult fillResult) {
+        java.util.Deque<Fetch> pending = new java.util.ArrayDeque<>(open);
         java.util.Map<String, Integer> attempts = new java.util.HashMap<>();
         int filled = 0;
-        while (!open.isEmpty()) {
-            Fetch f = open.poll();
-            boolean look = f.source() == f.member() || f.onlyIfCached();
-            filled += look ? 0 : 1;
-            r.now += 5 * MILLI;
-            open.addAll(only(
+        while (!pending.isEmpty()) {
+            Fetch fetch = pending.poll();
+            boolean lookup = fetch.source() == fetch.member() || fetch.onlyIfCached();
+            filled += lookup ? 0 : 1;
+            router.now += 5 * MICROS_PER_MILLI;
+            pending.addAll(ofType(
                     Fetch.class,
-                    r.end(
-                            f,
-                            attempts.merge(f.id(), 1, Integer::sum) - 1,
-                            look ? Outcome.MISS : Outcome.OK,
-                            look ? FillResult.NONE : note)));
+                    router.endAttempt(
+                            fetch,
+                            attempts.merge(fetch.id(), 1, Integer::sum) - 1,
+                            lookup ? Outcome.MISS : Outcome.OK,
+                            lookup ? FillResult.NONE : fillResult)));
         }
         return filled;
     }
 
-    private static List<Fetch> askAll(RouterHarness r, String name, int count) {
-        List<Fetch> out = new java.util.ArrayList<>();
+    private static List<Fetch> requestAll(RouterHarness router, String name, int count) {
+        List<Fetch> open = new java.util.ArrayList<>();
         for (int i = 0; i < count; i++) {
-            out.addAll(only(Fetch.class, r.ask(name + i)));
+            open.addAll(ofType(Fetch.class, router.request(name + i)));
         }
-        return out;
+        return open;
     }
 
-    private static long fills(List<Fetch> out) {
-        return out.stream()
-                .filter(f -> f.source() != f.member() && !f.onlyIfCached())
+    private static long countFills(List<Fetch> open) {
+        return open.stream()
+                .filter(fetch -> fetch.source() != fetch.member() && !fetch.onlyIfCached())
                 .count();
     }
 
-    /** Caches and parents that bear much, before an origin whose weight is one. */
-    private static RouterHarness hitsAloneAreTold() {
-        RouterHarness r = new RouterHarness().fleet(16, 4);
-        r.notes = RouterApi.FillReporting.HIT_ONLY;
-        r.weights = RouterApi.WeightMeaning.ROUGH;
-        r.members.replaceAll(m -> m.role() == RouterApi.Role.ORIGIN
+    /** Caches and parents of high capacity in front of an origin of weight one. */
+    private static RouterHarness withHitsReportedOnly() {
+        RouterHarness router = new RouterHarness().addFleet(16, 4);
+        router.fillReporting = RouterApi.FillReporting.HIT_ONLY;
+        router.weights = RouterApi.WeightMeaning.ROUGH;
+        router.members.replaceAll(m -> m.role() == RouterApi.Role.ORIGIN
                 ? m
                 : new RouterApi.Member(m.id(), m.role(), m.zone(), m.cell(), 500, m.started(), m.state()));
-        return r.start();
+        return router.start();
     }
 
-    /** No note names the origin; that all parents come late does, and its limit holds the fills through all of them. */
+    /** No fill result names the origin; when all parents are late, its limit holds back the fills through all of them. */
     @Test
     void fillsSpareTheOriginBehindParentsThatAreAllLate() {
-        RouterHarness r = hitsAloneAreTold();
+        RouterHarness router = withHitsReportedOnly();
         for (int round = 0; round < 20; round++) {
-            answerAll(r, askAll(r, "intime" + round + "-", 12), FillResult.NONE);
+            answerAll(router, requestAll(router, "intime" + round + "-", 12), FillResult.NONE);
         }
-        List<Fetch> out = askAll(r, "before", 60);
-        long before = fills(out);
-        answerAll(r, out, FillResult.NONE);
+        List<Fetch> open = requestAll(router, "before", 60);
+        long before = countFills(open);
+        answerAll(router, open, FillResult.NONE);
         for (int round = 0; round < 12; round++) {
-            List<Fetch> late = askAll(r, "late" + round + "-", 16);
-            r.pass(4 * SECOND);
-            answerAll(r, late, FillResult.NONE);
+            List<Fetch> late = requestAll(router, "late" + round + "-", 16);
+            router.advance(4 * MICROS_PER_SECOND);
+            answerAll(router, late, FillResult.NONE);
         }
-        long after = fills(askAll(r, "next", 60));
-        assertTrue(after > 0 && after < before / 2, () -> "fills let out at once: " + before + ", then " + after);
+        long after = countFills(requestAll(router, "next", 60));
+        assertTrue(after > 0 && after < before / 2, () -> "fills sent at once: " + before + ", then " + after);
     }
 
-    /** An origin's weight says nothing of it: fills through parents that come in time raise what it may have. */
+    /** The origin's weight says nothing about its capacity: fills that come on time through parents raise its limit. */
     @Test
-    void fillsInTimeRaiseWhatTheOriginMayHave() {
-        RouterHarness r = hitsAloneAreTold();
-        long first = fills(askAll(r, "first", 12));
-        r = hitsAloneAreTold();
+    void fillsOnTimeRaiseTheLimitOfTheOrigin() {
+        RouterHarness router = withHitsReportedOnly();
+        long first = countFills(requestAll(router, "first", 12));
+        router = withHitsReportedOnly();
         for (int round = 0; round < 20; round++) {
-            answerAll(r, askAll(r, "round" + round + "-", 12), FillResult.NONE);
+            answerAll(router, requestAll(router, "round" + round + "-", 12), FillResult.NONE);
         }
-        long later = fills(askAll(r, "later", 12));
+        long later = countFills(requestAll(router, "later", 12));
         assertTrue(first < 8 && later > first, () -> "at first " + first + ", later " + later);
     }
 }
--- a/src/test/java/pumicemoor/OrdinaryPathTest.java
+++ b/src/test/java/pumicemoor/OrdinaryPathTest.java
@@ -11,70 +11,70 @@
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.State;
 
-/** The design's path: hashed edge cache, remembered sibling, hashed parent, origin. */
+/** Tests the ordinary path: hashed edge cache, remembered sibling, hashed parent, origin. */
 class OrdinaryPathTest {
 
     @Test
-    void sameObjectGoesToSameCacheAndParent() {
-        RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        Fetch first = r.serve("a", FillResult.FILLED);
-        Fetch second = r.serve("a", FillResult.HIT);
+    void requestsForOneObjectGoToTheSameCacheAndParent() {
+        RouterHarness router = new RouterHarness().addFleet(4, 3).start();
+        Fetch first = router.requestAndServe("a", FillResult.FILLED);
+        Fetch second = router.requestAndServe("a", FillResult.HIT);
         assertEquals(first.member(), second.member());
         assertEquals(first.source(), second.source());
         assertTrue(first.source() > 100 && first.source() < 900);
     }
 
     @Test
-    void siblingThatHoldsTheObjectIsTheSourceOnceTheHashedCacheHasChanged() {
-        RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        Fetch first = r.serve("a", FillResult.FILLED);
+    void aSiblingThatHoldsTheObjectIsTheSourceAfterTheHashedCacheHasChanged() {
+        RouterHarness router = new RouterHarness().addFleet(4, 3).start();
+        Fetch first = router.requestAndServe("a", FillResult.FILLED);
         long home = first.member();
-        r.change(home, State.DRAINING, 0);
-        Fetch standIn = r.serve("a", FillResult.FILLED);
-        assertNotEquals(home, standIn.member());
-        r.change(home, State.READY, 0);
-        Fetch again = r.serve("a", FillResult.FILLED);
-        assertEquals(home, again.member());
-        assertEquals(standIn.member(), again.source());
+        router.changeMember(home, State.DRAINING, 0);
+        Fetch substitute = router.requestAndServe("a", FillResult.FILLED);
+        assertNotEquals(home, substitute.member());
+        router.changeMember(home, State.READY, 0);
+        Fetch afterReturn = router.requestAndServe("a", FillResult.FILLED);
+        assertEquals(home, afterReturn.member());
+        assertEquals(substitute.member(), afterReturn.source());
     }
 
     @Test
-    void referenceFadesAfterItsLife() {
-        RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        long home = r.serve("a", FillResult.FILLED).member();
-        r.change(home, State.DRAINING, 0);
-        r.serve("a", FillResult.FILLED);
-        r.change(home, State.READY, 0);
-        r.now += 31 * RouterHarness.SECOND;
-        assertTrue(RouterHarness.fetch(r.ask("a")).source() > 100);
+    void aReferenceToAHolderExpires() {
+        RouterHarness router = new RouterHarness().addFleet(4, 3).start();
+        long home = router.requestAndServe("a", FillResult.FILLED).member();
+        router.changeMember(home, State.DRAINING, 0);
+        router.requestAndServe("a", FillResult.FILLED);
+        router.changeMember(home, State.READY, 0);
+        router.now += 31 * RouterHarness.MICROS_PER_SECOND;
+        assertTrue(RouterHarness.onlyFetch(router.request("a")).source() > 100);
     }
 
     @Test
-    void restartedSiblingIsForgotten() {
-        RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        long home = r.serve("a", FillResult.FILLED).member();
-        r.change(home, State.DRAINING, 0);
-        long standIn = r.serve("a", FillResult.FILLED).member();
-        r.change(home, State.READY, 0);
-        r.change(standIn, State.READY, r.now - 60 * RouterHarness.SECOND);
-        assertTrue(RouterHarness.fetch(r.ask("a")).source() > 100);
+    void aRestartedSiblingIsNoLongerAHolder() {
+        RouterHarness router = new RouterHarness().addFleet(4, 3).start();
+        long home = router.requestAndServe("a", FillResult.FILLED).member();
+        router.changeMember(home, State.DRAINING, 0);
+        long substitute = router.requestAndServe("a", FillResult.FILLED).member();
+        router.changeMember(home, State.READY, 0);
+        router.changeMember(substitute, State.READY, router.now - 60 * RouterHarness.MICROS_PER_SECOND);
+        assertTrue(RouterHarness.onlyFetch(router.request("a")).source() > 100);
     }
 
     @Test
-    void noMemberAtAllStillGetsOneFinalAnswer() {
-        RouterHarness r = new RouterHarness().start();
-        assertEquals(1, RouterHarness.only(Refuse.class, r.ask("a")).size());
+    void withoutAnyMemberARequestStillGetsOneFinalAnswer() {
+        RouterHarness router = new RouterHarness().start();
+        assertEquals(1, RouterHarness.ofType(Refuse.class, router.request("a")).size());
     }
 
     @Test
-    void failedFillFromSiblingMovesOnToTheParent() {
-        RouterHarness r = new RouterHarness().fleet(4, 3).start();
-        long home = r.serve("a", FillResult.FILLED).member();
-        r.change(home, State.DRAINING, 0);
-        r.serve("a", FillResult.FILLED);
-        r.change(home, State.READY, 0);
-        Fetch fromSibling = RouterHarness.fetch(r.ask("a"));
-        Fetch next = RouterHarness.fetch(r.end(fromSibling, 0, Outcome.MISS, FillResult.SOURCE_LACKS));
+    void afterAFailedFillFromASiblingTheParentIsTheSource() {
+        RouterHarness router = new RouterHarness().addFleet(4, 3).start();
+        long home = router.requestAndServe("a", FillResult.FILLED).member();
+        router.changeMember(home, State.DRAINING, 0);
+        router.requestAndServe("a", FillResult.FILLED);
+        router.changeMember(home, State.READY, 0);
+        Fetch fromSibling = RouterHarness.onlyFetch(router.request("a"));
+        Fetch next = RouterHarness.onlyFetch(router.endAttempt(fromSibling, 0, Outcome.MISS, FillResult.SOURCE_LACKS));
         assertTrue(next.source() > 100);
     }
 }
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -32,62 +32,64 @@
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.WeightMeaning;
 
-/** Drives one router by hand: a clock, a fleet and the actions that come back. */
+/**
+ * Drives one router with a simulated clock and fleet, and returns the actions that it requests. Times are microseconds.
+ */
 final class RouterHarness {
 
-    static final long MILLI = 1_000;
-    static final long SECOND = 1_000_000;
+    static final long MICROS_PER_MILLI = 1_000;
+    static final long MICROS_PER_SECOND = 1_000_000;
     static final int HOME = 0;
     static final int HUB = 1;
     static final int PAGE = 0;
     static final int WRITE = 1;
 
-    /** Settings that a test may vary before it starts the router. */
-    Idempotency effect = Idempotency.SAFE;
+    // settings that a test may change before it starts the router
+    Idempotency idempotency = Idempotency.SAFE;
 
-    DeduplicationScope group = DeduplicationScope.ALL;
-    boolean direct;
+    DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
+    boolean bypassCaches;
     boolean joins = true;
     boolean cancel = true;
-    boolean secondCopies = true;
+    boolean hedging = true;
     boolean retryAfter = true;
-    boolean peerNotes;
+    boolean peerMessages;
     boolean probes;
-    long fresh;
-    int routersHere = 1;
-    int attempts = 8;
-    FillReporting notes = FillReporting.ALL;
+    long freshFor;
+    int localRouters = 1;
+    int maxAttempts = 8;
+    FillReporting fillReporting = FillReporting.ALL;
     WeightMeaning weights = WeightMeaning.NONE;
-    long grace;
+    long staleGrace;
 
-    long now = 1_000 * SECOND;
+    long now = 1_000 * MICROS_PER_SECOND;
     final List<Member> members = new ArrayList<>();
     private Logic logic;
-    private int requests;
+    private int requestCount;
 
     Settings settings() {
         List<RequestClass> classes = List.of(
                 new RequestClass(
                         "page",
-                        500 * MILLI,
+                        500 * MICROS_PER_MILLI,
                         2,
-                        5 * SECOND,
+                        5 * MICROS_PER_SECOND,
                         1,
                         0.2,
-                        effect,
-                        group,
-                        5 * SECOND,
+                        idempotency,
+                        deduplicationScope,
+                        5 * MICROS_PER_SECOND,
                         false,
                         false,
                         false,
-                        fresh,
-                        grace,
+                        freshFor,
+                        staleGrace,
                         0.5),
                 new RequestClass(
                         "write",
-                        700 * MILLI,
+                        700 * MICROS_PER_MILLI,
                         0,
-                        3 * SECOND,
+                        3 * MICROS_PER_SECOND,
                         3,
                         0,
                         Idempotency.UNSAFE,
@@ -101,39 +103,39 @@
                         0));
         return new Settings(
                 0,
-                2 * routersHere,
+                2 * localRouters,
                 HOME,
-                List.of(routersHere, 0),
+                List.of(localRouters, 0),
                 List.of(HUB, HUB),
                 classes,
                 new Limits(
-                        attempts, 1000, probes, peerNotes, cancel, secondCopies, retryAfter, 500 * MILLI, 400 * MILLI),
+                        maxAttempts, 1000, probes, peerMessages, cancel, hedging, retryAfter, 500 * MICROS_PER_MILLI, 400 * MICROS_PER_MILLI),
                 new Rules(
-                        8 * MILLI,
-                        2 * SECOND,
-                        new SlowStart(0.2, 10 * SECOND, 2.5),
-                        new SlowStart(0.1, 20 * SECOND, 2),
-                        SECOND,
-                        SECOND,
-                        6 * SECOND,
-                        10 * SECOND),
+                        8 * MICROS_PER_MILLI,
+                        2 * MICROS_PER_SECOND,
+                        new SlowStart(0.2, 10 * MICROS_PER_SECOND, 2.5),
+                        new SlowStart(0.1, 20 * MICROS_PER_SECOND, 2),
+                        MICROS_PER_SECOND,
+                        MICROS_PER_SECOND,
+                        6 * MICROS_PER_SECOND,
+                        10 * MICROS_PER_SECOND),
                 new Costs(0.01, 0.1, 0.01, 0, 0.03, 0.1, 0.05),
-                new Fills(direct, joins, SiblingScope.LOCATION, notes, 10_000, 0, 0, List.of(0.0, 0.0)),
+                new Fills(bypassCaches, joins, SiblingScope.LOCATION, fillReporting, 10_000, 0, 0, List.of(0.0, 0.0)),
                 new LoadReports(LoadReportSource.NONE, List.of()),
                 false,
                 weights,
                 false);
     }
 
-    /** A router with the members added so far on its remembered list. */
+    /** Starts the router with the members added so far as its restored list. */
     RouterHarness start() {
         logic = new Logic(settings(), 7);
-        list(MemberListKind.RESTORED);
+        sendMemberList(MemberListKind.RESTORED);
         return this;
     }
 
-    /** Caches 1 to n of the home location, parents 101 and on, and one origin, 900. */
-    RouterHarness fleet(int caches, int parents) {
+    /** Adds caches 1 to n of the home location, parents from 101 on, and one origin, 900. */
+    RouterHarness addFleet(int caches, int parents) {
         for (int i = 1; i <= caches; i++) {
             add(i, Role.CACHE, HOME);
         }
@@ -148,14 +150,14 @@
         members.add(new Member(id, role, zone, 0, 1, 0, State.READY));
     }
 
-    List<Action> change(long id, State state, long started) {
-        Member old = members.stream().filter(m -> m.id() == id).findFirst().orElseThrow();
-        Member changed = new Member(id, old.role(), old.zone(), old.cell(), old.weight(), started, state);
-        members.set(members.indexOf(old), changed);
+    List<Action> changeMember(long id, State state, long started) {
+        Member previous = members.stream().filter(m -> m.id() == id).findFirst().orElseThrow();
+        Member changed = new Member(id, previous.role(), previous.zone(), previous.cell(), previous.weight(), started, state);
+        members.set(members.indexOf(previous), changed);
         return handle(new MemberListUpdate(MemberListKind.DELTA, 2, List.of(changed)));
     }
 
-    List<Action> list(MemberListKind kind) {
+    List<Action> sendMemberList(MemberListKind kind) {
         return handle(new MemberListUpdate(kind, 1, List.copyOf(members)));
     }
 
@@ -165,61 +167,61 @@
         return actions;
     }
 
-    /** Lets time pass with the timer's ticks; returns all that the router did meanwhile. */
-    List<Action> pass(long span) {
+    /** Advances the clock with the timer's ticks and returns all actions of that time. */
+    List<Action> advance(long micros) {
         List<Action> actions = new ArrayList<>();
-        long end = now + span;
-        while (now < end) {
-            now = Math.min(end, now + 20 * MILLI);
+        long until = now + micros;
+        while (now < until) {
+            now = Math.min(until, now + 20 * MICROS_PER_MILLI);
             actions.addAll(handle(new TimerDue(0)));
         }
         return actions;
     }
 
-    List<Action> ask(String object) {
-        return ask(object, PAGE, 1_000);
+    List<Action> request(String object) {
+        return request(object, PAGE, 1_000);
     }
 
-    /** A request named q1, q2, ... in order of arrival. */
-    List<Action> ask(String object, int requestClass, double sizeKb) {
-        long left = requestClass == WRITE ? 3 * SECOND : 5 * SECOND;
-        return handle(new RequestArrived("q" + ++requests, requestClass, object, 0, 4, sizeKb, left, false));
+    /** Sends a request; the ids are q1, q2, ... in order of arrival. */
+    List<Action> request(String object, int requestClass, double sizeKb) {
+        long timeLeft = requestClass == WRITE ? 3 * MICROS_PER_SECOND : 5 * MICROS_PER_SECOND;
+        return handle(new RequestArrived("q" + ++requestCount, requestClass, object, 0, 4, sizeKb, timeLeft, false));
     }
 
-    List<Action> end(Fetch fetch, int attempt, Outcome outcome, FillResult note) {
-        return end(fetch.id(), attempt, fetch.member(), outcome, note);
+    List<Action> endAttempt(Fetch fetch, int attempt, Outcome outcome, FillResult fillResult) {
+        return endAttempt(fetch.id(), attempt, fetch.member(), outcome, fillResult);
     }
 
-    List<Action> end(String id, int attempt, long member, Outcome outcome, FillResult note) {
+    List<Action> endAttempt(String id, int attempt, long member, Outcome outcome, FillResult fillResult) {
         return handle(
-                new AttemptEnded(id, attempt, member, outcome, 100 * MILLI, outcome == Outcome.OK, note, 0, Map.of()));
+                new AttemptEnded(id, attempt, member, outcome, 100 * MICROS_PER_MILLI, outcome == Outcome.OK, fillResult, 0, Map.of()));
     }
 
-    /** Asks for an object and serves it; returns how it was sent. */
-    Fetch serve(String object, FillResult note) {
-        Fetch fetch = fetch(ask(object));
-        now += 100 * MILLI;
-        end(fetch, 0, Outcome.OK, note);
+    /** Requests an object, answers the attempt after 100 ms, and returns the fetch. */
+    Fetch requestAndServe(String object, FillResult fillResult) {
+        Fetch fetch = onlyFetch(request(object));
+        now += 100 * MICROS_PER_MILLI;
+        endAttempt(fetch, 0, Outcome.OK, fillResult);
         return fetch;
     }
 
-    static <T extends Action> List<T> only(Class<T> type, List<Action> actions) {
+    static <T extends Action> List<T> ofType(Class<T> type, List<Action> actions) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** The one fetch among these actions. */
-    static Fetch fetch(List<Action> actions) {
-        List<Fetch> fetches = only(Fetch.class, actions);
+    /** Returns the fetch among these actions, of which there must be exactly one. */
+    static Fetch onlyFetch(List<Action> actions) {
+        List<Fetch> fetches = ofType(Fetch.class, actions);
         if (fetches.size() != 1) {
-            throw new AssertionError("not one fetch: " + actions);
+            throw new AssertionError("expected exactly one fetch: " + actions);
         }
         return fetches.get(0);
     }
 
-    static Lookup lookup(List<Action> actions) {
-        List<Lookup> lookups = only(Lookup.class, actions);
+    static Lookup onlyLookup(List<Action> actions) {
+        List<Lookup> lookups = ofType(Lookup.class, actions);
         if (lookups.size() != 1) {
-            throw new AssertionError("not one lookup: " + actions);
+            throw new AssertionError("expected exactly one lookup: " + actions);
         }
         return lookups.get(0);
     }
--- a/src/test/java/pumicemoor/ShrunkenFleetTest.java
+++ b/src/test/java/pumicemoor/ShrunkenFleetTest.java
@@ -1,8 +1,8 @@
 package pumicemoor;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static pumicemoor.RouterHarness.MILLI;
-import static pumicemoor.RouterHarness.only;
+import static pumicemoor.RouterHarness.MICROS_PER_MILLI;
+import static pumicemoor.RouterHarness.ofType;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,53 +18,53 @@
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.Role;
 
-/** Lists that have lost nearly all: every request still gets its one final answer. */
+/** Tests that every request gets exactly one final answer after the member list has lost nearly all members. */
 class ShrunkenFleetTest {
 
-    /** Lets every attempt for a request miss, and time pass; returns the final answers given. */
-    private static long finals(RouterHarness r, List<Action> actions) {
-        List<Action> all = new ArrayList<>(actions);
+    /** Ends every attempt for a request with a miss while time passes; returns the number of final answers. */
+    private static long finalAnswers(RouterHarness router, List<Action> actions) {
+        List<Action> seen = new ArrayList<>(actions);
         int attempts = 0;
         for (int step = 0; step < 60; step++) {
-            for (Fetch fetch : only(Fetch.class, all)
-                    .subList(attempts, only(Fetch.class, all).size())) {
-                all.addAll(r.end(fetch.id(), attempts++, fetch.member(), Outcome.MISS, FillResult.SOURCE_LACKS));
+            for (Fetch fetch : ofType(Fetch.class, seen)
+                    .subList(attempts, ofType(Fetch.class, seen).size())) {
+                seen.addAll(router.endAttempt(fetch.id(), attempts++, fetch.member(), Outcome.MISS, FillResult.SOURCE_LACKS));
             }
-            all.addAll(r.pass(100 * MILLI));
+            seen.addAll(router.advance(100 * MICROS_PER_MILLI));
         }
-        return only(Refuse.class, all).size() + only(Fail.class, all).size();
+        return ofType(Refuse.class, seen).size() + ofType(Fail.class, seen).size();
     }
 
     @Test
-    void aLocationWithoutAnyCacheAnswersAtTheDeadlineAtTheLatest() {
-        RouterHarness r = new RouterHarness().fleet(0, 2).start();
-        assertEquals(1, finals(r, r.ask("a")));
+    void aLocationWithoutAnyCacheAnswersByTheDeadline() {
+        RouterHarness router = new RouterHarness().addFleet(0, 2).start();
+        assertEquals(1, finalAnswers(router, router.request("a")));
     }
 
     @Test
     void aListThatShrinksFromHundredsToOneCacheStillServes() {
-        RouterHarness r = new RouterHarness().fleet(90, 20);
+        RouterHarness router = new RouterHarness().addFleet(90, 20);
         for (int i = 1; i <= 300; i++) {
-            r.add(1_000 + i, Role.CACHE, RouterHarness.HUB);
+            router.add(1_000 + i, Role.CACHE, RouterHarness.HUB);
         }
-        r.start();
-        r.ask("before");
-        r.members.removeIf(m -> m.id() != 7);
-        r.list(MemberListKind.SNAPSHOT);
-        List<Action> sent = r.ask("after");
-        assertEquals(7, only(Fetch.class, sent).get(0).member());
-        assertEquals(1, finals(r, sent));
+        router.start();
+        router.request("before");
+        router.members.removeIf(m -> m.id() != 7);
+        router.sendMemberList(MemberListKind.SNAPSHOT);
+        List<Action> sent = router.request("after");
+        assertEquals(7, ofType(Fetch.class, sent).get(0).member());
+        assertEquals(1, finalAnswers(router, sent));
     }
 
-    /** The settings may count no router here, or none at all, when this one is not on the list. */
+    /** The settings may count no router in this location, or none at all, when this router is not listed. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 250})
-    void anyCountOfRoutersIsBorneWhileMembersAreCold(int routersHere) {
-        RouterHarness r = new RouterHarness();
-        r.routersHere = routersHere;
-        r.fleet(1, 1).start();
-        r.change(1, RouterApi.State.READY, r.now);
-        r.change(101, RouterApi.State.READY, r.now);
-        assertEquals(1, finals(r, r.ask("a")));
+    void anyNumberOfLocalRoutersWorksWhileMembersAreInSlowStart(int localRouters) {
+        RouterHarness router = new RouterHarness();
+        router.localRouters = localRouters;
+        router.addFleet(1, 1).start();
+        router.changeMember(1, RouterApi.State.READY, router.now);
+        router.changeMember(101, RouterApi.State.READY, router.now);
+        assertEquals(1, finalAnswers(router, router.request("a")));
     }
 }
