--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -28,76 +28,76 @@
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
 
-/** Many routers before the caches of one location, with books kept over all of them together. */
+/** Simulates many routers in front of the caches of one location and checks the load that they cause together. */
 class FleetTest {
 
-    private static final long MILLI = RouterHarness.MILLI;
-    private static final long SECOND = RouterHarness.SECOND;
-    private static final double WIDTH = 6; // transfers that a cache's link fits
-    private static final long WORK = 200 * MILLI;
-    private static final int COLD = 1;
-    private static final int COLD_PARENT = 101;
+    private static final long MICROS_PER_MILLI = RouterHarness.MICROS_PER_MILLI;
+    private static final long MICROS_PER_SECOND = RouterHarness.MICROS_PER_SECOND;
+    private static final double CACHE_TRANSFERS = 6; // at a time, that fit the link of a cache
+    private static final long TRANSFER_MICROS = 200 * MICROS_PER_MILLI;
+    private static final int RESTARTED_CACHE = 1;
+    private static final int RESTARTED_PARENT = 101;
 
-    private record Later(long at, long order, Runnable what) {}
+    private record ScheduledTask(long at, long sequence, Runnable task) {}
 
-    private final PriorityQueue<Later> agenda =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final RouterHarness setup = new RouterHarness();
+    private final PriorityQueue<ScheduledTask> tasks =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private final RouterHarness harness = new RouterHarness();
     private final List<Logic> routers = new ArrayList<>();
-    private final Deque<Long> toCold = new ArrayDeque<>();
+    private final Deque<Long> recentSends = new ArrayDeque<>();
     private final Random random = new Random(5);
-    private long now = 1_000 * SECOND;
-    private long coldFrom = Long.MAX_VALUE;
-    private long drainsAfter = Long.MAX_VALUE; // of the start, where the cold one was out before
-    private long outFrom = Long.MAX_VALUE;
-    private int sentWhileOut;
-    private long order;
-    private int asked;
-    private int sentToCold;
-    private int open;
-    private int mostOpen;
-    private double coldWidth = WIDTH;
-    private long cold = COLD;
-    private double worst;
-    private double shareLate;
-
-    private void later(long delay, Runnable what) {
-        agenda.add(new Later(now + delay, order++, what));
+    private long now = 1_000 * MICROS_PER_SECOND;
+    private long restartedAt = Long.MAX_VALUE;
+    private long drainDelayMicros = Long.MAX_VALUE; // from the start; MAX_VALUE: the observed member doesn't drain
+    private long drainedAt = Long.MAX_VALUE;
+    private int sentWhileDraining;
+    private long taskSequence;
+    private int requestCount;
+    private int sentAfterRestart;
+    private int openAttempts;
+    private int maxOpenAttempts;
+    private double observedTransfers = CACHE_TRANSFERS;
+    private long observedMember = RESTARTED_CACHE;
+    private double maxBudgetUse;
+    private double timeoutShare;
+
+    private void schedule(long delay, Runnable task) {
+        tasks.add(new ScheduledTask(now + delay, taskSequence++, task));
     }
 
-    /** A location of four caches, loaded as told, whose first restarts after ten seconds. */
-    private void play(int crew, double load, double late, List<Integer> restarted) {
-        shareLate = late;
-        setup.routersHere = crew;
-        setup.fleet(4, 2);
-        for (int i = 0; i < crew; i++) {
-            Logic router = new Logic(setup.settings(), random.nextLong());
+    /** Simulates a location of four caches under this load; the given members restart after ten seconds. */
+    private void simulate(int localRouters, double load, double timeouts, List<Integer> restartedIds) {
+        timeoutShare = timeouts;
+        harness.localRouters = localRouters;
+        harness.addFleet(4, 2);
+        for (int i = 0; i < localRouters; i++) {
+            Logic router = new Logic(harness.settings(), random.nextLong());
             routers.add(router);
-            handle(router, new MemberListUpdate(MemberListKind.RESTORED, 1, List.copyOf(setup.members)));
+            handle(router, new MemberListUpdate(MemberListKind.RESTORED, 1, List.copyOf(harness.members)));
         }
         for (long at = 0;
-                at < 22 * SECOND;
-                at += (long) (-Math.log(1 - random.nextDouble()) * WORK / (4 * WIDTH * load))) {
-            later(at, () -> {
-                Logic router = routers.get(random.nextInt(crew));
+                at < 22 * MICROS_PER_SECOND;
+                at += (long) (-Math.log(1 - random.nextDouble()) * TRANSFER_MICROS / (4 * CACHE_TRANSFERS * load))) {
+            schedule(at, () -> {
+                Logic router = routers.get(random.nextInt(localRouters));
                 handle(
                         router,
                         new RequestArrived(
-                                "r" + asked++,
+                                "r" + requestCount++,
                                 RouterHarness.PAGE,
                                 "o" + random.nextInt(400),
                                 0,
                                 4,
-                                10.0 * WORK / MILLI,
-                                5 * SECOND,
+                                10.0 * TRANSFER_MICROS / MICROS_PER_MILLI,
+                                5 * MICROS_PER_SECOND,
                                 false));
             });
         }
-        if (drainsAfter < Long.MAX_VALUE) {
-            later(drainsAfter, () -> {
-                outFrom = now;
-                Member out = setup.members.stream()
-                        .filter(m -> m.id() == cold)
+        if (drainDelayMicros < Long.MAX_VALUE) {
+            schedule(drainDelayMicros, () -> {
+                drainedAt = now;
+                Member draining = harness.members.stream()
+                        .filter(m -> m.id() == observedMember)
                         .findFirst()
                         .orElseThrow();
                 routers.forEach(r -> handle(
@@ -106,25 +106,25 @@
                                 MemberListKind.DELTA,
                                 2,
                                 List.of(new Member(
-                                        out.id(), out.role(), out.zone(), 0, 1, out.started(), State.DRAINING)))));
+                                        draining.id(), draining.role(), draining.zone(), 0, 1, draining.started(), State.DRAINING)))));
             });
         }
-        later(10 * SECOND, () -> {
-            coldFrom = now;
-            for (int id : restarted) {
-                Member old = setup.members.stream()
+        schedule(10 * MICROS_PER_SECOND, () -> {
+            restartedAt = now;
+            for (int id : restartedIds) {
+                Member previous = harness.members.stream()
                         .filter(m -> m.id() == id)
                         .findFirst()
                         .orElseThrow();
-                Member young = new Member(id, old.role(), old.zone(), 0, 1, now, State.READY);
-                setup.members.set(setup.members.indexOf(old), young);
-                routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.DELTA, 2, List.of(young))));
+                Member restartedMember = new Member(id, previous.role(), previous.zone(), 0, 1, now, State.READY);
+                harness.members.set(harness.members.indexOf(previous), restartedMember);
+                routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.DELTA, 2, List.of(restartedMember))));
             }
         });
-        while (!agenda.isEmpty() && agenda.peek().at < 1_020 * SECOND) {
-            Later next = agenda.poll();
+        while (!tasks.isEmpty() && tasks.peek().at < 1_020 * MICROS_PER_SECOND) {
+            ScheduledTask next = tasks.poll();
             now = next.at;
-            next.what.run();
+            next.task.run();
         }
     }
 
@@ -132,114 +132,114 @@
         List<Action> actions = new ArrayList<>();
         router.handle(now, event, actions::add);
         for (Action action : actions) {
-            if (action instanceof SetTimer t) {
-                later(t.delay(), () -> handle(router, new TimerDue(t.token())));
-            } else if (action instanceof Fetch f) {
-                sent(router, f);
+            if (action instanceof SetTimer timer) {
+                schedule(timer.delay(), () -> handle(router, new TimerDue(timer.token())));
+            } else if (action instanceof Fetch fetch) {
+                handleFetch(router, fetch);
             }
         }
     }
 
-    private void sent(Logic router, Fetch f) {
-        boolean fails = (f.member() != cold || now < coldFrom) && random.nextDouble() < shareLate;
-        if ((f.member() == cold || f.source() == cold) && now >= outFrom && now < coldFrom) {
-            sentWhileOut++;
+    private void handleFetch(Logic router, Fetch fetch) {
+        boolean timesOut = (fetch.member() != observedMember || now < restartedAt) && random.nextDouble() < timeoutShare;
+        if ((fetch.member() == observedMember || fetch.source() == observedMember) && now >= drainedAt && now < restartedAt) {
+            sentWhileDraining++;
         }
-        if ((f.member() == cold || f.source() == cold) && now >= coldFrom) {
-            sentToCold++;
-            bookCold();
+        if ((fetch.member() == observedMember || fetch.source() == observedMember) && now >= restartedAt) {
+            sentAfterRestart++;
+            recordBudgetUse();
         }
         int attempt = 0;
-        open++;
-        mostOpen = Math.max(mostOpen, now > 1_015 * SECOND ? open : 0);
-        later(fails ? 2 * SECOND : WORK, () -> open--);
-        later(
-                fails ? 2 * SECOND : WORK,
+        openAttempts++;
+        maxOpenAttempts = Math.max(maxOpenAttempts, now > 1_015 * MICROS_PER_SECOND ? openAttempts : 0);
+        schedule(timesOut ? 2 * MICROS_PER_SECOND : TRANSFER_MICROS, () -> openAttempts--);
+        schedule(
+                timesOut ? 2 * MICROS_PER_SECOND : TRANSFER_MICROS,
                 () -> handle(
                         router,
                         new AttemptEnded(
-                                f.id(),
+                                fetch.id(),
                                 attempt,
-                                f.member(),
-                                fails ? Outcome.TIMEOUT : Outcome.OK,
-                                fails ? 2 * SECOND : WORK,
+                                fetch.member(),
+                                timesOut ? Outcome.TIMEOUT : Outcome.OK,
+                                timesOut ? 2 * MICROS_PER_SECOND : TRANSFER_MICROS,
                                 true,
-                                fails ? FillResult.NONE : cold == COLD ? FillResult.HIT : FillResult.FILLED,
+                                timesOut ? FillResult.NONE : observedMember == RESTARTED_CACHE ? FillResult.HIT : FillResult.FILLED,
                                 0,
                                 Map.of())));
     }
 
-    private void bookCold() {
-        Rules rules = setup.settings().rules();
-        SlowStart start = cold == COLD ? rules.cacheSlowStart() : rules.parentSlowStart();
-        toCold.add(now);
-        while (toCold.peekFirst() <= now - rules.overloadWindow()) {
-            toCold.removeFirst();
+    private void recordBudgetUse() {
+        Rules rules = harness.settings().rules();
+        SlowStart slowStart = observedMember == RESTARTED_CACHE ? rules.cacheSlowStart() : rules.parentSlowStart();
+        recentSends.add(now);
+        while (recentSends.peekFirst() <= now - rules.overloadWindow()) {
+            recentSends.removeFirst();
         }
-        double share = start.initialShare() + (1 - start.initialShare()) * (now - coldFrom) / start.rampDuration();
-        double budget = start.overloadFactor() * share * coldWidth * rules.overloadWindow();
-        worst = Math.max(worst, toCold.size() * WORK / budget);
+        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * (now - restartedAt) / slowStart.rampDuration();
+        double budget = slowStart.overloadFactor() * share * observedTransfers * rules.overloadWindow();
+        maxBudgetUse = Math.max(maxBudgetUse, recentSends.size() * TRANSFER_MICROS / budget);
     }
 
-    /** A share far under one request neither rounds up to one each nor down to none. */
+    /** Guards against a budget share far below one request that is rounded up to one for each router, or down to none. */
     @ParameterizedTest
     @ValueSource(ints = {1, 12, 60})
-    void aCrewOfAnySizeWarmsACacheWithoutPushingItOver(int crew) {
-        play(crew, 0.6, 0, List.of(COLD));
-        assertTrue(worst <= 1, "used " + worst + " of the budget in a span");
-        assertTrue(sentToCold > 40, "only " + sentToCold + " requests in ten seconds");
+    void anyNumberOfLocalRoutersWarmsACacheWithoutOverloadingIt(int localRouters) {
+        simulate(localRouters, 0.6, 0, List.of(RESTARTED_CACHE));
+        assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the budget in a window");
+        assertTrue(sentAfterRestart > 40, "only " + sentAfterRestart + " requests in ten seconds");
     }
 
-    /** As drains have it: nothing while it is out, and back it is cold though it may be the same process. */
+    /** A drained cache gets nothing, and is in slow start when it is back, though it may be the same process. */
     @ParameterizedTest
     @ValueSource(ints = {1, 12, 60})
-    void aCacheThatWasOutIsLeftAloneAndWarmsWithoutBeingPushedOver(int crew) {
-        drainsAfter = 6 * SECOND;
-        play(crew, 0.95, 0, List.of(COLD));
-        assertEquals(0, sentWhileOut);
-        assertTrue(worst <= 1, "used " + worst + " of the budget in a span");
-        assertTrue(sentToCold > 40, "only " + sentToCold + " requests in ten seconds");
+    void aDrainedCacheGetsNothingAndThenWarmsWithoutOverload(int localRouters) {
+        drainDelayMicros = 6 * MICROS_PER_SECOND;
+        simulate(localRouters, 0.95, 0, List.of(RESTARTED_CACHE));
+        assertEquals(0, sentWhileDraining);
+        assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the budget in a window");
+        assertTrue(sentAfterRestart > 40, "only " + sentAfterRestart + " requests in ten seconds");
     }
 
-    /** What is sent to overloaded members says nothing of what they can bear; what they serve does. */
+    /** The capacity of overloaded members is judged by what they serve, not by what is sent to them. */
     @Test
-    void overloadOfWarmMembersDoesNotRaiseTheColdBudget() {
-        play(12, 2.4, 0.6, List.of(COLD));
-        assertTrue(worst <= 1, "used " + worst + " of the budget in a span");
+    void overloadOfWarmMembersDoesNotRaiseTheSlowStartBudget() {
+        simulate(12, 2.4, 0.6, List.of(RESTARTED_CACHE));
+        assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the budget in a window");
     }
 
-    /** Sizes are not told here: the one that starts may be far smaller than those that show what is usual. */
+    /** Capacities are not known here: the restarted cache may be far smaller than the warm ones that serve as reference. */
     @Test
-    void aColdCacheSmallerThanTheWarmOnesIsNotPushedOver() {
-        coldWidth = 3.4;
-        play(11, 0.9, 0, List.of(COLD));
-        assertTrue(worst <= 1, "used " + worst + " of the budget in a span");
+    void aRestartedCacheSmallerThanTheWarmOnesIsNotOverloaded() {
+        observedTransfers = 3.4;
+        simulate(11, 0.9, 0, List.of(RESTARTED_CACHE));
+        assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the budget in a window");
     }
 
-    /** With no warm cache left to learn from, the returned ones are still filled, each within its budget. */
+    /** Without any warm cache as reference the restarted ones still get requests, each within its budget. */
     @Test
-    void aLocationThatReturnsWholeIsNeitherPushedOverNorLeftIdle() {
-        play(12, 0.8, 0, List.of(1, 2, 3, 4));
-        assertTrue(worst <= 1, "used " + worst + " of the budget in a span");
-        assertTrue(sentToCold > 40, "only " + sentToCold + " requests in ten seconds");
+    void aLocationWhoseCachesAllRestartIsNeitherOverloadedNorIdle() {
+        simulate(12, 0.8, 0, List.of(1, 2, 3, 4));
+        assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the budget in a window");
+        assertTrue(sentAfterRestart > 40, "only " + sentAfterRestart + " requests in ten seconds");
     }
 
-    /** What a member may have of a location doesn't grow with the number of routers that send to it. */
+    /** Guards against a limit of a member that grows with the number of routers that send to it. */
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 20})
-    void theRoutersOfALocationTogetherKeepToTheLimitsOfItsCaches(int crew) {
-        play(crew, 3, 1, List.of()); // four caches at a first limit of 48 attempts each, sizes untold
-        assertTrue(mostOpen <= 400, mostOpen + " attempts were out at four caches that answer nothing in time");
+    void theRoutersOfALocationTogetherKeepToTheLimitsOfItsCaches(int localRouters) {
+        simulate(localRouters, 3, 1, List.of()); // four caches of unknown capacity, each with an initial limit of 48 attempts
+        assertTrue(maxOpenAttempts <= 400, maxOpenAttempts + " attempts were open at four caches that answer nothing in time");
     }
 
-    /** A parent is everyone's: its budget is divided by very many, and fills are what it is asked for. */
+    /** A parent serves the routers of all locations, so its budget is divided among very many; it is sent fills. */
     @ParameterizedTest
     @ValueSource(ints = {2, 40, 240})
-    void fillsOfHundredsOfRoutersWarmAParentWithoutPushingItOver(int crew) {
-        cold = COLD_PARENT;
-        coldWidth = 20;
-        play(crew, 0.8, 0, List.of(COLD_PARENT));
-        assertTrue(worst <= 1, "used " + worst + " of the budget in a span");
-        assertTrue(sentToCold > 20, "only " + sentToCold + " fills in ten seconds");
+    void fillsOfHundredsOfRoutersWarmAParentWithoutOverloadingIt(int localRouters) {
+        observedMember = RESTARTED_PARENT;
+        observedTransfers = 20;
+        simulate(localRouters, 0.8, 0, List.of(RESTARTED_PARENT));
+        assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the budget in a window");
+        assertTrue(sentAfterRestart > 20, "only " + sentAfterRestart + " fills in ten seconds");
     }
 }
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -39,93 +39,93 @@
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.WeightMeaning;
 
-/** Long random but legal days, on which all five rules are checked from outside, with books of its own. */
+/** Simulates random but valid days and checks all five rules from outside, by the test's own records. */
 class RandomDaysTest {
 
-    private static final long MILLI = RouterHarness.MILLI;
-    private static final long SECOND = RouterHarness.SECOND;
-    private static final double WIDTH = 6;
-    private static final long WORK = 100 * MILLI;
+    private static final long MICROS_PER_MILLI = RouterHarness.MICROS_PER_MILLI;
+    private static final long MICROS_PER_SECOND = RouterHarness.MICROS_PER_SECOND;
+    private static final double CACHE_WEIGHT = 6;
+    private static final long TRANSFER_MICROS = 100 * MICROS_PER_MILLI;
 
-    /** What this test knows of a request. */
-    private static final class Request {
-        RequestArrived arrived;
+    /** This test's own record of a request. */
+    private static final class TrackedRequest {
+        RequestArrived arrival;
         long deadline;
-        Idempotency effect;
-        DeduplicationScope group;
+        Idempotency idempotency;
+        DeduplicationScope deduplicationScope;
         int attempts;
-        int finals;
-        boolean over;
+        int finalAnswers;
+        boolean closed;
         boolean mayHaveRun;
         final Set<Integer> open = new HashSet<>();
     }
 
-    private record Later(long at, long order, Runnable what) {}
+    private record ScheduledTask(long at, long sequence, Runnable task) {}
 
-    private final PriorityQueue<Later> agenda =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final Map<String, Request> requests = new HashMap<>();
+    private final PriorityQueue<ScheduledTask> tasks =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private final Map<String, TrackedRequest> requests = new HashMap<>();
     private final Map<Long, Long> leftAt = new HashMap<>();
-    private final Map<Long, List<Long>> coldWork = new HashMap<>();
+    private final Map<Long, List<Long>> slowStartSends = new HashMap<>();
     private final Map<String, long[]> purges = new HashMap<>();
-    private final RouterHarness setup = new RouterHarness();
+    private final RouterHarness harness = new RouterHarness();
     private Random random;
     private Settings settings;
     private Logic router;
-    private long order;
+    private long taskSequence;
     private long now;
-    private int life;
-    private int asked;
+    private int incarnation;
+    private int requestCount;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
-    void allRulesAreKept(long seed) {
+    void allRulesHoldOnRandomDays(long seed) {
         random = new Random(seed);
-        now = 1_000 * SECOND;
-        setup.effect = Idempotency.values()[random.nextInt(3)];
-        setup.group = DeduplicationScope.values()[random.nextInt(3)];
-        setup.direct = random.nextBoolean();
-        setup.joins = random.nextBoolean();
-        setup.cancel = random.nextBoolean();
-        setup.secondCopies = random.nextBoolean();
-        setup.retryAfter = random.nextBoolean();
-        setup.peerNotes = random.nextBoolean();
-        setup.fresh = random.nextBoolean() ? 0 : 2 * SECOND;
-        setup.grace = setup.fresh;
-        setup.routersHere = 1 + random.nextInt(3);
-        setup.notes = FillReporting.values()[random.nextInt(3)];
-        setup.weights = random.nextBoolean() ? WeightMeaning.NONE : WeightMeaning.NOMINAL;
-        settings = setup.settings();
+        now = 1_000 * MICROS_PER_SECOND;
+        harness.idempotency = Idempotency.values()[random.nextInt(3)];
+        harness.deduplicationScope = DeduplicationScope.values()[random.nextInt(3)];
+        harness.bypassCaches = random.nextBoolean();
+        harness.joins = random.nextBoolean();
+        harness.cancel = random.nextBoolean();
+        harness.hedging = random.nextBoolean();
+        harness.retryAfter = random.nextBoolean();
+        harness.peerMessages = random.nextBoolean();
+        harness.freshFor = random.nextBoolean() ? 0 : 2 * MICROS_PER_SECOND;
+        harness.staleGrace = harness.freshFor;
+        harness.localRouters = 1 + random.nextInt(3);
+        harness.fillReporting = FillReporting.values()[random.nextInt(3)];
+        harness.weights = random.nextBoolean() ? WeightMeaning.NONE : WeightMeaning.NOMINAL;
+        settings = harness.settings();
         for (int i = 1; i <= 4; i++) {
-            setup.members.add(new Member(i, Role.CACHE, RouterHarness.HOME, i, WIDTH, 0, State.READY));
-            setup.members.add(new Member(50 + i, Role.CACHE, RouterHarness.HUB, i, WIDTH, 0, State.READY));
+            harness.members.add(new Member(i, Role.CACHE, RouterHarness.HOME, i, CACHE_WEIGHT, 0, State.READY));
+            harness.members.add(new Member(50 + i, Role.CACHE, RouterHarness.HUB, i, CACHE_WEIGHT, 0, State.READY));
         }
         for (int i = 1; i <= 3; i++) {
-            setup.members.add(new Member(100 + i, Role.PARENT, RouterHarness.HUB, 0, 4 * WIDTH, 0, State.READY));
+            harness.members.add(new Member(100 + i, Role.PARENT, RouterHarness.HUB, 0, 4 * CACHE_WEIGHT, 0, State.READY));
         }
-        setup.members.add(new Member(900, Role.ORIGIN, RouterHarness.HUB, 0, WIDTH, 0, State.READY));
+        harness.members.add(new Member(900, Role.ORIGIN, RouterHarness.HUB, 0, CACHE_WEIGHT, 0, State.READY));
         start();
-        for (long at = 0; at < 40 * SECOND; at += (long) (random.nextDouble() * 20 * MILLI)) {
-            later(at, this::ask);
+        for (long at = 0; at < 40 * MICROS_PER_SECOND; at += (long) (random.nextDouble() * 20 * MICROS_PER_MILLI)) {
+            schedule(at, this::sendRequest);
         }
-        for (long at = 0; at < 40 * SECOND; at += (long) (random.nextDouble() * 2 * SECOND)) {
-            later(at, this::change);
-            later(at, this::purge);
+        for (long at = 0; at < 40 * MICROS_PER_SECOND; at += (long) (random.nextDouble() * 2 * MICROS_PER_SECOND)) {
+            schedule(at, this::changeMember);
+            schedule(at, this::purgeObjectOrGroup);
         }
         for (int i = 0; i < 2; i++) {
-            later((long) (random.nextDouble() * 40 * SECOND), this::restart);
+            schedule((long) (random.nextDouble() * 40 * MICROS_PER_SECOND), this::restart);
         }
-        while (!agenda.isEmpty() && agenda.peek().at < 1_050 * SECOND) {
-            Later next = agenda.poll();
+        while (!tasks.isEmpty() && tasks.peek().at < 1_050 * MICROS_PER_SECOND) {
+            ScheduledTask next = tasks.poll();
             now = next.at;
-            next.what.run();
+            next.task.run();
         }
-        requests.values().forEach(q -> assertTrue(q.over, "no answer for " + q.arrived));
-        assertTrue(asked > 1_000);
+        requests.values().forEach(request -> assertTrue(request.closed, "no final answer for " + request.arrival));
+        assertTrue(requestCount > 1_000);
     }
 
-    private void later(long delay, Runnable what) {
-        agenda.add(new Later(now + delay, order++, what));
+    private void schedule(long delay, Runnable task) {
+        tasks.add(new ScheduledTask(now + delay, taskSequence++, task));
     }
 
     private void handle(Event event) {
@@ -135,12 +135,12 @@
     }
 
     private void start() {
-        life++;
+        incarnation++;
         router = new Logic(settings, random.nextLong());
-        handle(new MemberListUpdate(MemberListKind.RESTORED, 1, List.copyOf(setup.members)));
+        handle(new MemberListUpdate(MemberListKind.RESTORED, 1, List.copyOf(harness.members)));
         purges.forEach((key, at) -> {
             if (now - at[0] < settings.rules().purgeSettleTime()) {
-                tell(key, at);
+                sendPurge(key, at);
             }
         });
     }
@@ -148,198 +148,198 @@
     private void restart() {
         requests.clear();
         leftAt.clear();
-        coldWork.clear();
+        slowStartSends.clear();
         start();
     }
 
-    private void ask() {
-        Request q = new Request();
-        int type = random.nextInt(10) == 0 ? RouterHarness.WRITE : RouterHarness.PAGE;
-        long left = random.nextInt(20) == 0 ? 10 * MILLI : (long) ((0.5 + random.nextDouble() / 2) * 5 * SECOND);
-        q.arrived = new RequestArrived(
-                "r" + asked++,
-                type,
+    private void sendRequest() {
+        TrackedRequest request = new TrackedRequest();
+        int requestClass = random.nextInt(10) == 0 ? RouterHarness.WRITE : RouterHarness.PAGE;
+        long timeLeft = random.nextInt(20) == 0 ? 10 * MICROS_PER_MILLI : (long) ((0.5 + random.nextDouble() / 2) * 5 * MICROS_PER_SECOND);
+        request.arrival = new RequestArrived(
+                "r" + requestCount++,
+                requestClass,
                 "o" + (int) (60 * Math.pow(random.nextDouble(), 2)),
                 0,
                 random.nextInt(3),
                 1_000,
-                left,
+                timeLeft,
                 false);
-        q.effect = type == RouterHarness.WRITE ? Idempotency.UNSAFE : setup.effect;
-        q.group = setup.group;
-        q.deadline = now + left;
-        requests.put(q.arrived.id(), q);
-        handle(q.arrived);
-        later(
-                left + settings.rules().answerSlack(),
-                () -> assertTrue(q.over || requests.get(q.arrived.id()) != q, "unanswered in time: " + q.arrived));
+        request.idempotency = requestClass == RouterHarness.WRITE ? Idempotency.UNSAFE : harness.idempotency;
+        request.deduplicationScope = harness.deduplicationScope;
+        request.deadline = now + timeLeft;
+        requests.put(request.arrival.id(), request);
+        handle(request.arrival);
+        schedule(
+                timeLeft + settings.rules().answerSlack(),
+                () -> assertTrue(request.closed || requests.get(request.arrival.id()) != request, "not answered in time: " + request.arrival));
         if (random.nextInt(30) == 0) {
-            later((long) (random.nextDouble() * left), () -> leave(q));
+            schedule((long) (random.nextDouble() * timeLeft), () -> abandon(request));
         }
     }
 
-    private void leave(Request q) {
-        if (!q.over && requests.get(q.arrived.id()) == q) {
-            q.over = true;
-            handle(new RequestAbandoned(q.arrived.id()));
+    private void abandon(TrackedRequest request) {
+        if (!request.closed && requests.get(request.arrival.id()) == request) {
+            request.closed = true;
+            handle(new RequestAbandoned(request.arrival.id()));
         }
     }
 
-    private void change() {
-        int at = random.nextInt(setup.members.size());
-        Member old = setup.members.get(at);
-        if (old.role() == Role.ORIGIN && random.nextInt(4) > 0) {
+    private void changeMember() {
+        int index = random.nextInt(harness.members.size());
+        Member previous = harness.members.get(index);
+        if (previous.role() == Role.ORIGIN && random.nextInt(4) > 0) {
             return;
         }
-        State state = old.state() == State.READY ? State.values()[1 + random.nextInt(2)] : State.READY;
-        long started = state == State.READY && random.nextBoolean() ? now : old.started();
-        Member changed = new Member(old.id(), old.role(), old.zone(), old.cell(), old.weight(), started, state);
-        setup.members.set(at, changed);
-        boolean whole = random.nextInt(4) == 0;
-        leftAt.remove(old.id());
+        State state = previous.state() == State.READY ? State.values()[1 + random.nextInt(2)] : State.READY;
+        long started = state == State.READY && random.nextBoolean() ? now : previous.started();
+        Member changed = new Member(previous.id(), previous.role(), previous.zone(), previous.cell(), previous.weight(), started, state);
+        harness.members.set(index, changed);
+        boolean snapshot = random.nextInt(4) == 0;
+        leftAt.remove(previous.id());
         if (state != State.READY) {
-            leftAt.put(old.id(), now);
+            leftAt.put(previous.id(), now);
         }
         if (started == now) {
-            coldWork.put(old.id(), new ArrayList<>());
+            slowStartSends.put(previous.id(), new ArrayList<>());
         }
         handle(new MemberListUpdate(
-                whole ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, 2, whole ? List.copyOf(setup.members) : List.of(changed)));
+                snapshot ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, 2, snapshot ? List.copyOf(harness.members) : List.of(changed)));
     }
 
-    private void purge() {
+    private void purgeObjectOrGroup() {
         String key = random.nextInt(4) == 0 ? "group " + random.nextInt(3) : "o" + random.nextInt(60);
-        long[] at = {now - random.nextInt((int) (300 * MILLI)), now};
+        long[] at = {now - random.nextInt((int) (300 * MICROS_PER_MILLI)), now};
         purges.put(key, at);
-        tell(key, at);
+        sendPurge(key, at);
     }
 
-    private void tell(String key, long[] at) {
+    private void sendPurge(String key, long[] at) {
         at[1] = now;
-        boolean group = key.startsWith("group ");
-        handle(new Purged(group ? null : key, group ? Integer.parseInt(key.substring(6)) : 0, now - at[0]));
+        boolean groupPurge = key.startsWith("group ");
+        handle(new Purged(groupPurge ? null : key, groupPurge ? Integer.parseInt(key.substring(6)) : 0, now - at[0]));
     }
 
     // ---- the checks -----------------------------------------------------------------------------------
 
     private void check(Action action) {
-        if (action instanceof Fetch f) {
-            sent(f.id(), f.member(), f.source());
-            checkPurges(f);
-        } else if (action instanceof Lookup l) {
-            sent(l.id(), l.member(), l.member());
-            assertTrue(member(l.member()).role() == Role.ORIGIN, "only the origin can bound the age of a lookup");
-        } else if (action instanceof Refuse a) {
-            Request q = last(a.id());
+        if (action instanceof Fetch fetch) {
+            checkAttempt(fetch.id(), fetch.member(), fetch.source());
+            checkPurges(fetch);
+        } else if (action instanceof Lookup lookup) {
+            checkAttempt(lookup.id(), lookup.member(), lookup.member());
+            assertTrue(member(lookup.member()).role() == Role.ORIGIN, "only the origin can bound the age of a lookup");
+        } else if (action instanceof Refuse refuse) {
+            TrackedRequest request = recordFinalAnswer(refuse.id());
             assertTrue(
-                    !q.mayHaveRun && q.open.isEmpty()
-                            || q.effect == Idempotency.SAFE
-                            || q.effect == Idempotency.KEYED && q.group == DeduplicationScope.ALL,
-                    "refused what may have run " + q.arrived);
-        } else if (action instanceof Fail a) {
-            last(a.id());
-        } else if (action instanceof Cancel c) {
-            assertTrue(setup.cancel);
-            Request q = requests.get(c.id());
-            later(2 * MILLI, () -> end(q, c.attempt(), Outcome.CANCELLED, FillResult.NONE, life));
-        } else if (action instanceof SetTimer t) {
-            int alive = life;
-            later(t.delay(), () -> {
-                if (alive == life) {
-                    handle(new TimerDue(t.token()));
+                    !request.mayHaveRun && request.open.isEmpty()
+                            || request.idempotency == Idempotency.SAFE
+                            || request.idempotency == Idempotency.KEYED && request.deduplicationScope == DeduplicationScope.ALL,
+                    "refused a request that may have run: " + request.arrival);
+        } else if (action instanceof Fail fail) {
+            recordFinalAnswer(fail.id());
+        } else if (action instanceof Cancel cancel) {
+            assertTrue(harness.cancel);
+            TrackedRequest request = requests.get(cancel.id());
+            schedule(2 * MICROS_PER_MILLI, () -> endAttempt(request, cancel.attempt(), Outcome.CANCELLED, FillResult.NONE, incarnation));
+        } else if (action instanceof SetTimer timer) {
+            int incarnationThen = incarnation;
+            schedule(timer.delay(), () -> {
+                if (incarnationThen == incarnation) {
+                    handle(new TimerDue(timer.token()));
                 }
             });
         }
     }
 
-    private Request last(String id) {
-        Request q = requests.get(id);
-        assertTrue(!q.over, "second final answer for " + q.arrived);
-        q.over = true;
-        return q;
+    private TrackedRequest recordFinalAnswer(String id) {
+        TrackedRequest request = requests.get(id);
+        assertTrue(!request.closed, "second final answer for " + request.arrival);
+        request.closed = true;
+        return request;
     }
 
     private Member member(long id) {
-        return setup.members.stream().filter(m -> m.id() == id).findFirst().orElseThrow();
+        return harness.members.stream().filter(m -> m.id() == id).findFirst().orElseThrow();
     }
 
-    private void sent(String id, long target, long source) {
-        Request q = requests.get(id);
-        assertTrue(q != null && !q.over, "sent for a request that is over");
-        assertTrue(q.effect == Idempotency.SAFE || !q.mayHaveRun && q.open.isEmpty(), "may run twice: " + q.arrived);
-        assertTrue(setup.secondCopies || q.open.isEmpty(), "two attempts at once");
-        assertTrue(q.attempts < settings.limits().maxAttempts());
-        Member m = member(target);
-        assertTrue(m.role() == Role.CACHE ? m.zone() == RouterHarness.HOME : setup.direct, "no way to " + m);
-        for (long id2 : new long[] {target, source}) {
-            Long left = leftAt.get(id2);
-            assertTrue(left == null || now - left <= settings.rules().drainGrace(), "sent to one that left " + id2);
+    private void checkAttempt(String id, long target, long source) {
+        TrackedRequest request = requests.get(id);
+        assertTrue(request != null && !request.closed, "sent for a request that is closed");
+        assertTrue(request.idempotency == Idempotency.SAFE || !request.mayHaveRun && request.open.isEmpty(), "may run twice: " + request.arrival);
+        assertTrue(harness.hedging || request.open.isEmpty(), "two attempts at once");
+        assertTrue(request.attempts < settings.limits().maxAttempts());
+        Member member = member(target);
+        assertTrue(member.role() == Role.CACHE ? member.zone() == RouterHarness.HOME : harness.bypassCaches, "not allowed to send to " + member);
+        for (long memberId : new long[] {target, source}) {
+            Long leftSince = leftAt.get(memberId);
+            assertTrue(leftSince == null || now - leftSince <= settings.rules().drainGrace(), "sent to a member that has left: " + memberId);
         }
-        checkCold(member(target));
+        checkSlowStart(member(target));
         if (source != target && member(source).role() == Role.PARENT) {
-            checkCold(member(source));
+            checkSlowStart(member(source));
         }
-        int attempt = q.attempts++;
-        q.open.add(attempt);
-        int alive = life;
+        int attempt = request.attempts++;
+        request.open.add(attempt);
+        int incarnationThen = incarnation;
         double draw = random.nextDouble();
         Outcome[] outcomes = Outcome.values();
         Outcome outcome = draw < 0.8 ? Outcome.OK : outcomes[1 + random.nextInt(outcomes.length - 3)];
-        FillResult[] notes = FillResult.values();
-        FillResult note = outcome == Outcome.OK ? notes[random.nextInt(6)] : notes[6 + random.nextInt(5)];
-        long takes = draw > 0.97 ? 10 * SECOND : (long) (random.nextDouble() * random.nextDouble() * 900 * MILLI);
-        later(
-                Math.min(takes, q.deadline - now),
-                () -> end(
-                        q,
+        FillResult[] fillResults = FillResult.values();
+        FillResult fillResult = outcome == Outcome.OK ? fillResults[random.nextInt(6)] : fillResults[6 + random.nextInt(5)];
+        long duration = draw > 0.97 ? 10 * MICROS_PER_SECOND : (long) (random.nextDouble() * random.nextDouble() * 900 * MICROS_PER_MILLI);
+        schedule(
+                Math.min(duration, request.deadline - now),
+                () -> endAttempt(
+                        request,
                         attempt,
-                        now >= q.deadline ? Outcome.TIMEOUT : outcome == Outcome.TIMEOUT ? Outcome.MISS : outcome,
-                        note,
-                        alive));
+                        now >= request.deadline ? Outcome.TIMEOUT : outcome == Outcome.TIMEOUT ? Outcome.MISS : outcome,
+                        fillResult,
+                        incarnationThen));
     }
 
-    private void end(Request q, int attempt, Outcome outcome, FillResult note, int alive) {
-        if (alive != life || !q.open.remove(attempt)) {
+    private void endAttempt(TrackedRequest request, int attempt, Outcome outcome, FillResult fillResult, int incarnationThen) {
+        if (incarnationThen != incarnation || !request.open.remove(attempt)) {
             return;
         }
         if (!outcome.provesNotRun) {
-            q.mayHaveRun = true;
+            request.mayHaveRun = true;
         }
         if (outcome == Outcome.OK) {
-            q.over = true;
+            request.closed = true;
         }
-        FillResult told = settings.fills().fillReporting() == FillReporting.ALL
+        FillResult reported = settings.fills().fillReporting() == FillReporting.ALL
                         || settings.fills().fillReporting() == FillReporting.HIT_ONLY
-                                && note.ordinal() < FillResult.SOURCE_REFUSED.ordinal()
-                ? note
+                                && fillResult.ordinal() < FillResult.SOURCE_REFUSED.ordinal()
+                ? fillResult
                 : FillResult.NONE;
-        handle(new AttemptEnded(q.arrived.id(), attempt, 1, outcome, 50 * MILLI, q.over, told, 0, Map.of()));
+        handle(new AttemptEnded(request.arrival.id(), attempt, 1, outcome, 50 * MICROS_PER_MILLI, request.closed, reported, 0, Map.of()));
     }
 
-    private void checkPurges(Fetch f) {
-        RequestArrived q = requests.get(f.id()).arrived;
-        for (String key : List.of(q.object(), "group " + q.group())) {
+    private void checkPurges(Fetch fetch) {
+        RequestArrived request = requests.get(fetch.id()).arrival;
+        for (String key : List.of(request.object(), "group " + request.group())) {
             long[] at = purges.get(key);
-            if (at != null && now - at[0] < settings.rules().purgeSettleTime() && q.requestClass() == RouterHarness.PAGE) {
-                long oldest = f.maxAge() > 0 ? f.maxAge() : setup.fresh > 0 ? setup.fresh : Long.MAX_VALUE;
-                assertTrue(oldest <= Math.max(1, now - at[0]), "may be answered from before the purge of " + key);
+            if (at != null && now - at[0] < settings.rules().purgeSettleTime() && request.requestClass() == RouterHarness.PAGE) {
+                long maxAge = fetch.maxAge() > 0 ? fetch.maxAge() : harness.freshFor > 0 ? harness.freshFor : Long.MAX_VALUE;
+                assertTrue(maxAge <= Math.max(1, now - at[0]), "may be answered from before the purge of " + key);
             }
         }
     }
 
-    /** In any span the router's share of the budget, plus one request for rounding, is not passed. */
-    private void checkCold(Member m) {
-        List<Long> sent = coldWork.get(m.id());
-        boolean parent = m.role() == Role.PARENT;
-        SlowStart cold = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
-        if (sent == null || m.role() == Role.ORIGIN || now - m.started() > cold.rampDuration()) {
+    /** Checks that in any window the router keeps to its share of the budget, plus one request for rounding. */
+    private void checkSlowStart(Member member) {
+        List<Long> sent = slowStartSends.get(member.id());
+        boolean parent = member.role() == Role.PARENT;
+        SlowStart slowStart = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
+        if (sent == null || member.role() == Role.ORIGIN || now - member.started() > slowStart.rampDuration()) {
             return;
         }
-        long span = settings.rules().overloadWindow();
-        sent.removeIf(at -> at <= now - span);
+        long window = settings.rules().overloadWindow();
+        sent.removeIf(at -> at <= now - window);
         sent.add(now);
-        double share = cold.initialShare() + (1 - cold.initialShare()) * (now - m.started()) / cold.rampDuration();
-        double budget = cold.overloadFactor() * share * m.weight() * span / (parent ? settings.routers() : setup.routersHere);
-        assertTrue(sent.size() * WORK <= budget + WORK, "pushed over " + m + ": " + sent.size());
+        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * (now - member.started()) / slowStart.rampDuration();
+        double budget = slowStart.overloadFactor() * share * member.weight() * window / (parent ? settings.routers() : harness.localRouters);
+        assertTrue(sent.size() * TRANSFER_MICROS <= budget + TRANSFER_MICROS, "overloaded " + member + ": " + sent.size());
     }
 }
