--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -202,7 +202,7 @@
     }
 
     /** A cache that holds a copy since heldSince, or, where that is negative, is filling one. */
-    private record Holder(MemberState cache, long started, long heldSince, long expiresAt) {}
+    private record Holder(MemberState cache, long cacheStartedAt, long heldSince, long expiresAt) {}
 
     public Logic(Settings settings, long salt) {
         this.settings = settings;
@@ -349,8 +349,8 @@
     }
 
     /**
-     * Sends the next attempt of a request, queues the request, or gives it up. Uncacheable classes are served by the
-     * origin.
+     * Sends the next attempt of a request, queues the request, or ends it with a final answer. Uncacheable classes are
+     * served by the origin.
      */
     private void route(RequestState request) {
         waiting.remove(request);
@@ -364,7 +364,7 @@
                 || request.quickFailures > MAX_QUICK_FAILURES + 1 // it fails wherever it is sent
                 || now >= request.deadline
                 || request.mayHaveRun && request.requestClass.idempotency() != Idempotency.SAFE) {
-            giveUp(request);
+            refuseOrFail(request);
         } else if (request.requestClass.uncacheable() && origin != null && (direct || edge != null)) {
             send(
                     request,
@@ -375,7 +375,7 @@
                             : newFetch(request, edge, origin, false));
         } else if (request.requestClass.uncacheable()
                 || edge == null && !direct && caches.stream().noneMatch(this::isUsable)) {
-            giveUp(request);
+            refuseOrFail(request);
         } else if (edge != null) {
             routeToCache(request, edge);
         } else {
@@ -390,7 +390,7 @@
     private void routePastCaches(RequestState request) {
         MemberState source = settings.fills().bypassCaches() ? fillSource(request, null) : null;
         if (source == null || isFull(source, 1, request)) {
-            waitOrGiveUp(request);
+            waitOrRefuse(request);
         } else if (source.listing.role() == Role.ORIGIN) {
             send(request, source, source, new Lookup(request.arrival.id(), source.listing.id(), 0));
         } else {
@@ -414,7 +414,7 @@
         if ((full || originFull) && !request.cacheMissed) {
             send(request, edge, edge, newFetch(request, edge, edge, false));
         } else if (full || originFull && request.parentMissed) {
-            waitOrGiveUp(request);
+            waitOrRefuse(request);
         } else {
             if (!holds(history(request), request, edge)) {
                 remember(history(request), edge, -1, now + FILLING_TTL_MICROS);
@@ -423,7 +423,10 @@
         }
     }
 
-    /** A fetch that may fill. Objects requested once, and parts, are kept at a lower rank than those requested again. */
+    /**
+     * Creates a fetch, which may fill. Objects requested once, and parts, are kept at a lower rank than objects that are
+     * requested again.
+     */
     private Fetch newFetch(RequestState request, MemberState target, MemberState source, boolean onlyIfCached) {
         boolean kept = target.listing.role() == Role.CACHE && !request.requestClass.uncacheable();
         return new Fetch(
@@ -553,20 +556,20 @@
         FillSources migrating = source.listing.role() == Role.PARENT ? fillSourcesOf(child) : null;
         List<MemberState> oldHomes =
                 migrating == null ? List.of() : rendezvousOrder(migrating.earlier(), request.arrival.object());
-        for (MemberState at = source;
-                at != null && fillSources.containsKey(at.listing.id()) && path.size() < MAX_FILL_PATH_MEMBERS; ) {
-            MemberState oldHome = at != source || oldHomes.isEmpty() ? null : oldHomes.get(0);
+        for (MemberState current = source;
+                current != null && fillSources.containsKey(current.listing.id()) && path.size() < MAX_FILL_PATH_MEMBERS; ) {
+            MemberState oldHome = current != source || oldHomes.isEmpty() ? null : oldHomes.get(0);
             boolean seeded = oldHome != null
                     && usable.test(oldHome)
-                    && fillSources.get(at.listing.id()).seeds().contains(oldHome.listing.id());
-            at = seeded
+                    && fillSources.get(current.listing.id()).seeds().contains(oldHome.listing.id());
+            current = seeded
                     ? oldHome
-                    : rankedSources(at, request.arrival.object()).stream()
+                    : rankedSources(current, request.arrival.object()).stream()
                             .filter(usable)
                             .findFirst()
                             .orElse(null);
-            if (at != null && at.listing.role() != Role.ORIGIN) {
-                path.add(at);
+            if (current != null && current.listing.role() != Role.ORIGIN) {
+                path.add(current);
             }
         }
         return path;
@@ -611,11 +614,11 @@
     }
 
     /** Queues a request that no member has capacity for, highest value per work first, while it can be on time. */
-    private void waitOrGiveUp(RequestState request) {
+    private void waitOrRefuse(RequestState request) {
         if (now < request.latestStart) {
             waiting.add(request);
         } else {
-            giveUp(request);
+            refuseOrFail(request);
         }
     }
 
@@ -647,7 +650,7 @@
             }
         }
         if (!attempt.loadByMember.keySet().stream().allMatch(m -> quotaAllows(m, request))) {
-            waitOrGiveUp(request); // quotas count every member that it may reach in full, also where a hit is expected
+            waitOrRefuse(request); // quotas count every member that it may reach in full, also where a hit is expected
             return;
         }
         retryTokens -= request.retry ? 1 : 0;
@@ -706,7 +709,7 @@
             member.load = Math.max(0, member.load - load);
         });
         quotas.endAttempt(
-                attempt.mayCrossZones, inOtherZone(attempt.target) || event.filled(!attempt.expectHit) ? event.kb() : 0);
+                attempt.mayCrossZones, inOtherZone(attempt.target) || event.filled(!attempt.expectHit) ? event.bodyKb() : 0);
         request.mayHaveRun = !event.outcome().provesNotRun || !request.open.isEmpty();
         recordOutcome(request, attempt, event);
         if (event.closed()) {
@@ -946,7 +949,7 @@
      * Sends the final answer at once: a refusal where the request can be repeated without harm, else a failure. A
      * stale copy within the class's grace is tried first.
      */
-    private void giveUp(RequestState request) {
+    private void refuseOrFail(RequestState request) {
         MemberState edge = request.acceptStale
                         || request.requestClass.staleGrace() == 0
                         || request.mayHaveRun && request.requestClass.idempotency() != Idempotency.SAFE
@@ -1019,7 +1022,7 @@
 
     private boolean isValid(Holder holder, RequestState request) {
         return holder.expiresAt > now
-                && holder.started == holder.cache.listing.started()
+                && holder.cacheStartedAt == holder.cache.listing.started()
                 && (holder.heldSince < 0
                         || holder.heldSince > purgedAt(request)
                                 && (request.requestClass.freshFor() == 0
@@ -1073,11 +1076,11 @@
      * age.
      */
     private long maxAge(RequestState request) {
-        long at = purgedAt(request);
+        long lastPurgedAt = purgedAt(request);
         // heartbeats are a second apart
         boolean updatesMissing = now - lastHeartbeatAt > PURGE_DELIVERY_MICROS - MICROS_PER_SECOND;
         long sincePurge = Math.min(
-                at == Long.MIN_VALUE ? Long.MAX_VALUE : Math.max(1, now - at),
+                lastPurgedAt == Long.MIN_VALUE ? Long.MAX_VALUE : Math.max(1, now - lastPurgedAt),
                 updatesMissing ? PURGE_DELIVERY_MICROS : Long.MAX_VALUE);
         long freshFor =
                 request.requestClass.freshFor() + (request.acceptStale ? request.requestClass.staleGrace() : 0);
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -98,7 +98,7 @@
 
     /**
      * How a member that has just started gains capacity: it has the initial share at first and all of it after
-     * rampDuration. It fails when it gets more than overloadFactor times its capacity of the moment.
+     * rampDuration. It fails when it gets more than overloadFactor times its current capacity.
      */
     record SlowStart(double initialShare, long rampDuration, double overloadFactor) {}
 
@@ -307,7 +307,7 @@
 
     /**
      * The end of an attempt; closed means that the request is over too. Load is empty when the answer had no load
-     * report; kb is the size of the answer's body, 0 where it is not known.
+     * report; bodyKb is the size of the answer's body, 0 where it is not known.
      */
     record AttemptEnded(
             String id,
@@ -319,7 +319,7 @@
             FillResult fillResult,
             long waited,
             Map<String, Double> load,
-            double kb)
+            double bodyKb)
             implements Event {
 
         /** The end of an attempt whose answer has no known size. */
--- a/src/test/java/pumicemoor/ArchitectureTest.java
+++ b/src/test/java/pumicemoor/ArchitectureTest.java
@@ -103,7 +103,7 @@
         slices().matching("pumicemoor.(*)..").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
     }
 
-    /** Only the scale tool may use the libraries for statistics and plots: nothing that serves requests may load them. */
+    /** Only the scale tool may use libraries for statistics and plots: nothing that serves requests may load them. */
     @Test
     void statisticsAndPlotsStayInTheScaleTool() {
         noClasses()
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aRequestThatFailsAtEveryMemberIsAbandonedAndEjectsNone() {
+    void aRequestThatFailsAtEveryMemberIsRefusedAndEjectsNone() {
         RouterHarness router = new RouterHarness().addFleet(4, 2).start();
         for (int i = 0; i < 30; i++) {
             router.requestAndServe("good" + i, FillResult.FILLED);
@@ -386,7 +386,7 @@
         }
     }
 
-    /** If one parent alone is slow, its limit falls, not the origin's, and what it can't take goes to another parent. */
+    /** If one parent alone is slow, its limit falls, not the origin's, and another parent takes what it can't. */
     @Test
     void fillsBypassAParentThatAloneIsLateAndFull() {
         RouterHarness router = new RouterHarness().addFleet(1, 2).start();
@@ -477,7 +477,7 @@
         return router.start();
     }
 
-    /** No fill result names the origin; when all parents are late, its limit holds back the fills through all of them. */
+    /** No fill result names the origin; when all parents are late, its limit restricts fills through all of them. */
     @Test
     void fillsSpareTheOriginBehindParentsThatAreAllLate() {
         RouterHarness router = withHitsReportedOnly();
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -181,7 +181,7 @@
         maxBudgetUse = Math.max(maxBudgetUse, recentSends.size() * TRANSFER_MICROS / budget);
     }
 
-    /** Guards against a budget share far below one request that is rounded up to one for each router, or down to none. */
+    /** Guards against rounding a budget share far below one request up to one for each router, or down to none. */
     @ParameterizedTest
     @ValueSource(ints = {1, 12, 60})
     void anyNumberOfLocalRoutersWarmsACacheWithoutOverloadingIt(int localRouters) {
@@ -208,7 +208,7 @@
         assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the budget in a window");
     }
 
-    /** Capacities are not known here: the restarted cache may be far smaller than the warm ones that serve as reference. */
+    /** Capacities are not known here: the restarted cache may be far smaller than the warm ones taken as reference. */
     @Test
     void aRestartedCacheSmallerThanTheWarmOnesIsNotOverloaded() {
         observedTransfers = 3.4;
@@ -228,7 +228,8 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 20})
     void theRoutersOfALocationTogetherKeepToTheLimitsOfItsCaches(int localRouters) {
-        simulate(localRouters, 3, 1, List.of()); // four caches of unknown capacity, each with an initial limit of 48 attempts
+        // four caches of unknown capacity, each with an initial limit of 48 attempts
+        simulate(localRouters, 3, 1, List.of());
         assertTrue(maxOpenAttempts <= 400, maxOpenAttempts + " attempts were open at four caches that answer nothing in time");
     }
 
--- a/src/test/java/pumicemoor/MixedConfigurationsTest.java
+++ b/src/test/java/pumicemoor/MixedConfigurationsTest.java
@@ -48,7 +48,8 @@
     private static final int RESTARTED_CACHE = 1;
     private static final int DRAINING_CACHE = 2;
     private static final int ROUTERS_PER_CONFIGURATION = 4;
-    private static final double LOAD_FACTOR = 0.9; // of the capacity of four caches; here the slow-start budget takes effect
+    /** Load as a fraction of the capacity of four caches, at which the slow-start budget takes effect. */
+    private static final double LOAD_FACTOR = 0.9;
 
     private record ScheduledTask(long at, long sequence, Runnable task) {}
 
@@ -163,7 +164,8 @@
         int attempt = attemptCounts.merge(id, 1, Integer::sum) - 1;
         boolean pastGrace = drainedAt > 0 && now > drainedAt + 2 * MICROS_PER_SECOND;
         sentAfterDrainGrace += (member == DRAINING_CACHE || source == DRAINING_CACHE) && pastGrace ? 1 : 0;
-        long slowStartEnd = restartedAt + oldConfiguration.settings().rules().cacheSlowStart().rampDuration(); // the rule doesn't apply after that
+        // the rule doesn't apply after the slow start
+        long slowStartEnd = restartedAt + oldConfiguration.settings().rules().cacheSlowStart().rampDuration();
         if ((member == RESTARTED_CACHE || source == RESTARTED_CACHE) && now >= restartedAt && now < slowStartEnd) {
             recordBudgetUse();
         }
--- a/src/test/java/pumicemoor/ci/KnownRedTest.java
+++ b/src/test/java/pumicemoor/ci/KnownRedTest.java
@@ -14,7 +14,10 @@
 /** Tests which expected failures .ci/run accepts: the script itself, run in a small project with a stub of Maven. */
 class KnownRedTest {
 
-    /** Fails where a test of $FAILING is among the requested ones: all but the excluded tests, or the one that is named. */
+    /**
+     * Fails where a test of $FAILING is requested. Without -Dtest all tests are; with it all but the excluded ones, or the
+     * named one.
+     */
     private static final String MAVEN_STUB =
             """
             #!/bin/bash
