--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -506,8 +506,8 @@
         if (sources == null) {
             return rendezvousOrder(parents, object, Map.of());
         }
-        List<MemberState> current = rendezvousOrder(sources.current(), object),
-                previous = rendezvousOrder(sources.previous(), object);
+        List<MemberState> current = rendezvousOrder(sources.current(), object);
+        List<MemberState> previous = rendezvousOrder(sources.previous(), object);
         boolean migrated = previous.isEmpty() || !current.isEmpty() && hasMigrated(sources, current.get(0), object);
         Set<MemberState> order = new LinkedHashSet<>(migrated ? current : previous);
         order.addAll(migrated ? previous : current);
