--- a/src/main/java/pumicemoor/node/BoundedLog.java
+++ b/src/main/java/pumicemoor/node/BoundedLog.java
@@ -6,68 +6,68 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Log lines about what others did wrong, so many a second at most: whoever sends bad input must not be able
- * to buy the router's CPU or its log with it. It owns the count of the lines left out, which is told with the
- * next one written; it must never be used for what the router itself decides, nor in place of a counter.
+ * A logger that writes a bounded number of lines a second, so that a peer that sends bad input can neither exhaust the
+ * router's CPU nor flood its log. It counts the suppressed lines and reports their number with the next line written.
+ * It must never be used for what the router itself decides, nor in place of a counter.
  */
 public final class BoundedLog {
 
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final Logger log;
     private final int perSecond;
-    private long second;
-    private int written;
-    private long leftOut;
+    private long currentSecond;
+    private int writtenThisSecond;
+    private long suppressed;
 
     public BoundedLog(Logger log, int perSecond) {
         this.log = log;
         this.perSecond = perSecond;
     }
 
-    /** A line about what has changed here, not about what others did wrong; under the same bound. */
-    public void info(long now, String text, Map<String, Object> figures) {
-        if (room(now)) {
-            tell(log.atInfo(), text, figures);
+    /** Logs a change in this router, under the same bound. Fields are passed to the log as key-value pairs. */
+    public void info(long now, String text, Map<String, Object> fields) {
+        if (tryAcquire(now)) {
+            write(log.atInfo(), text, fields);
         }
     }
 
-    /** Writes a line at this time (microseconds), or counts it as left out. */
+    /** Logs a warning at this time (microseconds), or counts it as suppressed. */
     public void warn(long now, String text) {
-        if (room(now)) {
-            log.warn(form(), text, leftOut);
-            leftOut = 0;
+        if (tryAcquire(now)) {
+            log.warn(format(), text, suppressed);
+            suppressed = 0;
         }
     }
 
-    /** The same with figures by name, which a log of lines for programs keeps apart. */
-    public void warn(long now, String text, Map<String, Object> figures) {
-        if (room(now)) {
-            tell(log.atWarn(), text, figures);
+    /** Logs a warning with fields, which the log writes as key-value pairs so that programs can read them. */
+    public void warn(long now, String text, Map<String, Object> fields) {
+        if (tryAcquire(now)) {
+            write(log.atWarn(), text, fields);
         }
     }
 
-    private boolean room(long now) {
-        if (now / SECOND != second) {
-            second = now / SECOND;
-            written = 0;
+    private boolean tryAcquire(long now) {
+        if (now / SECOND_MICROS != currentSecond) {
+            currentSecond = now / SECOND_MICROS;
+            writtenThisSecond = 0;
         }
-        boolean room = written < perSecond;
-        written += room ? 1 : 0;
-        leftOut += room ? 0 : 1;
-        return room;
+        boolean permitted = writtenThisSecond < perSecond;
+        writtenThisSecond += permitted ? 1 : 0;
+        suppressed += permitted ? 0 : 1;
+        return permitted;
     }
 
-    private String form() {
-        return leftOut == 0 ? "{}" : "{} ({} such lines were left out before)";
+    private String format() {
+        return suppressed == 0 ? "{}" : "{} ({} such lines were left out before)";
     }
 
-    private void tell(LoggingEventBuilder builder, String text, Map<String, Object> figures) {
-        LoggingEventBuilder line = builder;
-        for (Map.Entry<String, Object> figure : new TreeMap<>(figures).entrySet()) {
-            line = line.addKeyValue(figure.getKey(), figure.getValue());
+    private void write(LoggingEventBuilder builder, String text, Map<String, Object> fields) {
+        LoggingEventBuilder event = builder;
+        for (Map.Entry<String, Object> field : new TreeMap<>(fields).entrySet()) {
+            event = event.addKeyValue(field.getKey(), field.getValue());
         }
-        line.log(form(), text, leftOut);
-        leftOut = 0;
+        event.log(format(), text, suppressed);
+        suppressed = 0;
     }
 }
--- a/src/main/java/pumicemoor/node/Bytes.java
+++ b/src/main/java/pumicemoor/node/Bytes.java
@@ -1,12 +1,12 @@
 package pumicemoor.node;
 
 /**
- * A body on its way through the router, counted by references. It owns nothing but the count; it must never
- * be read or altered here: what a client or a cache sent goes on as the bytes that came.
+ * A reference-counted message body on its way through the router. It exposes the reference count and the size only:
+ * the body must never be read or changed here, so that it is passed on byte for byte.
  */
 public interface Bytes {
 
-    /** A body without a byte. */
+    /** The empty body. */
     Bytes NONE = new Bytes() {
         @Override
         public int size() {
@@ -20,14 +20,16 @@
 
         @Override
         public void release() {
-            // nothing is held
+            // the empty body holds no memory
         }
     };
 
+    /** Returns the size in bytes. */
     int size();
 
-    /** One more holder, who releases it in turn. */
+    /** Adds a reference; the new holder has to release it. */
     Bytes retain();
 
+    /** Drops a reference. */
     void release();
 }
--- a/src/main/java/pumicemoor/node/CallFront.java
+++ b/src/main/java/pumicemoor/node/CallFront.java
@@ -4,29 +4,29 @@
 import pumicemoor.operator.OperatorConfig;
 
 /**
- * A front to which proxies call for decisions and send the attempts themselves. All of it is called on the loop's
- * thread; it must never decide anything about a request.
+ * An additional server to which other proxies make calls for decisions; these proxies send the attempts themselves. All
+ * methods are called on the event loop's thread. It must never make a decision about a request.
  */
 public interface CallFront {
 
-    /** Listens, once the router is ready to decide. */
+    /** Starts listening; called once the router is ready to decide. */
     void start(CallLoop loop) throws java.io.IOException;
 
-    /** The decisions name an attempt. */
-    void attemptAnnounced(Effect.AnnounceAttempt name);
+    /** Announces to the caller an attempt that the decision module has chosen. */
+    void attemptAnnounced(Effect.AnnounceAttempt attempt);
 
-    /** The one final answer of a call. */
-    void answered(long call, Effect.Code code, long pushbackMillis);
+    /** Sends the one final answer to a call. */
+    void answered(long call, Effect.Code code, long retryAfterMillis);
 
-    /** The operator's file was read anew. */
+    /** Applies a reloaded operator's file. */
     void applyOperatorConfig(OperatorConfig operator);
 
-    /** No new calls are wanted; those that are open go on. */
+    /** Accepts no new calls from now on; open calls continue. */
     void drain();
 
-    /** All is done. */
+    /** Stops the server. */
     void close();
 
-    /** What can be seen of it, by name. */
+    /** Returns its status fields by name. */
     Map<String, String> state();
 }
--- a/src/main/java/pumicemoor/node/CallLoop.java
+++ b/src/main/java/pumicemoor/node/CallLoop.java
@@ -1,20 +1,20 @@
 package pumicemoor.node;
 
-/** What a front for calls may ask of the loop it runs on. */
+/** The part of the router's event loop that a {@link CallFront} uses. */
 public interface CallLoop {
 
-    /** Runs this on the loop's thread; may be called from any thread. False when the loop has ended. */
-    boolean execute(Runnable what);
+    /** Runs a task on the loop's thread; may be called from any thread. Returns false if the loop has ended. */
+    boolean execute(Runnable task);
 
-    /** Runs this on the loop's thread after so many microseconds, unless what is given back is run before. */
-    Runnable schedule(long micros, Runnable what);
+    /** Runs a task on the loop's thread after a delay in microseconds. Running the returned task cancels it. */
+    Runnable schedule(long delayMicros, Runnable task);
 
-    /** Hands an input to the reducer; on the loop's thread only. */
+    /** Passes an input to the reducer; may be called on the loop's thread only. */
     void submit(Input input);
 
-    /** Microseconds that count on in real time from the Unix time of the router's start. */
+    /** Returns monotonic time in microseconds, counted from the Unix time of the router's start. */
     long clock();
 
-    /** A log line about what another side did wrong; those past a rate are left out. */
+    /** Logs a peer's error; lines above a rate limit are suppressed. */
     void complain(String text);
 }
--- a/src/main/java/pumicemoor/node/Counters.java
+++ b/src/main/java/pumicemoor/node/Counters.java
@@ -7,12 +7,12 @@
 import java.util.stream.Collectors;
 
 /**
- * What the router took in, sent and answered, counted since its start. It only counts; nothing may be
- * decided by it. One thread adds, any may read.
+ * Counts what the router received, sent and answered since its start. The counts are for monitoring only; no decision
+ * may depend on them. A single thread adds, any thread may read.
  */
 public final class Counters {
 
-    /** What is counted. */
+    /** The counters; their names go out as metrics, in lower case with hyphens. */
     public enum Name {
         CONNECTIONS,
         REQUESTS,
@@ -59,8 +59,9 @@
 
     private final AtomicLongArray counts = new AtomicLongArray(Name.values().length);
 
-    public void add(Name name, long more) {
-        counts.lazySet(name.ordinal(), counts.get(name.ordinal()) + more); // one thread writes
+    public void add(Name name, long amount) {
+        // no atomic addition needed: a single thread writes
+        counts.lazySet(name.ordinal(), counts.get(name.ordinal()) + amount);
     }
 
     public void add(Name name) {
@@ -71,7 +72,7 @@
         return counts.get(name.ordinal());
     }
 
-    /** All of them by name, in their order. */
+    /** Returns all counters by their metric name, in the order of declaration. */
     public Map<String, String> all() {
         Map<String, String> all = new LinkedHashMap<>();
         for (Name name : Name.values()) {
@@ -80,7 +81,7 @@
         return all;
     }
 
-    /** All that is not zero, on one line. */
+    /** Returns the counters that are not zero, on one line. */
     @Override
     public String toString() {
         return all().entrySet().stream()
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -14,64 +14,65 @@
 import pumicemoor.fleet.drains.Drains;
 
 /**
- * The list of members as the decisions are to see it where the fleet takes members out in order: who drains or is out is
- * draining, who came back has just started, and before it is known who is out there is no list. It owns the list as it was
- * told and what was made of it; it must never decide who is out.
+ * Applies the fleet's drains to the member list for the decision module, where the fleet coordinates drains. A member
+ * that is drained or out of service appears as draining; a member that has returned appears as just started. Until it
+ * is known which members are drained, the list is held back. It owns the list as the coordinator reported it and the
+ * list as the decision module has it; it must never decide which members are drained.
  */
 final class DrainedMembers {
 
-    private final Map<Long, Member> told = new TreeMap<>();
-    private final Map<Long, Member> seen = new TreeMap<>(); // as the decisions have them
+    private final Map<Long, Member> reported = new TreeMap<>();
+    private final Map<Long, Member> published = new TreeMap<>(); // as the decision module has them
     private Drains.View view = new Drains.View(false, Set.of(), Map.of());
     private long version;
 
-    /** Takes news of the list; what the decisions are to be told of it, if anything. */
-    Optional<MemberListUpdate> listed(MemberListUpdate news) {
-        version = news.version();
-        if (news.kind() == MemberListKind.SNAPSHOT) {
-            told.keySet().retainAll(news.members().stream().map(Member::id).collect(Collectors.toSet()));
-            seen.keySet().retainAll(told.keySet());
+    /** Takes an update of the member list; returns the update for the decision module, if there is any. */
+    Optional<MemberListUpdate> applyListUpdate(MemberListUpdate update) {
+        version = update.version();
+        if (update.kind() == MemberListKind.SNAPSHOT) {
+            reported.keySet().retainAll(update.members().stream().map(Member::id).collect(Collectors.toSet()));
+            published.keySet().retainAll(reported.keySet());
         }
         List<Member> members = new ArrayList<>();
-        for (Member m : news.members()) {
-            if (m.state() == State.GONE) {
-                told.remove(m.id());
-                seen.remove(m.id());
-                members.add(m);
+        for (Member member : update.members()) {
+            if (member.state() == State.GONE) {
+                reported.remove(member.id());
+                published.remove(member.id());
+                members.add(member);
             } else {
-                told.put(m.id(), m);
-                members.add(asSeen(m));
-                seen.put(m.id(), asSeen(m));
+                reported.put(member.id(), member);
+                members.add(withDrains(member));
+                published.put(member.id(), withDrains(member));
             }
         }
-        return view.settled() ? Optional.of(new MemberListUpdate(news.kind(), version, members)) : Optional.empty();
+        return view.settled() ? Optional.of(new MemberListUpdate(update.kind(), version, members)) : Optional.empty();
     }
 
-    /** Goes over to this view; what is new for the decisions, if anything. */
-    Optional<MemberListUpdate> follow(Drains.View next) {
-        boolean first = next.settled() && !view.settled();
+    /** Takes a new view of the drains; returns the update for the decision module, if there is any. */
+    Optional<MemberListUpdate> applyView(Drains.View next) {
+        boolean firstView = next.settled() && !view.settled();
         view = next;
         List<Member> changed = new ArrayList<>();
-        told.values().forEach(m -> {
-            Member now = asSeen(m);
-            if (!now.equals(seen.put(m.id(), now)) || first) {
-                changed.add(now);
+        reported.values().forEach(member -> {
+            Member current = withDrains(member);
+            if (!current.equals(published.put(member.id(), current)) || firstView) {
+                changed.add(current);
             }
         });
         return !view.settled() || changed.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new MemberListUpdate(first ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, changed));
+                : Optional.of(new MemberListUpdate(firstView ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, changed));
     }
 
-    private Member asSeen(Member m) {
-        State state = m.state() == State.READY && view.alone().contains(m.id()) ? State.DRAINING : m.state();
+    private Member withDrains(Member member) {
+        State state = member.state() == State.READY && view.alone().contains(member.id()) ? State.DRAINING : member.state();
         return new Member(
-                m.id(),
-                m.role(),
-                m.zone(),
-                m.cell(),
-                m.weight(),
-                Math.max(m.started(), view.returned().getOrDefault(m.id(), 0L)),
+                member.id(),
+                member.role(),
+                member.zone(),
+                member.cell(),
+                member.weight(),
+                Math.max(member.started(), view.returned().getOrDefault(member.id(), 0L)),
                 state);
     }
 }
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -4,13 +4,13 @@
 import pumicemoor.operator.OperatorConfig;
 
 /**
- * Everything that the reducer may ask of the network. An effect is an order, complete in itself; it must
- * never need a look into the reducer to be carried out, nor leave anything to be decided. Bodies pass into
- * the hands of the one who carries it out.
+ * An output of the {@link Reducer}: an instruction to the network layer. An effect is complete in itself: carrying it
+ * out must never require a look into the reducer or leave a decision open. Whoever carries it out takes over ownership
+ * of its body and has to release it.
  */
 public sealed interface Effect {
 
-    /** The codes of a final answer. */
+    /** The result code of a final answer. */
     enum Code {
         SERVED,
         REFUSED,
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Write this request to a member; source null names none, within 0 leaves the class's bound. The answer to a
-     * cacheable one says which copy it is. The way names what the source is to fill from in turn; on the
-     * platform it is always empty.
+     * Writes a request to a member. Source null means that no source is named; maximum age 0 means the bound of the
+     * request class. The answer to a cacheable request carries the version of the copy. The fill path names the members
+     * from which the source in turn fills; on the platform it is always empty.
      */
     record SendAttempt(
             long attempt,
@@ -45,8 +45,9 @@
             implements Effect {}
 
     /**
-     * Name this attempt to the proxy that called under this number: the member and how it is to be asked. Source
-     * null names none; within 0 leaves the class's bound. The key is told with the attempt's end.
+     * Announces an attempt to the proxy that made the call of this number: the member and the parameters of the request
+     * to it. Source null means that no source is named; maximum age 0 means the bound of the request class. The key
+     * identifies the attempt in the input that reports its end.
      */
     record AnnounceAttempt(
             long call,
@@ -64,43 +65,46 @@
             boolean renew)
             implements Effect {}
 
-    /** The operator's file was read anew and is taken over. */
+    /** Applies a reloaded operator's file. */
     record ApplyOperatorConfig(OperatorConfig operator) implements Effect {}
 
-    /** Give an attempt up: take it back where it was not written whole, else tell the cache if that is told. */
+    /**
+     * Abandons an attempt: drops it if it is not completely written, else cancels it at the cache if notifyCache is
+     * set.
+     */
     record AbandonAttempt(long attempt, boolean notifyCache) implements Effect {}
 
-    /** The one final answer of a request; pushback 0 gives no advice. */
+    /** Sends the one final answer to a request; retryAfterMillis 0 gives no advice when to retry. */
     record Answer(long connection, int stream, Code code, boolean unchanged, long retryAfterMillis, Bytes body)
             implements Effect {}
 
-    /** What came on this client's connection could not be used; its answer goes by itself. */
+    /** Reports unusable input on a client connection, which counts against it; the answer is an effect of its own. */
     record ReportProtocolError(long connection) implements Effect {}
 
-    /** Close the connections to a member that carry nothing. */
+    /** Closes the idle connections to a member. */
     record CloseIdleConnections(String instance) implements Effect {}
 
-    /** Connections to a member opened before this time (Unix microseconds) lead nowhere: drop them. */
+    /** Drops the connections to a member that were opened before this time (Unix microseconds), as it has restarted. */
     record DropConnections(String instance, long openedBefore) implements Effect {}
 
-    /** A member is gone: use its connections for nothing new, close them when they carry nothing. */
+    /** Retires the connections to a removed member: they take no new attempts and are closed when idle. */
     record RetireConnections(String instance) implements Effect {}
 
-    /** Tell every client, also those still to come, to bring no new request. */
+    /** Tells every client, including those that connect later, to send no new requests. */
     record DrainClients() implements Effect {}
 
-    /** Follow the coordinator at this address from the last event on, in place of any stream so far. */
+    /** Opens the coordinator's stream at this address from the last applied event on, replacing any current stream. */
     record FollowCoordinator(String coordinator) implements Effect {}
 
-    /** Send a packet to another router of the fleet. */
+    /** Sends a packet to another router of the fleet. */
     record SendFleetPacket(String address, byte[] bytes) implements Effect {}
 
-    /** What becomes of an operator's command, in one line. */
+    /** Replies to an operator's command with one line. */
     record CommandReply(long connection, int stream, String text) implements Effect {}
 
-    /** Take in who has connected and what was asked by now, to the last, and say so. */
+    /** Accepts all connections and reads all requests that have arrived by now, then submits the completion input. */
     record CompleteClientReads() implements Effect {}
 
-    /** All is done: end the process. */
+    /** Ends the process. */
     record Exit() implements Effect {}
 }
--- a/src/main/java/pumicemoor/node/HitCount.java
+++ b/src/main/java/pumicemoor/node/HitCount.java
@@ -3,30 +3,33 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How often members lately answered from what they hold: the present stretch of time and the one before, no more. */
+/**
+ * Counts how often each member recently answered from its own cache, over the current time window and the one before.
+ * Times are microseconds.
+ */
 final class HitCount {
 
-    private static final long STRETCH = 10_000_000; // microseconds
+    private static final long WINDOW_MICROS = 10_000_000;
 
-    private Map<Long, Integer> present = new HashMap<>();
-    private Map<Long, Integer> before = new HashMap<>();
-    private long end;
+    private Map<Long, Integer> current = new HashMap<>();
+    private Map<Long, Integer> previous = new HashMap<>();
+    private long windowEnd;
 
     void add(long now, long member) {
-        turn(now);
-        present.merge(member, 1, Integer::sum);
+        rotate(now);
+        current.merge(member, 1, Integer::sum);
     }
 
-    double of(long now, long member) {
-        turn(now);
-        return present.getOrDefault(member, 0) + before.getOrDefault(member, 0);
+    double recentHits(long now, long member) {
+        rotate(now);
+        return current.getOrDefault(member, 0) + previous.getOrDefault(member, 0);
     }
 
-    private void turn(long now) {
-        if (now >= end) {
-            before = now >= end + STRETCH ? Map.of() : present;
-            present = new HashMap<>();
-            end = now + STRETCH;
+    private void rotate(long now) {
+        if (now >= windowEnd) {
+            previous = now >= windowEnd + WINDOW_MICROS ? Map.of() : current;
+            current = new HashMap<>();
+            windowEnd = now + WINDOW_MICROS;
         }
     }
 }
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -4,13 +4,16 @@
 import pumicemoor.operator.OperatorConfig;
 
 /**
- * Everything that can happen to a router, as the reducer sees it. These are plain facts with no reading of
- * what they mean; they must never hold a connection or anything else of the network, only numbers for it.
- * Bodies pass into the hands of the reducer with their input.
+ * An input of the {@link Reducer}: something that has happened to the router. Inputs state facts without interpreting
+ * them. They must never hold a connection or another network object, only its number. The reducer takes over
+ * ownership of a body with its input and has to release it.
  */
 public sealed interface Input {
 
-    /** A client's request; the part defaults to 0, the group to -1, the tag to null where absent. */
+    /**
+     * A client's request. The call is the id that the client gave it; the tag is the version of the copy that the
+     * client holds. Where the client sends none, the part is 0, the group -1 and the tag null.
+     */
     record Request(
             long connection,
             int stream,
@@ -25,7 +28,7 @@
             Bytes body)
             implements Input {
 
-        /** The same, where it may have lain unread for so long: its client has waited meanwhile. */
+        /** Returns this request with its time to live reduced by the microseconds for which it may have been unread. */
         public Request withUnreadDelay(long micros) {
             return new Request(
                     connection,
@@ -43,8 +46,8 @@
     }
 
     /**
-     * A request that another proxy has and that it will send itself: its attempts are named, not sent. The number
-     * is under 0 and stands for its connection; the id is unique among callers.
+     * A request of another proxy, which sends the attempts itself: this router announces them to the proxy. The number
+     * is negative and takes the place of a client connection; the id is unique across callers.
      */
     record Call(
             long number,
@@ -57,13 +60,13 @@
             boolean repeat)
             implements Input {}
 
-    /** The client no longer waits for this stream. */
+    /** The client cancelled the request on this stream. */
     record RequestCancelled(long connection, int stream) implements Input {}
 
-    /** A client's connection has ended, and with it all that was open there. */
+    /** A client connection was closed, which also cancels all requests that are open on it. */
     record ClientClosed(long connection) implements Input {}
 
-    /** The words with which a cache ends an attempt. */
+    /** The status with which a cache answers an attempt. */
     enum AnswerStatus {
         DATA,
         UNCHANGED,
@@ -73,42 +76,50 @@
         MOOT
     }
 
-    /** A cache's whole answer; note null and load empty where they are absent. */
+    /**
+     * A cache's complete answer. The note tells how the cache obtained the copy, null where the cache sends none; the
+     * load is the cache's load report, empty where it sends none.
+     */
     record Answered(long attempt, AnswerStatus status, String note, Map<String, Double> load, Bytes body) implements Input {}
 
-    /** The last byte of an attempt was written. */
+    /** The last byte of an attempt was written to the connection. */
     record Written(long attempt) implements Input {}
 
-    /** An attempt that was never written whole, so that it never ran. */
+    /** An attempt was not completely written, so that it never ran. */
     record NeverSent(long attempt) implements Input {}
 
-    /** An attempt for which this router has no room at the member: it never ran, and no one has failed. */
+    /**
+     * All connections of this router to the member are in use: the attempt never ran, and the member has not failed.
+     */
     record NoConnectionAvailable(long attempt) implements Input {}
 
-    /** The connection of an attempt ended after it was written whole. */
+    /** The connection was lost after the attempt had been written completely, so that it may have run. */
     record ConnectionLost(long attempt) implements Input {}
 
-    /** One event of the coordinator, as its JSON text. */
+    /** An event of the coordinator, as JSON text. */
     record CoordinatorUpdate(String json) implements Input {}
 
-    /** The coordinator's stream was heard, if only by a comment: what was to be told until then has come. */
+    /** The coordinator's stream delivered something, possibly only a comment: all earlier events have arrived. */
     record CoordinatorHeartbeat() implements Input {}
 
-    /** A packet of another router of the fleet, as it came. */
+    /** A packet from another router of the fleet, not yet decoded. */
     record FleetPacketReceived(byte[] bytes) implements Input {}
 
-    /** An operator's command, as fields, from this machine; its answer goes back on that stream. */
+    /** An operator's command, as fields, received from this machine; the reply goes out on the same stream. */
     record Command(long connection, int stream, Map<String, String> fields) implements Input {}
 
-    /** The configuration and the operator's file were read anew; null with the problem where they cannot be used. */
+    /**
+     * The configuration and the operator's file were reloaded; both are null, and the problem is set, if they are
+     * unusable.
+     */
     record Reload(NodeConfig config, OperatorConfig operator, String problem) implements Input {}
 
-    /** The time that the reducer asked to be called at has come. */
+    /** The time of {@link Reducer#nextDue} has come. */
     record TimerFired() implements Input {}
 
-    /** All that clients had written when that was asked has been taken in. */
+    /** Everything that clients had sent by the time of {@link Effect.CompleteClientReads} has been processed. */
     record ClientReadsCompleted() implements Input {}
 
-    /** The process was asked to end. */
+    /** The process was asked to terminate. */
     record Terminate() implements Input {}
 }
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -9,68 +9,68 @@
 import pumicemoor.wire.WireException;
 
 /**
- * What a router is told before it starts, read from the JSON that RELAY_CONFIG names. It checks the form
- * only and must never fill in a value for a decision that the settings leave out.
+ * The platform's configuration of a router, parsed from the JSON file that RELAY_CONFIG names. It checks the format
+ * only and must never supply a default for a setting of the decision module.
  */
 public record NodeConfig(
         String name,
         String listen,
         String coordinator,
         long seed,
-        Figures figures,
+        Resources figures,
         SettingsReader words,
         long knownIndex,
         List<Message> known,
-        Message whole) {
+        Message document) {
 
-    private static final int LAST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
-    /** The fields that a running router cannot take over; the rest is either new with each start or followed. */
-    private static final List<String> FIXED = List.of("name", "listen", "limits", "settings");
+    /** The fields that can only change with a restart; the others are either used at the start only or followed. */
+    private static final List<String> RESTART_FIELDS = List.of("name", "listen", "limits", "settings");
 
-    /** The platform's limits and what the settings say of connections. */
-    public record Figures(int memoryMb, int sockets, long keepAlive, int multiplex) {}
+    /** The platform's resource limits and the connection settings; keepAlive in microseconds. */
+    public record Resources(int memoryMb, int sockets, long keepAlive, int multiplex) {}
 
-    /** Reads the configuration; the exception names the field that cannot be used. */
+    /** Parses the configuration; the exception names the invalid field. */
     public static NodeConfig parse(String json) throws WireException {
-        Message all = Message.parse(json);
-        Message limits = all.objectOrEmpty("limits");
-        Message settings = all.object("settings");
+        Message document = Message.parse(json);
+        Message limits = document.objectOrEmpty("limits");
+        Message settings = document.object("settings");
         Message policy = settings.object("policy-limits");
-        Message known = all.objectOrEmpty("known");
-        String coordinator = all.text("coordinator", "");
+        Message initial = document.objectOrEmpty("known");
+        String coordinator = document.text("coordinator", "");
         return new NodeConfig(
-                all.text("name", ""),
-                address(all, "listen"),
-                coordinator.isEmpty() ? coordinator : address(all, "coordinator"),
-                seed(all.text("seed", "0")),
-                new Figures(
+                document.text("name", ""),
+                address(document, "listen"),
+                coordinator.isEmpty() ? coordinator : address(document, "coordinator"),
+                seed(document.text("seed", "0")),
+                new Resources(
                         (int) limits.integer("memory_mb", 192),
                         (int) limits.integer("sockets", 1024),
                         policy.integer("keepalive-us", 0),
                         (int) policy.integer("multiplex", 100)),
                 new SettingsReader(settings),
-                known.integer("index", 0),
-                new ArrayList<>(known.objects("updates")),
-                all);
+                initial.integer("index", 0),
+                new ArrayList<>(initial.objects("updates")),
+                document);
     }
 
-    /** The name of the location that this router serves. */
+    /** Returns the name of the location that this router serves. */
     public String location() {
         return words.locationName();
     }
 
-    /** The first field by which this configuration differs from another that a running router cannot follow. */
+    /** Returns the first field that differs in the other configuration and can only change with a restart. */
     public Optional<String> unfollowable(NodeConfig other) {
-        return FIXED.stream()
-                .filter(f -> !Objects.equals(whole.value(f), other.whole.value(f)))
+        return RESTART_FIELDS.stream()
+                .filter(f -> !Objects.equals(document.value(f), other.document.value(f)))
                 .findFirst();
     }
 
-    static String address(Message all, String field) throws WireException {
-        String address = all.text(field);
+    static String address(Message document, String field) throws WireException {
+        String address = document.text(field);
         if (!address.matches("[^:\\s]+:\\d{1,5}")
-                || Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)) > LAST_PORT) {
+                || Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)) > MAX_PORT) {
             throw new WireException("field '" + field + "' is no address: '" + address + "'");
         }
         return address;
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -61,18 +61,25 @@
 import pumicemoor.wire.WireException;
 
 /**
- * The one place where the state of a router changes. It owns the open requests, their attempts, the
- * addresses of the members and all timers; it takes one input and the time, drives the decision module and
- * hands out effects. It sees to what a module may take for granted: each request gets one final answer by
- * its deadline, each attempt one end, and none is sent for a request that is over. It must never steer a
- * request itself, and never touch a connection, a clock or a thread, so that tests can play whole days.
+ * Holds the mutable state of a router and is the only class that changes it. It owns the open requests, their
+ * attempts, the addresses of the members and all timers. Each call takes one input and the current time, passes
+ * the resulting events to the decision module, and emits effects. It guarantees what the decision module relies
+ * on: each request gets exactly one final answer by its deadline, each attempt ends exactly once, and no attempt
+ * is sent for a closed request. It must never route a request itself, and never use a connection, a clock or a
+ * thread, so that tests can simulate whole days.
  */
 public final class Reducer {
 
     private static final Logger LOG = LoggerFactory.getLogger(Reducer.class);
-    private static final long MILLI = 1_000;
-    private static final long CLOCKS_AGREE = 1_000_000; // microseconds; machines' clocks are never closer than some
-    private static final Map<String, FillResult> NOTES = Map.ofEntries(
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    /**
+     * Router time and wall clock agree if they differ by at most this. Clocks of different machines always differ a
+     * little, so that a reported start time is not corrected for less.
+     */
+    private static final long CLOCK_TOLERANCE_MICROS = 1_000_000;
+
+    private static final Map<String, FillResult> FILL_RESULT_BY_NOTE = Map.ofEntries(
             Map.entry("mem", FillResult.HIT),
             Map.entry("parent", FillResult.FILLED),
             Map.entry("origin", FillResult.FILLED_BY_ORIGIN),
@@ -83,7 +90,7 @@
             Map.entry("absent", FillResult.SOURCE_LACKS),
             Map.entry("crowded", FillResult.NO_PLACE),
             Map.entry("behind", FillResult.ORIGIN_FAILED));
-    private static final Map<AnswerStatus, Outcome> OUTCOMES = Map.of(
+    private static final Map<AnswerStatus, Outcome> OUTCOME_BY_STATUS = Map.of(
             AnswerStatus.DATA,
             Outcome.OK,
             AnswerStatus.UNCHANGED,
@@ -96,290 +103,303 @@
             Outcome.ERROR,
             AnswerStatus.MOOT,
             Outcome.MOOT);
-    private static final Map<String, State> STATES =
+    private static final Map<String, State> STATE_BY_LIFECYCLE =
             Map.of("active", State.READY, "leaving", State.DRAINING, "left", State.GONE);
 
     private final RouterApi router;
     private final Settings settings;
-    private final SettingsReader words;
+    private final SettingsReader settingsReader;
     private final ResourceLimits limits;
     private final Counters counters;
-    private final Map<String, Request> requests = new HashMap<>();
-    private final Map<Stream, Request> unanswered = new LinkedHashMap<>();
-    private final Map<String, Request> calls = new HashMap<>(); // the unanswered, by the client's own id
-    private final BoundedLog complaints;
-    private final Map<Long, Attempt> attempts = new HashMap<>();
-    private final Map<Long, Endpoint> endpoints = new HashMap<>();
-    private final Map<Long, Fleet.Listed> fleetMembers = new TreeMap<>(); // those listed, as the fleet knows them
+    private final Map<String, Request> requestsById = new HashMap<>(); // until the last of their attempts has ended
+    private final Map<StreamKey, Request> unanswered = new LinkedHashMap<>();
+    private final Map<String, Request> unansweredByClientId = new HashMap<>(); // key: the id that the client chose
+    private final BoundedLog warningLog;
+    private final Map<Long, Attempt> attemptsByKey = new HashMap<>();
+    private final Map<Long, Endpoint> endpointsByMember = new HashMap<>();
+    private final Map<Long, Fleet.Listed> fleetMembers = new TreeMap<>(); // listed members, as the fleet needs them
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final Queue<Event> events = new ArrayDeque<>();
-    private Consumer<Effect> out;
+    private final Queue<Event> pendingEvents = new ArrayDeque<>();
+    private Consumer<Effect> effectSink;
     private long now;
-    private long wall; // by the machine's clock, which may be stepped
-    private long numbers; // of requests, attempts and timers, each its own
-    private long lastUpdate;
-    private boolean synced; // caught up with the coordinator since the start, or given up waiting for that
-    private long gapAt = -1; // the last event taken when an event was found missing behind it
+    private long wallNow; // the machine's wall clock, which may be stepped
+    private long lastNumber; // requests, attempts and timers share this sequence
+    private long lastEventIndex;
+    private boolean synced; // caught up with the coordinator since the start, or the wait for that timed out
+    private long gapDetectedAfter = -1; // index of the event behind which the last gap was found
     private NodeConfig config;
-    private OperatorConfig operator = OperatorConfig.NONE;
+    private OperatorConfig operatorConfig = OperatorConfig.NONE;
     private Optional<Hierarchy> hierarchy = Optional.empty();
     private long hierarchyDue = Long.MAX_VALUE;
     private Optional<FleetParticipant> fleet = Optional.empty();
     private long fleetDue = Long.MAX_VALUE;
-    private Optional<DrainedMembers> drained = Optional.empty();
-    private final HitCount hits = new HitCount();
+    private Optional<DrainedMembers> drainedMembers = Optional.empty();
+    private final HitCount hitCount = new HitCount();
     private final BoundedLog fleetLog;
-    private final BoundedLog changeLog;
+    private final BoundedLog endpointLog;
     private long terminatedAt = -1;
-    private Exit exit = Exit.NOT_YET;
+    private ExitStage exitStage = ExitStage.RUNNING;
 
-    /** What a client's connection and a stream on it name together. */
-    private record Stream(long connection, int stream) {}
+    /** Identifies a request by its client connection and its stream on that connection. */
+    private record StreamKey(long connection, int stream) {}
 
-    /** Where a member listens, the start of the process that does, and its state by the list. */
-    private record Endpoint(String instance, String address, long toldStart, long started, State state) {}
+    /**
+     * A listed member: its address, its state, and the start of its process both as the coordinator reported it and by
+     * this router's clock. Times are Unix microseconds, 0 for long ago.
+     */
+    private record Endpoint(String instance, String address, long reportedStart, long started, State state) {}
 
-    /** How far the end has come: what has arrived by then is read once more before the last step. */
-    private enum Exit {
-        NOT_YET,
-        READING,
+    /** Progress of the shutdown. Before the exit, all input that has already arrived is read once more. */
+    private enum ExitStage {
+        RUNNING,
+        FINAL_READ,
         DONE
     }
 
-    private enum Kind {
-        MODULE,
-        ATTEMPT,
-        UNWRITTEN,
-        OVERDUE,
+    private enum TimerKind {
+        DECISION_MODULE,
+        ATTEMPT_TIMEOUT,
+        WRITE_TIMEOUT,
+        ANSWER_OVERDUE,
         HIERARCHY,
         FLEET,
-        SYNC,
+        SYNC_TIMEOUT,
         EXIT_IF_QUIET,
-        EXIT
+        EXIT_DEADLINE
     }
 
-    private record Timer(long at, long order, Kind kind, long about) implements Comparable<Timer> {
+    /**
+     * A timer. The subject is, by kind, the token of the decision module, an attempt key or a request number; else 0.
+     */
+    private record Timer(long dueAt, long sequence, TimerKind kind, long subject) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return dueAt != other.dueAt
+                    ? Long.compare(dueAt, other.dueAt)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** A request that is owed an answer, or whose attempts are still out. */
+    /** A request that is still unanswered, or that has attempts under way. */
     private static final class Request {
-        Input.Request asked;
+        Input.Request input;
         String id;
-        Stream stream;
+        StreamKey stream;
         long deadline;
-        boolean over;
-        boolean named; // its attempts are named to another proxy, which sends them
-        int sent, requestClass;
-        final Map<Integer, Attempt> out = new LinkedHashMap<>();
+        boolean closed;
+        boolean sentByProxy; // attempts are announced to the calling proxy, which sends them itself
+        int attemptsStarted;
+        int requestClass;
+        final Map<Integer, Attempt> openAttempts = new LinkedHashMap<>();
     }
 
     private static final class Attempt {
         Request request;
-        long key, member, source, sentAt;
-        List<Long> way;
+        long key;
+        long member;
+        long source;
+        long startedAt;
+        List<Long> fillPath;
         int number;
         boolean written;
     }
 
-    public Reducer(RouterApi router, SettingsReader words, ResourceLimits limits, Counters counters) {
+    public Reducer(RouterApi router, SettingsReader settingsReader, ResourceLimits limits, Counters counters) {
         this.router = router;
-        this.settings = words.settings();
-        this.words = words;
+        this.settings = settingsReader.settings();
+        this.settingsReader = settingsReader;
         this.limits = limits;
         this.counters = counters;
-        this.complaints = new BoundedLog(LOG, limits.complaints());
+        this.warningLog = new BoundedLog(LOG, limits.complaints());
         this.fleetLog = new BoundedLog(LOG, limits.fleetLines());
-        this.changeLog = new BoundedLog(LOG, limits.fleetLines());
+        this.endpointLog = new BoundedLog(LOG, limits.fleetLines());
     }
 
-    /** When the next Due input is wanted; Long.MAX_VALUE for never. */
+    /** Returns the time at which the next {@link Input.TimerFired} is due; Long.MAX_VALUE for never. */
     public long nextDue() {
-        while (!timers.isEmpty() && stale(timers.peek())) {
+        while (!timers.isEmpty() && isStale(timers.peek())) {
             timers.poll();
         }
-        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at();
+        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAt();
     }
 
-    /** The number of the last event of the coordinator that was taken. */
+    /** Returns the index of the last coordinator event that was applied. */
     public long lastUpdate() {
-        return lastUpdate;
+        return lastEventIndex;
     }
 
     public int openRequests() {
         return unanswered.size();
     }
 
-    /** Takes one input at a time at which the machine's clock was never stepped. */
+    /** Processes one input on a machine whose wall clock was never stepped: both times are the same. */
     public void accept(long time, Input input, Consumer<Effect> effects) {
         accept(time, time, input, effects);
     }
 
     /**
-     * Takes one input; the effects, in their order, go to the sink. Both times are microseconds: the first counts on in
-     * real time from the Unix time of the start, the second is Unix time by the machine's clock at this moment.
+     * Processes one input and passes the effects, in order, to the sink. Both times are Unix microseconds: the first
+     * advances monotonically from the Unix time of the start, the second is the machine's wall clock, which may be
+     * stepped.
      */
     public void accept(long time, long wallTime, Input input, Consumer<Effect> effects) {
         now = Math.max(now, time);
-        wall = wallTime;
-        out = effects;
-        if (fleetDue <= now) { // a process that was paused must not go by what has run out meanwhile
-            followFleet();
+        wallNow = wallTime;
+        effectSink = effects;
+        if (fleetDue <= now) { // after a pause of the process, leases that expired meanwhile must not be used
+            advanceFleet();
         }
-        if (input instanceof Input.Request r) {
-            arrived(r, false);
-        } else if (input instanceof Input.Call c) {
+        if (input instanceof Input.Request request) {
+            arrived(request, false);
+        } else if (input instanceof Input.Call call) {
             arrived(
                     new Input.Request(
-                            c.number(),
+                            call.number(),
                             0,
-                            c.id(),
-                            c.requestClass(),
-                            c.object(),
-                            c.part(),
-                            c.group(),
+                            call.id(),
+                            call.requestClass(),
+                            call.object(),
+                            call.part(),
+                            call.group(),
                             null,
-                            c.ttlMillis(),
-                            c.repeat(),
+                            call.ttlMillis(),
+                            call.repeat(),
                             Bytes.NONE),
                     true);
-        } else if (input instanceof Input.Answered a) {
-            answered(a);
-        } else if (input instanceof Input.Written w) {
-            if (attempts.get(w.attempt()) != null) {
-                attempts.get(w.attempt()).written = true;
+        } else if (input instanceof Input.Answered answer) {
+            answered(answer);
+        } else if (input instanceof Input.Written written) {
+            if (attemptsByKey.get(written.attempt()) != null) {
+                attemptsByKey.get(written.attempt()).written = true;
             }
         } else if (input instanceof Input.TimerFired) {
-            due();
-        } else if (input instanceof Input.RequestCancelled w) {
-            withdrawn(unanswered.get(new Stream(w.connection(), w.stream())));
-        } else if (input instanceof Input.ClientClosed c) {
+            fireTimers();
+        } else if (input instanceof Input.RequestCancelled cancelled) {
+            clientLeft(unanswered.get(new StreamKey(cancelled.connection(), cancelled.stream())));
+        } else if (input instanceof Input.ClientClosed closed) {
             unanswered.values().stream()
-                    .filter(r -> r.stream.connection() == c.connection())
+                    .filter(r -> r.stream.connection() == closed.connection())
                     .toList()
-                    .forEach(this::withdrawn);
-        } else if (input instanceof Input.NeverSent u) {
-            end(attempts.get(u.attempt()), Outcome.CONNECT_FAILED);
-        } else if (input instanceof Input.NoConnectionAvailable c) {
-            end(attempts.get(c.attempt()), Outcome.FULL);
-        } else if (input instanceof Input.ConnectionLost b) {
-            end(attempts.get(b.attempt()), Outcome.RESET);
-        } else if (input instanceof Input.CoordinatorUpdate u) {
-            updated(u.json());
+                    .forEach(this::clientLeft);
+        } else if (input instanceof Input.NeverSent unsent) {
+            endAttempt(attemptsByKey.get(unsent.attempt()), Outcome.CONNECT_FAILED);
+        } else if (input instanceof Input.NoConnectionAvailable unavailable) {
+            endAttempt(attemptsByKey.get(unavailable.attempt()), Outcome.FULL);
+        } else if (input instanceof Input.ConnectionLost lost) {
+            endAttempt(attemptsByKey.get(lost.attempt()), Outcome.RESET);
+        } else if (input instanceof Input.CoordinatorUpdate update) {
+            applyUpdate(update.json());
         } else if (input instanceof Input.CoordinatorHeartbeat) {
-            events.add(new DiscoveryHeartbeat());
-            caughtUp();
-        } else if (input instanceof Input.FleetPacketReceived f) {
-            fleet.ifPresent(x -> x.receive(now, f.bytes()));
-        } else if (input instanceof Input.Command c) {
-            String said = fleet.map(f -> f.handleCommand(now, c.fields()))
+            pendingEvents.add(new DiscoveryHeartbeat());
+            markSynced();
+        } else if (input instanceof Input.FleetPacketReceived packet) {
+            fleet.ifPresent(x -> x.receive(now, packet.bytes()));
+        } else if (input instanceof Input.Command command) {
+            String reply = fleet.map(f -> f.handleCommand(now, command.fields()))
                     .orElse("refused: this router has no section 'fleet' in its operator's file");
-            out.accept(new Effect.CommandReply(c.connection(), c.stream(), said));
-        } else if (input instanceof Input.Reload r) {
-            reload(r);
+            effectSink.accept(new Effect.CommandReply(command.connection(), command.stream(), reply));
+        } else if (input instanceof Input.Reload reload) {
+            reload(reload);
         } else if (input instanceof Input.Terminate) {
             terminate();
         }
-        drive();
-        followHierarchy();
-        followFleet();
+        dispatchEvents();
+        advanceHierarchy();
+        advanceFleet();
         if (terminatedAt >= 0
-                && exit == Exit.NOT_YET
+                && exitStage == ExitStage.RUNNING
                 && unanswered.isEmpty()
                 && now >= terminatedAt + limits.quietAfterTerm()) {
-            exit = Exit.READING;
-            out.accept(new Effect.CompleteClientReads());
-        } else if (exit == Exit.READING && input instanceof Input.ClientReadsCompleted) {
-            exit = unanswered.isEmpty() ? Exit.DONE : Exit.NOT_YET;
-            if (exit == Exit.DONE) {
-                out.accept(new Effect.Exit());
+            exitStage = ExitStage.FINAL_READ;
+            effectSink.accept(new Effect.CompleteClientReads());
+        } else if (exitStage == ExitStage.FINAL_READ && input instanceof Input.ClientReadsCompleted) {
+            exitStage = unanswered.isEmpty() ? ExitStage.DONE : ExitStage.RUNNING;
+            if (exitStage == ExitStage.DONE) {
+                effectSink.accept(new Effect.Exit());
             }
         }
     }
 
-    /** Tells the module what has happened, until nothing more follows from it. */
-    private void drive() {
-        for (Event event = events.poll(); event != null; event = events.poll()) {
+    /** Passes pending events to the decision module until none is left. */
+    private void dispatchEvents() {
+        for (Event event = pendingEvents.poll(); event != null; event = pendingEvents.poll()) {
             try {
-                router.handle(now, event, this::act);
+                router.handle(now, event, this::perform);
             } catch (RuntimeException e) {
                 counters.add(Name.FAULTS);
-                LOG.error("the decisions failed at {}", event, e);
+                LOG.error("the decision module failed on event {}", event, e);
             }
         }
     }
 
     // ---- requests -------------------------------------------------------------------------------------
 
-    private void arrived(Input.Request asked, boolean named) {
+    private void arrived(Input.Request input, boolean sentByProxy) {
         counters.add(Name.REQUESTS);
-        Stream stream = new Stream(asked.connection(), asked.stream());
+        StreamKey stream = new StreamKey(input.connection(), input.stream());
         Request request = new Request();
-        request.asked = asked;
+        request.input = input;
         request.stream = stream;
-        request.named = named;
-        request.id = Long.toString(++numbers);
-        request.deadline = now + Math.max(0, asked.ttlMillis()) * MILLI;
+        request.sentByProxy = sentByProxy;
+        request.id = Long.toString(++lastNumber);
+        request.deadline = now + Math.max(0, input.ttlMillis()) * MICROS_PER_MILLI;
         unanswered.put(stream, request);
-        RequestTrace.arrived(asked, asked.ttlMillis());
-        int requestClass = requestClass(asked);
-        Request same = calls.putIfAbsent(asked.call(), request);
-        if (requestClass < 0 || same != null && !same.asked.object().equals(asked.object())) {
+        RequestTrace.arrived(input, input.ttlMillis());
+        int requestClass = requestClass(input);
+        Request openRequest = unansweredByClientId.putIfAbsent(input.call(), request);
+        if (requestClass < 0 || openRequest != null && !openRequest.input.object().equals(input.object())) {
             counters.add(Name.BAD_INPUT);
-            complaints.warn(
+            warningLog.warn(
                     now,
                     requestClass < 0
-                            ? "a request was failed: unknown class '" + asked.requestClass() + "'"
-                            : "a request was failed: its id is that of an open request for another object");
+                            ? "a request fails: unknown class '" + input.requestClass() + "'"
+                            : "a request fails: its id belongs to an open request for another object");
             answer(request, Code.FAILED, false, 0, Bytes.NONE);
-            if (!named) {
-                out.accept(new Effect.ReportProtocolError(asked.connection()));
+            if (!sentByProxy) {
+                effectSink.accept(new Effect.ReportProtocolError(input.connection()));
             }
         } else if (unanswered.size() > limits.openRequests()
-                || exit == Exit.DONE
+                || exitStage == ExitStage.DONE
                 || terminatedAt >= 0 && now >= terminatedAt + limits.lastAfterTerm()) {
             counters.add(Name.TURNED_AWAY);
             answer(request, Code.REFUSED, false, limits.pushback(), Bytes.NONE);
         } else {
             request.requestClass = requestClass;
-            requests.put(request.id, request);
-            timer(request.deadline + limits.answerGuard(), Kind.OVERDUE, Long.parseLong(request.id));
-            events.add(new RequestArrived(
+            requestsById.put(request.id, request);
+            addTimer(request.deadline + limits.answerGuard(), TimerKind.ANSWER_OVERDUE, Long.parseLong(request.id));
+            pendingEvents.add(new RequestArrived(
                     request.id,
                     requestClass,
-                    asked.object(),
-                    asked.part(),
-                    asked.group(),
+                    input.object(),
+                    input.part(),
+                    input.group(),
                     0,
                     request.deadline - now,
-                    asked.repeat()));
+                    input.repeat()));
         }
     }
 
-    private int requestClass(Input.Request asked) {
+    private int requestClass(Input.Request input) {
         try {
-            return words.requestClass(asked.requestClass());
+            return settingsReader.requestClass(input.requestClass());
         } catch (WireException e) {
             return -1;
         }
     }
 
-    /** The client has left: no answer is owed any more. */
-    private void withdrawn(Request request) {
+    /** Closes a request whose client no longer waits for the answer. */
+    private void clientLeft(Request request) {
         if (request != null) {
             counters.add(Name.WITHDRAWN);
-            RequestTrace.withdrawn(request.asked.call(), request.out.size());
+            RequestTrace.cancelled(request.input.call(), request.openAttempts.size());
             close(request);
-            events.add(new RequestAbandoned(request.id));
+            pendingEvents.add(new RequestAbandoned(request.id));
         }
     }
 
-    /** The one final answer; there is none once the request is over. */
-    private boolean answer(Request request, Code code, boolean unchanged, long pushbackMillis, Bytes body) {
-        if (request == null || request.over) {
+    /** Sends the one final answer; returns false if there is no such request or it is already closed. */
+    private boolean answer(Request request, Code code, boolean unchanged, long retryAfterMillis, Bytes body) {
+        if (request == null || request.closed) {
             body.release();
             return false;
         }
@@ -388,300 +408,306 @@
                         ? unchanged ? Name.UNCHANGED : Name.SERVED
                         : code == Code.REFUSED ? Name.REFUSED : Name.FAILED);
         RequestTrace.answered(
-                request.asked.call(), code, pushbackMillis, request.sent, (request.deadline - now) / MILLI);
+                request.input.call(), code, retryAfterMillis, request.attemptsStarted, (request.deadline - now) / MICROS_PER_MILLI);
         close(request);
-        out.accept(new Effect.Answer(
-                request.stream.connection(), request.stream.stream(), code, unchanged, pushbackMillis, body));
+        effectSink.accept(new Effect.Answer(
+                request.stream.connection(), request.stream.stream(), code, unchanged, retryAfterMillis, body));
         return true;
     }
 
     private void close(Request request) {
-        request.over = true;
-        request.asked.body().release();
+        request.closed = true;
+        request.input.body().release();
         unanswered.remove(request.stream);
-        calls.remove(request.asked.call(), request);
-        forgetIfDone(request);
+        unansweredByClientId.remove(request.input.call(), request);
+        removeIfDone(request);
     }
 
-    private void forgetIfDone(Request request) {
-        if (request.over && request.out.isEmpty()) {
-            requests.remove(request.id);
+    private void removeIfDone(Request request) {
+        if (request.closed && request.openAttempts.isEmpty()) {
+            requestsById.remove(request.id);
         }
     }
 
-    // ---- what the module asks for ---------------------------------------------------------------------
+    // ---- actions of the decision module ---------------------------------------------------------------
 
-    private void act(Action action) {
-        if (action instanceof Fetch f) {
-            send(requests.get(f.id()), f);
-        } else if (action instanceof Lookup l) { // no fill: what the member holds
+    private void perform(Action action) {
+        if (action instanceof Fetch fetch) {
+            send(requestsById.get(fetch.id()), fetch);
+        } else if (action instanceof Lookup lookup) { // the member is its own source, so that nothing is filled
             send(
-                    requests.get(l.id()),
-                    new Fetch(l.id(), l.member(), l.member(), 0, 0, false, false, false, false, l.timeout()));
-        } else if (action instanceof Cancel c) {
-            Request request = requests.get(c.id());
-            Attempt attempt = request == null ? null : request.out.get(c.attempt());
+                    requestsById.get(lookup.id()),
+                    new Fetch(lookup.id(), lookup.member(), lookup.member(), 0, 0, false, false, false, false, lookup.timeout()));
+        } else if (action instanceof Cancel cancel) {
+            Request request = requestsById.get(cancel.id());
+            Attempt attempt = request == null ? null : request.openAttempts.get(cancel.attempt());
             if (attempt != null) {
-                quit(attempt);
-                end(attempt, Outcome.CANCELLED);
+                abandon(attempt);
+                endAttempt(attempt, Outcome.CANCELLED);
             }
-        } else if (action instanceof Refuse r) {
-            answer(requests.get(r.id()), Code.REFUSED, false, (r.retryAfter() + MILLI - 1) / MILLI, Bytes.NONE);
-        } else if (action instanceof Fail f) {
-            answer(requests.get(f.id()), Code.FAILED, false, 0, Bytes.NONE);
-        } else if (action instanceof SetTimer t) {
-            timer(now + Math.max(1, t.delay()), Kind.MODULE, t.token());
-        } else if (action instanceof CloseIdle c && endpoints.containsKey(c.member())) {
-            out.accept(new Effect.CloseIdleConnections(endpoints.get(c.member()).instance()));
-        } else if (action instanceof LimitDemand w) {
-            fleet.ifPresent(f -> f.reportDemand(w));
-        } else if (action instanceof MemberHealthReport j) {
-            fleet.ifPresent(f -> f.reportHealth(now, j));
-        } else if (action instanceof Log l) {
-            LOG.info("{}", l.text());
+        } else if (action instanceof Refuse refuse) {
+            answer(
+                    requestsById.get(refuse.id()),
+                    Code.REFUSED,
+                    false,
+                    (refuse.retryAfter() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI,
+                    Bytes.NONE);
+        } else if (action instanceof Fail fail) {
+            answer(requestsById.get(fail.id()), Code.FAILED, false, 0, Bytes.NONE);
+        } else if (action instanceof SetTimer timer) {
+            addTimer(now + Math.max(1, timer.delay()), TimerKind.DECISION_MODULE, timer.token());
+        } else if (action instanceof CloseIdle closeIdle && endpointsByMember.containsKey(closeIdle.member())) {
+            effectSink.accept(new Effect.CloseIdleConnections(endpointsByMember.get(closeIdle.member()).instance()));
+        } else if (action instanceof LimitDemand demand) {
+            fleet.ifPresent(f -> f.reportDemand(demand));
+        } else if (action instanceof MemberHealthReport report) {
+            fleet.ifPresent(f -> f.reportHealth(now, report));
+        } else if (action instanceof Log log) {
+            LOG.info("{}", log.text());
         }
     }
 
-    private void send(Request request, Fetch f) {
+    private void send(Request request, Fetch fetch) {
         if (request == null) {
-            throw new IllegalStateException("an attempt for the request " + f.id() + ", which is not open");
+            throw new IllegalStateException("an attempt for request " + fetch.id() + ", which is not open");
         }
-        Endpoint target = endpoints.get(f.member());
-        Endpoint source = endpoints.get(f.source());
+        Endpoint target = endpointsByMember.get(fetch.member());
+        Endpoint source = endpointsByMember.get(fetch.source());
         if (target == null || source == null) {
-            throw new IllegalStateException("an attempt at a member that was never listed");
+            throw new IllegalStateException("the member or the source of an attempt is not listed");
         }
         Attempt attempt = new Attempt();
         attempt.request = request;
-        attempt.key = ++numbers;
-        attempt.number = request.sent++;
-        attempt.member = f.member();
-        attempt.source = f.source();
-        attempt.way = f.fillPath();
-        attempt.sentAt = now;
-        attempts.put(attempt.key, attempt);
-        request.out.put(attempt.number, attempt);
-        long until = f.timeout() > 0 ? Math.min(request.deadline, now + f.timeout()) : request.deadline;
-        if (request.over
-                || f.timeout() < 0
-                || until <= now
-                || request.sent > settings.limits().maxAttempts()) {
-            end(attempt, Outcome.MOOT);
+        attempt.key = ++lastNumber;
+        attempt.number = request.attemptsStarted++;
+        attempt.member = fetch.member();
+        attempt.source = fetch.source();
+        attempt.fillPath = fetch.fillPath();
+        attempt.startedAt = now;
+        attemptsByKey.put(attempt.key, attempt);
+        request.openAttempts.put(attempt.number, attempt);
+        long timeoutAt = fetch.timeout() > 0 ? Math.min(request.deadline, now + fetch.timeout()) : request.deadline;
+        if (request.closed
+                || fetch.timeout() < 0
+                || timeoutAt <= now
+                || request.attemptsStarted > settings.limits().maxAttempts()) {
+            endAttempt(attempt, Outcome.MOOT);
             return;
         }
         counters.add(Name.ATTEMPTS);
-        timer(until, Kind.ATTEMPT, attempt.key);
-        Input.Request asked = request.asked;
-        List<String> way = f.fillPath().stream()
-                .map(endpoints::get)
+        addTimer(timeoutAt, TimerKind.ATTEMPT_TIMEOUT, attempt.key);
+        Input.Request input = request.input;
+        List<String> fillPath = fetch.fillPath().stream()
+                .map(endpointsByMember::get)
                 .filter(Objects::nonNull)
                 .map(Endpoint::instance)
                 .toList();
-        String sourceName = f.source() == f.member() ? null : source.instance();
-        RequestTrace.attempt(
-                asked.call(), attempt.number, target.instance(), sourceName, lastUpdate, (until - now) / MILLI);
-        long within = f.maxAge() > 0 ? Math.max(1, f.maxAge() / MILLI) : 0;
-        if (request.named) {
-            attempt.written = true; // once it is named, it may run
-            out.accept(new Effect.AnnounceAttempt(
+        String sourceName = fetch.source() == fetch.member() ? null : source.instance();
+        RequestTrace.attemptStarted(
+                input.call(), attempt.number, target.instance(), sourceName, lastEventIndex, (timeoutAt - now) / MICROS_PER_MILLI);
+        long maxAgeMillis = fetch.maxAge() > 0 ? Math.max(1, fetch.maxAge() / MICROS_PER_MILLI) : 0;
+        if (request.sentByProxy) {
+            attempt.written = true; // the proxy may send it at any time from now on
+            effectSink.accept(new Effect.AnnounceAttempt(
                     request.stream.connection(),
                     attempt.key,
                     attempt.number,
                     target.instance(),
                     target.address(),
-                    Math.max(1, (until - now) / MILLI),
+                    Math.max(1, (timeoutAt - now) / MICROS_PER_MILLI),
                     sourceName,
-                    way,
-                    f.keepRank(),
-                    within,
-                    f.join(),
-                    f.onlyIfCached(),
-                    f.renew()));
+                    fillPath,
+                    fetch.keepRank(),
+                    maxAgeMillis,
+                    fetch.join(),
+                    fetch.onlyIfCached(),
+                    fetch.renew()));
             return;
         }
-        timer(now + limits.unwritten(), Kind.UNWRITTEN, attempt.key);
-        out.accept(new Effect.SendAttempt(
+        addTimer(now + limits.unwritten(), TimerKind.WRITE_TIMEOUT, attempt.key);
+        effectSink.accept(new Effect.SendAttempt(
                 attempt.key,
                 target.instance(),
                 target.address(),
-                asked.call(),
-                asked.requestClass(),
-                asked.object(),
-                asked.part(),
-                Math.max(1, (until - now) / MILLI),
+                input.call(),
+                input.requestClass(),
+                input.object(),
+                input.part(),
+                Math.max(1, (timeoutAt - now) / MICROS_PER_MILLI),
                 sourceName,
-                f.keepRank(),
-                within,
-                f.join(),
-                f.onlyIfCached(),
-                f.bypassParent(),
-                f.renew(),
-                asked.tag(),
+                fetch.keepRank(),
+                maxAgeMillis,
+                fetch.join(),
+                fetch.onlyIfCached(),
+                fetch.bypassParent(),
+                fetch.renew(),
+                input.tag(),
                 !settings.classes().get(request.requestClass).uncacheable(),
-                way,
-                asked.body().retain()));
+                fillPath,
+                input.body().retain()));
     }
 
-    private void quit(Attempt attempt) {
+    private void abandon(Attempt attempt) {
         counters.add(Name.QUITS);
-        if (attempt.request.named) {
-            return; // whoever sends it is told of the next attempt, or of the end
+        if (attempt.request.sentByProxy) {
+            return; // the proxy that sends it receives the next attempt or the final answer instead
         }
-        out.accept(new Effect.AbandonAttempt(attempt.key, settings.limits().cancel()));
+        effectSink.accept(new Effect.AbandonAttempt(attempt.key, settings.limits().cancel()));
     }
 
     // ---- outcomes -------------------------------------------------------------------------------------
 
-    private void answered(Input.Answered a) {
-        Attempt attempt = attempts.get(a.attempt());
+    private void answered(Input.Answered answer) {
+        Attempt attempt = attemptsByKey.get(answer.attempt());
         if (attempt == null) {
             counters.add(Name.LATE_ANSWERS);
-            a.body().release();
+            answer.body().release();
             return;
         }
-        Outcome outcome = OUTCOMES.get(a.status());
-        double kb = a.body().size() / 1_024.0;
+        Outcome outcome = OUTCOME_BY_STATUS.get(answer.status());
+        double bodyKb = answer.body().size() / 1_024.0;
         if (outcome == Outcome.OK) {
-            answer(attempt.request, Code.SERVED, a.status() == AnswerStatus.UNCHANGED, 0, a.body());
+            answer(attempt.request, Code.SERVED, answer.status() == AnswerStatus.UNCHANGED, 0, answer.body());
         } else {
-            a.body().release();
+            answer.body().release();
         }
-        end(
+        endAttempt(
                 attempt,
                 outcome,
-                a.note() == null ? FillResult.NONE : NOTES.getOrDefault(a.note(), FillResult.NONE),
-                a.load(),
-                kb);
+                answer.note() == null ? FillResult.NONE : FILL_RESULT_BY_NOTE.getOrDefault(answer.note(), FillResult.NONE),
+                answer.load(),
+                bodyKb);
     }
 
-    private void end(Attempt attempt, Outcome outcome) {
-        end(attempt, outcome, FillResult.NONE, Map.of(), 0);
+    private void endAttempt(Attempt attempt, Outcome outcome) {
+        endAttempt(attempt, outcome, FillResult.NONE, Map.of(), 0);
     }
 
-    private void end(Attempt attempt, Outcome outcome, FillResult note, Map<String, Double> load, double kb) {
+    private void endAttempt(Attempt attempt, Outcome outcome, FillResult fillResult, Map<String, Double> load, double bodyKb) {
         if (attempt == null) {
             return;
         }
         Request request = attempt.request;
-        attempts.remove(attempt.key);
-        request.out.remove(attempt.number);
+        attemptsByKey.remove(attempt.key);
+        request.openAttempts.remove(attempt.number);
         counters.add(Name.valueOf(outcome.name()));
         RequestTrace.attemptEnded(
-                request.asked.call(), attempt.number, outcome, note, attempt.written, now - attempt.sentAt);
-        if (drained.isPresent() && note == FillResult.HIT) {
-            hits.add(now, attempt.member);
+                request.input.call(), attempt.number, outcome, fillResult, attempt.written, now - attempt.startedAt);
+        if (drainedMembers.isPresent() && fillResult == FillResult.HIT) {
+            hitCount.add(now, attempt.member);
         }
-        events.add(new AttemptEnded(
+        pendingEvents.add(new AttemptEnded(
                 request.id,
                 attempt.number,
                 attempt.member,
                 outcome,
-                now - attempt.sentAt,
-                request.over,
-                note,
+                now - attempt.startedAt,
+                request.closed,
+                fillResult,
                 0,
                 load,
-                kb));
-        forgetIfDone(request);
+                bodyKb));
+        removeIfDone(request);
     }
 
     // ---- timers ---------------------------------------------------------------------------------------
 
-    private void timer(long at, Kind kind, long about) {
-        timers.add(new Timer(at, ++numbers, kind, about));
+    private void addTimer(long dueAt, TimerKind kind, long subject) {
+        timers.add(new Timer(dueAt, ++lastNumber, kind, subject));
     }
 
-    /** Whether what a timer is about has ended meanwhile, so that nobody need wake for it. */
-    private boolean stale(Timer timer) {
+    /** Whether the subject of a timer has ended, so that the router need not wake up for it. */
+    private boolean isStale(Timer timer) {
         return switch (timer.kind()) {
-            case ATTEMPT -> !attempts.containsKey(timer.about());
-            case UNWRITTEN -> !attempts.containsKey(timer.about()) || attempts.get(timer.about()).written;
-            case OVERDUE -> !requests.containsKey(Long.toString(timer.about()));
-            case HIERARCHY -> timer.at() != hierarchyDue;
-            case FLEET -> timer.at() != fleetDue;
-            case SYNC -> synced;
+            case ATTEMPT_TIMEOUT -> !attemptsByKey.containsKey(timer.subject());
+            case WRITE_TIMEOUT -> !attemptsByKey.containsKey(timer.subject()) || attemptsByKey.get(timer.subject()).written;
+            case ANSWER_OVERDUE -> !requestsById.containsKey(Long.toString(timer.subject()));
+            case HIERARCHY -> timer.dueAt() != hierarchyDue;
+            case FLEET -> timer.dueAt() != fleetDue;
+            case SYNC_TIMEOUT -> synced;
             default -> false;
         };
     }
 
-    private void due() {
-        while (!timers.isEmpty() && timers.peek().at() <= now) {
+    private void fireTimers() {
+        while (!timers.isEmpty() && timers.peek().dueAt() <= now) {
             Timer timer = timers.poll();
-            Attempt attempt = attempts.get(timer.about());
+            Attempt attempt = attemptsByKey.get(timer.subject());
             switch (timer.kind()) {
-                case MODULE -> events.add(new TimerDue(timer.about()));
-                case ATTEMPT -> {
+                case DECISION_MODULE -> pendingEvents.add(new TimerDue(timer.subject()));
+                case ATTEMPT_TIMEOUT -> {
                     if (attempt != null) {
-                        quit(attempt);
-                        end(attempt, Outcome.TIMEOUT);
+                        abandon(attempt);
+                        endAttempt(attempt, Outcome.TIMEOUT);
                     }
                 }
-                case UNWRITTEN -> {
+                case WRITE_TIMEOUT -> {
                     if (attempt != null && !attempt.written) {
-                        quit(attempt);
-                        end(attempt, Outcome.CONNECT_FAILED);
+                        abandon(attempt);
+                        endAttempt(attempt, Outcome.CONNECT_FAILED);
                     }
                 }
-                case OVERDUE -> overdue(requests.get(Long.toString(timer.about())));
-                case SYNC -> giveUpSync();
-                case EXIT -> List.copyOf(unanswered.values()).forEach(this::overdue);
+                case ANSWER_OVERDUE -> failOverdue(requestsById.get(Long.toString(timer.subject())));
+                case SYNC_TIMEOUT -> giveUpSync();
+                case EXIT_DEADLINE -> List.copyOf(unanswered.values()).forEach(this::failOverdue);
                 case HIERARCHY, FLEET, EXIT_IF_QUIET -> {
-                    // what follows each input does it
+                    // accept() handles these after every input
                 }
             }
-            drive();
+            dispatchEvents();
         }
     }
 
-    /** The module owes an answer and has given none: the request fails here. */
-    private void overdue(Request request) {
+    /** Fails a request for which the decision module has given no answer in time. */
+    private void failOverdue(Request request) {
         if (request != null && answer(request, Code.FAILED, false, 0, Bytes.NONE)) {
             counters.add(Name.OVERDUE);
-            events.add(new RequestAbandoned(request.id));
+            pendingEvents.add(new RequestAbandoned(request.id));
         }
     }
 
     private void terminate() {
         if (terminatedAt < 0) {
             terminatedAt = now;
-            timer(now + limits.quietAfterTerm(), Kind.EXIT_IF_QUIET, 0);
-            timer(now + limits.lastAfterTerm(), Kind.EXIT, 0);
-            out.accept(new Effect.DrainClients());
+            addTimer(now + limits.quietAfterTerm(), TimerKind.EXIT_IF_QUIET, 0);
+            addTimer(now + limits.lastAfterTerm(), TimerKind.EXIT_DEADLINE, 0);
+            effectSink.accept(new Effect.DrainClients());
             fleet.ifPresent(f -> f.leave(now));
         }
     }
 
-    /** Whether new requests are wanted: the members are known as of now and the process is not about to end. */
+    /** Whether the router accepts new requests: its member list is up to date and the process is not terminating. */
     public boolean ready() {
         return terminatedAt < 0
                 && synced
-                && !endpoints.isEmpty()
+                && !endpointsByMember.isEmpty()
                 && fleet.map(FleetParticipant::membersUsable).orElse(true);
     }
 
-    // ---- what the coordinator tells -------------------------------------------------------------------
+    // ---- updates of the coordinator -------------------------------------------------------------------
 
-    private void updated(String json) {
+    private void applyUpdate(String json) {
         try {
-            updated(Message.parse(json));
+            applyUpdate(Message.parse(json));
         } catch (WireException e) {
             counters.add(Name.BAD_INPUT);
-            complaints.warn(now, "an event of the coordinator was skipped: " + e.getMessage());
+            warningLog.warn(now, "an event of the coordinator is skipped: " + e.getMessage());
         }
     }
 
     /**
-     * Whether all that was told up to the start of the coordinator's stream has been applied, or waiting for that was
-     * given up. Before, decisions would rest on the list of the configuration, which may be older than a grace period.
+     * Whether all events up to the start of the coordinator's stream have been applied, or the wait for them timed
+     * out. Before that, decisions would rest on the member list of the configuration, which may be older than a grace
+     * period.
      */
     public boolean synced() {
         return synced;
     }
 
-    private void caughtUp() {
+    private void markSynced() {
         if (!synced) {
             synced = true;
-            LOG.info("caught up with the coordinator at event {}", lastUpdate);
+            LOG.info("caught up with the coordinator at event {}", lastEventIndex);
         }
     }
 
@@ -690,130 +716,136 @@
             synced = true;
             counters.add(Name.STARTED_UNSYNCED);
             LOG.warn(
-                    "the coordinator did not tell what is new within {} ms: serving on event {}",
-                    limits.syncTime() / MILLI,
-                    lastUpdate);
+                    "the coordinator did not send all events within {} ms: serving with the state of event {}",
+                    limits.syncTime() / MICROS_PER_MILLI,
+                    lastEventIndex);
         }
     }
 
-    /** Takes the events that were known at the start. */
+    /** Starts the router with the events in its configuration. */
     public void known(long time, NodeConfig config, Consumer<Effect> effects) {
         now = time;
-        wall = time;
-        out = effects;
+        wallNow = time;
+        effectSink = effects;
         for (Message update : config.known()) {
             try {
-                updated(update);
+                applyUpdate(update);
             } catch (WireException e) {
                 counters.add(Name.BAD_INPUT);
-                LOG.error("a known event was skipped: {}", e.getMessage());
+                LOG.error("an event of the configuration is skipped: {}", e.getMessage());
             }
-            drive();
+            dispatchEvents();
         }
-        lastUpdate = Math.max(lastUpdate, config.knownIndex());
-        events.add(new DiscoveryHeartbeat());
-        drive();
+        lastEventIndex = Math.max(lastEventIndex, config.knownIndex());
+        pendingEvents.add(new DiscoveryHeartbeat());
+        dispatchEvents();
         this.config = config;
         synced = config.coordinator().isEmpty();
-        timer(now + limits.syncTime(), Kind.SYNC, 0);
-        followHierarchy();
-        followFleet();
+        addTimer(now + limits.syncTime(), TimerKind.SYNC_TIMEOUT, 0);
+        advanceHierarchy();
+        advanceFleet();
     }
 
     // ---- the hierarchy --------------------------------------------------------------------------------
 
-    /** Takes what the operator has set, once, before anything that is known; without it all is as before. */
-    public void applyOperatorConfig(long time, OperatorConfig set, String location, String name, long seed) {
-        operator = set;
-        set.fleet().ifPresent(f -> {
-            fleet = Optional.of(FleetParts.of(f.setup(name, settings.rules()), time, seed, new Drains.Usage() {
+    /**
+     * Applies the operator's file; called at most once, before the events of the configuration are applied. Without it
+     * there is neither a fleet nor a hierarchy.
+     */
+    public void applyOperatorConfig(long time, OperatorConfig initial, String location, String name, long seed) {
+        operatorConfig = initial;
+        initial.fleet().ifPresent(section -> {
+            fleet = Optional.of(FleetFactory.create(section.setup(name, settings.rules()), time, seed, new Drains.Usage() {
                 @Override
                 public int underWay(long member) {
-                    return (int) attempts.values().stream()
-                            .filter(a -> a.member == member || a.source == member || a.way.contains(member))
+                    return (int) attemptsByKey.values().stream()
+                            .filter(a -> a.member == member || a.source == member || a.fillPath.contains(member))
                             .count();
                 }
 
                 @Override
                 public double hits(long member) {
-                    return hits.of(now, member);
+                    return hitCount.recentHits(now, member);
                 }
             }));
-            drained = fleet.filter(FleetParticipant::coordinatesDrains).map(x -> new DrainedMembers());
+            drainedMembers = fleet.filter(FleetParticipant::coordinatesDrains).map(x -> new DrainedMembers());
         });
-        set.hierarchy().ifPresent(h -> {
-            long coldTime = settings.rules().parentSlowStart().rampDuration();
+        initial.hierarchy().ifPresent(section -> {
+            long slowStartMicros = settings.rules().parentSlowStart().rampDuration();
             Hierarchy.Setup setup =
-                    new Hierarchy.Setup(h.depot().isEmpty() ? location : h.depot(), h.news(), h.timing(), coldTime);
+                    new Hierarchy.Setup(section.depot().isEmpty() ? location : section.depot(), section.news(), section.timing(), slowStartMicros);
             hierarchy = Optional.of(Hierarchy.start(
-                    h.shape(),
-                    h.before(),
-                    h.lastPiece(),
+                    section.shape(),
+                    section.before(),
+                    section.lastPiece(),
                     time,
                     setup,
-                    notice -> complaints.warn(now, notice.text(), notice.fields())));
+                    notice -> warningLog.warn(now, notice.text(), notice.fields())));
         });
     }
 
-    /** Lets the hierarchy live up to now, and tells the decisions what may be filled from where that is new. */
-    private void followHierarchy() {
+    /** Advances the hierarchy to the current time and passes changed fill sources to the decision module. */
+    private void advanceHierarchy() {
         if (hierarchy.isEmpty()) {
             return;
         }
-        Hierarchy h = hierarchy.get();
-        h.advance(now);
-        if (h.changed()) {
-            events.add(h.sources(Reducer::memberId));
-            drive();
+        Hierarchy current = hierarchy.get();
+        current.advance(now);
+        if (current.changed()) {
+            pendingEvents.add(current.sources(Reducer::memberId));
+            dispatchEvents();
         }
-        long due = h.nextDue();
+        long due = current.nextDue();
         if (due != hierarchyDue && due < Long.MAX_VALUE) {
-            timer(due, Kind.HIERARCHY, 0);
+            addTimer(due, TimerKind.HIERARCHY, 0);
         }
         hierarchyDue = due;
     }
 
     // ---- the fleet ------------------------------------------------------------------------------------
 
-    /** Lets this router's part in the fleet live up to now: its packets out, its news to the decisions, its lines. */
-    private void followFleet() {
+    /**
+     * Advances this router's fleet participant to the current time: sends its packets, passes its events to the
+     * decision module and writes its log events.
+     */
+    private void advanceFleet() {
         if (fleet.isEmpty()) {
             return;
         }
-        FleetParticipant f = fleet.get();
-        // whom to leave alone comes before anything that could send: what a router reports it has to go by
-        f.takeDrainView().flatMap(view -> drained.get().follow(view)).ifPresent(events::add);
-        drive();
-        f.advance(now);
-        f.takeDrainView().flatMap(view -> drained.get().follow(view)).ifPresent(events::add);
-        events.addAll(f.takeEvents());
-        drive();
-        f.takePackets().forEach(d -> out.accept(new Effect.SendFleetPacket(d.address(), d.bytes())));
-        f.takeLogEvents().forEach(n -> fleetLog.info(now, n.text(), n.fields()));
-        long due = f.nextDue();
+        FleetParticipant participant = fleet.get();
+        // applies the drains before the decision module can send anything: the router must comply with what it reports
+        participant.takeDrainView().flatMap(view -> drainedMembers.get().applyView(view)).ifPresent(pendingEvents::add);
+        dispatchEvents();
+        participant.advance(now);
+        participant.takeDrainView().flatMap(view -> drainedMembers.get().applyView(view)).ifPresent(pendingEvents::add);
+        pendingEvents.addAll(participant.takeEvents());
+        dispatchEvents();
+        participant.takePackets().forEach(d -> effectSink.accept(new Effect.SendFleetPacket(d.address(), d.bytes())));
+        participant.takeLogEvents().forEach(n -> fleetLog.info(now, n.text(), n.fields()));
+        long due = participant.nextDue();
         if (due != fleetDue) {
-            timer(due, Kind.FLEET, 0);
+            addTimer(due, TimerKind.FLEET, 0);
         }
         fleetDue = due;
     }
 
-    /** Rows about one subject of the fleet as a JSON text; empty where there is no fleet or no such subject. */
+    /** Returns the table of one fleet subject as JSON text; empty if there is no fleet or no such subject. */
     public Optional<String> rows(String subject) {
         return fleet.flatMap(f -> f.rows(subject)).map(Rows::json);
     }
 
-    private void shapeTold(TopologyMessage news) {
+    private void applyTopologyMessage(TopologyMessage message) {
         if (hierarchy.isEmpty()) {
-            return; // this installation has none
+            return; // the operator's file configures no hierarchy
         }
-        if (news instanceof TopologyMessage.Told t) {
-            hierarchy.get().take(now, t.piece());
-        } else if (news instanceof TopologyMessage.Certain c) {
-            hierarchy.get().certain(now, c.asOf(), c.lastNumber());
+        if (message instanceof TopologyMessage.Told update) {
+            hierarchy.get().take(now, update.piece());
+        } else if (message instanceof TopologyMessage.Certain certain) {
+            hierarchy.get().certain(now, certain.asOf(), certain.lastNumber());
         }
     }
 
-    /** What can be seen of the parts that the operator has switched on, by name. */
+    /** Returns status fields of the hierarchy and the fleet, as far as the operator has enabled them. */
     public Map<String, String> state() {
         Map<String, String> state = new LinkedHashMap<>();
         hierarchy.ifPresent(h -> state.putAll(h.snapshot().fields()));
@@ -821,185 +853,199 @@
         return state;
     }
 
-    /** Takes over a new shape; anything else that is new in the operator's file can't be followed while running. */
-    private String operateAnew(OperatorConfig next) {
-        if (next.equals(operator)) {
+    /**
+     * Applies a new operator's file and returns null, or returns the reason why it can't be applied. A running router
+     * follows a new topology, and a section 'processor' with the same 'listen' and 'tls'; not the other changes.
+     */
+    private String applyNewOperatorConfig(OperatorConfig next) {
+        if (next.equals(operatorConfig)) {
             if (next.processor().isPresent()) {
-                out.accept(new Effect.ApplyOperatorConfig(next)); // the certificates that it names may be new all the same
+                // the certificate files that it names may have changed
+                effectSink.accept(new Effect.ApplyOperatorConfig(next));
             }
             return null;
         }
-        if (next.processor().isPresent() != operator.processor().isPresent()
+        if (next.processor().isPresent() != operatorConfig.processor().isPresent()
                 || next.processor().isPresent()
-                        && !next.processor().get().follows(operator.processor().get())) {
-            return "the section 'processor' can't come or go, and its listen and tls can't change, while running";
+                        && !next.processor().get().follows(operatorConfig.processor().get())) {
+            return "the section 'processor' can't be added, removed or given another 'listen' or 'tls' while running";
         }
-        if (!next.fleet().equals(operator.fleet())) {
+        if (!next.fleet().equals(operatorConfig.fleet())) {
             return "the section 'fleet' can't be changed while running";
         }
-        if (next.hierarchy().isEmpty() && operator.hierarchy().isEmpty()) {
-            operator = next;
-            out.accept(new Effect.ApplyOperatorConfig(next));
+        if (next.hierarchy().isEmpty() && operatorConfig.hierarchy().isEmpty()) {
+            operatorConfig = next;
+            effectSink.accept(new Effect.ApplyOperatorConfig(next));
             return null;
         }
-        if (next.hierarchy().isEmpty() || operator.hierarchy().isEmpty()) {
-            return "the section 'hierarchy' can't come or go while running";
+        if (next.hierarchy().isEmpty() || operatorConfig.hierarchy().isEmpty()) {
+            return "the section 'hierarchy' can't be added or removed while running";
         }
-        HierarchySection old = operator.hierarchy().get();
-        HierarchySection fresh = next.hierarchy().get();
-        if (old.news() != fresh.news()
-                || !old.timing().equals(fresh.timing())
-                || !old.depot().equals(fresh.depot())) {
-            return "news, depot and times of the hierarchy can't be changed while running";
+        HierarchySection current = operatorConfig.hierarchy().get();
+        HierarchySection proposed = next.hierarchy().get();
+        if (current.news() != proposed.news()
+                || !current.timing().equals(proposed.timing())
+                || !current.depot().equals(proposed.depot())) {
+            return "'news', 'depot' and the times of the section 'hierarchy' can't be changed while running";
         }
-        if (!old.shape().equals(fresh.shape())) {
+        if (!current.shape().equals(proposed.shape())) {
             List<Violation> problems = hierarchy
                     .get()
                     .take(
                             now,
-                            fresh.shape(),
-                            endpoints.values().stream().map(Endpoint::instance).collect(Collectors.toSet()));
+                            proposed.shape(),
+                            endpointsByMember.values().stream().map(Endpoint::instance).collect(Collectors.toSet()));
             if (!problems.isEmpty()) {
-                return "the shape of version " + fresh.shape().version() + ": "
+                return "the topology of version " + proposed.shape().version() + ": "
                         + problems.get(0).text();
             }
         }
-        operator = next;
-        out.accept(new Effect.ApplyOperatorConfig(next));
+        operatorConfig = next;
+        effectSink.accept(new Effect.ApplyOperatorConfig(next));
         return null;
     }
 
     /**
-     * A new configuration, whoever asked for it and however often: a file that cannot be used, or that changes
-     * what a running router cannot follow, changes nothing at all. Nothing that is open is disturbed.
+     * Applies a new configuration. A file that cannot be used, or that changes a field that a running router cannot
+     * follow, is rejected as a whole. Open requests are not affected.
      */
-    private void reload(Input.Reload r) {
-        String problem = r.config() == null
-                ? r.problem()
-                : config.unfollowable(r.config())
-                        .map(f -> "field '" + f + "' can't be changed while running")
+    private void reload(Input.Reload reload) {
+        String problem = reload.config() == null
+                ? reload.problem()
+                : config.unfollowable(reload.config())
+                        .map(field -> "field '" + field + "' can't be changed while running")
                         .orElse(null);
-        problem = problem == null ? operateAnew(r.operator()) : problem;
+        problem = problem == null ? applyNewOperatorConfig(reload.operator()) : problem;
         counters.add(problem == null ? Name.RELOADS : Name.RELOADS_REFUSED);
         if (problem != null) {
             LOG.error("the new configuration is not used: {}", problem);
-        } else if (r.config().coordinator().equals(config.coordinator())) {
-            LOG.info("the configuration was read again, the coordinator is the same");
+        } else if (reload.config().coordinator().equals(config.coordinator())) {
+            LOG.info("the configuration was reloaded; the coordinator is unchanged");
         } else {
-            config = r.config();
-            LOG.info("the configuration was read again, the coordinator is at {}", config.coordinator());
-            out.accept(new Effect.FollowCoordinator(config.coordinator()));
+            config = reload.config();
+            LOG.info("the configuration was reloaded; the coordinator is now at {}", config.coordinator());
+            effectSink.accept(new Effect.FollowCoordinator(config.coordinator()));
         }
     }
 
-    /** Takes an event once and in order; behind a gap the stream is asked for again, once for each gap. */
-    private void updated(Message update) throws WireException {
-        long index = update.integer("index", lastUpdate + 1);
-        if (index <= lastUpdate) {
-            return; // told before
+    /**
+     * Applies an event once and in order. On a gap it opens the coordinator's stream again from the last applied event,
+     * once per gap; if the missing event does not come then either, the later one is applied.
+     */
+    private void applyUpdate(Message update) throws WireException {
+        long index = update.integer("index", lastEventIndex + 1);
+        if (index <= lastEventIndex) {
+            return; // already applied
         }
-        if (index > lastUpdate + 1 && gapAt != lastUpdate && config != null) {
-            gapAt = lastUpdate;
+        if (index > lastEventIndex + 1 && gapDetectedAfter != lastEventIndex && config != null) {
+            gapDetectedAfter = lastEventIndex;
             counters.add(Name.GAPS);
-            complaints.warn(
-                    now, "event " + index + " came behind event " + lastUpdate + ": the coordinator is asked again");
-            out.accept(new Effect.FollowCoordinator(config.coordinator()));
+            warningLog.warn(
+                    now, "event " + index + " came behind event " + lastEventIndex + ": reconnecting to the coordinator");
+            effectSink.accept(new Effect.FollowCoordinator(config.coordinator()));
             return;
         }
-        lastUpdate = index;
+        lastEventIndex = index;
         counters.add(Name.UPDATES);
-        part(index, "evict", update, this::purged); // each by itself: one that can't be read costs no other
-        part(index, "endpoints", update, this::listed);
-        part(index, "shape", update, shape -> shapeTold(TopologyMessage.read(shape)));
+        // each part is read on its own: an unreadable one does not affect the others
+        applyPart(index, "evict", update, this::applyPurge);
+        applyPart(index, "endpoints", update, this::applyMemberList);
+        applyPart(index, "shape", update, shape -> applyTopologyMessage(TopologyMessage.read(shape)));
     }
 
-    /** One part of an event; it is read as a whole before anything follows from it. */
-    private interface Part {
-        void take(Message part) throws WireException;
+    /** Reads and applies one part of an event; it must read the whole part before it applies anything. */
+    private interface PartReader {
+        void apply(Message part) throws WireException;
     }
 
-    private void part(long index, String name, Message update, Part reader) {
+    private void applyPart(long index, String name, Message update, PartReader reader) {
         if (update.has(name)) {
             try {
-                reader.take(update.object(name));
+                reader.apply(update.object(name));
             } catch (WireException e) {
                 counters.add(Name.BAD_INPUT);
-                complaints.warn(now, "'" + name + "' of event " + index + " was skipped: " + e.getMessage());
+                warningLog.warn(now, "'" + name + "' of event " + index + " is skipped: " + e.getMessage());
             }
         }
     }
 
-    private void purged(Message purge) throws WireException {
+    private void applyPurge(Message purge) throws WireException {
         counters.add(Name.PURGES);
-        events.add(new Purged(
-                purge.text("ref", null), (int) purge.integer("shard", -1), age(purge.integer("unix_ms") * MILLI)));
+        pendingEvents.add(new Purged(
+                purge.text("ref", null), (int) purge.integer("shard", -1), ageOf(purge.integer("unix_ms") * MICROS_PER_MILLI)));
     }
 
     /**
-     * How long ago something happened that is told in Unix time. Where the machine's clock was stepped since the start,
-     * nobody knows which of the two is right: the smaller age makes purges bind more copies and members stay cold longer.
+     * Returns how long ago a Unix time was. If the wall clock was stepped since the start, either clock may be wrong;
+     * the smaller age is the safe one: purges then cover more copies and members stay in slow start longer.
      */
-    private long age(long unixMicros) {
-        return Math.max(0, Math.min(now, wall) - unixMicros);
+    private long ageOf(long unixMicros) {
+        return Math.max(0, Math.min(now, wallNow) - unixMicros);
     }
 
-    /** When a member started, by the time of this router; 0 for long ago. The same for as long as it is told the same. */
-    private long started(long member, long toldStart) {
-        Endpoint before = endpoints.get(member);
-        if (before != null && before.toldStart() == toldStart) {
+    /**
+     * Returns the start time of a member by this router's clock; 0 for long ago. It stays the same for as long as the
+     * coordinator reports the same start.
+     */
+    private long startTime(long member, long reportedStart) {
+        Endpoint before = endpointsByMember.get(member);
+        if (before != null && before.reportedStart() == reportedStart) {
             return before.started();
         }
-        boolean agree = Math.abs(now - wall) <= CLOCKS_AGREE;
-        return toldStart == 0 || agree ? toldStart : now - age(toldStart);
+        boolean clocksAgree = Math.abs(now - wallNow) <= CLOCK_TOLERANCE_MICROS;
+        return reportedStart == 0 || clocksAgree ? reportedStart : now - ageOf(reportedStart);
     }
 
-    /** A line of a list that could be read. */
-    private record Line(Member member, Endpoint endpoint) {}
+    /** An entry of a member list that could be read. */
+    private record ListEntry(Member member, Endpoint endpoint) {}
 
-    private Line line(Message line) throws WireException {
-        String instance = line.text("instanceId");
-        State state = STATES.get(line.text("lifecycle"));
+    private ListEntry parseListEntry(Message entry) throws WireException {
+        String instance = entry.text("instanceId");
+        State state = STATE_BY_LIFECYCLE.get(entry.text("lifecycle"));
         if (state == null) {
-            throw new WireException("unknown lifecycle '" + line.text("lifecycle") + "'");
+            throw new WireException("unknown lifecycle '" + entry.text("lifecycle") + "'");
         }
-        long toldStart = line.integer("startedAtMs", 0) * MILLI;
+        long reportedStart = entry.integer("startedAtMs", 0) * MICROS_PER_MILLI;
         Member member = new Member(
                 memberId(instance),
-                words.role(line.text("machineType", null)),
-                words.zone(line.text("zone")),
-                (int) line.integer("cell", 0),
-                line.number("weight", 1),
-                started(memberId(instance), toldStart),
+                settingsReader.role(entry.text("machineType", null)),
+                settingsReader.zone(entry.text("zone")),
+                (int) entry.integer("cell", 0),
+                entry.number("weight", 1),
+                startTime(memberId(instance), reportedStart),
                 state);
-        return new Line(
+        return new ListEntry(
                 member,
-                new Endpoint(instance, NodeConfig.address(line, "hostPort"), toldStart, member.started(), state));
+                new Endpoint(instance, NodeConfig.address(entry, "hostPort"), reportedStart, member.started(), state));
     }
 
-    /** A list: all of it is read before any of it is applied, and a line that can't be read costs that member's news alone. */
-    private void listed(Message list) throws WireException {
-        boolean whole = list.flag("reset");
+    /**
+     * Applies a member list. The whole list is read before any entry is applied; an unreadable entry affects only its
+     * own member, which stays as it was.
+     */
+    private void applyMemberList(Message list) throws WireException {
+        boolean snapshot = list.flag("reset");
         long version = list.integer("generation", 0);
-        List<Line> lines = new ArrayList<>();
-        Set<Long> unread = new HashSet<>();
+        List<ListEntry> entries = new ArrayList<>();
+        Set<Long> unreadable = new HashSet<>();
         for (Message each : list.objects("instances")) {
             counters.add(Name.LIST_LINES);
             try {
-                lines.add(line(each));
+                entries.add(parseListEntry(each));
             } catch (WireException e) {
                 counters.add(Name.BAD_INPUT);
-                complaints.warn(now, "a line of a list was skipped: " + e.getMessage());
-                unread.add(memberId(String.valueOf(each.value("instanceId"))));
+                warningLog.warn(now, "an entry of a member list is skipped: " + e.getMessage());
+                unreadable.add(memberId(String.valueOf(each.value("instanceId"))));
             }
         }
-        if (lines.isEmpty() && !unread.isEmpty()) {
-            return; // nothing of it can be used
+        if (entries.isEmpty() && !unreadable.isEmpty()) {
+            return; // no entry is readable
         }
         List<Member> members = new ArrayList<>();
-        for (Line line : lines) {
-            Member member = line.member();
+        for (ListEntry entry : entries) {
+            Member member = entry.member();
             State state = member.state();
-            String instance = line.endpoint().instance();
+            String instance = entry.endpoint().instance();
             members.add(member);
             if (state == State.GONE) {
                 fleetMembers.remove(member.id());
@@ -1007,51 +1053,51 @@
                 fleetMembers.put(
                         member.id(), new Fleet.Listed(instance, member.role(), member.started(), state == State.READY));
             }
-            Endpoint before = endpoints.put(member.id(), line.endpoint());
-            logChange(before, line.endpoint());
+            Endpoint before = endpointsByMember.put(member.id(), entry.endpoint());
+            logEndpointChange(before, entry.endpoint());
             if (state == State.GONE) {
-                gone(member.id());
+                removeMember(member.id());
             } else if (before != null && before.started() != member.started()) {
-                out.accept(new Effect.DropConnections(instance, member.started()));
+                effectSink.accept(new Effect.DropConnections(instance, member.started()));
             }
         }
-        if (whole) { // who is not in a whole list has been removed
+        if (snapshot) { // members that a full list lacks have been removed
             Set<Long> listed = members.stream().map(Member::id).collect(Collectors.toSet());
-            listed.addAll(unread);
-            endpoints.keySet().stream()
+            listed.addAll(unreadable);
+            endpointsByMember.keySet().stream()
                     .filter(id -> !listed.contains(id))
                     .toList()
-                    .forEach(this::gone);
+                    .forEach(this::removeMember);
             fleetMembers.keySet().retainAll(listed);
         }
         fleet.ifPresent(f -> f.updateMembers(now, fleetMembers));
-        hierarchy.ifPresent(h -> h.members(endpoints.values().stream()
+        hierarchy.ifPresent(h -> h.members(endpointsByMember.values().stream()
                 .collect(Collectors.toMap(Endpoint::instance, Endpoint::started, Math::max))));
-        MemberListUpdate news = new MemberListUpdate(whole ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, members);
-        if (drained.isEmpty()) {
-            events.add(news);
+        MemberListUpdate memberList = new MemberListUpdate(snapshot ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, members);
+        if (drainedMembers.isEmpty()) {
+            pendingEvents.add(memberList);
         } else {
-            drained.get().listed(news).ifPresent(events::add);
+            drainedMembers.get().applyListUpdate(memberList).ifPresent(pendingEvents::add);
         }
     }
 
-    /** One log line for each endpoint whose state or process is new; the list known at the start is not logged. */
-    private void logChange(Endpoint before, Endpoint after) {
+    /** Logs an endpoint whose state or process start changed; the list in the configuration is not logged. */
+    private void logEndpointChange(Endpoint before, Endpoint after) {
         if (config != null
                 && (before == null || before.state() != after.state() || before.started() != after.started())) {
-            changeLog.info(
+            endpointLog.info(
                     now,
-                    "event " + lastUpdate + ": endpoint " + after.instance() + " is " + after.state() + ", was "
+                    "event " + lastEventIndex + ": endpoint " + after.instance() + " is " + after.state() + ", was "
                             + (before == null ? "not listed" : before.state()),
                     Map.of());
         }
     }
 
-    private void gone(long member) {
-        out.accept(new Effect.RetireConnections(endpoints.remove(member).instance()));
+    private void removeMember(long member) {
+        effectSink.accept(new Effect.RetireConnections(endpointsByMember.remove(member).instance()));
     }
 
-    /** A number for a member that is the same at every router and every start: FNV-1a over its name. */
+    /** Returns the FNV-1a hash of a member's name, an id that is the same at every router and after every restart. */
     static long memberId(String instance) {
         long hash = 0xcbf29ce484222325L;
         for (byte b : instance.getBytes(StandardCharsets.UTF_8)) {
--- a/src/main/java/pumicemoor/node/RequestTrace.java
+++ b/src/main/java/pumicemoor/node/RequestTrace.java
@@ -6,9 +6,9 @@
 import pumicemoor.RouterApi.Outcome;
 
 /**
- * The life of each request as log lines of level DEBUG, by the client's own request id: its arrival, each attempt
- * with the last coordinator event that it was decided on, the end of each attempt, and the final answer. Off unless
- * the logger {@code pumicemoor.node.RequestTrace} is set to DEBUG; nothing may be decided by it.
+ * Traces each request at level DEBUG under the id that its client gave it: its arrival, the start of each attempt with
+ * the last coordinator event applied before the decision, the end of each attempt, and the final answer. It is off
+ * unless the logger {@code pumicemoor.node.RequestTrace} is set to DEBUG; no decision may depend on it.
  */
 final class RequestTrace {
 
@@ -29,48 +29,48 @@
         }
     }
 
-    /** An attempt goes out; the source is null where nothing is filled, the event is the last one that was applied. */
-    static void attempt(String call, int number, String target, String source, long lastEvent, long millisLeft) {
+    /** Traces the start of an attempt; the source is null if it names none, the event is the last one applied. */
+    static void attemptStarted(String clientRequestId, int number, String target, String source, long lastEventIndex, long millisLeft) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "request {} attempt {} at {} source {} decided on event {} has {} ms",
-                    call,
+                    clientRequestId,
                     number,
                     target,
                     source,
-                    lastEvent,
+                    lastEventIndex,
                     millisLeft);
         }
     }
 
-    static void attemptEnded(String call, int number, Outcome outcome, FillResult note, boolean written, long micros) {
+    static void attemptEnded(String clientRequestId, int number, Outcome outcome, FillResult fillResult, boolean written, long micros) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "request {} attempt {} ended {} {} written {} after {} us",
-                    call,
+                    clientRequestId,
                     number,
                     outcome,
-                    note,
+                    fillResult,
                     written,
                     micros);
         }
     }
 
-    static void answered(String call, Effect.Code code, long pushbackMillis, int attempts, long millisLeft) {
+    static void answered(String clientRequestId, Effect.Code code, long retryAfterMillis, int attempts, long millisLeft) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "request {} answered {} pushback {} ms after {} attempts, {} ms before its deadline",
-                    call,
+                    clientRequestId,
                     code,
-                    pushbackMillis,
+                    retryAfterMillis,
                     attempts,
                     millisLeft);
         }
     }
 
-    static void withdrawn(String call, int attemptsOut) {
+    static void cancelled(String clientRequestId, int openAttempts) {
         if (LOG.isDebugEnabled()) {
-            LOG.debug("request {} closed: its client waits no more, {} attempts are out", call, attemptsOut);
+            LOG.debug("request {} cancelled by its client, {} attempts are under way", clientRequestId, openAttempts);
         }
     }
 }
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -4,125 +4,129 @@
 import pumicemoor.RouterApi.Settings;
 
 /**
- * All sizes, counts and times by which the router guards its own resources, filled once at start and handed
- * down. It must never hold a value by which requests are steered: those stand in the decision module. Times
- * are microseconds, sizes bytes.
+ * The sizes, counts and times that protect the router's own resources, computed once at start. It must never hold a
+ * value that influences where a request goes: those belong to the decision module. Times are microseconds except where
+ * noted, sizes are bytes.
  */
 public record ResourceLimits(
-        int openRequests,
-        int openPerClient,
-        int clients,
-        int frameBytes,
-        int requestBytes,
-        int answerBytes,
-        int lineBytes,
-        long bufferedBytes,
-        int clientBacklogBytes,
-        int lineBacklogBytes,
-        long sweep,
-        long clientFirst,
-        long clientIdle,
-        long clientLeave,
-        long clientRelease,
-        long clientStall,
-        int streamsKnown,
-        int misuses,
-        long longestTtl,
-        long pushback,
-        int complaints,
-        int lines,
-        int linesPerMember,
-        int attemptsPerLine,
-        long connectTimeout,
-        long unwritten,
-        long lineIdle,
-        long lineAbandoned,
-        long lineQuiet,
-        long lineDead,
-        long idKept,
-        long feedSilence,
-        long feedConnect,
-        long feedRetry,
-        long syncTime,
-        long requestHold,
-        long heldUp,
-        long answerGuard,
-        long quietAfterTerm,
-        long lastAfterTerm,
-        int rehearsals,
-        long rehearsalTime,
-        int fleetLines) {
+        int openRequests, // open requests of the router
+        int openPerClient, // open requests of one client connection
+        int clients, // client connections
+        int frameBytes, // largest frame of a client
+        int requestBytes, // largest body of a request
+        int answerBytes, // largest body of an answer
+        int lineBytes, // longest header line of an answer
+        long bufferedBytes, // memory of all network buffers together
+        int clientBacklogBytes, // high water mark of the write buffer of a client connection
+        int lineBacklogBytes, // the same of a connection to a member
+        long sweep, // interval of the checks for idle and dead connections
+        long clientFirst, // until the first request of a client, and until the rest of a frame
+        long clientIdle, // until a client connection without requests counts as idle
+        long clientLeave, // from telling an idle client to leave until its connection is closed
+        long clientRelease, // delay before a released client connection is closed
+        long clientStall, // for which a client may leave its answers unread
+        int streamsKnown, // stream numbers remembered per client
+        int misuses, // protocol errors after which a client is disconnected
+        long longestTtl, // longest time to live that a client may give a request
+        long pushback, // milliseconds after which a refused client may retry, 0 for no advice
+        int complaints, // warnings about peers per second
+        int lines, // connections to members
+        int linesPerMember, // connections to one member
+        int attemptsPerLine, // attempts at once on one connection to a member
+        long connectTimeout, // for a connection to a member
+        long unwritten, // until an attempt that is not completely written has failed
+        long lineIdle, // until an idle connection to a member is closed
+        long lineAbandoned, // until one is closed whose answers no longer arrive
+        long lineQuiet, // without data from a member that owes answers, until it is probed
+        long lineDead, // until a probe that gets no reply closes the connection
+        long idKept, // for which the id of an ended attempt is remembered on its connection
+        long feedSilence, // without data until the coordinator stream counts as lost
+        long feedConnect, // for a connection to the coordinator
+        long feedRetry, // mean delay before the coordinator stream is opened again
+        long syncTime, // to catch up with the coordinator after the start
+        long requestHold, // for which requests wait for the coordinator after a stall
+        long heldUp, // between two turns of the event loop from which it counts as stalled
+        long answerGuard, // past its deadline until an unanswered request fails
+        long quietAfterTerm, // after SIGTERM during which the router does not exit even if no request is open
+        long lastAfterTerm, // after SIGTERM when all requests still open fail
+        int rehearsals, // requests of the rehearsal before the start
+        long rehearsalTime, // longest duration of the rehearsal
+        int fleetLines // lines a second in each of the logs of the fleet and of endpoint changes
+        ) {
 
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final long SYNC_TIME = 5 * SECOND; // half of the time in which a restarted router has to be ready
+    private static final long MILLI_MICROS = 1_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    // half of the time in which a restarted router must be ready
+    private static final long SYNC_MICROS = 5 * SECOND_MICROS;
+    private static final int MIN_MEMBER_CONNECTIONS = 8;
+    private static final int OTHER_DESCRIPTORS = 96; // kept for the coordinator and the process
 
-    /** Half of the descriptors are the clients', these the members'; what is left is kept for the coordinator and the process. */
-    private static int lines(int sockets) {
-        return Math.max(8, sockets / 2 - 96);
+    /** Returns the share of the descriptors for connections to members; half of all descriptors are for clients. */
+    private static int memberConnections(int sockets) {
+        return Math.max(MIN_MEMBER_CONNECTIONS, sockets / 2 - OTHER_DESCRIPTORS);
     }
 
     /**
-     * The limits of a router with this many descriptors: half for clients, most of the rest for members. A
-     * request not written whole counts as out of reach after the connect time-out, and well before a drain
-     * or a purge told meanwhile would bind it.
+     * Returns the limits for these resources and settings. Half of the descriptors are for clients, most of the rest
+     * for members. An attempt that is not completely written fails after the connect timeout, and well before the grace
+     * period of a drain or a purge that arrives meanwhile ends, so that it cannot be sent in breach of it.
      */
-    public static ResourceLimits of(Settings settings, NodeConfig.Figures figures) {
-        long bound = settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : SECOND;
-        long unwritten = Math.min(
-                bound,
+    public static ResourceLimits of(Settings settings, NodeConfig.Resources resources) {
+        long connectTimeout = settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : SECOND_MICROS;
+        long writeTimeout = Math.min(
+                connectTimeout,
                 Math.min(
-                        settings.rules().drainGrace() > 0 ? settings.rules().drainGrace() / 2 : bound,
-                        settings.rules().purgeGrace() > 0 ? settings.rules().purgeGrace() * 4 / 5 : bound));
-        long longest = settings.classes().stream()
+                        settings.rules().drainGrace() > 0 ? settings.rules().drainGrace() / 2 : connectTimeout,
+                        settings.rules().purgeGrace() > 0 ? settings.rules().purgeGrace() * 4 / 5 : connectTimeout));
+        long longestDeadline = settings.classes().stream()
                 .mapToLong(RequestClass::deadline)
                 .max()
                 .orElse(0);
-        int opens = settings.limits().maxOpenRequests() > 0 ? settings.limits().maxOpenRequests() : 20_000;
-        long pushback = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MILLI : 0;
+        int maxOpenRequests = settings.limits().maxOpenRequests() > 0 ? settings.limits().maxOpenRequests() : 20_000;
+        long retryAfterMillis = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MILLI_MICROS : 0;
         return new ResourceLimits(
-                Math.min(opens, 8_192),
+                Math.min(maxOpenRequests, 8_192),
                 32,
-                Math.max(16, figures.sockets() / 2),
+                Math.max(16, resources.sockets() / 2),
                 262_144,
                 48_000,
                 240_000,
                 4_096,
-                figures.memoryMb() * 1_048_576L / 8,
+                resources.memoryMb() * 1_048_576L / 8,
                 1_048_576,
                 131_072,
-                200 * MILLI,
-                1_800 * MILLI,
-                5 * SECOND,
-                SECOND,
-                150 * MILLI,
-                4 * SECOND,
+                200 * MILLI_MICROS,
+                1_800 * MILLI_MICROS,
+                5 * SECOND_MICROS,
+                SECOND_MICROS,
+                150 * MILLI_MICROS,
+                4 * SECOND_MICROS,
                 256,
                 16,
-                Math.max(10 * longest, 60 * SECOND),
-                pushback,
+                Math.max(10 * longestDeadline, 60 * SECOND_MICROS),
+                retryAfterMillis,
                 5,
-                lines(figures.sockets()),
-                Math.max(1, Math.min(8, figures.sockets() / 128)),
-                Math.max(1, figures.multiplex()),
-                bound,
-                unwritten,
-                figures.keepAlive() > 0 ? figures.keepAlive() * 4 / 5 : 10 * SECOND,
-                figures.keepAlive() + 2 * longest + 10 * SECOND,
-                300 * MILLI,
-                500 * MILLI,
-                longest + SECOND,
-                1_600 * MILLI,
-                500 * MILLI,
-                100 * MILLI,
-                SYNC_TIME,
-                500 * MILLI,
-                Math.min(60 * MILLI, unwritten / 4),
-                settings.rules().answerSlack() + 20 * MILLI,
-                720 * MILLI,
-                Math.min(longest, 3 * SECOND) + 450 * MILLI,
+                memberConnections(resources.sockets()),
+                Math.max(1, Math.min(8, resources.sockets() / 128)),
+                Math.max(1, resources.multiplex()),
+                connectTimeout,
+                writeTimeout,
+                resources.keepAlive() > 0 ? resources.keepAlive() * 4 / 5 : 10 * SECOND_MICROS,
+                resources.keepAlive() + 2 * longestDeadline + 10 * SECOND_MICROS,
+                300 * MILLI_MICROS,
+                500 * MILLI_MICROS,
+                longestDeadline + SECOND_MICROS,
+                1_600 * MILLI_MICROS,
+                500 * MILLI_MICROS,
+                100 * MILLI_MICROS,
+                SYNC_MICROS,
+                500 * MILLI_MICROS,
+                Math.min(60 * MILLI_MICROS, writeTimeout / 4),
+                settings.rules().answerSlack() + 20 * MILLI_MICROS,
+                720 * MILLI_MICROS,
+                Math.min(longestDeadline, 3 * SECOND_MICROS) + 450 * MILLI_MICROS,
                 800,
-                6 * SECOND,
+                6 * SECOND_MICROS,
                 50);
     }
 }
--- a/src/test/java/pumicemoor/node/BoundedLogTest.java
+++ b/src/test/java/pumicemoor/node/BoundedLogTest.java
@@ -8,27 +8,27 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 
-/** Log lines about what others did wrong. */
+/** The bound on log lines a second. */
 class BoundedLogTest {
 
-    private final List<Object> left = new ArrayList<>();
+    private final List<Object> suppressed = new ArrayList<>();
 
-    /** A logger that notes the number of lines left out that each line tells; 0 for none. */
+    /** A logger that records the number of suppressed lines that each line reports; 0 for none. */
     private final Logger logger = (Logger) Proxy.newProxyInstance(
             Logger.class.getClassLoader(), new Class<?>[] {Logger.class}, (proxy, method, arguments) -> {
-                left.add(arguments[2]);
+                suppressed.add(arguments[2]);
                 return null;
             });
 
     @Test
-    void linesPastTheRateAreLeftOutAndTheirNumberIsTold() {
+    void linesAboveTheRateAreSuppressedAndCounted() {
         BoundedLog log = new BoundedLog(logger, 3);
         for (int i = 0; i < 1_000; i++) {
             log.warn(5_000_000 + i, "no");
         }
-        assertEquals(List.of(0L, 0L, 0L), left);
+        assertEquals(List.of(0L, 0L, 0L), suppressed);
         log.warn(6_000_000, "no");
         log.warn(6_000_001, "no");
-        assertEquals(List.of(0L, 0L, 0L, 997L, 0L), left);
+        assertEquals(List.of(0L, 0L, 0L, 997L, 0L), suppressed);
     }
 }
--- a/src/test/java/pumicemoor/node/DrainedMembersTest.java
+++ b/src/test/java/pumicemoor/node/DrainedMembersTest.java
@@ -14,43 +14,45 @@
 import pumicemoor.RouterApi.State;
 import pumicemoor.fleet.drains.Drains.View;
 
-/** The decisions see who drains as draining and who came back as just started, and nothing before that is known. */
+/**
+ * Drained members appear as draining, returned ones as just started, and no list is published before drains are known.
+ */
 class DrainedMembersTest {
 
-    private static Member box(long id, long started, State state) {
+    private static Member cache(long id, long started, State state) {
         return new Member(id, Role.CACHE, 0, 0, 8, started, state);
     }
 
-    private static MemberListUpdate list(MemberListKind kind, Member... members) {
+    private static MemberListUpdate update(MemberListKind kind, Member... members) {
         return new MemberListUpdate(kind, 4, List.of(members));
     }
 
     @Test
-    void theListIsHeldBackUntilItIsKnownWhoIsOutAndFollowsThePlan() {
-        DrainedMembers drained = new DrainedMembers();
-        assertTrue(drained.listed(list(MemberListKind.SNAPSHOT, box(1, 5, State.READY), box(2, 5, State.READY)))
+    void theListIsHeldBackUntilDrainsAreKnownAndThenFollowsThem() {
+        DrainedMembers drainedMembers = new DrainedMembers();
+        assertTrue(drainedMembers.applyListUpdate(update(MemberListKind.SNAPSHOT, cache(1, 5, State.READY), cache(2, 5, State.READY)))
                 .isEmpty());
-        assertTrue(drained.follow(new View(false, Set.of(2L), Map.of())).isEmpty());
+        assertTrue(drainedMembers.applyView(new View(false, Set.of(2L), Map.of())).isEmpty());
         assertEquals(
-                list(MemberListKind.SNAPSHOT, box(1, 5, State.READY), box(2, 5, State.DRAINING)),
-                drained.follow(new View(true, Set.of(2L), Map.of())).orElseThrow());
-        assertTrue(drained.follow(new View(true, Set.of(2L), Map.of())).isEmpty());
-        // back, and cold whatever the list says, until the list tells of a later start
+                update(MemberListKind.SNAPSHOT, cache(1, 5, State.READY), cache(2, 5, State.DRAINING)),
+                drainedMembers.applyView(new View(true, Set.of(2L), Map.of())).orElseThrow());
+        assertTrue(drainedMembers.applyView(new View(true, Set.of(2L), Map.of())).isEmpty());
+        // returned, and in slow start whatever start the list reports, until it reports a later one
         assertEquals(
-                list(MemberListKind.DELTA, box(2, 90, State.READY)),
-                drained.follow(new View(true, Set.of(), Map.of(2L, 90L))).orElseThrow());
+                update(MemberListKind.DELTA, cache(2, 90, State.READY)),
+                drainedMembers.applyView(new View(true, Set.of(), Map.of(2L, 90L))).orElseThrow());
         assertEquals(
-                list(MemberListKind.DELTA, box(2, 95, State.READY), box(1, 5, State.DRAINING)),
-                drained.listed(list(MemberListKind.DELTA, box(2, 95, State.READY), box(1, 5, State.DRAINING)))
+                update(MemberListKind.DELTA, cache(2, 95, State.READY), cache(1, 5, State.DRAINING)),
+                drainedMembers.applyListUpdate(update(MemberListKind.DELTA, cache(2, 95, State.READY), cache(1, 5, State.DRAINING)))
                         .orElseThrow());
         assertEquals(
-                list(MemberListKind.DELTA, box(2, 0, State.GONE)),
-                drained.listed(list(MemberListKind.DELTA, box(2, 0, State.GONE))).orElseThrow());
+                update(MemberListKind.DELTA, cache(2, 0, State.GONE)),
+                drainedMembers.applyListUpdate(update(MemberListKind.DELTA, cache(2, 0, State.GONE))).orElseThrow());
         assertTrue(
-                drained.follow(new View(true, Set.of(1L, 2L), Map.of())).isEmpty(),
-                "who is gone, or drains by the list");
+                drainedMembers.applyView(new View(true, Set.of(1L, 2L), Map.of())).isEmpty(),
+                "members that are gone, or that the list itself reports as draining");
         assertEquals(
-                list(MemberListKind.SNAPSHOT, box(2, 99, State.DRAINING)),
-                drained.listed(list(MemberListKind.SNAPSHOT, box(2, 99, State.READY))).orElseThrow());
+                update(MemberListKind.SNAPSHOT, cache(2, 99, State.DRAINING)),
+                drainedMembers.applyListUpdate(update(MemberListKind.SNAPSHOT, cache(2, 99, State.READY))).orElseThrow());
     }
 }
--- a/src/test/java/pumicemoor/node/FleetPartsTest.java
+++ b/src/test/java/pumicemoor/node/FleetFactoryTest.java
@@ -18,11 +18,11 @@
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
 
-/** Which kind of fleet a router takes part in. */
-class FleetPartsTest {
+/** The kind of fleet that a setup creates: with cells or flat. */
+class FleetFactoryTest {
 
-    private static final long START = 1_790_000_000_000_000L;
-    private static final Drains.Usage NOTHING = new Drains.Usage() {
+    private static final long START_MICROS = 1_790_000_000_000_000L;
+    private static final Drains.Usage NO_USAGE = new Drains.Usage() {
         @Override
         public int underWay(long member) {
             return 0;
@@ -34,8 +34,8 @@
         }
     };
 
-    private static FleetParticipant part(Optional<DrainTimes> drains, Optional<CellSetup> cells) {
-        return FleetParts.of(
+    private static FleetParticipant create(Optional<DrainTimes> drains, Optional<CellSetup> cells) {
+        return FleetFactory.create(
                 new FleetSetup(
                         "c",
                         new Membership.Setup("r", "127.0.0.1:7000", List.of(), 200_000, 3, 2, 600_000_000, 2_000),
@@ -45,23 +45,23 @@
                         Optional.empty(),
                         drains,
                         cells),
-                START,
+                START_MICROS,
                 7,
-                NOTHING);
+                NO_USAGE);
     }
 
     @Test
-    void cellsAloneMakeAFleetOfCells() {
-        FleetParticipant cells = part(Optional.empty(), Optional.of(new CellSetup("zone-a", 96, 2)));
+    void aSetupWithCellsCreatesAFleetOfCells() {
+        FleetParticipant cells = create(Optional.empty(), Optional.of(new CellSetup("zone-a", 96, 2)));
         assertInstanceOf(CellFleet.class, cells);
         assertEquals("zone-a", cells.fields().get("fleet-cell"));
     }
 
     @Test
-    void withoutCellsTheFleetIsFlatAndKeepsItsDrains() {
-        assertInstanceOf(Fleet.class, part(Optional.empty(), Optional.empty()));
-        assertFalse(part(Optional.empty(), Optional.empty()).fields().containsKey("fleet-cell"));
-        assertTrue(part(Optional.of(new DrainTimes(1, 2, 3, 4, 5, 6)), Optional.empty())
+    void aSetupWithoutCellsCreatesAFlatFleetThatCoordinatesDrains() {
+        assertInstanceOf(Fleet.class, create(Optional.empty(), Optional.empty()));
+        assertFalse(create(Optional.empty(), Optional.empty()).fields().containsKey("fleet-cell"));
+        assertTrue(create(Optional.of(new DrainTimes(1, 2, 3, 4, 5, 6)), Optional.empty())
                 .coordinatesDrains());
     }
 }
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -15,43 +15,45 @@
 import pumicemoor.RouterApi;
 import pumicemoor.node.Input.AnswerStatus;
 
-/** A day on which members, connections, requests, objects and purges are ever new: what is kept of them. */
+/**
+ * Guards against memory leaks when members, connections, requests, objects and purges keep changing for a long time.
+ */
 class LongDayTest {
 
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final int EACH = 30_000;
-    private static final int OBJECTS = 20_000; // what the module may remember
+    private static final long MILLI_MICROS = 1_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int ROUNDS = 30_000;
+    private static final int MAX_REMEMBERED_OBJECTS = 20_000; // by the decision module
 
     private final Queue<Effect> effects = new ArrayDeque<>();
-    private long now = 1_764_576_000 * SECOND;
+    private long now = 1_764_576_000 * SECOND_MICROS;
     private Reducer reducer;
     private int served;
 
-    private void take(Input input) {
+    private void accept(Input input) {
         reducer.accept(now, input, effects::add);
         for (Effect effect = effects.poll(); effect != null; effect = effects.poll()) {
-            if (effect instanceof Effect.SendAttempt ask) {
-                ask.body().release();
-                take(new Input.Written(ask.attempt()));
-                take(new Input.Answered(ask.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
+            if (effect instanceof Effect.SendAttempt attempt) {
+                attempt.body().release();
+                accept(new Input.Written(attempt.attempt()));
+                accept(new Input.Answered(attempt.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
             } else if (effect instanceof Effect.Answer answer && answer.code() == Effect.Code.SERVED) {
                 served++;
             }
         }
     }
 
-    private void pass(long micros) {
+    private void advance(long micros) {
         long end = now + micros;
         while (reducer.nextDue() <= end) {
             now = Math.max(now, reducer.nextDue());
-            take(new Input.TimerFired());
+            accept(new Input.TimerFired());
         }
         now = end;
     }
 
-    /** How much each table of this object holds. */
-    private static Map<String, Integer> held(Object owner) throws IllegalAccessException {
+    /** Returns the size of each map and collection field of an object, by the field's name. */
+    private static Map<String, Integer> tableSizes(Object owner) throws IllegalAccessException {
         Map<String, Integer> sizes = new TreeMap<>();
         for (Field field : owner.getClass().getDeclaredFields()) {
             if (!Modifier.isStatic(field.getModifiers())) {
@@ -59,8 +61,8 @@
                 Object value = field.get(owner);
                 if (value instanceof Map<?, ?> map) {
                     sizes.put(field.getName(), map.size());
-                } else if (value instanceof Collection<?> all) {
-                    sizes.put(field.getName(), all.size());
+                } else if (value instanceof Collection<?> collection) {
+                    sizes.put(field.getName(), collection.size());
                 }
             }
         }
@@ -68,7 +70,7 @@
     }
 
     @Test
-    void nothingOfTensOfThousandsOutlivesItsOwner() throws Exception {
+    void noTableGrowsWithTheNumberOfEndedRequestsAndGoneMembers() throws Exception {
         NodeConfig config = NodeTestConfig.parse(NodeTestConfig.json(
                 "127.0.0.1:1",
                 "127.0.0.1:2",
@@ -82,24 +84,24 @@
                 logic, config.words(), ResourceLimits.of(config.words().settings(), config.figures()), new Counters());
         reducer.known(now, config, effects::add);
         long index = 1;
-        for (int i = 1; i <= EACH; i++) {
-            pass(10 * MILLI);
-            take(new Input.CoordinatorUpdate(NodeTestConfig.list(
+        for (int i = 1; i <= ROUNDS; i++) {
+            advance(10 * MILLI_MICROS);
+            accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                     ++index,
                     false,
                     NodeTestConfig.member("s-" + i, "127.0.0.1:11", "box", "active", 0),
                     NodeTestConfig.member("s-" + (i - 1), "127.0.0.1:11", "box", "left", 0))));
-            take(new Input.CoordinatorUpdate("{\"index\":" + ++index + ",\"evict\":{\"ref\":\"" + id(i) + "\",\"unix_ms\":"
-                    + now / MILLI + "}}"));
-            take(new Input.Request(i, 1, id(i), "segment", id(i), 0, i % 256, null, 2_000, false, Bytes.NONE));
-            take(new Input.ClientClosed(i));
+            accept(new Input.CoordinatorUpdate("{\"index\":" + ++index + ",\"evict\":{\"ref\":\"" + id(i) + "\",\"unix_ms\":"
+                    + now / MILLI_MICROS + "}}"));
+            accept(new Input.Request(i, 1, id(i), "segment", id(i), 0, i % 256, null, 2_000, false, Bytes.NONE));
+            accept(new Input.ClientClosed(i));
         }
-        assertEquals(EACH, served);
-        pass(60 * SECOND);
-        Map<String, Integer> left = held(logic);
-        assertTrue(left.remove("table") <= OBJECTS);
-        left.forEach((name, size) -> assertTrue(size <= 3, "Logic." + name + " holds " + size));
-        held(reducer).forEach((name, size) -> assertTrue(size <= 3, "Reducer." + name + " holds " + size));
+        assertEquals(ROUNDS, served);
+        advance(60 * SECOND_MICROS);
+        Map<String, Integer> sizes = tableSizes(logic);
+        assertTrue(sizes.remove("table") <= MAX_REMEMBERED_OBJECTS);
+        sizes.forEach((name, size) -> assertTrue(size <= 3, "Logic." + name + " holds " + size));
+        tableSizes(reducer).forEach((name, size) -> assertTrue(size <= 3, "Reducer." + name + " holds " + size));
     }
 
     private static String id(int number) {
--- a/src/test/java/pumicemoor/node/NodeTestConfig.java
+++ b/src/test/java/pumicemoor/node/NodeTestConfig.java
@@ -3,21 +3,24 @@
 import pumicemoor.wire.Message;
 import pumicemoor.wire.WireException;
 
-/** Configurations for tests: a place with caches, a parent and an origin, a class kept and one that is not. */
+/**
+ * Router configurations for tests: a location with caches, a parent and an origin, a cacheable class and one that is
+ * not.
+ */
 public final class NodeTestConfig {
 
     private NodeTestConfig() {}
 
-    /** One line of the coordinator's list. */
-    public static String member(String instance, String address, String kind, String lifecycle, long started) {
+    /** Returns an entry of the coordinator's member list; the start time is in Unix milliseconds. */
+    public static String member(String instance, String address, String kind, String lifecycle, long startedMillis) {
         return "{\"instanceId\":\"" + instance + "\",\"hostPort\":\"" + address + "\",\"zone\":\""
                 + (kind.equals("box") ? "here" : "hub") + "\",\"machineType\":\"" + kind
-                + "\",\"cell\":0,\"lifecycle\":\"" + lifecycle + "\",\"weight\":4,\"startedAtMs\":" + started + "}";
+                + "\",\"cell\":0,\"lifecycle\":\"" + lifecycle + "\",\"weight\":4,\"startedAtMs\":" + startedMillis + "}";
     }
 
-    /** An event that tells of members. */
-    public static String list(long index, boolean whole, String... members) {
-        return "{\"index\":" + index + ",\"endpoints\":{\"generation\":" + index + ",\"reset\":" + whole
+    /** Returns a coordinator event with a member list; a snapshot, or only the changes. */
+    public static String list(long index, boolean snapshot, String... members) {
+        return "{\"index\":" + index + ",\"endpoints\":{\"generation\":" + index + ",\"reset\":" + snapshot
                 + ",\"instances\":[" + String.join(",", members) + "]}}";
     }
 
@@ -25,7 +28,7 @@
         return json(listen, coordinator, 1_000, updates);
     }
 
-    /** A whole configuration; the updates are those known at the start. */
+    /** Returns a complete configuration with these initial updates. */
     public static String json(String listen, String coordinator, int maxOpen, String... updates) {
         return """
                 {"name":"n0","listen":"%s","seed":"8c1f30d27a5be964","unknown":1,
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -16,40 +16,41 @@
 import pumicemoor.node.Input.AnswerStatus;
 
 /**
- * Whole days of inputs against the reducer with the real decisions: members that answer, refuse, break off,
- * fall silent, drain and come back, clients that leave. What must hold is counted from outside.
+ * Simulates long runs of the reducer with the real decision module: members answer, refuse, lose connections, stop
+ * answering, drain and return, and clients cancel. It checks from outside that each request gets one answer in time,
+ * that no request with a side effect runs twice, and that no body leaks.
  */
 class ReducerDayTest {
 
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final long START = 1_764_576_000 * SECOND;
-    private static final AnswerStatus[] WORDS = AnswerStatus.values();
+    private static final long MILLI_MICROS = 1_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long START_MICROS = 1_764_576_000 * SECOND_MICROS;
+    private static final AnswerStatus[] STATUSES = AnswerStatus.values();
 
-    private final PriorityQueue<Planned> plan = new PriorityQueue<>();
-    private final Map<Integer, Long> openUntil = new HashMap<>();
-    private final Map<Integer, String> classes = new HashMap<>();
-    private final Map<Integer, Integer> answers = new HashMap<>();
-    private final Set<Integer> withdrawn = new HashSet<>();
+    private final PriorityQueue<PlannedTask> tasks = new PriorityQueue<>();
+    private final Map<Integer, Long> deadlineOfOpenRequest = new HashMap<>();
+    private final Map<Integer, String> classOfRequest = new HashMap<>();
+    private final Map<Integer, Integer> answerCounts = new HashMap<>();
+    private final Set<Integer> cancelled = new HashSet<>();
     private final Map<Long, Integer> streamOfAttempt = new HashMap<>();
     private final Set<Integer> mayHaveRun = new HashSet<>();
     private final Map<String, Long> drainedAt = new HashMap<>();
-    private long bodies;
-    private long order;
-    private long now = START;
+    private long bodyReferences;
+    private long lastOrder;
+    private long now = START_MICROS;
     private Random random;
     private Reducer reducer;
 
-    private record Planned(long at, long order, Runnable what) implements Comparable<Planned> {
+    private record PlannedTask(long at, long order, Runnable task) implements Comparable<PlannedTask> {
         @Override
-        public int compareTo(Planned o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(PlannedTask other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
 
-    private final class Counted implements Bytes {
-        Counted() {
-            bodies++;
+    private final class CountedBody implements Bytes {
+        CountedBody() {
+            bodyReferences++;
         }
 
         @Override
@@ -59,92 +60,92 @@
 
         @Override
         public Bytes retain() {
-            bodies++;
+            bodyReferences++;
             return this;
         }
 
         @Override
         public void release() {
-            bodies--;
+            bodyReferences--;
         }
     }
 
-    private void in(long delay, Runnable what) {
-        plan.add(new Planned(now + delay, ++order, what));
+    private void in(long delay, Runnable task) {
+        tasks.add(new PlannedTask(now + delay, ++lastOrder, task));
     }
 
-    private void take(Input input) {
+    private void accept(Input input) {
         reducer.accept(now, input, this::carryOut);
     }
 
     private void carryOut(Effect effect) {
-        if (effect instanceof Effect.SendAttempt ask) {
-            asked(ask);
+        if (effect instanceof Effect.SendAttempt attempt) {
+            attemptSent(attempt);
         } else if (effect instanceof Effect.Answer answer) {
             answer.body().release();
-            answers.merge(answer.stream(), 1, Integer::sum);
-            Long until = openUntil.remove(answer.stream());
-            assertTrue(until != null, "an answer to what is not open");
-            assertTrue(now <= until + 58 * MILLI, "an answer " + (now - until) + " us past the deadline");
+            answerCounts.merge(answer.stream(), 1, Integer::sum);
+            Long deadline = deadlineOfOpenRequest.remove(answer.stream());
+            assertTrue(deadline != null, "an answer to a request that is not open");
+            assertTrue(now <= deadline + 58 * MILLI_MICROS, "an answer " + (now - deadline) + " us past the deadline");
             assertTrue(
                     answer.code() != Effect.Code.REFUSED
-                            || classes.get(answer.stream()).equals("segment")
+                            || classOfRequest.get(answer.stream()).equals("segment")
                             || !mayHaveRun.contains(answer.stream()),
                     "refused though it may have run");
         }
     }
 
-    private void asked(Effect.SendAttempt ask) {
-        ask.body().release();
-        int stream = Integer.parseInt(ask.id());
-        assertTrue(openUntil.containsKey(stream), "an attempt for a request that is over");
-        assertTrue(ask.requestClass().equals("segment") || !mayHaveRun.contains(stream), "an effect twice");
-        for (String name : new String[] {ask.instance(), ask.source()}) {
+    private void attemptSent(Effect.SendAttempt attempt) {
+        attempt.body().release();
+        int stream = Integer.parseInt(attempt.id());
+        assertTrue(deadlineOfOpenRequest.containsKey(stream), "an attempt for a closed request");
+        assertTrue(attempt.requestClass().equals("segment") || !mayHaveRun.contains(stream), "a request with a side effect may run twice");
+        for (String name : new String[] {attempt.instance(), attempt.source()}) {
             Long drained = drainedAt.get(name);
-            assertTrue(drained == null || now <= drained + SECOND, name + " was asked past its drain");
+            assertTrue(drained == null || now <= drained + SECOND_MICROS, name + " was used past its drain");
         }
-        streamOfAttempt.put(ask.attempt(), stream);
+        streamOfAttempt.put(attempt.attempt(), stream);
         mayHaveRun.add(stream);
-        int kind = random.nextInt(30);
-        if (kind == 0) {
-            in(random.nextInt(400_000), () -> ends(ask, new Input.NeverSent(ask.attempt()), true));
+        int behaviour = random.nextInt(30);
+        if (behaviour == 0) {
+            in(random.nextInt(400_000), () -> endAttempt(attempt, new Input.NeverSent(attempt.attempt()), true));
             return;
         }
-        in(0, () -> take(new Input.Written(ask.attempt())));
-        long delay = 5 * MILLI + random.nextInt(kind < 6 ? 600_000 : 60_000);
-        if (kind == 1) {
-            in(delay, () -> ends(ask, new Input.ConnectionLost(ask.attempt()), false));
-        } else if (kind > 2) {
-            AnswerStatus word = kind < 9 ? WORDS[random.nextInt(WORDS.length)] : AnswerStatus.DATA;
+        in(0, () -> accept(new Input.Written(attempt.attempt())));
+        long delay = 5 * MILLI_MICROS + random.nextInt(behaviour < 6 ? 600_000 : 60_000);
+        if (behaviour == 1) {
+            in(delay, () -> endAttempt(attempt, new Input.ConnectionLost(attempt.attempt()), false));
+        } else if (behaviour > 2) {
+            AnswerStatus status = behaviour < 9 ? STATUSES[random.nextInt(STATUSES.length)] : AnswerStatus.DATA;
             in(
                     delay,
-                    () -> ends(
-                            ask,
+                    () -> endAttempt(
+                            attempt,
                             new Input.Answered(
-                                    ask.attempt(),
-                                    word,
-                                    word == AnswerStatus.DATA ? "mem" : null,
+                                    attempt.attempt(),
+                                    status,
+                                    status == AnswerStatus.DATA ? "mem" : null,
                                     Map.of(),
-                                    word == AnswerStatus.DATA ? new Counted() : Bytes.NONE),
-                            word == AnswerStatus.ABSENT || word == AnswerStatus.FULL || word == AnswerStatus.MOOT));
+                                    status == AnswerStatus.DATA ? new CountedBody() : Bytes.NONE),
+                            status == AnswerStatus.ABSENT || status == AnswerStatus.FULL || status == AnswerStatus.MOOT));
         }
     }
 
-    private void ends(Effect.SendAttempt ask, Input end, boolean neverRan) {
+    private void endAttempt(Effect.SendAttempt attempt, Input end, boolean neverRan) {
         if (neverRan) {
-            mayHaveRun.remove(streamOfAttempt.get(ask.attempt()));
+            mayHaveRun.remove(streamOfAttempt.get(attempt.attempt()));
         }
-        take(end);
+        accept(end);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void eachRequestGetsOneAnswerInTimeAndNothingIsLeftBehind(long seed) throws Exception {
+    void eachRequestGetsOneAnswerInTimeAndNothingLeaks(long seed) throws Exception {
         random = new Random(seed);
         String[] members = {"s-1", "s-2", "s-3", "p-1", "p-2", "o-1"};
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < members.length; i++) {
-            all.append(i == 0 ? "" : ",").append(line(members[i], "active", 0));
+            all.append(i == 0 ? "" : ",").append(listEntry(members[i], "active", 0));
         }
         NodeConfig config = NodeTestConfig.parse(
                 NodeTestConfig.json("127.0.0.1:1", "127.0.0.1:2", NodeTestConfig.list(1, true, all.toString())));
@@ -157,73 +158,73 @@
         reducer.known(now, config, this::carryOut);
         for (int i = 1; i <= 2_000; i++) {
             int stream = i;
-            in(random.nextInt(20_000) * MILLI, () -> arrive(stream));
+            in(random.nextInt(20_000) * MILLI_MICROS, () -> arrive(stream));
         }
         for (int i = 0; i < 8; i++) {
             String member = members[random.nextInt(5)];
             long index = 2 + 3 * i;
-            long at = 2 * SECOND * i + SECOND;
+            long at = 2 * SECOND_MICROS * i + SECOND_MICROS;
             in(at, () -> {
                 drainedAt.put(member, now);
-                take(new Input.CoordinatorUpdate(NodeTestConfig.list(index, false, line(member, "leaving", 0))));
+                accept(new Input.CoordinatorUpdate(NodeTestConfig.list(index, false, listEntry(member, "leaving", 0))));
             });
             in(
-                    at + 700 * MILLI,
-                    () -> take(new Input.CoordinatorUpdate("{\"index\":" + (index + 1) + ",\"evict\":{\"shard\":3,\"unix_ms\":"
-                            + (now / MILLI - 100) + "}}")));
-            in(at + 1_500 * MILLI, () -> {
+                    at + 700 * MILLI_MICROS,
+                    () -> accept(new Input.CoordinatorUpdate("{\"index\":" + (index + 1) + ",\"evict\":{\"shard\":3,\"unix_ms\":"
+                            + (now / MILLI_MICROS - 100) + "}}")));
+            in(at + 1_500 * MILLI_MICROS, () -> {
                 drainedAt.remove(member);
-                take(new Input.CoordinatorUpdate(NodeTestConfig.list(index + 2, false, line(member, "active", now / MILLI))));
+                accept(new Input.CoordinatorUpdate(NodeTestConfig.list(index + 2, false, listEntry(member, "active", now / MILLI_MICROS))));
             });
         }
-        long end = START + 30 * SECOND;
+        long end = START_MICROS + 30 * SECOND_MICROS;
         while (now < end) {
-            long planned = plan.isEmpty() ? Long.MAX_VALUE : plan.peek().at();
+            long planned = tasks.isEmpty() ? Long.MAX_VALUE : tasks.peek().at();
             long due = reducer.nextDue();
             now = Math.max(now, Math.min(end, Math.min(planned, due)));
             if (planned <= now) {
-                plan.poll().what().run();
+                tasks.poll().task().run();
             } else if (due <= now) {
-                take(new Input.TimerFired());
+                accept(new Input.TimerFired());
             }
         }
-        assertEquals(Map.of(), openUntil);
+        assertEquals(Map.of(), deadlineOfOpenRequest);
         assertEquals(0, reducer.openRequests());
-        assertEquals(0, bodies, "bodies still held");
+        assertEquals(0, bodyReferences, "bodies still held");
         assertEquals(0, counters.get(Counters.Name.FAULTS));
-        assertEquals(2_000, answers.size() + withdrawn.size());
-        answers.forEach((stream, count) -> assertEquals(1, count, "answers to " + stream));
-        assertTrue(answers.size() > 1_800 && counters.get(Counters.Name.SERVED) > 1_200, counters.toString());
+        assertEquals(2_000, answerCounts.size() + cancelled.size());
+        answerCounts.forEach((stream, count) -> assertEquals(1, count, "answers to " + stream));
+        assertTrue(answerCounts.size() > 1_800 && counters.get(Counters.Name.SERVED) > 1_200, counters.toString());
     }
 
     private void arrive(int stream) {
         long ttl = 300 + random.nextInt(1_700);
-        classes.put(stream, random.nextInt(4) == 0 ? "order" : "segment");
-        openUntil.put(stream, now + ttl * MILLI);
-        assertNull(answers.get(stream));
-        take(new Input.Request(
+        classOfRequest.put(stream, random.nextInt(4) == 0 ? "order" : "segment");
+        deadlineOfOpenRequest.put(stream, now + ttl * MILLI_MICROS);
+        assertNull(answerCounts.get(stream));
+        accept(new Input.Request(
                 1,
                 stream,
                 Integer.toString(stream),
-                classes.get(stream),
+                classOfRequest.get(stream),
                 "o" + random.nextInt(300),
                 random.nextInt(3),
                 random.nextInt(5),
                 null,
                 ttl,
                 false,
-                new Counted()));
+                new CountedBody()));
         if (random.nextInt(40) == 0) {
             in(random.nextInt(200_000), () -> {
-                if (openUntil.remove(stream) != null) {
-                    withdrawn.add(stream);
-                    take(new Input.RequestCancelled(1, stream));
+                if (deadlineOfOpenRequest.remove(stream) != null) {
+                    cancelled.add(stream);
+                    accept(new Input.RequestCancelled(1, stream));
                 }
             });
         }
     }
 
-    private static String line(String member, String lifecycle, long started) {
+    private static String listEntry(String member, String lifecycle, long started) {
         String kind = member.startsWith("s") ? "box" : member.startsWith("p") ? "shield" : "store";
         return NodeTestConfig.member(member, "127.0.0.1:9", kind, lifecycle, started);
     }
