--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -38,12 +38,12 @@
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.OperatorFile;
 
-/** The reducer by inputs, with decisions that a test scripts. */
+/** Tests the reducer input by input, with a decision module that the test scripts. */
 class ReducerTest {
 
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final long START = 1_764_576_000 * SECOND;
+    private static final long MILLI_MICROS = 1_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long START_MICROS = 1_764_576_000 * SECOND_MICROS;
     private static final long CACHE = Reducer.memberId("s-1");
     private static final long PARENT = Reducer.memberId("p-1");
 
@@ -53,12 +53,12 @@
     private final List<Event> events = new ArrayList<>();
     private final List<Effect> effects = new ArrayList<>();
     private final Counters counters = new Counters();
-    private Consumer<Event> script = e -> {};
-    private Consumer<Action> act;
+    private Consumer<Event> onEvent = e -> {};
+    private Consumer<Action> actions;
     private NodeConfig config;
     private ResourceLimits limits;
     private Reducer reducer;
-    private long now = START;
+    private long now = START_MICROS;
 
     @BeforeEach
     void start() throws Exception {
@@ -69,7 +69,7 @@
         start(maxOpen, true);
     }
 
-    private void start(int maxOpen, boolean heard) throws Exception {
+    private void start(int maxOpen, boolean synced) throws Exception {
         config = NodeTestConfig.parse(NodeTestConfig.json(
                 "127.0.0.1:1",
                 "127.0.0.1:2",
@@ -82,22 +82,22 @@
         limits = ResourceLimits.of(config.words().settings(), config.figures());
         RouterApi scripted = (time, event, sink) -> {
             events.add(event);
-            act = sink::accept;
-            script.accept(event);
+            actions = sink::accept;
+            onEvent.accept(event);
         };
         reducer = new Reducer(scripted, config.words(), limits, counters);
         reducer.known(now, config, effects::add);
-        assertFalse(reducer.ready(), "nothing was heard of the coordinator yet");
-        if (heard) {
-            take(new Input.CoordinatorHeartbeat());
+        assertFalse(reducer.ready(), "the coordinator has sent nothing yet");
+        if (synced) {
+            accept(new Input.CoordinatorHeartbeat());
         }
         events.clear();
         effects.clear();
     }
 
-    /** A body that counts who holds it. */
-    private static final class Counted implements Bytes {
-        private int holders = 1;
+    /** A body that exposes its reference count. */
+    private static final class CountedBody implements Bytes {
+        private int references = 1;
 
         @Override
         public int size() {
@@ -106,121 +106,121 @@
 
         @Override
         public Bytes retain() {
-            holders++;
+            references++;
             return this;
         }
 
         @Override
         public void release() {
-            holders--;
+            references--;
         }
     }
 
-    private void take(Input input) {
+    private void accept(Input input) {
         reducer.accept(now, input, effects::add);
     }
 
-    /** Lets time pass, waking the reducer whenever it asked for it. */
-    private void pass(long micros) {
+    /** Advances the time and fires the timers that are due. */
+    private void advance(long micros) {
         long end = now + micros;
         while (reducer.nextDue() <= end) {
             now = Math.max(now, reducer.nextDue());
-            take(new Input.TimerFired());
+            accept(new Input.TimerFired());
         }
         now = end;
     }
 
-    private void request(int stream, String requestClass, Bytes body) {
-        take(new Input.Request(
+    private void sendRequest(int stream, String requestClass, Bytes body) {
+        accept(new Input.Request(
                 1, stream, "9b1f03aa5c7e2d41", requestClass, "7f3a9c21e0b4d655", 3, 17, "4be0", 1500, false, body));
     }
 
-    private <T> List<T> of(List<?> all, Class<T> type) {
-        return all.stream().filter(type::isInstance).map(type::cast).toList();
+    private <T> List<T> ofType(List<?> items, Class<T> type) {
+        return items.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    private Effect.SendAttempt ask() {
-        List<Effect.SendAttempt> asks = of(effects, Effect.SendAttempt.class);
-        return asks.get(asks.size() - 1);
+    private Effect.SendAttempt lastSent() {
+        List<Effect.SendAttempt> sentAttempts = ofType(effects, Effect.SendAttempt.class);
+        return sentAttempts.get(sentAttempts.size() - 1);
     }
 
-    private void onArrival(Consumer<RequestArrived> then) {
-        script = e -> {
+    private void onArrivedRequest(Consumer<RequestArrived> action) {
+        onEvent = e -> {
             if (e instanceof RequestArrived r) {
-                then.accept(r);
+                action.accept(r);
             }
         };
     }
 
-    private void fetchOnArrival(long oldest, long timeout) {
-        onArrival(r -> act.accept(new Fetch(r.id(), CACHE, PARENT, 2, oldest, true, false, false, false, timeout)));
+    private void fetchOnArrivedRequest(long maxAge, long timeout) {
+        onArrivedRequest(r -> actions.accept(new Fetch(r.id(), CACHE, PARENT, 2, maxAge, true, false, false, false, timeout)));
     }
 
-    private static Input.Answered answered(long attempt, AnswerStatus word, Bytes body) {
-        return new Input.Answered(attempt, word, "parent", Map.of("inflight", 7.0), body);
+    private static Input.Answered answer(long attempt, AnswerStatus status, Bytes body) {
+        return new Input.Answered(attempt, status, "parent", Map.of("inflight", 7.0), body);
     }
 
     @Test
-    void firstOkGoesToTheClientWithItsBytesAndEndsTheRequest() {
-        fetchOnArrival(0, 0);
-        Counted asked = new Counted();
-        request(5, "segment", asked);
-        Effect.SendAttempt ask = ask();
-        assertEquals("s-1", ask.instance());
-        assertEquals("127.0.0.1:11", ask.address());
-        assertEquals("p-1", ask.source());
-        assertEquals("9b1f03aa5c7e2d41", ask.id());
-        assertEquals("7f3a9c21e0b4d655", ask.object());
-        assertEquals(1500, ask.timeoutMillis());
-        assertEquals("4be0", ask.tag());
-        take(new Input.Written(ask.attempt()));
-        Counted body = new Counted();
-        now += 90 * MILLI;
-        take(answered(ask.attempt(), AnswerStatus.DATA, body));
-        Effect.Answer answer = of(effects, Effect.Answer.class).get(0);
+    void theFirstOkAnswerGoesToTheClientAndClosesTheRequest() {
+        fetchOnArrivedRequest(0, 0);
+        CountedBody requestBody = new CountedBody();
+        sendRequest(5, "segment", requestBody);
+        Effect.SendAttempt sent = lastSent();
+        assertEquals("s-1", sent.instance());
+        assertEquals("127.0.0.1:11", sent.address());
+        assertEquals("p-1", sent.source());
+        assertEquals("9b1f03aa5c7e2d41", sent.id());
+        assertEquals("7f3a9c21e0b4d655", sent.object());
+        assertEquals(1500, sent.timeoutMillis());
+        assertEquals("4be0", sent.tag());
+        accept(new Input.Written(sent.attempt()));
+        CountedBody body = new CountedBody();
+        now += 90 * MILLI_MICROS;
+        accept(answer(sent.attempt(), AnswerStatus.DATA, body));
+        Effect.Answer answer = ofType(effects, Effect.Answer.class).get(0);
         assertEquals(new Effect.Answer(1, 5, Code.SERVED, false, 0, body), answer);
-        assertEquals(1, body.holders, "the answer's holder is the effect");
-        ask.body().release();
-        assertEquals(0, asked.holders);
-        AttemptEnded end = of(events, AttemptEnded.class).get(0);
+        assertEquals(1, body.references, "the effect holds the only reference");
+        sent.body().release();
+        assertEquals(0, requestBody.references);
+        AttemptEnded end = ofType(events, AttemptEnded.class).get(0);
         assertEquals(Outcome.OK, end.outcome());
         assertTrue(end.closed());
         assertEquals(FillResult.FILLED, end.fillResult());
-        assertEquals(90 * MILLI, end.latency());
+        assertEquals(90 * MILLI_MICROS, end.latency());
         assertEquals(Map.of("inflight", 7.0), end.load());
-        pass(5 * SECOND);
-        assertEquals(1, of(effects, Effect.Answer.class).size());
+        advance(5 * SECOND_MICROS);
+        assertEquals(1, ofType(effects, Effect.Answer.class).size());
         assertEquals(0, reducer.openRequests());
     }
 
     @Test
-    void aCopyThatTheClientHoldsIsToldAsUnchanged() {
-        fetchOnArrival(0, 0);
-        request(5, "segment", Bytes.NONE);
-        take(answered(ask().attempt(), AnswerStatus.UNCHANGED, Bytes.NONE));
-        assertTrue(of(effects, Effect.Answer.class).get(0).unchanged());
+    void anUnchangedCopyIsReportedAsUnchanged() {
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(5, "segment", Bytes.NONE);
+        accept(answer(lastSent().attempt(), AnswerStatus.UNCHANGED, Bytes.NONE));
+        assertTrue(ofType(effects, Effect.Answer.class).get(0).unchanged());
     }
 
     @Test
     void aLookupNamesNoSource() {
-        onArrival(r -> act.accept(new Lookup(r.id(), CACHE, 0)));
-        request(5, "segment", Bytes.NONE);
-        assertNull(ask().source());
-        assertEquals(0, ask().maxAgeMillis());
+        onArrivedRequest(r -> actions.accept(new Lookup(r.id(), CACHE, 0)));
+        sendRequest(5, "segment", Bytes.NONE);
+        assertNull(lastSent().source());
+        assertEquals(0, lastSent().maxAgeMillis());
     }
 
     @Test
-    void theOldestCopyRoundsDownToMillisecondsButNeverToAnyAge() {
-        for (long[] pair : new long[][] {{0, 0}, {1, 1}, {999, 1}, {1_999, 1}, {2_000, 2}, {6 * SECOND, 6_000}}) {
-            fetchOnArrival(pair[0], 0);
-            request(5, "segment", Bytes.NONE);
-            assertEquals(pair[1], ask().maxAgeMillis(), "for " + pair[0]);
-            take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
+    void maxAgeRoundsDownToMillisecondsButNeverToUnbounded() {
+        for (long[] pair : new long[][] {{0, 0}, {1, 1}, {999, 1}, {1_999, 1}, {2_000, 2}, {6 * SECOND_MICROS, 6_000}}) {
+            fetchOnArrivedRequest(pair[0], 0);
+            sendRequest(5, "segment", Bytes.NONE);
+            assertEquals(pair[1], lastSent().maxAgeMillis(), "for " + pair[0]);
+            accept(answer(lastSent().attempt(), AnswerStatus.DATA, Bytes.NONE));
         }
     }
 
     @Test
-    void eachWordOfACacheIsTheOutcomeItProves() {
+    void eachAnswerStatusMapsToItsOutcome() {
         Map<AnswerStatus, Outcome> expected = Map.of(
                 AnswerStatus.ABSENT,
                 Outcome.MISS,
@@ -230,242 +230,242 @@
                 Outcome.ERROR,
                 AnswerStatus.MOOT,
                 Outcome.MOOT);
-        expected.forEach((word, outcome) -> {
+        expected.forEach((status, outcome) -> {
             events.clear();
-            fetchOnArrival(0, 0);
-            request(word.ordinal() + 1, "segment", Bytes.NONE);
-            Counted body = new Counted();
-            take(answered(ask().attempt(), word, body));
-            assertEquals(outcome, of(events, AttemptEnded.class).get(0).outcome());
-            assertFalse(of(events, AttemptEnded.class).get(0).closed());
-            assertEquals(0, body.holders, "a body that goes nowhere is let go");
+            fetchOnArrivedRequest(0, 0);
+            sendRequest(status.ordinal() + 1, "segment", Bytes.NONE);
+            CountedBody body = new CountedBody();
+            accept(answer(lastSent().attempt(), status, body));
+            assertEquals(outcome, ofType(events, AttemptEnded.class).get(0).outcome());
+            assertFalse(ofType(events, AttemptEnded.class).get(0).closed());
+            assertEquals(0, body.references, "a body that is not passed on is released");
         });
     }
 
     @Test
-    void anAttemptNotWrittenWholeNeverRanAndABrokenOneMayHave() {
-        fetchOnArrival(0, 0);
-        request(1, "segment", Bytes.NONE);
-        take(new Input.NeverSent(ask().attempt()));
-        request(2, "segment", Bytes.NONE);
-        take(new Input.Written(ask().attempt()));
-        take(new Input.ConnectionLost(ask().attempt()));
-        List<Outcome> outcomes = of(events, AttemptEnded.class).stream()
+    void anUnwrittenAttemptNeverRanAndOneWithALostConnectionMayHave() {
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(1, "segment", Bytes.NONE);
+        accept(new Input.NeverSent(lastSent().attempt()));
+        sendRequest(2, "segment", Bytes.NONE);
+        accept(new Input.Written(lastSent().attempt()));
+        accept(new Input.ConnectionLost(lastSent().attempt()));
+        List<Outcome> outcomes = ofType(events, AttemptEnded.class).stream()
                 .map(AttemptEnded::outcome)
                 .toList();
         assertEquals(List.of(Outcome.CONNECT_FAILED, Outcome.RESET), outcomes);
     }
 
     @Test
-    void aRequestStuckUnwrittenIsTakenBackBeforeADrainOrPurgeBindsIt() {
-        fetchOnArrival(0, 0);
-        request(1, "segment", Bytes.NONE);
-        long attempt = ask().attempt();
-        pass(limits.unwritten());
-        assertEquals(attempt, of(effects, Effect.AbandonAttempt.class).get(0).attempt());
+    void anUnwrittenAttemptIsAbandonedBeforeADrainOrPurgeAppliesToIt() {
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(1, "segment", Bytes.NONE);
+        long attempt = lastSent().attempt();
+        advance(limits.unwritten());
+        assertEquals(attempt, ofType(effects, Effect.AbandonAttempt.class).get(0).attempt());
         assertEquals(
-                Outcome.CONNECT_FAILED, of(events, AttemptEnded.class).get(0).outcome());
+                Outcome.CONNECT_FAILED, ofType(events, AttemptEnded.class).get(0).outcome());
         assertTrue(limits.unwritten() < config.words().settings().rules().purgeGrace());
         assertTrue(limits.unwritten() < config.words().settings().rules().drainGrace());
     }
 
     @Test
-    void aWrittenAttemptIsNotTakenBackButEndsWithItsTimeOut() {
-        fetchOnArrival(0, 700 * MILLI);
-        request(1, "segment", Bytes.NONE);
-        take(new Input.Written(ask().attempt()));
-        assertEquals(700, ask().timeoutMillis());
-        pass(699 * MILLI);
-        assertTrue(of(events, AttemptEnded.class).isEmpty());
-        pass(2 * MILLI);
-        assertEquals(Outcome.TIMEOUT, of(events, AttemptEnded.class).get(0).outcome());
-        assertEquals(1, of(effects, Effect.AbandonAttempt.class).size());
+    void aWrittenAttemptIsAbandonedOnlyAtItsTimeout() {
+        fetchOnArrivedRequest(0, 700 * MILLI_MICROS);
+        sendRequest(1, "segment", Bytes.NONE);
+        accept(new Input.Written(lastSent().attempt()));
+        assertEquals(700, lastSent().timeoutMillis());
+        advance(699 * MILLI_MICROS);
+        assertTrue(ofType(events, AttemptEnded.class).isEmpty());
+        advance(2 * MILLI_MICROS);
+        assertEquals(Outcome.TIMEOUT, ofType(events, AttemptEnded.class).get(0).outcome());
+        assertEquals(1, ofType(effects, Effect.AbandonAttempt.class).size());
     }
 
     @Test
-    void aLateAnswerBelongsToItsOwnAttempt() {
-        fetchOnArrival(0, 700 * MILLI);
-        request(1, "segment", Bytes.NONE);
-        long first = ask().attempt();
-        take(new Input.Written(first));
-        script = e -> {
-            if (e instanceof AttemptEnded a && !a.closed()) {
-                act.accept(new Fetch(a.id(), CACHE, PARENT, 0, 0, false, false, false, false, 0));
+    void aLateAnswerIsNotTakenForALaterAttempt() {
+        fetchOnArrivedRequest(0, 700 * MILLI_MICROS);
+        sendRequest(1, "segment", Bytes.NONE);
+        long first = lastSent().attempt();
+        accept(new Input.Written(first));
+        onEvent = e -> {
+            if (e instanceof AttemptEnded end && !end.closed()) {
+                actions.accept(new Fetch(end.id(), CACHE, PARENT, 0, 0, false, false, false, false, 0));
             }
         };
-        pass(701 * MILLI);
-        long second = ask().attempt();
+        advance(701 * MILLI_MICROS);
+        long second = lastSent().attempt();
         assertFalse(first == second);
-        Counted late = new Counted();
-        take(answered(first, AnswerStatus.DATA, late));
-        assertEquals(0, late.holders);
-        assertTrue(of(effects, Effect.Answer.class).isEmpty());
-        take(answered(second, AnswerStatus.DATA, Bytes.NONE));
-        assertEquals(1, of(effects, Effect.Answer.class).size());
-    }
-
-    @Test
-    void theDeadlineEndsTheAttemptAndTheDecisionsMayStillAnswer() {
-        fetchOnArrival(0, 0);
-        request(1, "order", Bytes.NONE);
-        take(new Input.Written(ask().attempt()));
-        Consumer<Event> failing = e -> {
-            if (e instanceof AttemptEnded a) {
-                assertFalse(a.closed());
-                act.accept(new Fail(a.id()));
+        CountedBody late = new CountedBody();
+        accept(answer(first, AnswerStatus.DATA, late));
+        assertEquals(0, late.references);
+        assertTrue(ofType(effects, Effect.Answer.class).isEmpty());
+        accept(answer(second, AnswerStatus.DATA, Bytes.NONE));
+        assertEquals(1, ofType(effects, Effect.Answer.class).size());
+    }
+
+    @Test
+    void theDeadlineEndsTheAttemptAndTheDecisionModuleMayStillAnswer() {
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(1, "order", Bytes.NONE);
+        accept(new Input.Written(lastSent().attempt()));
+        Consumer<Event> failRequest = e -> {
+            if (e instanceof AttemptEnded end) {
+                assertFalse(end.closed());
+                actions.accept(new Fail(end.id()));
             }
         };
-        script = failing;
-        pass(1_499 * MILLI);
-        assertTrue(of(effects, Effect.Answer.class).isEmpty());
-        pass(2 * MILLI);
-        assertEquals(Code.FAILED, of(effects, Effect.Answer.class).get(0).code());
+        onEvent = failRequest;
+        advance(1_499 * MILLI_MICROS);
+        assertTrue(ofType(effects, Effect.Answer.class).isEmpty());
+        advance(2 * MILLI_MICROS);
+        assertEquals(Code.FAILED, ofType(effects, Effect.Answer.class).get(0).code());
     }
 
     @Test
-    void aRequestThatNobodyAnswersFailsWithinTheSlackAndIsAnsweredOnce() {
-        request(1, "segment", Bytes.NONE);
-        pass(1_500 * MILLI + 28 * MILLI);
-        List<Effect.Answer> answers = of(effects, Effect.Answer.class);
+    void aRequestWithoutADecisionFailsWithinTheSlackAndIsAnsweredOnce() {
+        sendRequest(1, "segment", Bytes.NONE);
+        advance(1_500 * MILLI_MICROS + 28 * MILLI_MICROS);
+        List<Effect.Answer> answers = ofType(effects, Effect.Answer.class);
         assertEquals(1, answers.size());
         assertEquals(Code.FAILED, answers.get(0).code());
-        RequestArrived arrived = of(events, RequestArrived.class).get(0);
-        assertEquals(List.of(new RequestAbandoned(arrived.id())), of(events, RequestAbandoned.class));
-        act.accept(new Refuse(arrived.id(), 0));
-        assertEquals(1, of(effects, Effect.Answer.class).size());
+        RequestArrived arrived = ofType(events, RequestArrived.class).get(0);
+        assertEquals(List.of(new RequestAbandoned(arrived.id())), ofType(events, RequestAbandoned.class));
+        actions.accept(new Refuse(arrived.id(), 0));
+        assertEquals(1, ofType(effects, Effect.Answer.class).size());
     }
 
     @Test
-    void aRefusalSaysWhenToComeBackInWholeMilliseconds() {
-        onArrival(r -> act.accept(new Refuse(r.id(), 200_001)));
-        request(1, "segment", Bytes.NONE);
+    void theRetryDelayOfARefusalRoundsUpToMilliseconds() {
+        onArrivedRequest(r -> actions.accept(new Refuse(r.id(), 200_001)));
+        sendRequest(1, "segment", Bytes.NONE);
         assertEquals(
                 new Effect.Answer(1, 1, Code.REFUSED, false, 201, Bytes.NONE),
-                of(effects, Effect.Answer.class).get(0));
-    }
-
-    @Test
-    void nothingIsOwedToAClientThatHasLeft() {
-        fetchOnArrival(0, 0);
-        Counted asked = new Counted();
-        request(1, "segment", asked);
-        Effect.SendAttempt ask = ask();
-        take(new Input.RequestCancelled(1, 1));
-        assertEquals(1, of(events, RequestAbandoned.class).size());
-        Counted crossing = new Counted();
-        take(answered(ask.attempt(), AnswerStatus.DATA, crossing));
-        assertEquals(0, crossing.holders);
-        ask.body().release();
-        assertEquals(0, asked.holders);
-        take(new Input.RequestCancelled(1, 1));
-        pass(5 * SECOND);
-        assertTrue(of(effects, Effect.Answer.class).isEmpty());
-        assertEquals(1, of(events, RequestAbandoned.class).size());
-    }
-
-    @Test
-    void aClosedConnectionEndsAllItsRequestsAndNoOthers() {
-        request(1, "segment", Bytes.NONE);
-        request(2, "segment", Bytes.NONE);
-        take(new Input.Request(2, 1, "a", "segment", "b", 0, 0, null, 1500, false, Bytes.NONE));
-        take(new Input.ClientClosed(1));
-        assertEquals(2, of(events, RequestAbandoned.class).size());
+                ofType(effects, Effect.Answer.class).get(0));
+    }
+
+    @Test
+    void aCancelledRequestGetsNoAnswer() {
+        fetchOnArrivedRequest(0, 0);
+        CountedBody requestBody = new CountedBody();
+        sendRequest(1, "segment", requestBody);
+        Effect.SendAttempt sent = lastSent();
+        accept(new Input.RequestCancelled(1, 1));
+        assertEquals(1, ofType(events, RequestAbandoned.class).size());
+        CountedBody lateBody = new CountedBody();
+        accept(answer(sent.attempt(), AnswerStatus.DATA, lateBody));
+        assertEquals(0, lateBody.references);
+        sent.body().release();
+        assertEquals(0, requestBody.references);
+        accept(new Input.RequestCancelled(1, 1));
+        advance(5 * SECOND_MICROS);
+        assertTrue(ofType(effects, Effect.Answer.class).isEmpty());
+        assertEquals(1, ofType(events, RequestAbandoned.class).size());
+    }
+
+    @Test
+    void aClosedConnectionCancelsAllItsRequestsAndNoOthers() {
+        sendRequest(1, "segment", Bytes.NONE);
+        sendRequest(2, "segment", Bytes.NONE);
+        accept(new Input.Request(2, 1, "a", "segment", "b", 0, 0, null, 1500, false, Bytes.NONE));
+        accept(new Input.ClientClosed(1));
+        assertEquals(2, ofType(events, RequestAbandoned.class).size());
         assertEquals(1, reducer.openRequests());
     }
 
     @Test
-    void aCallOffIsToldToTheCacheAndEndsTheAttempt() {
-        fetchOnArrival(0, 0);
-        request(1, "segment", Bytes.NONE);
-        String id = of(events, RequestArrived.class).get(0).id();
-        script = e -> {
+    void aCancellationReachesTheCacheAndEndsTheAttempt() {
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(1, "segment", Bytes.NONE);
+        String id = ofType(events, RequestArrived.class).get(0).id();
+        onEvent = e -> {
             if (e instanceof TimerDue) {
-                act.accept(new Cancel(id, 0));
+                actions.accept(new Cancel(id, 0));
             }
         };
-        act.accept(new SetTimer(10 * MILLI, 77));
-        take(new Input.Written(ask().attempt()));
-        pass(11 * MILLI);
-        assertEquals(List.of(new Effect.AbandonAttempt(ask().attempt(), true)), of(effects, Effect.AbandonAttempt.class));
-        assertEquals(Outcome.CANCELLED, of(events, AttemptEnded.class).get(0).outcome());
-        assertEquals(new TimerDue(77), of(events, TimerDue.class).get(0));
+        actions.accept(new SetTimer(10 * MILLI_MICROS, 77));
+        accept(new Input.Written(lastSent().attempt()));
+        advance(11 * MILLI_MICROS);
+        assertEquals(List.of(new Effect.AbandonAttempt(lastSent().attempt(), true)), ofType(effects, Effect.AbandonAttempt.class));
+        assertEquals(Outcome.CANCELLED, ofType(events, AttemptEnded.class).get(0).outcome());
+        assertEquals(new TimerDue(77), ofType(events, TimerDue.class).get(0));
     }
 
     @Test
-    void requestsBeyondTheBoundAreRefusedUnseen() throws Exception {
+    void requestsBeyondTheBoundAreRefusedWithoutADecision() throws Exception {
         start(2);
-        request(1, "segment", Bytes.NONE);
-        request(2, "segment", Bytes.NONE);
-        Counted third = new Counted();
-        request(3, "segment", third);
-        assertEquals(Code.REFUSED, of(effects, Effect.Answer.class).get(0).code());
-        assertEquals(0, third.holders);
-        assertEquals(2, of(events, RequestArrived.class).size());
-        take(new Input.RequestCancelled(1, 1));
-        request(4, "segment", Bytes.NONE);
-        assertEquals(3, of(events, RequestArrived.class).size());
+        sendRequest(1, "segment", Bytes.NONE);
+        sendRequest(2, "segment", Bytes.NONE);
+        CountedBody third = new CountedBody();
+        sendRequest(3, "segment", third);
+        assertEquals(Code.REFUSED, ofType(effects, Effect.Answer.class).get(0).code());
+        assertEquals(0, third.references);
+        assertEquals(2, ofType(events, RequestArrived.class).size());
+        accept(new Input.RequestCancelled(1, 1));
+        sendRequest(4, "segment", Bytes.NONE);
+        assertEquals(3, ofType(events, RequestArrived.class).size());
     }
 
     @Test
     void aRequestOfAnUnknownClassFailsAtOnce() {
-        request(1, "nonsense", Bytes.NONE);
-        assertEquals(Code.FAILED, of(effects, Effect.Answer.class).get(0).code());
-        assertTrue(of(events, RequestArrived.class).isEmpty());
+        sendRequest(1, "nonsense", Bytes.NONE);
+        assertEquals(Code.FAILED, ofType(effects, Effect.Answer.class).get(0).code());
+        assertTrue(ofType(events, RequestArrived.class).isEmpty());
     }
 
     @Test
-    void attemptsBeyondTheMostAllowedAreMootAndNotSent() {
-        onArrival(r -> {
+    void attemptsBeyondTheMaximumAreMootAndNotSent() {
+        onArrivedRequest(r -> {
             for (int i = 0; i < 9; i++) {
-                act.accept(new Lookup(r.id(), CACHE, 0));
+                actions.accept(new Lookup(r.id(), CACHE, 0));
             }
         });
-        request(1, "segment", Bytes.NONE);
-        assertEquals(8, of(effects, Effect.SendAttempt.class).size());
-        assertEquals(Outcome.MOOT, of(events, AttemptEnded.class).get(0).outcome());
+        sendRequest(1, "segment", Bytes.NONE);
+        assertEquals(8, ofType(effects, Effect.SendAttempt.class).size());
+        assertEquals(Outcome.MOOT, ofType(events, AttemptEnded.class).get(0).outcome());
     }
 
     @Test
-    void aFaultOfTheDecisionsFailsOneRequestAndNotTheRouter() {
-        onArrival(r -> {
+    void anExceptionOfTheDecisionModuleFailsOnlyItsRequest() {
+        onArrivedRequest(r -> {
             throw new IllegalStateException("for the test");
         });
-        request(1, "segment", Bytes.NONE);
-        fetchOnArrival(0, 0);
-        request(2, "segment", Bytes.NONE);
-        take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
-        pass(2 * SECOND);
+        sendRequest(1, "segment", Bytes.NONE);
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(2, "segment", Bytes.NONE);
+        accept(answer(lastSent().attempt(), AnswerStatus.DATA, Bytes.NONE));
+        advance(2 * SECOND_MICROS);
         assertEquals(
                 List.of(Code.SERVED, Code.FAILED),
-                of(effects, Effect.Answer.class).stream()
+                ofType(effects, Effect.Answer.class).stream()
                         .map(Effect.Answer::code)
                         .toList());
         assertEquals(1, counters.get(Counters.Name.FAULTS));
     }
 
     @Test
-    void eventsOfTheCoordinatorAreTakenOnceAndInOrder() {
-        String purge = "{\"index\":2,\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (START / MILLI - 250) + "}}";
-        take(new Input.CoordinatorUpdate(purge));
-        take(new Input.CoordinatorUpdate(purge));
-        take(new Input.CoordinatorUpdate("{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START / MILLI + "}}"));
-        assertEquals(List.of(new Purged("7f3a", -1, 250 * MILLI), new Purged(null, 17, 0)), events);
+    void eventsOfTheCoordinatorAreAppliedOnceAndInOrder() {
+        String purge = "{\"index\":2,\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (START_MICROS / MILLI_MICROS - 250) + "}}";
+        accept(new Input.CoordinatorUpdate(purge));
+        accept(new Input.CoordinatorUpdate(purge));
+        accept(new Input.CoordinatorUpdate("{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START_MICROS / MILLI_MICROS + "}}"));
+        assertEquals(List.of(new Purged("7f3a", -1, 250 * MILLI_MICROS), new Purged(null, 17, 0)), events);
         assertEquals(3, reducer.lastUpdate());
     }
 
     @Test
-    void anEventThatCannotBeReadIsSkipped() {
-        take(new Input.CoordinatorUpdate("{\"index\":2,"));
-        take(new Input.CoordinatorUpdate(
+    void anUnreadableEventIsSkipped() {
+        accept(new Input.CoordinatorUpdate("{\"index\":2,"));
+        accept(new Input.CoordinatorUpdate(
                 NodeTestConfig.list(2, false, NodeTestConfig.member("s-9", "127.0.0.1:19", "box", "sleeping", 0))));
         assertTrue(events.isEmpty());
         assertEquals(2, counters.get(Counters.Name.BAD_INPUT));
     }
 
     @Test
-    void aLineThatCannotBeReadCostsThatMembersNewsAloneAndNeitherTheOthersNorAPurge() {
+    void anUnreadableListEntryAffectsNeitherOtherMembersNorAPurge() {
         String s1 = NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", 0);
-        String[] bad = {
+        String[] unreadableEntries = {
             NodeTestConfig.member("p-1", "127.0.0.1:12", "box", "sleeping", 0),
             NodeTestConfig.member("p-1", "nowhere", "shield", "active", 0),
             NodeTestConfig.member("p-1", "127.0.0.1:12", "cupboard", "active", 0),
@@ -474,275 +474,275 @@
         };
         long index = 2;
         int skipped = 0;
-        for (String line : bad) {
+        for (String entry : unreadableEntries) {
             events.clear();
             effects.clear();
-            String list = NodeTestConfig.list(index, true, line, s1);
-            take(new Input.CoordinatorUpdate(list.substring(0, list.length() - 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
-                    + START / MILLI + "}}"));
+            String list = NodeTestConfig.list(index, true, entry, s1);
+            accept(new Input.CoordinatorUpdate(list.substring(0, list.length() - 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
+                    + START_MICROS / MILLI_MICROS + "}}"));
             assertEquals(index++, reducer.lastUpdate());
-            assertEquals(1, of(events, MemberListUpdate.class).size(), line);
-            assertEquals(1, of(events, MemberListUpdate.class).get(0).members().size(), line);
-            assertEquals(1, of(events, Purged.class).size(), line);
-            boolean named = line.contains("p-1");
+            assertEquals(1, ofType(events, MemberListUpdate.class).size(), entry);
+            assertEquals(1, ofType(events, MemberListUpdate.class).get(0).members().size(), entry);
+            assertEquals(1, ofType(events, Purged.class).size(), entry);
+            boolean namesTheMember = entry.contains("p-1");
             assertEquals(
-                    named,
-                    of(effects, Effect.RetireConnections.class).stream()
+                    namesTheMember,
+                    ofType(effects, Effect.RetireConnections.class).stream()
                             .noneMatch(r -> r.instance().equals("p-1")),
-                    "who is listed, if not readably, has not left: " + line);
+                    "an unreadable entry of a member does not mean that it left: " + entry);
             assertEquals(++skipped, counters.get(Counters.Name.BAD_INPUT));
-            take(new Input.CoordinatorUpdate(NodeTestConfig.list(
+            accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                     index++, false, NodeTestConfig.member("p-1", "127.0.0.1:12", "shield", "active", 0))));
         }
     }
 
     @Test
-    void aPurgeThatCannotBeReadCostsNoList() {
-        take(new Input.CoordinatorUpdate(
+    void anUnreadablePurgeDoesNotAffectTheMemberList() {
+        accept(new Input.CoordinatorUpdate(
                 "{\"index\":2,\"evict\":{\"unix_ms\":\"soon\"},\"endpoints\":{\"generation\":1,\"reset\":false,"
                         + "\"instances\":[" + NodeTestConfig.member("s-7", "127.0.0.1:17", "box", "active", 0)
                         + "]}}"));
-        assertEquals(1, of(events, MemberListUpdate.class).size());
-        assertTrue(of(events, Purged.class).isEmpty());
+        assertEquals(1, ofType(events, MemberListUpdate.class).size());
+        assertTrue(ofType(events, Purged.class).isEmpty());
         assertEquals(1, counters.get(Counters.Name.BAD_INPUT));
     }
 
     @Test
-    void aMemberThatLeavesOrStartsAnewLosesItsOldConnections() {
-        take(new Input.CoordinatorUpdate(NodeTestConfig.list(
-                2, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", START / MILLI))));
-        take(new Input.CoordinatorUpdate(NodeTestConfig.list(
+    void aMemberThatLeavesOrRestartsLosesItsOldConnections() {
+        accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
+                2, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", START_MICROS / MILLI_MICROS))));
+        accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 3,
                 false,
-                NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START / MILLI),
-                NodeTestConfig.member("s-2", "127.0.0.1:11", "box", "active", START / MILLI))));
-        assertEquals(List.of(new Effect.DropConnections("s-1", START), new Effect.RetireConnections("s-1")), effects);
-        MemberListUpdate last = of(events, MemberListUpdate.class).get(1);
+                NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START_MICROS / MILLI_MICROS),
+                NodeTestConfig.member("s-2", "127.0.0.1:11", "box", "active", START_MICROS / MILLI_MICROS))));
+        assertEquals(List.of(new Effect.DropConnections("s-1", START_MICROS), new Effect.RetireConnections("s-1")), effects);
+        MemberListUpdate last = ofType(events, MemberListUpdate.class).get(1);
         assertEquals(State.GONE, last.members().get(0).state());
         assertFalse(last.members().get(0).id() == last.members().get(1).id());
-        fetchOnArrival(0, 0);
-        onArrival(r -> act.accept(new Lookup(r.id(), Reducer.memberId("s-2"), 0)));
-        request(1, "segment", Bytes.NONE);
-        assertEquals("s-2", ask().instance());
+        fetchOnArrivedRequest(0, 0);
+        onArrivedRequest(r -> actions.accept(new Lookup(r.id(), Reducer.memberId("s-2"), 0)));
+        sendRequest(1, "segment", Bytes.NONE);
+        assertEquals("s-2", lastSent().instance());
     }
 
     @Test
-    void whoIsMissingFromAWholeListLosesItsConnections() {
-        take(new Input.CoordinatorUpdate(NodeTestConfig.list(
+    void aMemberMissingFromASnapshotLosesItsConnections() {
+        accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 2,
                 true,
                 NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", 0),
                 NodeTestConfig.member("s-2", "127.0.0.1:12", "box", "active", 0))));
         assertEquals(List.of(new Effect.RetireConnections("p-1")), effects);
         assertTrue(reducer.ready());
-        take(new Input.CoordinatorUpdate(NodeTestConfig.list(3, true)));
-        assertFalse(reducer.ready(), "nobody is left");
+        accept(new Input.CoordinatorUpdate(NodeTestConfig.list(3, true)));
+        assertFalse(reducer.ready(), "no member is left");
     }
 
     @Test
-    void askedToEndItTellsClientsAnswersWhatIsOpenAndThenGoes() {
-        fetchOnArrival(0, 0);
-        request(1, "segment", Bytes.NONE);
-        take(new Input.Written(ask().attempt()));
+    void terminationDrainsClientsAndAnswersOpenRequestsBeforeTheExit() {
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(1, "segment", Bytes.NONE);
+        accept(new Input.Written(lastSent().attempt()));
         assertTrue(reducer.ready());
-        take(new Input.Terminate());
-        assertEquals(1, of(effects, Effect.DrainClients.class).size());
+        accept(new Input.Terminate());
+        assertEquals(1, ofType(effects, Effect.DrainClients.class).size());
         assertFalse(reducer.ready());
-        pass(300 * MILLI);
-        request(2, "segment", Bytes.NONE);
-        List<Effect.SendAttempt> asks = of(effects, Effect.SendAttempt.class);
-        take(answered(asks.get(1).attempt(), AnswerStatus.DATA, Bytes.NONE));
-        pass(600 * MILLI);
-        assertTrue(of(effects, Effect.Exit.class).isEmpty(), "a request is still open");
-        take(answered(asks.get(0).attempt(), AnswerStatus.DATA, Bytes.NONE));
-        exitsOnceAllIsRead();
-    }
-
-    /** The last step: what has come is read first, and only when nothing was found is it over. */
-    private void exitsOnceAllIsRead() {
-        assertEquals(1, of(effects, Effect.CompleteClientReads.class).size());
-        assertTrue(of(effects, Effect.Exit.class).isEmpty());
-        take(new Input.ClientReadsCompleted());
-        assertEquals(1, of(effects, Effect.Exit.class).size());
-    }
-
-    @Test
-    void aRequestThatIsFoundWhenAllIsReadPutsTheEndOffUntilItIsAnswered() {
-        fetchOnArrival(0, 0);
-        take(new Input.Terminate());
-        pass(800 * MILLI);
-        assertEquals(1, of(effects, Effect.CompleteClientReads.class).size());
-        request(1, "segment", Bytes.NONE);
-        take(new Input.ClientReadsCompleted());
-        assertTrue(of(effects, Effect.Exit.class).isEmpty(), "a request was found");
+        advance(300 * MILLI_MICROS);
+        sendRequest(2, "segment", Bytes.NONE);
+        List<Effect.SendAttempt> sentAttempts = ofType(effects, Effect.SendAttempt.class);
+        accept(answer(sentAttempts.get(1).attempt(), AnswerStatus.DATA, Bytes.NONE));
+        advance(600 * MILLI_MICROS);
+        assertTrue(ofType(effects, Effect.Exit.class).isEmpty(), "a request is still open");
+        accept(answer(sentAttempts.get(0).attempt(), AnswerStatus.DATA, Bytes.NONE));
+        assertExitsAfterTheFinalRead();
+    }
+
+    /** Checks the last step: the final read comes first, and the router exits only if that finds no request. */
+    private void assertExitsAfterTheFinalRead() {
+        assertEquals(1, ofType(effects, Effect.CompleteClientReads.class).size());
+        assertTrue(ofType(effects, Effect.Exit.class).isEmpty());
+        accept(new Input.ClientReadsCompleted());
+        assertEquals(1, ofType(effects, Effect.Exit.class).size());
+    }
+
+    @Test
+    void aRequestFoundByTheFinalReadDelaysTheExitUntilItIsAnswered() {
+        fetchOnArrivedRequest(0, 0);
+        accept(new Input.Terminate());
+        advance(800 * MILLI_MICROS);
+        assertEquals(1, ofType(effects, Effect.CompleteClientReads.class).size());
+        sendRequest(1, "segment", Bytes.NONE);
+        accept(new Input.ClientReadsCompleted());
+        assertTrue(ofType(effects, Effect.Exit.class).isEmpty(), "the final read found a request");
         int before = effects.size();
-        take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
+        accept(answer(lastSent().attempt(), AnswerStatus.DATA, Bytes.NONE));
         effects.subList(0, before).clear();
-        exitsOnceAllIsRead();
+        assertExitsAfterTheFinalRead();
     }
 
     @Test
-    void aRequestFoundWhenAllTimeIsUpIsRefusedAndNeverSent() {
-        fetchOnArrival(0, 0);
-        take(new Input.Terminate());
-        pass(3_650 * MILLI);
-        request(1, "segment", Bytes.NONE);
-        assertTrue(of(effects, Effect.SendAttempt.class).isEmpty());
-        assertEquals(Code.REFUSED, of(effects, Effect.Answer.class).get(0).code());
-        take(new Input.ClientReadsCompleted());
-        assertEquals(1, of(effects, Effect.Exit.class).size());
-        request(2, "segment", Bytes.NONE);
-        assertTrue(of(effects, Effect.SendAttempt.class).isEmpty(), "nothing is sent on after the end");
+    void aRequestPastTheExitDeadlineIsRefusedAndNeverSent() {
+        fetchOnArrivedRequest(0, 0);
+        accept(new Input.Terminate());
+        advance(3_650 * MILLI_MICROS);
+        sendRequest(1, "segment", Bytes.NONE);
+        assertTrue(ofType(effects, Effect.SendAttempt.class).isEmpty());
+        assertEquals(Code.REFUSED, ofType(effects, Effect.Answer.class).get(0).code());
+        accept(new Input.ClientReadsCompleted());
+        assertEquals(1, ofType(effects, Effect.Exit.class).size());
+        sendRequest(2, "segment", Bytes.NONE);
+        assertTrue(ofType(effects, Effect.SendAttempt.class).isEmpty(), "no attempt is sent after the exit");
     }
 
     @Test
-    void askedToEndWithNothingOpenItWaitsForRequestsOnTheirWay() {
-        take(new Input.Terminate());
-        pass(700 * MILLI);
-        assertTrue(of(effects, Effect.Exit.class).isEmpty());
-        pass(100 * MILLI);
-        exitsOnceAllIsRead();
+    void terminationWithoutOpenRequestsWaitsForRequestsInFlight() {
+        accept(new Input.Terminate());
+        advance(700 * MILLI_MICROS);
+        assertTrue(ofType(effects, Effect.Exit.class).isEmpty());
+        advance(100 * MILLI_MICROS);
+        assertExitsAfterTheFinalRead();
     }
 
     @Test
-    void whatIsStillOpenShortlyBeforeTheKillFails() {
-        take(new Input.Terminate());
-        take(new Input.Request(1, 9, "a", "segment", "b", 0, 0, null, 60_000, false, Bytes.NONE));
-        pass(3_650 * MILLI);
-        assertEquals(Code.FAILED, of(effects, Effect.Answer.class).get(0).code());
-        exitsOnceAllIsRead();
+    void requestsStillOpenShortlyBeforeTheKillFail() {
+        accept(new Input.Terminate());
+        accept(new Input.Request(1, 9, "a", "segment", "b", 0, 0, null, 60_000, false, Bytes.NONE));
+        advance(3_650 * MILLI_MICROS);
+        assertEquals(Code.FAILED, ofType(effects, Effect.Answer.class).get(0).code());
+        assertExitsAfterTheFinalRead();
     }
 
     @Test
-    void itIsNotReadyBeforeItHasCaughtUpWithTheCoordinator() throws Exception {
+    void theRouterIsNotReadyBeforeItHasCaughtUpWithTheCoordinator() throws Exception {
         start(1_000, false);
-        take(new Input.CoordinatorUpdate(
+        accept(new Input.CoordinatorUpdate(
                 NodeTestConfig.list(2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", 0))));
-        assertFalse(reducer.ready(), "more may stand behind this event");
-        take(new Input.CoordinatorHeartbeat());
+        assertFalse(reducer.ready(), "more events may follow this one");
+        accept(new Input.CoordinatorHeartbeat());
         assertTrue(reducer.ready());
         assertEquals(Long.MAX_VALUE, reducer.nextDue());
         assertEquals(0, counters.get(Counters.Name.STARTED_UNSYNCED));
     }
 
     @Test
-    void aCoordinatorThatStaysAwayKeepsItFromServingForFiveSecondsAtMost() throws Exception {
+    void withoutACoordinatorTheRouterIsReadyAfterFiveSeconds() throws Exception {
         start(1_000, false);
-        pass(5 * SECOND - MILLI);
+        advance(5 * SECOND_MICROS - MILLI_MICROS);
         assertFalse(reducer.ready());
-        pass(MILLI);
+        advance(MILLI_MICROS);
         assertTrue(reducer.ready());
         assertEquals(1, counters.get(Counters.Name.STARTED_UNSYNCED));
     }
 
     @Test
-    void aPurgeIsTakenForTheLaterOneWhereTheWallClockWasStepped() {
-        for (long step : new long[] {-3_600 * SECOND, -5 * SECOND, 5 * SECOND, 3_600 * SECOND}) {
+    void aPurgeGetsTheSmallerAgeIfTheWallClockWasStepped() {
+        for (long step : new long[] {-3_600 * SECOND_MICROS, -5 * SECOND_MICROS, 5 * SECOND_MICROS, 3_600 * SECOND_MICROS}) {
             events.clear();
             reducer.accept(
                     now,
                     now + step,
                     new Input.CoordinatorUpdate("{\"index\":" + (reducer.lastUpdate() + 1)
-                            + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (now - SECOND) / MILLI + "}}"),
+                            + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (now - SECOND_MICROS) / MILLI_MICROS + "}}"),
                     effects::add);
-            assertEquals(step < 0 ? 0 : SECOND, of(events, Purged.class).get(0).age(), "a step of " + step);
+            assertEquals(step < 0 ? 0 : SECOND_MICROS, ofType(events, Purged.class).get(0).age(), "a step of " + step);
         }
     }
 
     @Test
-    void aStartIsTakenForTheLaterOneWhereTheWallClockWasSteppedAndKeptWhenToldAgain() {
+    void aStartTimeIsTheLaterOneIfTheWallClockWasSteppedAndStaysWhenReportedAgain() {
         String list = NodeTestConfig.list(
-                2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", (now - SECOND) / MILLI));
-        reducer.accept(now, now - 3_600 * SECOND, new Input.CoordinatorUpdate(list), effects::add);
+                2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", (now - SECOND_MICROS) / MILLI_MICROS));
+        reducer.accept(now, now - 3_600 * SECOND_MICROS, new Input.CoordinatorUpdate(list), effects::add);
         assertEquals(
-                now, of(events, MemberListUpdate.class).get(0).members().get(0).started());
-        long first = now;
-        now += 3 * SECOND;
-        take(new Input.CoordinatorUpdate(list.replace("\"index\":2", "\"index\":3")));
+                now, ofType(events, MemberListUpdate.class).get(0).members().get(0).started());
+        long firstReportAt = now;
+        now += 3 * SECOND_MICROS;
+        accept(new Input.CoordinatorUpdate(list.replace("\"index\":2", "\"index\":3")));
         assertEquals(
-                first, of(events, MemberListUpdate.class).get(1).members().get(0).started());
+                firstReportAt, ofType(events, MemberListUpdate.class).get(1).members().get(0).started());
     }
 
     @Test
-    void timersOfWhatHasEndedWakeNobody() {
-        fetchOnArrival(0, 0);
+    void timersOfEndedAttemptsDoNotWakeTheRouter() {
+        fetchOnArrivedRequest(0, 0);
         for (int i = 1; i <= 50; i++) {
-            request(i, "segment", Bytes.NONE);
-            take(new Input.Written(ask().attempt()));
-            take(answered(ask().attempt(), AnswerStatus.DATA, Bytes.NONE));
+            sendRequest(i, "segment", Bytes.NONE);
+            accept(new Input.Written(lastSent().attempt()));
+            accept(answer(lastSent().attempt(), AnswerStatus.DATA, Bytes.NONE));
         }
         assertEquals(Long.MAX_VALUE, reducer.nextDue());
     }
 
     @Test
-    void anAttemptWithoutRoomAtTheMemberNeverRanAndTheMemberDidNotFail() {
-        fetchOnArrival(0, 0);
-        request(1, "segment", Bytes.NONE);
-        take(new Input.NoConnectionAvailable(ask().attempt()));
+    void anAttemptWithoutAFreeConnectionNeverRanAndIsNoFailureOfTheMember() {
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(1, "segment", Bytes.NONE);
+        accept(new Input.NoConnectionAvailable(lastSent().attempt()));
         assertEquals(
                 List.of(Outcome.FULL),
-                of(events, AttemptEnded.class).stream()
+                ofType(events, AttemptEnded.class).stream()
                         .map(AttemptEnded::outcome)
                         .toList());
         assertTrue(Outcome.FULL.provesNotRun);
     }
 
     @Test
-    void theIdOfAnOpenRequestForAnotherObjectIsNotPassedOn() {
-        fetchOnArrival(0, 0);
-        request(1, "segment", Bytes.NONE);
+    void aRequestWithTheIdOfAnOpenRequestForAnotherObjectFails() {
+        fetchOnArrivedRequest(0, 0);
+        sendRequest(1, "segment", Bytes.NONE);
         effects.clear();
-        take(new Input.Request(
+        accept(new Input.Request(
                 2, 1, "9b1f03aa5c7e2d41", "segment", "00000000000000ff", 0, 1, null, 1500, false, Bytes.NONE));
         assertEquals(
                 List.of(new Effect.Answer(2, 1, Code.FAILED, false, 0, Bytes.NONE), new Effect.ReportProtocolError(2)), effects);
-        take(new Input.RequestCancelled(1, 1));
+        accept(new Input.RequestCancelled(1, 1));
         effects.clear();
-        take(new Input.Request(
+        accept(new Input.Request(
                 2, 2, "9b1f03aa5c7e2d41", "segment", "00000000000000ff", 0, 1, null, 1500, false, Bytes.NONE));
-        assertEquals(1, of(effects, Effect.SendAttempt.class).size(), "the id is free again");
+        assertEquals(1, ofType(effects, Effect.SendAttempt.class).size(), "the id may be used again");
     }
 
     @Test
-    void anEventIsTakenOnceAndAGapIsAskedForOnce() {
-        String left = NodeTestConfig.list(3, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", 0));
-        take(new Input.CoordinatorUpdate(left));
+    void anEventIsAppliedOnceAndAGapIsRequestedOnce() {
+        String third = NodeTestConfig.list(3, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", 0));
+        accept(new Input.CoordinatorUpdate(third));
         assertEquals(List.of(new Effect.FollowCoordinator("127.0.0.1:2")), effects);
         assertEquals(1, reducer.lastUpdate());
-        String two = NodeTestConfig.list(2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", 0));
-        take(new Input.CoordinatorUpdate(two));
-        take(new Input.CoordinatorUpdate(two));
-        take(new Input.CoordinatorUpdate(left));
+        String second = NodeTestConfig.list(2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", 0));
+        accept(new Input.CoordinatorUpdate(second));
+        accept(new Input.CoordinatorUpdate(second));
+        accept(new Input.CoordinatorUpdate(third));
         assertEquals(3, reducer.lastUpdate());
-        assertEquals(2, of(events, MemberListUpdate.class).size());
-        String far = NodeTestConfig.list(9, false);
-        take(new Input.CoordinatorUpdate(far));
-        take(new Input.CoordinatorUpdate(far));
-        assertEquals(9, reducer.lastUpdate(), "what the coordinator does not have any more is not waited for");
+        assertEquals(2, ofType(events, MemberListUpdate.class).size());
+        String ninth = NodeTestConfig.list(9, false);
+        accept(new Input.CoordinatorUpdate(ninth));
+        accept(new Input.CoordinatorUpdate(ninth));
+        assertEquals(9, reducer.lastUpdate(), "the router does not wait for events that the coordinator no longer has");
     }
 
     @Test
-    void aReloadFollowsTheNewCoordinatorAndNothingElse() throws Exception {
+    void aReloadFollowsANewCoordinatorAndNoOtherChange() throws Exception {
         String json = NodeTestConfig.json(
                 "127.0.0.1:1",
                 "127.0.0.1:3",
                 1_000,
                 NodeTestConfig.list(1, true, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", 0)));
-        take(new Input.Reload(null, null, "no such file"));
-        take(new Input.Reload(
+        accept(new Input.Reload(null, null, "no such file"));
+        accept(new Input.Reload(
                 NodeConfig.parse(json.replace("127.0.0.1:1\"", "127.0.0.1:9\"")), OperatorConfig.NONE, null));
-        take(new Input.Reload(
+        accept(new Input.Reload(
                 NodeConfig.parse(json.replace("\"max-open\":1000", "\"max-open\":9")), OperatorConfig.NONE, null));
         assertEquals(List.of(), effects);
         assertEquals(3, counters.get(Counters.Name.RELOADS_REFUSED));
-        take(new Input.Reload(NodeConfig.parse(json), OperatorConfig.NONE, null));
-        take(new Input.Reload(NodeConfig.parse(json), OperatorConfig.NONE, null));
+        accept(new Input.Reload(NodeConfig.parse(json), OperatorConfig.NONE, null));
+        accept(new Input.Reload(NodeConfig.parse(json), OperatorConfig.NONE, null));
         assertEquals(List.of(new Effect.FollowCoordinator("127.0.0.1:3")), effects);
         assertEquals(2, counters.get(Counters.Name.RELOADS));
-        assertEquals(List.of(), of(events, MemberListUpdate.class));
+        assertEquals(List.of(), ofType(events, MemberListUpdate.class));
     }
 
-    private static final String OPERATOR =
+    private static final String OPERATOR_YAML =
             """
             hierarchy:
               news: %s
@@ -757,93 +757,93 @@
                 depots: {here: {fill-from: {%s: 1}}}
             """;
 
-    private OperatorConfig operator(String news, int version, String hub) throws Exception {
-        Path file = Files.writeString(folder.resolve("operator.yaml"), OPERATOR.formatted(news, version, hub));
+    private OperatorConfig operatorConfig(String updateSource, int version, String hub) throws Exception {
+        Path file = Files.writeString(folder.resolve("operator.yaml"), OPERATOR_YAML.formatted(updateSource, version, hub));
         return OperatorFile.read(file);
     }
 
-    private void operate(OperatorConfig operator) {
+    private void startWithOperatorConfig(OperatorConfig operatorConfig) {
         reducer = new Reducer(
                 (time, event, sink) -> {
                     events.add(event);
-                    act = sink::accept;
+                    actions = sink::accept;
                 },
                 config.words(),
                 limits,
                 counters);
-        reducer.applyOperatorConfig(now, operator, "here", "n0", 1);
+        reducer.applyOperatorConfig(now, operatorConfig, "here", "n0", 1);
         reducer.known(now, config, effects::add);
-        take(new Input.CoordinatorUpdate(NodeTestConfig.list(
+        accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 2,
                 false,
                 NodeTestConfig.member("p-2", "127.0.0.1:13", "shield", "active", 0),
                 NodeTestConfig.member("o-1", "127.0.0.1:14", "store", "active", 0))));
     }
 
-    /** The member that the last sources given name for this location; 0 where none are given. */
-    private long lastGiven() {
-        FillSourcesUpdate last = of(events, FillSourcesUpdate.class)
-                .get(of(events, FillSourcesUpdate.class).size() - 1);
+    /** Returns the parent of this location in the last update of the fill sources; 0 if it names none. */
+    private long currentParent() {
+        FillSourcesUpdate last = ofType(events, FillSourcesUpdate.class)
+                .get(ofType(events, FillSourcesUpdate.class).size() - 1);
         return last.lists().isEmpty()
                 ? 0
                 : last.lists().get(FillSourcesUpdate.LOCATION).current().get(0).member();
     }
 
     @Test
-    void theHierarchyOfTheOperatorReachesTheDecisionsAndAReloadMovesIt() throws Exception {
-        now = START + 1_000 * SECOND;
-        operate(operator("file", 1, "p-1"));
-        assertEquals(PARENT, lastGiven());
-        OperatorConfig next = operator("file", 2, "p-2");
-        take(new Input.Reload(config, next, null));
-        assertEquals(Reducer.memberId("p-2"), lastGiven(), "announced long ago, it acts at once");
+    void fillSourcesFollowTheOperatorsHierarchyAndItsReload() throws Exception {
+        now = START_MICROS + 1_000 * SECOND_MICROS;
+        startWithOperatorConfig(operatorConfig("file", 1, "p-1"));
+        assertEquals(PARENT, currentParent());
+        OperatorConfig next = operatorConfig("file", 2, "p-2");
+        accept(new Input.Reload(config, next, null));
+        assertEquals(Reducer.memberId("p-2"), currentParent(), "the announcement is long ago, so that it takes effect at once");
         assertEquals("2", reducer.state().get("hierarchy-version"));
         assertEquals("moving", reducer.state().get("hierarchy-stage"));
-        now += 10 * SECOND;
-        take(new Input.TimerFired());
+        now += 10 * SECOND_MICROS;
+        accept(new Input.TimerFired());
         assertEquals("1.000", reducer.state().get("hierarchy-share-moved"));
-        take(new Input.Reload(config, operator("file", 1, "p-1"), null));
-        take(new Input.Reload(config, operator("feed", 3, "p-1"), null));
-        take(new Input.Reload(config, OperatorConfig.NONE, null));
+        accept(new Input.Reload(config, operatorConfig("file", 1, "p-1"), null));
+        accept(new Input.Reload(config, operatorConfig("feed", 3, "p-1"), null));
+        accept(new Input.Reload(config, OperatorConfig.NONE, null));
         assertEquals(3, counters.get(Counters.Name.RELOADS_REFUSED));
         assertEquals("2", reducer.state().get("hierarchy-version"));
-        assertEquals(Reducer.memberId("p-2"), lastGiven());
+        assertEquals(Reducer.memberId("p-2"), currentParent());
     }
 
     @Test
-    void piecesOfTheHierarchyComeAsEventsAndTheirTimersAreKept() throws Exception {
-        now = START + 1_000 * SECOND;
-        operate(operator("feed", 1, "p-1"));
-        long millis = now / MILLI;
-        take(new Input.CoordinatorUpdate("{\"index\":3,\"shape\":{\"piece\":1,\"version\":2,\"announced_ms\":" + millis
+    void topologyUpdatesOfTheCoordinatorTakeEffectWhenDue() throws Exception {
+        now = START_MICROS + 1_000 * SECOND_MICROS;
+        startWithOperatorConfig(operatorConfig("feed", 1, "p-1"));
+        long millis = now / MILLI_MICROS;
+        accept(new Input.CoordinatorUpdate("{\"index\":3,\"shape\":{\"piece\":1,\"version\":2,\"announced_ms\":" + millis
                 + ",\"unit\":\"here\",\"kind\":\"depot\",\"parents\":{\"p-2\":1}}}"));
-        assertEquals(PARENT, lastGiven());
-        now += 500 * MILLI;
-        take(new Input.CoordinatorUpdate("{\"index\":4,\"shape\":{\"certain_ms\":" + (millis + 500) + ",\"piece\":1}}"));
-        assertTrue(reducer.nextDue() <= now + 500 * MILLI, "it wants to be called when the piece acts");
-        now += 500 * MILLI;
-        take(new Input.TimerFired());
-        assertEquals(Reducer.memberId("p-2"), lastGiven());
-        now += 10 * SECOND;
-        take(new Input.TimerFired());
-        assertEquals(0, lastGiven(), "nothing was certain for long: the ordinary path decides");
-        take(new Input.CoordinatorUpdate("{\"index\":5,\"shape\":{\"piece\":2,\"unit\":\"here\"}}"));
+        assertEquals(PARENT, currentParent());
+        now += 500 * MILLI_MICROS;
+        accept(new Input.CoordinatorUpdate("{\"index\":4,\"shape\":{\"certain_ms\":" + (millis + 500) + ",\"piece\":1}}"));
+        assertTrue(reducer.nextDue() <= now + 500 * MILLI_MICROS, "a timer is due when the topology update takes effect");
+        now += 500 * MILLI_MICROS;
+        accept(new Input.TimerFired());
+        assertEquals(Reducer.memberId("p-2"), currentParent());
+        now += 10 * SECOND_MICROS;
+        accept(new Input.TimerFired());
+        assertEquals(0, currentParent(), "no confirmation for long: the decision module falls back to the listed parents");
+        accept(new Input.CoordinatorUpdate("{\"index\":5,\"shape\":{\"piece\":2,\"unit\":\"here\"}}"));
         assertEquals(1, counters.get(Counters.Name.BAD_INPUT));
     }
 
     @Test
-    void withoutAnOperatorsFileNewsOfAHierarchyIsNoMatter() {
-        take(new Input.CoordinatorUpdate("{\"index\":2,\"shape\":{\"certain_ms\":1,\"piece\":1}}"));
+    void topologyUpdatesAreIgnoredWithoutAnOperatorsFile() {
+        accept(new Input.CoordinatorUpdate("{\"index\":2,\"shape\":{\"certain_ms\":1,\"piece\":1}}"));
         assertEquals(Map.of(), reducer.state());
-        assertEquals(List.of(), of(events, FillSourcesUpdate.class));
+        assertEquals(List.of(), ofType(events, FillSourcesUpdate.class));
         assertEquals(2, reducer.lastUpdate());
     }
 
     @Test
-    void theWayOfAFillIsHandedOnByName() {
-        onArrival(
-                r -> act.accept(new Fetch(r.id(), CACHE, PARENT, 2, 0, true, false, false, false, 0, List.of(PARENT))));
-        request(1, "segment", new Counted());
-        assertEquals(List.of("p-1"), of(effects, Effect.SendAttempt.class).get(0).fillPath());
+    void theFillPathIsSentByMemberName() {
+        onArrivedRequest(
+                r -> actions.accept(new Fetch(r.id(), CACHE, PARENT, 2, 0, true, false, false, false, 0, List.of(PARENT))));
+        sendRequest(1, "segment", new CountedBody());
+        assertEquals(List.of("p-1"), ofType(effects, Effect.SendAttempt.class).get(0).fillPath());
     }
 }
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -13,61 +13,62 @@
 import pumicemoor.Logic;
 import pumicemoor.node.Input.AnswerStatus;
 
-/** The same requests, members and outcomes by the platform's front and by calls of proxies: the same choices. */
+/** The decisions are the same for requests of the platform and for calls of other proxies, given the same outcomes. */
 class SameChoicesTest {
 
-    /** A reducer with decisions of its own, and what it chose, in words that both fronts share. */
+    /** A reducer with its own decision module, and its choices as text that does not depend on the kind of input. */
     private static final class Side {
-        final boolean calls;
+        final boolean byCalls;
         final Reducer reducer;
-        final List<String> chosen = new ArrayList<>();
-        final Map<Integer, Long> open = new LinkedHashMap<>(); // attempt keys by the order of their choice
-        int choices;
+        final List<String> choices = new ArrayList<>();
+        final Map<Integer, Long> openAttemptKeys = new LinkedHashMap<>(); // by the order of their choice
+        int attemptCount;
 
-        Side(boolean calls, NodeConfig config, long now) {
-            this.calls = calls;
+        Side(boolean byCalls, NodeConfig config, long now) {
+            this.byCalls = byCalls;
             this.reducer = new Reducer(
                     new Logic(config.words().settings(), 5),
                     config.words(),
                     ResourceLimits.of(config.words().settings(), config.figures()),
                     new Counters());
-            reducer.known(now, config, this::take);
+            reducer.known(now, config, this::accept);
         }
 
-        void take(Effect effect) {
-            if (effect instanceof Effect.SendAttempt a) {
-                a.body().release();
-                chose(
-                        a.attempt(),
-                        a.instance(),
-                        a.source(),
-                        a.keepRank(),
-                        a.maxAgeMillis(),
-                        "" + a.join() + a.onlyIfCached() + a.renew(),
-                        a.timeoutMillis());
-            } else if (effect instanceof Effect.AnnounceAttempt n) {
-                chose(
-                        n.key(),
-                        n.instance(),
-                        n.source(),
-                        n.keepRank(),
-                        n.maxAgeMillis(),
-                        "" + n.join() + n.onlyIfCached() + n.renew(),
-                        n.timeoutMillis());
-            } else if (effect instanceof Effect.Answer a) {
-                chosen.add("answer " + a.code() + " " + a.retryAfterMillis());
+        void accept(Effect effect) {
+            if (effect instanceof Effect.SendAttempt sent) {
+                sent.body().release();
+                addChoice(
+                        sent.attempt(),
+                        sent.instance(),
+                        sent.source(),
+                        sent.keepRank(),
+                        sent.maxAgeMillis(),
+                        "" + sent.join() + sent.onlyIfCached() + sent.renew(),
+                        sent.timeoutMillis());
+            } else if (effect instanceof Effect.AnnounceAttempt announced) {
+                addChoice(
+                        announced.key(),
+                        announced.instance(),
+                        announced.source(),
+                        announced.keepRank(),
+                        announced.maxAgeMillis(),
+                        "" + announced.join() + announced.onlyIfCached() + announced.renew(),
+                        announced.timeoutMillis());
+            } else if (effect instanceof Effect.Answer answer) {
+                choices.add("answer " + answer.code() + " " + answer.retryAfterMillis());
             }
         }
 
-        void chose(long key, String cache, String source, int rank, long within, String flags, long limit) {
-            chosen.add(String.join(" ", cache, String.valueOf(source), "" + rank, "" + within, flags, "" + limit));
-            open.put(choices++, key);
+        void addChoice(long key, String cache, String source, int keepRank, long maxAge, String flags, long timeout) {
+            choices.add(
+                    String.join(" ", cache, String.valueOf(source), "" + keepRank, "" + maxAge, flags, "" + timeout));
+            openAttemptKeys.put(attemptCount++, key);
         }
 
-        void ask(long now, int number, String requestClass, String object) {
+        void request(long now, int number, String requestClass, String object) {
             reducer.accept(
                     now,
-                    calls
+                    byCalls
                             ? new Input.Call(-number, "id" + number, requestClass, object, 0, -1, 1_500, false)
                             : new Input.Request(
                                     number,
@@ -81,36 +82,36 @@
                                     1_500,
                                     false,
                                     Bytes.NONE),
-                    this::take);
-            reducer.accept(now, new Input.TimerFired(), this::take);
+                    this::accept);
+            reducer.accept(now, new Input.TimerFired(), this::accept);
         }
 
-        void end(long now, int choice, int how) {
-            Long key = open.remove(choice);
+        void endAttempt(long now, int choice, int outcome) {
+            Long key = openAttemptKeys.remove(choice);
             if (key != null) {
-                if (!calls) {
-                    reducer.accept(now, new Input.Written(key), this::take);
+                if (!byCalls) {
+                    reducer.accept(now, new Input.Written(key), this::accept);
                 }
                 reducer.accept(
                         now,
-                        how == 0
+                        outcome == 0
                                 ? new Input.NeverSent(key)
-                                : how == 1
+                                : outcome == 1
                                         ? new Input.ConnectionLost(key)
                                         : new Input.Answered(
                                                 key,
-                                                how == 2 ? AnswerStatus.FAILED : how == 3 ? AnswerStatus.FULL : AnswerStatus.DATA,
-                                                how % 2 == 0 ? "mem" : "parent",
+                                                outcome == 2 ? AnswerStatus.FAILED : outcome == 3 ? AnswerStatus.FULL : AnswerStatus.DATA,
+                                                outcome % 2 == 0 ? "mem" : "parent",
                                                 Map.of(),
                                                 Bytes.NONE),
-                        this::take);
+                        this::accept);
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void choicesAreTheSameByBothFronts(long seed) throws Exception {
+    void bothKindsOfInputLeadToTheSameChoices(long seed) throws Exception {
         NodeConfig config = NodeTestConfig.parse(NodeTestConfig.json(
                 "127.0.0.1:1",
                 "",
@@ -132,22 +133,22 @@
             if (random.nextInt(2) == 0) {
                 String requestClass = random.nextInt(5) == 0 ? "order" : "segment";
                 String object = "o" + random.nextInt(40);
-                platform.ask(now, step, requestClass, object);
-                calls.ask(now, step, requestClass, object);
-            } else if (!platform.open.isEmpty()) {
-                int choice = List.copyOf(platform.open.keySet()).get(random.nextInt(platform.open.size()));
-                // the platform's front takes back what is not written in time; here all is written at once
-                int how = random.nextInt(12);
-                platform.end(now, choice, how);
-                calls.end(now, choice, how);
+                platform.request(now, step, requestClass, object);
+                calls.request(now, step, requestClass, object);
+            } else if (!platform.openAttemptKeys.isEmpty()) {
+                int choice = List.copyOf(platform.openAttemptKeys.keySet()).get(random.nextInt(platform.openAttemptKeys.size()));
+                // requests of the platform are abandoned if not written in time; here all are written at once
+                int outcome = random.nextInt(12);
+                platform.endAttempt(now, choice, outcome);
+                calls.endAttempt(now, choice, outcome);
             }
-            for (Long key : platform.open.values()) {
-                platform.reducer.accept(now, new Input.Written(key), platform::take);
+            for (Long key : platform.openAttemptKeys.values()) {
+                platform.reducer.accept(now, new Input.Written(key), platform::accept);
             }
-            platform.reducer.accept(now, new Input.TimerFired(), platform::take);
-            calls.reducer.accept(now, new Input.TimerFired(), calls::take);
+            platform.reducer.accept(now, new Input.TimerFired(), platform::accept);
+            calls.reducer.accept(now, new Input.TimerFired(), calls::accept);
         }
-        assertTrue(platform.choices > 700, "" + platform.choices);
-        assertEquals(platform.chosen, calls.chosen);
+        assertTrue(platform.attemptCount > 700, "" + platform.attemptCount);
+        assertEquals(platform.choices, calls.choices);
     }
 }
