--- a/src/main/java/pumicemoor/calls/CallRegistry.java
+++ b/src/main/java/pumicemoor/calls/CallRegistry.java
@@ -4,70 +4,82 @@
 import java.util.Map;
 
 /**
- * What is known of calls by their id, so that nothing with an effect is named a member twice. It owns an entry
- * for each id of a request that must not run twice, from its call until long after its end, at most so many; it
- * must never be asked about others. After a start it knows nothing, and then a repeat can't be known to have not run.
+ * Remembers calls by their id, so that a request with side effects is not sent to a member twice. It owns a bounded
+ * number of entries, one for each id of a request that must not run twice, from the call until long after its end; it
+ * must not be used for other requests. It is empty after a start of the router, and therefore refuses a client retry
+ * whose id it does not know: the request may have run.
  */
 public final class CallRegistry {
 
-    /** What is known: a member was named and no end seen, it ended without having run, or it may have run. */
-    private enum Known {
+    /** The status of a call: an attempt may be under way, it has ended without having run, or it may have run. */
+    private enum Status {
         OPEN,
         NOT_RUN,
         MAY_HAVE_RUN
     }
 
-    private final int most;
-    private final long kept;
-    private final Map<String, Known> entries = new LinkedHashMap<>();
+    private final int capacity;
+    private final long retentionMicros;
+    private final Map<String, Status> statusById = new LinkedHashMap<>();
     private final Map<String, Long> endedAt = new LinkedHashMap<>();
-    private long forgottenEarly;
+    private long evictedEarly;
 
-    /** Keeps the ids of ended calls so long (microseconds), at most so many with the open ones. */
-    public CallRegistry(int most, long kept) {
-        this.most = most;
-        this.kept = kept;
+    /**
+     * Creates a registry that keeps the id of an ended call for the retention time (microseconds), unless the number of
+     * entries, open calls included, exceeds the capacity.
+     */
+    public CallRegistry(int capacity, long retentionMicros) {
+        this.capacity = capacity;
+        this.retentionMicros = retentionMicros;
     }
 
-    /** Whether a call may be decided at all: never while or after one with the same id may run or have run. */
+    /**
+     * Registers a call as open and returns true, or returns false if it must not be decided: because a call with the
+     * same id is open or may have run, or because it is a client retry with an unknown id.
+     */
     public boolean mayBegin(long now, String id, boolean repeat) {
-        forget(now);
-        Known known = entries.get(id);
-        if (known == null && repeat || known == Known.OPEN || known == Known.MAY_HAVE_RUN) {
+        evict(now);
+        Status status = statusById.get(id);
+        if (status == null && repeat || status == Status.OPEN || status == Status.MAY_HAVE_RUN) {
             return false;
         }
         endedAt.remove(id);
-        entries.put(id, Known.OPEN);
+        statusById.put(id, Status.OPEN);
         return true;
     }
 
-    /** The call has ended; named tells whether a member was, and its end is not known to be "never ran". */
+    /**
+     * Records the end of a call. It may have run if an attempt was announced and no later report has shown that the
+     * attempt never ran.
+     */
     public void ended(long now, String id, boolean mayHaveRun) {
-        entries.put(id, mayHaveRun ? Known.MAY_HAVE_RUN : Known.NOT_RUN);
+        statusById.put(id, mayHaveRun ? Status.MAY_HAVE_RUN : Status.NOT_RUN);
         endedAt.remove(id);
         endedAt.put(id, now);
-        forget(now);
+        evict(now);
     }
 
-    private void forget(long now) {
+    private void evict(long now) {
         while (!endedAt.isEmpty()) {
             Map.Entry<String, Long> oldest = endedAt.entrySet().iterator().next();
-            boolean over = now - oldest.getValue() > kept;
-            if (!over && entries.size() <= most) {
+            boolean expired = now - oldest.getValue() > retentionMicros;
+            if (!expired && statusById.size() <= capacity) {
                 return;
             }
-            forgottenEarly += over ? 0 : 1;
+            evictedEarly += expired ? 0 : 1;
             endedAt.remove(oldest.getKey());
-            entries.remove(oldest.getKey());
+            statusById.remove(oldest.getKey());
         }
     }
 
     public int size() {
-        return entries.size();
+        return statusById.size();
     }
 
-    /** How many were forgotten for room before their time; a reason to look at the bound. */
+    /**
+     * Returns how many ids were evicted before the end of the retention time; if it grows, the capacity is too small.
+     */
     public long forgottenEarly() {
-        return forgottenEarly;
+        return evictedEarly;
     }
 }
--- a/src/main/java/pumicemoor/calls/CallRules.java
+++ b/src/main/java/pumicemoor/calls/CallRules.java
@@ -8,34 +8,35 @@
 import java.util.Optional;
 
 /**
- * Which class, object, part and group a call is about, by the operator's rules in their order. It matches in time
- * linear in the text, whatever the pattern (RE2), since paths are written by strangers. It must never guess: a
- * call that no rule fits gets what the file says.
+ * Maps the method, path and headers of a call to a request class, object, part and group by the operator's rules, of
+ * which the first that matches applies. Patterns are matched by RE2 in time linear in the text, as paths come from
+ * untrusted peers. It must never guess: a call that no rule matches is handled as the operator's file says.
  */
 public final class CallRules {
 
-    /** The longest object name, in characters. */
+    /** The maximum length of an object name, in characters. */
     public static final int LONGEST_OBJECT = 256;
-    /** The most rules. */
+    /** The maximum number of rules. */
     public static final int MOST_RULES = 1_000;
 
-    private static final int LAST_GROUP = 255;
+    private static final int MAX_GROUP = 255;
 
-    /** What is done with a call that no rule fits: passed on untouched, or refused. */
+    /** What happens to a call that no rule matches: it is passed through unchanged, or refused. */
     public enum NoRule {
         PASS,
         REFUSE
     }
 
     /**
-     * One rule: the method (null for any), the path without its query, and the class. Named groups 'object',
-     * 'part' and 'group' in the pattern take their texts from the path; without 'object' the path is the object.
-     * Headers that must have a value, by lower-case name; and the header that names the group, or null.
+     * A rule. It matches a call by its method (null for any), by its path without the query, and by headers (keyed by
+     * lower-case name) that must have the given values. The named groups 'object', 'part' and 'group' of the pattern
+     * extract these values from the path; without 'object' the whole path is the object. If groupHeader is not null,
+     * the group comes from that header instead.
      */
     public record Rule(
             String method, Pattern path, Map<String, String> headers, String requestClass, String groupHeader) {
 
-        /** Checks the pattern; the exception's message says what is wrong with it. */
+        /** Compiles a pattern; the message of the exception describes the syntax error. */
         public static Pattern pattern(String text) {
             try {
                 return Pattern.compile(text);
@@ -45,7 +46,7 @@
         }
     }
 
-    /** What a call is about. */
+    /** The request class, object, part and group of a call; group -1 stands for none. */
     public record About(String requestClass, String object, int part, int group) {}
 
     private final List<Rule> rules;
@@ -60,27 +61,30 @@
         return noRule;
     }
 
-    /** The first rule that fits; empty where none does or where it yields no object that can be used. */
+    /**
+     * Applies the first rule that matches. Returns empty if none matches, or if the matching one yields an object, part
+     * or group that is out of range.
+     */
     public Optional<About> fit(String method, String path, Map<String, String> headers) {
         int query = path.indexOf('?');
-        String plain = query < 0 ? path : path.substring(0, query);
+        String pathWithoutQuery = query < 0 ? path : path.substring(0, query);
         for (Rule rule : rules) {
-            Matcher match = rule.path().matcher(plain);
+            Matcher matcher = rule.path().matcher(pathWithoutQuery);
             if ((rule.method() == null || rule.method().equals(method))
-                    && match.matches()
+                    && matcher.matches()
                     && rule.headers().entrySet().stream()
                             .allMatch(h -> h.getValue().equals(headers.get(h.getKey())))) {
-                return about(rule, match, plain, headers);
+                return attributes(rule, matcher, pathWithoutQuery, headers);
             }
         }
         return Optional.empty();
     }
 
-    private static Optional<About> about(Rule rule, Matcher match, String path, Map<String, String> headers) {
-        String object = group(rule, match, "object");
-        object = object == null ? path : object;
-        String part = group(rule, match, "part");
-        String group = rule.groupHeader() == null ? group(rule, match, "group") : headers.get(rule.groupHeader());
+    private static Optional<About> attributes(Rule rule, Matcher matcher, String pathWithoutQuery, Map<String, String> headers) {
+        String object = namedGroup(rule, matcher, "object");
+        object = object == null ? pathWithoutQuery : object;
+        String part = namedGroup(rule, matcher, "part");
+        String group = rule.groupHeader() == null ? namedGroup(rule, matcher, "group") : headers.get(rule.groupHeader());
         try {
             int partNumber = part == null ? 0 : Integer.parseInt(part);
             int groupNumber = group == null ? -1 : Integer.parseInt(group);
@@ -88,7 +92,7 @@
                             || object.length() > LONGEST_OBJECT
                             || partNumber < 0
                             || groupNumber < -1
-                            || groupNumber > LAST_GROUP
+                            || groupNumber > MAX_GROUP
                     ? Optional.empty()
                     : Optional.of(new About(rule.requestClass(), object, partNumber, groupNumber));
         } catch (NumberFormatException e) {
@@ -96,7 +100,7 @@
         }
     }
 
-    private static String group(Rule rule, Matcher match, String name) {
-        return rule.path().namedGroups().containsKey(name) ? match.group(name) : null;
+    private static String namedGroup(Rule rule, Matcher matcher, String name) {
+        return rule.path().namedGroups().containsKey(name) ? matcher.group(name) : null;
     }
 }
--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * The life of one stream: what was heard on it and from the decisions, and so what may be said. It owns the phase
- * and nothing else. Whatever comes in whatever order, the caller hears at most one final answer, the decisions
- * hear one end of each attempt that was named, and they are told when nobody waits any more.
+ * State machine of one stream on which another proxy makes a call: maps what arrives from the caller and from the
+ * decision module to the actions that follow. It owns the state of the stream and nothing else. In whatever order
+ * messages arrive, the caller receives at most one final answer, and the decision module receives either the end of
+ * each announced attempt or the withdrawal of the request, once the caller no longer waits.
  */
 public final class CallState {
 
-    /** Where a stream is. */
+    /** The phases of a stream: before the request, waiting for a decision, attempt announced, response seen, ended. */
     public enum Phase {
         NEW,
         DECIDING,
@@ -19,52 +20,55 @@
         OVER
     }
 
-    /** How a caller works: told once before the request and heard once after, or as often as it takes. */
+    /**
+     * The kind of caller. A proxy receives one attempt before it sends the request, and its stream reports the end of
+     * that attempt once; a reporter receives further attempts after each end that it reports.
+     */
     public enum Style {
         PROXY,
         REPORTER
     }
 
-    /** The code of a final answer. */
+    /** The result code of a final answer. */
     public enum Code {
         SERVED,
         REFUSED,
         FAILED
     }
 
-    /** What is to be done. */
+    /** An action that the owner of the stream has to carry out. */
     public sealed interface Act {
 
-        /** Ask the decisions. */
+        /** Passes the request to the decision module. */
         record Ask() implements Act {}
 
-        /** Name the attempt to the caller. */
+        /** Announces the attempt to the caller. */
         record TellName(int attempt) implements Act {}
 
-        /** The one final answer to the caller. */
+        /** Sends the one final answer to the caller, with the delay in microseconds before a retry. */
         record TellFinal(Code code, long stayAway) implements Act {}
 
-        /** Let the phase that was heard go on as it is. */
+        /** Lets the message that was received continue unchanged. */
         record GoOn() implements Act {}
 
-        /** Tell the decisions how the attempt ended, as it was heard. */
+        /** Reports the end of the attempt to the decision module, as the caller reported it. */
         record End(int attempt) implements Act {}
 
-        /** Tell the decisions that nobody waits for this call any more. */
+        /** Tells the decision module that the caller no longer waits. */
         record Withdraw() implements Act {}
 
-        /** End the stream in good order. */
+        /** Completes the stream normally. */
         record Complete() implements Act {}
 
-        /** End the stream with an error: what came was against the protocol. */
+        /** Ends the stream with an error after a violation of the protocol. */
         record Abort(String why) implements Act {}
     }
 
     private final Style style;
     private Phase phase = Phase.NEW;
-    private int attempt = -1; // named to the caller and not ended
-    private boolean halfClosed;
-    private boolean asked; // the decisions hold the request
+    private int attempt = -1; // announced to the caller and not ended
+    private boolean inputEnded;
+    private boolean openAtDecisions; // the decision module has the request and has not answered it
     private boolean mayHaveRun;
 
     public CallState(Style style) {
@@ -75,38 +79,38 @@
         return phase;
     }
 
-    /** Whether the decisions still hold this call. */
-    public boolean held() {
-        return asked;
+    /** Whether the request is still open at the decision module. */
+    public boolean openAtDecisions() {
+        return openAtDecisions;
     }
 
-    /** Whether a member was named and nothing since has shown that the request never ran. */
+    /** Whether an attempt was announced and no report since has shown that it never ran. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    // ---- heard from the caller ------------------------------------------------------------------------
+    // ---- messages of the caller -----------------------------------------------------------------------
 
-    /** The request, which is to be decided. */
+    /** Takes a request that the decision module is to decide. */
     public List<Act> request() {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
         phase = Phase.DECIDING;
-        asked = true;
+        openAtDecisions = true;
         return List.of(new Act.Ask());
     }
 
-    /** The request, which the front answers by itself. */
-    public List<Act> answered(Code code, long stayAway) {
+    /** Takes a request that the server answers without the decision module. */
+    public List<Act> answered(Code code, long retryAfterMicros) {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
         phase = Phase.OVER;
-        return List.of(new Act.TellFinal(code, stayAway), new Act.Complete());
+        return List.of(new Act.TellFinal(code, retryAfterMicros), new Act.Complete());
     }
 
-    /** The request, which no rule fits and which is passed on untouched. */
+    /** Takes a request that no rule matches and that is passed through unchanged. */
     public List<Act> passed() {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
@@ -115,22 +119,22 @@
         return List.of(new Act.GoOn());
     }
 
-    /** The request comes again for an attempt that the decisions hold ready: it is named at once. */
+    /** Takes a client retry for which the decision module has an attempt ready: it is announced at once. */
     public List<Act> adopt(int number) {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
         phase = Phase.DECIDING;
-        asked = true;
+        openAtDecisions = true;
         return named(number);
     }
 
-    /** The decisions hold an attempt ready for the caller's next try; this stream has no part in it. */
+    /** Hands the open request over to the caller's next try, for which an attempt is ready; this stream drops it. */
     public void detach() {
-        asked = false;
+        openAtDecisions = false;
     }
 
-    /** How the attempt of that number ended; -1 for the one that was named last. */
+    /** Takes the end of the attempt of this number; -1 stands for the one announced last. */
     public List<Act> response(int number, boolean neverRan) {
         if (phase == Phase.NEW || phase == Phase.DECIDING) {
             return abort("a response before a member was named");
@@ -139,91 +143,91 @@
             return List.of();
         }
         if (phase == Phase.RESPONDED || attempt < 0 || number >= 0 && number != attempt) {
-            // the decisions have given this attempt up meanwhile, or the call passes untouched
+            // the decision module has abandoned this attempt meanwhile, or the call is passed through
             return style == Style.REPORTER ? List.of() : List.of(new Act.GoOn());
         }
-        int ended = attempt;
+        int endedAttempt = attempt;
         attempt = -1;
         mayHaveRun = !neverRan;
         if (style == Style.PROXY) {
             phase = Phase.RESPONDED;
-            return List.of(new Act.End(ended), new Act.GoOn());
+            return List.of(new Act.End(endedAttempt), new Act.GoOn());
         }
         phase = Phase.DECIDING;
-        return List.of(new Act.End(ended));
+        return List.of(new Act.End(endedAttempt));
     }
 
-    /** A body or trailers, which are no matter to the decision. */
+    /** Takes a body or trailers, which have no effect on the decision. */
     public List<Act> other() {
         return phase == Phase.NEW
                 ? abort("a body or trailers before the request")
                 : phase == Phase.OVER ? List.of() : List.of(new Act.GoOn());
     }
 
-    /** The caller will send nothing more. */
+    /** Takes the end of input: the caller sends nothing more. */
     public List<Act> halfClosed() {
-        halfClosed = true;
+        inputEnded = true;
         if (phase == Phase.DECIDING) {
-            return List.of(); // it still waits for the answer
+            return List.of(); // the caller still waits for the answer
         }
-        return over(phase != Phase.OVER);
+        return end(phase != Phase.OVER);
     }
 
-    /** The caller has left, or its connection broke. */
+    /** The caller has cancelled the stream, or its connection was lost. */
     public List<Act> gone() {
-        return over(false);
+        return end(false);
     }
 
-    /** The caller's time for a message is nearly up: what is not decided by now is refused. */
-    public List<Act> messageTimeUp(long stayAway) {
-        return phase == Phase.DECIDING && style == Style.PROXY ? finish(Code.REFUSED, stayAway) : List.of();
+    /** The caller's message timeout is about to expire: refuses a request that is not decided yet. */
+    public List<Act> messageTimeUp(long retryAfterMicros) {
+        return phase == Phase.DECIDING && style == Style.PROXY ? sendFinal(Code.REFUSED, retryAfterMicros) : List.of();
     }
 
-    // ---- heard from the decisions ---------------------------------------------------------------------
+    // ---- messages of the decision module --------------------------------------------------------------
 
-    /** They name an attempt. */
+    /** Takes an attempt that the decision module has chosen. */
     public List<Act> named(int number) {
         if (phase == Phase.DECIDING || phase == Phase.NAMED && style == Style.REPORTER) {
             attempt = number;
             phase = Phase.NAMED;
             mayHaveRun = true;
             List<Act> acts = new ArrayList<>(List.of(new Act.TellName(number)));
-            if (halfClosed) { // its end can't be heard any more
-                acts.addAll(over(true));
+            if (inputEnded) { // the caller can no longer report its end
+                acts.addAll(end(true));
             }
             return acts;
         }
-        // the caller was told of one attempt and can't be told of another
+        // a proxy receives only one attempt, and this caller has had it or no longer waits
         return withdraw();
     }
 
-    /** They have given their final answer; the request is no longer theirs. */
-    public List<Act> decided(Code code, long stayAway) {
-        asked = false;
-        attempt = -1; // where one is out its time is up: a response that still comes goes on untouched
+    /** Takes the final answer of the decision module, which closes the request there. */
+    public List<Act> decided(Code code, long retryAfterMicros) {
+        openAtDecisions = false;
+        attempt = -1; // an announced attempt has timed out: a response that still comes is passed through
         if (phase == Phase.DECIDING || phase == Phase.NAMED && style == Style.REPORTER) {
             phase = Phase.OVER;
-            return List.of(new Act.TellFinal(code, stayAway), new Act.Complete());
+            return List.of(new Act.TellFinal(code, retryAfterMicros), new Act.Complete());
         }
         return List.of();
     }
 
-    private List<Act> finish(Code code, long stayAway) {
-        List<Act> acts = new ArrayList<>(List.of(new Act.TellFinal(code, stayAway)));
-        acts.addAll(over(true));
+    private List<Act> sendFinal(Code code, long retryAfterMicros) {
+        List<Act> acts = new ArrayList<>(List.of(new Act.TellFinal(code, retryAfterMicros)));
+        acts.addAll(end(true));
         return acts;
     }
 
     private List<Act> withdraw() {
         attempt = -1;
-        if (!asked) {
+        if (!openAtDecisions) {
             return List.of();
         }
-        asked = false;
+        openAtDecisions = false;
         return List.of(new Act.Withdraw());
     }
 
-    private List<Act> over(boolean complete) {
+    private List<Act> end(boolean complete) {
         phase = Phase.OVER;
         List<Act> acts = new ArrayList<>(withdraw());
         if (complete) {
@@ -236,7 +240,7 @@
         if (phase == Phase.OVER) {
             return List.of();
         }
-        List<Act> acts = new ArrayList<>(over(false));
+        List<Act> acts = new ArrayList<>(end(false));
         acts.add(new Act.Abort(why));
         return acts;
     }
--- a/src/main/java/pumicemoor/calls/FairAdmission.java
+++ b/src/main/java/pumicemoor/calls/FairAdmission.java
@@ -5,148 +5,157 @@
 import java.util.Map;
 
 /**
- * Whether there is room for one call more of a caller: bounds on open calls, and on new calls a second that are
- * shared out fairly. Each caller earns an equal part of the rate; what callers leave unused goes to a reserve
- * from which those who want more take in turn. So one that floods gets what others leave and no more. It owns
- * a small account for each caller, dropped when it has been quiet; it must never look at a request.
+ * Admission control for calls: bounds the open calls, in all and per caller, and limits the rate of new calls with fair
+ * shares. Each active caller earns tokens at an equal share of the rate; the unused rate collects in a common reserve,
+ * from which callers that want more may take. So a caller that floods the router gets only what others leave unused. It
+ * owns a small account for each caller, which is dropped after a time without calls; it must never look at a request.
  */
 public final class FairAdmission {
 
-    /** Callers remembered at most; past it the quietest is forgotten. */
-    static final int MOST_CALLERS = 1_000;
+    /** The number of accounts above which the least recently active caller without open calls is dropped. */
+    static final int MAX_CALLERS = 1_000;
 
-    private static final double SECOND = 1_000_000;
-    private static final double BURST = 0.1; // seconds of its part that a caller may save up
-    private static final long QUIET = 10_000_000; // microseconds until a caller without open calls is forgotten
-    private static final double ACTIVE = 1 * SECOND; // who asked within this has a part of the rate
-    private static final double RESERVE_LEFT = 0.5; // share of the reserve that is not lent to who had its part
+    private static final double SECOND_MICROS = 1_000_000;
+    private static final double BURST_SECONDS = 0.1; // of its share of the rate that a caller may accumulate
+    private static final long IDLE_MICROS = 10_000_000; // until the account of a caller without open calls is dropped
+    // callers with a call within this time share the rate
+    private static final double ACTIVE_MICROS = 1 * SECOND_MICROS;
+    private static final double KEPT_RESERVE = 0.5; // share of the reserve that callers past their own share must leave
 
-    private static final int LOOKED_AT = 16; // of the quietest, for one to forget: some may have calls open
+    /** The number of least recently active callers to examine for one to drop: some of them may have open calls. */
+    private static final int EVICTION_CANDIDATES = 16;
 
-    /** The bounds: open calls in all and of one caller, new calls a second in all. */
+    /**
+     * The bounds: open calls in all and of one caller, new calls a second in all, and whether callers get fair shares.
+     */
     public record Limits(int open, int openPerCaller, double rate, boolean fair) {}
 
-    /** What was decided, and for how long a caller that is turned away should stay away, in microseconds. */
+    /**
+     * An admission decision; a refusal names the bound that was reached and the delay before a retry, in microseconds.
+     */
     public record Verdict(boolean admitted, String bound, long stayAway) {
-        static final Verdict YES = new Verdict(true, "", 0);
+        static final Verdict ADMITTED = new Verdict(true, "", 0);
     }
 
     private static final class Account {
-        int open;
+        int openCalls;
         double tokens;
-        long lastAsked;
-        long lastEarned;
+        long lastCallAt;
+        long refilledAt;
     }
 
     private Limits limits;
     private final Map<String, Account> accounts = new LinkedHashMap<>(16, 0.75f, true);
-    private int open;
-    private double reserve;
-    private long reserveAt;
-    private int active;
-    private long activeAt = Long.MIN_VALUE / 2;
+    private int openCalls;
+    private double reserveTokens;
+    private long reserveRefilledAt;
+    private int activeCallers;
+    private long activeCallersCountedAt = Long.MIN_VALUE / 2;
 
     public FairAdmission(Limits limits) {
         this.limits = limits;
-        this.reserve = burst();
+        this.reserveTokens = burstTokens();
     }
 
-    /** New bounds; what is open stays. */
+    /** Replaces the bounds; open calls are not affected. */
     public void limits(Limits next) {
         limits = next;
     }
 
-    /** Asks for room for a call of this caller; a call that is admitted must be ended. */
+    /** Decides whether to admit a call of this caller. The end of an admitted call must be reported. */
     public Verdict admit(long now, String caller) {
-        if (open >= limits.open()) {
-            return new Verdict(false, "open calls", (long) SECOND);
+        if (openCalls >= limits.open()) {
+            return new Verdict(false, "open calls", (long) SECOND_MICROS);
         }
         Account account = accounts.get(caller);
         if (account == null) {
             account = new Account();
-            account.lastEarned = now;
+            account.refilledAt = now;
             account.tokens = 1;
             accounts.put(caller, account);
-            activeAt = Long.MIN_VALUE / 2;
+            activeCallersCountedAt = Long.MIN_VALUE / 2;
         }
-        account.lastAsked = now;
-        forget(now);
-        if (account.open >= limits.openPerCaller()) {
-            return new Verdict(false, "open calls of the caller", (long) SECOND);
+        account.lastCallAt = now;
+        dropIdleAccount(now);
+        if (account.openCalls >= limits.openPerCaller()) {
+            return new Verdict(false, "open calls of the caller", (long) SECOND_MICROS);
         }
         if (!takeToken(now, account)) {
-            double part = limits.fair() ? limits.rate() / active(now) : limits.rate();
-            return new Verdict(false, "rate", (long) Math.min(SECOND, Math.max(1, SECOND / part)));
+            double share = limits.fair() ? limits.rate() / activeCallers(now) : limits.rate();
+            return new Verdict(false, "rate", (long) Math.min(SECOND_MICROS, Math.max(1, SECOND_MICROS / share)));
         }
-        account.open++;
-        open++;
-        return Verdict.YES;
+        account.openCalls++;
+        openCalls++;
+        return Verdict.ADMITTED;
     }
 
-    /** A call that was admitted has ended. */
+    /** Records the end of an admitted call. */
     public void ended(String caller) {
-        open--;
+        openCalls--;
         Account account = accounts.get(caller);
         if (account != null) {
-            account.open--;
+            account.openCalls--;
         }
     }
 
     private boolean takeToken(long now, Account account) {
-        reserve = Math.min(burst(), reserve + (now - reserveAt) / SECOND * limits.rate());
-        reserveAt = now;
+        reserveTokens = Math.min(burstTokens(), reserveTokens + (now - reserveRefilledAt) / SECOND_MICROS * limits.rate());
+        reserveRefilledAt = now;
         if (!limits.fair()) {
-            return take();
+            return takeFromReserve();
         }
-        // the reserve holds what all may take in all; an account says how much of it is the caller's own part
-        double part = limits.rate() / active(now);
+        // the reserve bounds the calls of all callers; an account tells how many of them are the caller's own share
+        double share = limits.rate() / activeCallers(now);
         account.tokens =
-                Math.min(Math.max(1, part * BURST), account.tokens + (now - account.lastEarned) / SECOND * part);
-        account.lastEarned = now;
-        if (account.tokens >= 1 && reserve >= 1) {
+                Math.min(Math.max(1, share * BURST_SECONDS), account.tokens + (now - account.refilledAt) / SECOND_MICROS * share);
+        account.refilledAt = now;
+        if (account.tokens >= 1 && reserveTokens >= 1) {
             account.tokens--;
-            reserve--;
+            reserveTokens--;
             return true;
         }
-        return reserve >= 1 + RESERVE_LEFT * burst() && take();
+        return reserveTokens >= 1 + KEPT_RESERVE * burstTokens() && takeFromReserve();
     }
 
-    private boolean take() {
-        boolean there = reserve >= 1;
-        reserve -= there ? 1 : 0;
-        return there;
+    private boolean takeFromReserve() {
+        boolean available = reserveTokens >= 1;
+        reserveTokens -= available ? 1 : 0;
+        return available;
     }
 
-    private double burst() {
-        return Math.max(1, limits.rate() * BURST);
+    private double burstTokens() {
+        return Math.max(1, limits.rate() * BURST_SECONDS);
     }
 
-    /** How many callers have asked lately; counted again a few times a second only. */
-    private int active(long now) {
-        if (now - activeAt > ACTIVE / 10) {
-            activeAt = now;
-            active = (int) Math.max(
+    /**
+     * Returns the number of callers with a recent call, counted again for a new caller and else ten times a second at
+     * most.
+     */
+    private int activeCallers(long now) {
+        if (now - activeCallersCountedAt > ACTIVE_MICROS / 10) {
+            activeCallersCountedAt = now;
+            activeCallers = (int) Math.max(
                     1,
                     accounts.values().stream()
-                            .filter(a -> now - a.lastAsked < ACTIVE)
+                            .filter(a -> now - a.lastCallAt < ACTIVE_MICROS)
                             .count());
         }
-        return active;
+        return activeCallers;
     }
 
-    private void forget(long now) {
-        Iterator<Account> quietest = accounts.values().iterator();
-        for (int i = 0; i < LOOKED_AT && quietest.hasNext(); i++) {
-            Account account = quietest.next();
-            if (account.open == 0 && (now - account.lastAsked > QUIET || accounts.size() > MOST_CALLERS)) {
-                quietest.remove();
+    private void dropIdleAccount(long now) {
+        Iterator<Account> leastRecent = accounts.values().iterator();
+        for (int i = 0; i < EVICTION_CANDIDATES && leastRecent.hasNext(); i++) {
+            Account account = leastRecent.next();
+            if (account.openCalls == 0 && (now - account.lastCallAt > IDLE_MICROS || accounts.size() > MAX_CALLERS)) {
+                leastRecent.remove();
                 return;
             }
         }
     }
 
     public int open() {
-        return open;
+        return openCalls;
     }
 
     int callers() {
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -15,16 +15,19 @@
 import pumicemoor.calls.FairAdmission.Limits;
 import pumicemoor.calls.FairAdmission.Verdict;
 
-/** Rules, bounds, fair shares, and the book of calls with an effect. */
+/** The rules that classify calls, the admission of calls, and the registry of calls that must not run twice. */
 class AdmissionTest {
 
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    /** Ten callers for ten seconds at 1,000 a second in all, nine ask for 100 each, one floods with ten times that. */
-    private static Map<String, Integer> flooded(boolean fair) {
+    /**
+     * Counts admitted calls over ten seconds at a total rate of 1,000 a second: nine callers make 100 calls a second
+     * each, one floods with ten times as many.
+     */
+    private static Map<String, Integer> admittedUnderFlood(boolean fair) {
         FairAdmission admission = new FairAdmission(new Limits(100_000, 100_000, 1_000, fair));
         Map<String, Integer> admitted = new HashMap<>();
-        for (long at = 0; at < 10 * SECOND; at += 1_000) {
+        for (long at = 0; at < 10 * SECOND_MICROS; at += 1_000) {
             for (int caller = 0; caller < 10; caller++) {
                 boolean flood = caller == 0;
                 if (flood || (at / 1_000 + caller) % 10 == 0) {
@@ -39,19 +42,19 @@
     }
 
     @Test
-    void oneThatFloodsTakesNothingFromTheOthers() {
-        Map<String, Integer> fair = flooded(true);
-        Map<String, Integer> first = flooded(false);
-        assertTrue(fair.get("others") >= 0.98 * 9_000, "others got " + fair);
+    void aFloodingCallerTakesNothingFromTheOthers() {
+        Map<String, Integer> fair = admittedUnderFlood(true);
+        Map<String, Integer> unfair = admittedUnderFlood(false);
+        assertTrue(fair.get("others") >= 0.98 * 9_000, "calls admitted: " + fair);
         assertTrue(fair.get("flood") <= 1_500, fair.toString());
-        assertTrue(first.get("others") < 0.7 * 9_000, "first come first served: " + first);
+        assertTrue(unfair.get("others") < 0.7 * 9_000, "without fair shares: " + unfair);
     }
 
     @Test
-    void whatOthersLeaveIsThereForWhoWantsMore() {
+    void theUnusedRateIsAvailableToBusyCallers() {
         FairAdmission admission = new FairAdmission(new Limits(100, 100, 1_000, true));
         int admitted = 0;
-        for (long at = 0; at < 10 * SECOND; at += 500) {
+        for (long at = 0; at < 10 * SECOND_MICROS; at += 500) {
             if (at % (100 * 1_000) == 0 && admission.admit(at, "quiet").admitted()) {
                 admission.ended("quiet");
             }
@@ -60,18 +63,18 @@
                 admitted++;
             }
         }
-        assertTrue(admitted > 9_000, "of 10,000 in ten seconds: " + admitted);
+        assertTrue(admitted > 9_000, "calls admitted of 10,000 in ten seconds: " + admitted);
     }
 
     @Test
-    void boundsOnOpenCallsAreKeptAndCallersForgotten() {
+    void openCallsAreBoundedAndIdleCallersDropped() {
         FairAdmission admission = new FairAdmission(new Limits(3, 2, 1_000, true));
         assertTrue(admission.admit(0, "a").admitted());
         assertTrue(admission.admit(1, "a").admitted());
-        Verdict own = admission.admit(2, "a");
-        assertFalse(own.admitted());
-        assertEquals("open calls of the caller", own.bound());
-        assertTrue(own.stayAway() > 0);
+        Verdict refused = admission.admit(2, "a");
+        assertFalse(refused.admitted());
+        assertEquals("open calls of the caller", refused.bound());
+        assertTrue(refused.stayAway() > 0);
         assertTrue(admission.admit(3, "b").admitted());
         assertEquals("open calls", admission.admit(4, "b").bound());
         admission.ended("a");
@@ -79,11 +82,11 @@
         for (int i = 0; i < 5_000; i++) {
             admission.admit(6 + i, "x" + i);
         }
-        assertTrue(admission.callers() <= FairAdmission.MOST_CALLERS + 2, "" + admission.callers());
+        assertTrue(admission.callers() <= FairAdmission.MAX_CALLERS + 2, "" + admission.callers());
     }
 
     @Test
-    void rulesTakeTheirPartsFromPathAndHeaders() {
+    void rulesExtractObjectPartAndGroupFromPathAndHeaders() {
         CallRules rules = new CallRules(
                 List.of(
                         new Rule(
@@ -101,30 +104,30 @@
         assertEquals(Optional.of(new About("video", "a", 2, -1)), rules.fit("GET", "/v/a/2", Map.of("x-lot", "9")));
         assertEquals(Optional.of(new About("page", "/any/x", 0, -1)), rules.fit("PUT", "/any/x", Map.of()));
         assertEquals(Optional.empty(), rules.fit("PUT", "/v/a/2", Map.of()));
-        assertEquals(Optional.empty(), rules.fit("GET", "/v/a/99999999999", Map.of()), "a part that is no number");
-        assertEquals(Optional.empty(), rules.fit("GET", "/v/" + "a".repeat(300) + "/1", Map.of()), "too long a name");
+        assertEquals(Optional.empty(), rules.fit("GET", "/v/a/99999999999", Map.of()), "a part that does not fit an int");
+        assertEquals(Optional.empty(), rules.fit("GET", "/v/" + "a".repeat(300) + "/1", Map.of()), "an object name over the maximum length");
         assertEquals(Optional.empty(), rules.fit("GET", "/v/a/2", Map.of("x-kind", "film", "x-lot", "300")));
     }
 
     @Test
-    void theBookLetsNothingRunTwice() {
-        CallRegistry book = new CallRegistry(3, 10 * SECOND);
-        assertTrue(book.mayBegin(0, "a", false));
-        assertFalse(book.mayBegin(0, "a", true), "it is open");
-        book.ended(1, "a", true);
-        assertFalse(book.mayBegin(2, "a", true), "it may have run");
-        assertFalse(book.mayBegin(2, "a", false), "an id that is used again");
-        assertTrue(book.mayBegin(2, "b", false));
-        book.ended(3, "b", false);
-        assertTrue(book.mayBegin(4, "b", true), "it never ran");
-        assertFalse(book.mayBegin(4, "new", true), "a repeat of which nothing is known");
-        book.ended(5, "b", true);
-        assertFalse(book.mayBegin(11 * SECOND, "a", true), "forgotten, and so nothing is known");
+    void aCallThatMayHaveRunIsNotAdmittedAgain() {
+        CallRegistry registry = new CallRegistry(3, 10 * SECOND_MICROS);
+        assertTrue(registry.mayBegin(0, "a", false));
+        assertFalse(registry.mayBegin(0, "a", true), "a call with this id is open");
+        registry.ended(1, "a", true);
+        assertFalse(registry.mayBegin(2, "a", true), "the first call may have run");
+        assertFalse(registry.mayBegin(2, "a", false), "reused id of a call that may have run");
+        assertTrue(registry.mayBegin(2, "b", false));
+        registry.ended(3, "b", false);
+        assertTrue(registry.mayBegin(4, "b", true), "the first call never ran");
+        assertFalse(registry.mayBegin(4, "new", true), "a retry with an unknown id");
+        registry.ended(5, "b", true);
+        assertFalse(registry.mayBegin(11 * SECOND_MICROS, "a", true), "the id has expired and is unknown");
         for (int i = 0; i < 10; i++) {
-            assertTrue(book.mayBegin(12 * SECOND, "x" + i, false));
-            book.ended(12 * SECOND, "x" + i, true);
+            assertTrue(registry.mayBegin(12 * SECOND_MICROS, "x" + i, false));
+            registry.ended(12 * SECOND_MICROS, "x" + i, true);
         }
-        assertTrue(book.size() <= 3);
-        assertTrue(book.forgottenEarly() > 0);
+        assertTrue(registry.size() <= 3);
+        assertTrue(registry.forgottenEarly() > 0);
     }
 }
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -16,82 +16,87 @@
 import pumicemoor.calls.CallState.Phase;
 import pumicemoor.calls.CallState.Style;
 
-/** One stream by what is heard on it: any order of phases, cancels, time-outs, half closes and decisions. */
+/**
+ * The state machine of one stream under any order of messages, cancellations, timeouts, half-closes and decisions.
+ */
 class CallStateTest {
 
-    /** Plays the decisions beside it: they hold a request from Ask until they decide or are told to let go. */
-    private static final class Play {
+    /**
+     * A model of the decision module, which has an open request from Ask until its final answer or Withdraw; checks
+     * each action against it.
+     */
+    private static final class DecisionModel {
         final CallState state;
         final Style style;
         final List<Act> acts = new ArrayList<>();
-        boolean held;
-        boolean named; // an attempt is out, as the decisions see it
+        boolean requestOpen;
+        boolean attemptOpen; // an attempt is under way, as the decision module sees it
         int attempts;
-        int tolds;
-        int finals;
-        int closes;
+        int announcements;
+        int finalAnswers;
+        int streamEnds;
         boolean ran;
 
-        Play(Style style) {
+        DecisionModel(Style style) {
             this.style = style;
             this.state = new CallState(style);
         }
 
-        void take(List<Act> all) {
-            for (Act act : all) {
+        void check(List<Act> newActs) {
+            for (Act act : newActs) {
                 acts.add(act);
-                assertEquals(0, closes, "nothing is said after the end: " + acts);
+                assertEquals(0, streamEnds, "no action after the end of the stream: " + acts);
                 if (act instanceof Act.Ask) {
-                    assertFalse(held);
-                    held = true;
+                    assertFalse(requestOpen);
+                    requestOpen = true;
                 } else if (act instanceof Act.TellName) {
-                    tolds++;
-                    assertEquals(0, finals);
-                    assertTrue(style == Style.REPORTER || tolds == 1, "a proxy is told once: " + acts);
+                    announcements++;
+                    assertEquals(0, finalAnswers);
+                    assertTrue(style == Style.REPORTER || announcements == 1, "a proxy receives one attempt at most: " + acts);
                 } else if (act instanceof Act.TellFinal) {
-                    finals++;
-                    assertEquals(1, finals, acts.toString());
-                    assertTrue(style == Style.REPORTER || tolds == 0, "told once: " + acts);
-                } else if (act instanceof Act.End e) {
-                    assertTrue(held && named && e.attempt() == attempts - 1, "an end for each attempt, once: " + acts);
-                    named = false;
+                    finalAnswers++;
+                    assertEquals(1, finalAnswers, acts.toString());
+                    assertTrue(style == Style.REPORTER || announcements == 0, "a proxy receives either an attempt or a final answer: " + acts);
+                } else if (act instanceof Act.End end) {
+                    assertTrue(requestOpen && attemptOpen && end.attempt() == attempts - 1, "one end for each attempt: " + acts);
+                    attemptOpen = false;
                 } else if (act instanceof Act.Withdraw) {
-                    assertTrue(held, "withdrawn once, while they hold it: " + acts);
-                    held = false;
-                    named = false;
+                    assertTrue(requestOpen, "withdrawn once, while the request is open: " + acts);
+                    requestOpen = false;
+                    attemptOpen = false;
                 } else if (act instanceof Act.Complete || act instanceof Act.Abort) {
-                    closes++;
+                    streamEnds++;
                 }
             }
         }
 
         void step(int what) {
             switch (what) {
-                case 0, 1 -> take(state.request());
-                case 2 -> take(state.response(-1, what == 3));
-                case 3 -> take(state.response(attempts - 1, true));
-                case 4 -> take(state.other());
-                case 5 -> take(state.halfClosed());
-                case 6 -> take(state.gone());
-                case 7 -> take(state.messageTimeUp(5));
-                case 8 -> take(state.answered(Code.REFUSED, 1));
-                case 9 -> take(state.passed());
+                case 0, 1 -> check(state.request());
+                case 2 -> check(state.response(-1, what == 3));
+                case 3 -> check(state.response(attempts - 1, true));
+                case 4 -> check(state.other());
+                case 5 -> check(state.halfClosed());
+                case 6 -> check(state.gone());
+                case 7 -> check(state.messageTimeUp(5));
+                case 8 -> check(state.answered(Code.REFUSED, 1));
+                case 9 -> check(state.passed());
                 case 10, 11 -> {
-                    if (held && !named) {
-                        named = true;
-                        take(state.named(attempts++));
+                    if (requestOpen && !attemptOpen) {
+                        attemptOpen = true;
+                        check(state.named(attempts++));
                     }
                 }
                 case 12 -> {
-                    if (held && named) { // they call the attempt off for another
-                        take(state.named(attempts++));
+                    if (requestOpen && attemptOpen) { // the decision module replaces the attempt by another
+                        check(state.named(attempts++));
                     }
                 }
                 default -> {
-                    if (held) {
-                        held = false;
-                        named = false;
-                        take(state.decided(Code.values()[what % 3], 0));
+                    if (requestOpen) {
+                        requestOpen = false;
+                        attemptOpen = false;
+                        check(state.decided(Code.values()[what % 3], 0));
                     }
                 }
             }
@@ -99,21 +104,21 @@
     }
 
     @Property(seed = "20261201", tries = 30_000)
-    void anyOrderLeavesOneFinalAnswerAndNothingBehind(
+    void anyOrderGivesAtMostOneFinalAnswerAndLeavesNoRequestOpen(
             @ForAll boolean reporter, @ForAll @Size(max = 14) List<@IntRange(max = 15) Integer> steps) {
-        Play play = new Play(reporter ? Style.REPORTER : Style.PROXY);
-        steps.forEach(play::step);
-        assertEquals(play.held, play.state.held(), () -> play.acts.toString());
-        play.take(play.state.gone());
-        assertEquals(Phase.OVER, play.state.phase());
-        assertFalse(play.held, () -> "the decisions still hold it: " + play.acts);
-        play.take(play.state.gone());
-        play.take(play.state.halfClosed());
-        play.take(play.state.other());
+        DecisionModel model = new DecisionModel(reporter ? Style.REPORTER : Style.PROXY);
+        steps.forEach(model::step);
+        assertEquals(model.requestOpen, model.state.openAtDecisions(), () -> model.acts.toString());
+        model.check(model.state.gone());
+        assertEquals(Phase.OVER, model.state.phase());
+        assertFalse(model.requestOpen, () -> "the request is still open at the decision module: " + model.acts);
+        model.check(model.state.gone());
+        model.check(model.state.halfClosed());
+        model.check(model.state.other());
     }
 
     @Test
-    void aCallWithoutAResponsePhaseIsLetGoWithItsEndUnknown() {
+    void aCallWithoutAResponsePhaseIsWithdrawnAndMayHaveRun() {
         CallState state = new CallState(Style.PROXY);
         state.request();
         state.named(0);
@@ -122,7 +127,7 @@
     }
 
     @Test
-    void aCallerThatHalfClosesEarlyStillHearsItsAnswer() {
+    void aCallerThatHalfClosesEarlyStillReceivesItsAttempt() {
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(List.of(), state.halfClosed());
@@ -130,7 +135,7 @@
     }
 
     @Test
-    void refusedInTimeItIsNotNamedAfterwards() {
+    void afterARefusalForTheMessageTimeoutNoAttemptIsAnnounced() {
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(
@@ -141,12 +146,12 @@
     }
 
     @Test
-    void anAttemptGivenUpMeanwhileEndsOnce() {
+    void theResponseToAnAttemptThatTimedOutIsPassedThrough() {
         CallState state = new CallState(Style.PROXY);
         state.request();
         state.named(0);
         assertEquals(List.of(), state.decided(Code.FAILED, 0));
         assertEquals(
-                List.of(new Act.GoOn()), state.response(-1, false), "the response goes on, the decisions are over it");
+                List.of(new Act.GoOn()), state.response(-1, false), "the response is passed through, the request is closed already");
     }
 }
