--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -111,7 +111,7 @@
     private final SettingsReader settingsReader;
     private final ResourceLimits limits;
     private final Counters counters;
-    private final Map<String, Request> requestsById = new HashMap<>(); // until the last of their attempts has ended
+    private final Map<String, Request> requestsById = new HashMap<>(); // closed ones stay until their last attempt has ended
     private final Map<StreamKey, Request> unanswered = new LinkedHashMap<>();
     private final Map<String, Request> unansweredByClientId = new HashMap<>(); // key: the id that the client chose
     private final BoundedLog warningLog;
