--- a/src/main/java/pumicemoor/net/AcceptFailures.java
+++ b/src/main/java/pumicemoor/net/AcceptFailures.java
@@ -8,12 +8,12 @@
 import pumicemoor.node.Counters.Name;
 
 /**
- * What follows a failed accept (no descriptor left, no memory for it): the listener rests for a moment, so that a
- * failure that lasts does not keep the loop busy, and goes on. The connection waits in the system's queue meanwhile.
+ * Handles failures to accept a connection (no file descriptor or no memory left): pauses the listener briefly, so that a
+ * persistent failure does not keep the event loop busy. The connection waits in the accept queue of the kernel meanwhile.
  */
 final class AcceptFailures extends ChannelInboundHandlerAdapter {
 
-    private static final long REST = 10; // milliseconds
+    private static final long PAUSE_MILLIS = 10;
 
     private final Counters counters;
     private final Loop loop;
@@ -26,9 +26,9 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         counters.add(Name.ACCEPT_FAILED);
-        loop.complain("a connection could not be accepted: " + cause.getMessage());
+        loop.complain("accepting a client connection failed: " + cause.getMessage());
         Channel listener = ctx.channel();
         listener.config().setAutoRead(false);
-        listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), REST, TimeUnit.MILLISECONDS);
+        listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/pumicemoor/net/AnswerDecoder.java
+++ b/src/main/java/pumicemoor/net/AnswerDecoder.java
@@ -12,125 +12,125 @@
 import java.util.Map;
 
 /**
- * Reads what a cache server writes: a line of words, the bytes that its last word announces, an end of line.
- * It owns the answer that is coming in, whose bytes it collects in one buffer of their own, and must never
- * pass on an answer that is not whole.
+ * Decodes the answers of a cache server: a head line of four words, a body of the length that its last word gives, and
+ * a line end. It owns the answer being received, whose body it collects in a buffer of its own, and must never pass on
+ * an incomplete answer.
  */
 final class AnswerDecoder extends ByteToMessageDecoder {
 
-    /** One whole answer; the body, perhaps empty, goes to whoever takes it. */
-    record Answer(String id, String word, Map<String, String> fields, ByteBuf body) {}
+    /** A complete answer; its receiver owns the body, which may be empty. */
+    record Answer(String id, String status, Map<String, String> fields, ByteBuf body) {}
 
-    private final int longestLine;
-    private final int longestBody;
+    private final int maxLineBytes;
+    private final int maxBodyBytes;
     private final BufferBudget budget;
-    private String[] words;
+    private String[] head;
     private Map<String, String> fields;
     private ByteBuf body;
-    private int left;
-    private boolean waiting;
-    private boolean broken;
+    private int bodyBytesLeft;
+    private boolean readPaused;
+    private boolean corrupted;
 
-    AnswerDecoder(int longestLine, int longestBody, BufferBudget budget) {
-        this.longestLine = longestLine;
-        this.longestBody = longestBody;
+    AnswerDecoder(int maxLineBytes, int maxBodyBytes, BufferBudget budget) {
+        this.maxLineBytes = maxLineBytes;
+        this.maxBodyBytes = maxBodyBytes;
         this.budget = budget;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (broken) {
+        if (corrupted) {
             in.skipBytes(in.readableBytes());
             return;
         }
-        broken = true; // unless this ends well, nothing behind it can be read either
+        corrupted = true; // after an exception, nothing that follows can be decoded
         read(ctx, in, out);
-        broken = false;
+        corrupted = false;
     }
 
     private void read(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (words == null) {
+        if (head == null) {
             int end = in.indexOf(
-                    in.readerIndex(), in.readerIndex() + Math.min(in.readableBytes(), longestLine), (byte) '\n');
+                    in.readerIndex(), in.readerIndex() + Math.min(in.readableBytes(), maxLineBytes), (byte) '\n');
             if (end < 0) {
-                if (in.readableBytes() >= longestLine) {
-                    throw new TooLongFrameException("a line of more than " + longestLine + " bytes");
+                if (in.readableBytes() >= maxLineBytes) {
+                    throw new TooLongFrameException("head line of an answer exceeds " + maxLineBytes + " bytes");
                 }
                 return;
             }
-            head(in.readString(end - in.readerIndex(), StandardCharsets.UTF_8).stripTrailing());
+            parseHead(in.readString(end - in.readerIndex(), StandardCharsets.UTF_8).stripTrailing());
             in.skipBytes(1);
         }
-        if (body == null && !hasRoom(ctx)) {
+        if (body == null && !allocateBody(ctx)) {
             return;
         }
-        int more = Math.min(left, in.readableBytes());
-        body.writeBytes(in, more);
-        left -= more;
-        if (left == 0 && in.readableBytes() >= 2) {
+        int available = Math.min(bodyBytesLeft, in.readableBytes());
+        body.writeBytes(in, available);
+        bodyBytesLeft -= available;
+        if (bodyBytesLeft == 0 && in.readableBytes() >= 2) {
             if (in.readByte() != '\r' || in.readByte() != '\n') {
-                throw new CorruptedFrameException("no end of line behind a body");
+                throw new CorruptedFrameException("body of an answer is not followed by a line end");
             }
-            out.add(new Answer(words[0], words[1], fields, body));
-            words = null;
+            out.add(new Answer(head[0], head[1], fields, body));
+            head = null;
             body = null;
         }
     }
 
-    /** Takes the buffer for the body; while there is no room for it, nothing more is read here. */
-    private boolean hasRoom(ChannelHandlerContext ctx) {
-        if (waiting || !budget.admit(left, () -> goOn(ctx))) {
-            waiting = true;
+    /** Allocates the buffer for the body; while the budget has no capacity, reading from the connection is paused. */
+    private boolean allocateBody(ChannelHandlerContext ctx) {
+        if (readPaused || !budget.admit(bodyBytesLeft, () -> resume(ctx))) {
+            readPaused = true;
             ctx.channel().config().setAutoRead(false);
             return false;
         }
-        body = left == 0 ? ctx.alloc().buffer(0) : ctx.alloc().ioBuffer(left, left);
+        body = bodyBytesLeft == 0 ? ctx.alloc().buffer(0) : ctx.alloc().ioBuffer(bodyBytesLeft, bodyBytesLeft);
         return true;
     }
 
-    /** Whether part of an answer has come and the rest has not. */
-    boolean midway() {
-        return words != null || actualReadableBytes() > 0;
+    /** Whether an answer has been received in part. */
+    boolean hasPartialAnswer() {
+        return head != null || actualReadableBytes() > 0;
     }
 
-    /** Whether what comes is left unread for want of room, so that silence tells nothing. */
-    boolean waiting() {
-        return waiting;
+    /** Whether reading is paused for lack of buffer capacity, so that silence is no sign of a dead connection. */
+    boolean readPaused() {
+        return readPaused;
     }
 
-    private void goOn(ChannelHandlerContext ctx) {
-        waiting = false;
+    private void resume(ChannelHandlerContext ctx) {
+        readPaused = false;
         if (!ctx.isRemoved()) {
             ctx.channel().config().setAutoRead(true);
-            ctx.pipeline().fireChannelRead(Unpooled.EMPTY_BUFFER); // takes up what has been read before
+            ctx.pipeline().fireChannelRead(Unpooled.EMPTY_BUFFER); // decodes the bytes that are already buffered
         }
     }
 
-    private void head(String line) {
-        String[] read = line.split(" ");
-        if (read.length != 4) {
-            throw new CorruptedFrameException("a line of " + read.length + " words, not 4");
+    private void parseHead(String line) {
+        String[] words = line.split(" ");
+        if (words.length != 4) {
+            throw new CorruptedFrameException("head line of an answer has " + words.length + " words, not 4");
         }
         try {
-            left = Integer.parseInt(read[3]);
+            bodyBytesLeft = Integer.parseInt(words[3]);
         } catch (NumberFormatException e) {
-            left = -1;
+            bodyBytesLeft = -1;
         }
-        if (left < 0 || left > longestBody) {
-            throw new CorruptedFrameException("a body of '" + read[3] + "' bytes");
+        if (bodyBytesLeft < 0 || bodyBytesLeft > maxBodyBytes) {
+            throw new CorruptedFrameException("body length '" + words[3] + "' of an answer is not a number or out of range");
         }
-        fields = fields(read[2]);
-        words = read;
+        fields = fields(words[2]);
+        head = words;
     }
 
-    /** The pairs of FIELDS; what is no pair cannot be read, and so nothing behind it can be trusted. */
+    /** Parses name=value pairs; a malformed or repeated one is an error, after which no input can be trusted. */
     static Map<String, String> fields(String text) {
         Map<String, String> fields = new LinkedHashMap<>();
         if (!text.equals("-")) {
             for (String pair : text.split(",")) {
-                int at = pair.indexOf('=');
-                if (at <= 0 || fields.put(pair.substring(0, at), pair.substring(at + 1)) != null) {
-                    throw new CorruptedFrameException("fields that cannot be read");
+                int equals = pair.indexOf('=');
+                if (equals <= 0 || fields.put(pair.substring(0, equals), pair.substring(equals + 1)) != null) {
+                    throw new CorruptedFrameException("fields of an answer are malformed or repeated");
                 }
             }
         }
--- a/src/main/java/pumicemoor/net/BufferBudget.java
+++ b/src/main/java/pumicemoor/net/BufferBudget.java
@@ -5,38 +5,38 @@
 import java.util.function.LongSupplier;
 
 /**
- * The bound on the bytes that bodies may hold in memory. It owns the queue of readers that wait for room and
- * must never turn one away: who waits stops reading, and so the other side stops writing.
+ * Limits the memory that message bodies use. It owns the queue of readers that wait for capacity and must never reject
+ * one: a waitingReaders reader stops reading, so that flow control stops the peer.
  */
 final class BufferBudget {
 
-    private final LongSupplier held;
-    private final long bound;
-    private final Queue<Runnable> waiting = new ArrayDeque<>();
+    private final LongSupplier usedBytes;
+    private final long maxBytes;
+    private final Queue<Runnable> waitingReaders = new ArrayDeque<>();
 
-    BufferBudget(LongSupplier held, long bound) {
-        this.held = held;
-        this.bound = bound;
+    BufferBudget(LongSupplier usedBytes, long maxBytes) {
+        this.usedBytes = usedBytes;
+        this.maxBytes = maxBytes;
     }
 
-    /** Whether there is room for so many bytes more. */
-    boolean room(long bytes) {
-        return held.getAsLong() + bytes <= bound;
+    /** Whether this many more bytes fit within the limit. */
+    boolean hasCapacity(long bytes) {
+        return usedBytes.getAsLong() + bytes <= maxBytes;
     }
 
-    /** Whether a reader may go on; if not, it is called once there is room. */
-    boolean admit(long bytes, Runnable goOn) {
-        boolean admitted = room(bytes);
+    /** Whether a reader may allocate this many bytes; if not, it is queued and called back once there is capacity. */
+    boolean admit(long bytes, Runnable resume) {
+        boolean admitted = hasCapacity(bytes);
         if (!admitted) {
-            waiting.add(goOn);
+            waitingReaders.add(resume);
         }
         return admitted;
     }
 
-    /** Lets those go on that have waited, as far as there is room. */
+    /** Resumes waitingReaders readers, as far as there is capacity. */
     void resume() {
-        for (int n = waiting.size(); n > 0 && room(0); n--) {
-            waiting.poll().run();
+        for (int remaining = waitingReaders.size(); remaining > 0 && hasCapacity(0); remaining--) {
+            waitingReaders.poll().run();
         }
     }
 }
--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -26,18 +26,19 @@
 import pumicemoor.node.ResourceLimits;
 
 /**
- * One client's connection: turns whole frames into inputs and writes answers, each frame in one piece. It
- * owns which streams are open and which were used on it, and must never hold an answer back or decide what
- * one says. Whoever sends nothing that can be used, or half a frame and no more, is let go soon; whoever asked
- * properly once may stay for a while, as long as there is room. A connection goes through its stages in their order
- * alone, and only in this file; docs/architecture.md has what each event does in each.
+ * The channel handler of one client connection: converts complete frames to inputs and writes answers, each as one
+ * frame. It owns the sets of open and of used streams, and must never delay an answer or decide its content. A client
+ * that sends no valid request, or only part of a frame, is disconnected soon; a client that has sent a valid request may
+ * stay idle for a while, as long as there is capacity. A connection passes through its stages in their order only, and
+ * the stage is changed only in this file; docs/architecture.md lists what each event does in each stage.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
 
     /**
-     * OPENING: no byte can come yet. OPEN: all is taken. DRAINING: told to bring nothing new, what comes is taken still.
-     * ENDING: nothing is taken any more, what is open gets its answer. RELEASING: nothing is written any more, what
-     * comes is read and dropped, so that no answer is lost by a reset, until the client closes or for a short while.
+     * OPENING: not active yet. OPEN: frames are accepted. DRAINING: the client has been asked to send no new requests;
+     * those that still arrive are accepted. ENDING: no frame is accepted, open requests are answered. RELEASING: nothing
+     * more is written; input is read and discarded, so that no answer is lost by a reset, until the client closes or a
+     * short time has passed.
      */
     enum Stage {
         OPENING,
@@ -48,28 +49,30 @@
         CLOSED
     }
 
-    private static final int LOOKS = 16; // reads in a row, of those that are not the selector's
+    private static final int MAX_DIRECT_READS = 16; // direct reads in a row, beside those of the selector
 
-    private final long number;
+    private final long connectionId;
     private final ResourceLimits limits;
     private final BufferBudget budget;
     private final Counters counters;
     private final Loop loop;
-    private final Set<Integer> open = new HashSet<>();
-    private final TreeSet<Integer> used = new TreeSet<>(Integer::compareUnsigned); // those above usedUpTo
+    private final Set<Integer> openStreams = new HashSet<>();
+    private final TreeSet<Integer> usedStreams = new TreeSet<>(Integer::compareUnsigned); // those above usedStreamsUpTo
     private ChannelHandlerContext context;
-    private int usedUpTo; // every stream up to here is used, or too old to be new
-    private final Map<Integer, Input.Request> arrived = new LinkedHashMap<>(); // in the read that goes on
-    private int misuses; // requests that could not be used, so far
-    private boolean asked; // something that can be used
+    private int usedStreamsUpTo; // every stream up to this number is used, or too old to be new
+    private final Map<Integer, Input.Request> receivedRequests = new LinkedHashMap<>(); // of the current read, by stream
+    private int invalidRequests;
+    private boolean sentValidRequest;
     private boolean reading;
     private Stage stage = Stage.OPENING;
-    private long dropped; // bytes that came after the end
-    private long openedAt, activeAt, midwaySince = -1;
-    private long backlogSeen;
-
-    ClientConnection(long number, ResourceLimits limits, BufferBudget budget, Counters counters, Loop loop) {
-        this.number = number;
+    private long discardedBytes; // bytes received after the last accepted frame
+    private long openedAt;
+    private long activeAt;
+    private long partialFrameSince = -1; // -1 while no frame is partly received
+    private long lastBacklogBytes; // at the last sweep
+
+    ClientConnection(long connectionId, ResourceLimits limits, BufferBudget budget, Counters counters, Loop loop) {
+        this.connectionId = connectionId;
         this.limits = limits;
         this.budget = budget;
         this.counters = counters;
@@ -87,20 +90,20 @@
         counters.add(Name.CONNECTIONS);
         openedAt = loop.clock();
         activeAt = openedAt;
-        loop.opened(number, this);
+        loop.clientOpened(connectionId, this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        gone();
+        onClosed();
     }
 
-    private void gone() {
+    private void onClosed() {
         if (stage != Stage.CLOSED) {
             stage = Stage.CLOSED;
-            dropArrived();
-            loop.closed(number);
-            loop.submit(new Input.ClientClosed(number));
+            releaseReceived();
+            loop.clientClosed(connectionId);
+            loop.submit(new Input.ClientClosed(connectionId));
         }
     }
 
@@ -108,11 +111,11 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         reading = true;
         try {
-            if (stage == Stage.OPEN || stage == Stage.DRAINING) { // what stands behind the end is not looked at
-                frame((ByteBuf) message);
+            if (stage == Stage.OPEN || stage == Stage.DRAINING) { // later input is ignored
+                handleFrame((ByteBuf) message);
             } else {
-                dropped += ((ByteBuf) message).readableBytes();
-                if (dropped > limits.frameBytes()) {
+                discardedBytes += ((ByteBuf) message).readableBytes();
+                if (discardedBytes > limits.frameBytes()) {
                     ctx.close();
                 }
             }
@@ -121,41 +124,41 @@
         }
     }
 
-    /** Hands on what has come: a request that was withdrawn in the same read was never worked on. */
+    /** Submits the requests of this read; one that was cancelled in the same read is never processed. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         reading = false;
-        while (!arrived.isEmpty()) { // one by one: the first may show that the next was withdrawn meanwhile
-            loop.submit(arrived.remove(arrived.keySet().iterator().next()));
+        while (!receivedRequests.isEmpty()) { // one by one: processing one may reveal that the next was cancelled
+            loop.submit(receivedRequests.remove(receivedRequests.keySet().iterator().next()));
         }
         ctx.fireChannelReadComplete();
     }
 
-    private void dropArrived() {
-        arrived.values().forEach(r -> r.body().release());
-        arrived.clear();
+    private void releaseReceived() {
+        receivedRequests.values().forEach(request -> request.body().release());
+        receivedRequests.clear();
     }
 
     /**
-     * Takes in what has come by now, also the end of the connection. The one who calls this was held up, or is about to
-     * end what was idle by what it knew.
+     * Reads all input that is available now, including the close of the connection. Called after a stall of the loop, or
+     * before an apparently idle connection is closed.
      */
-    void look() {
+    void readAvailable() {
         if (reading
                 || !context.channel().isActive()
                 || !(context.channel().unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe)) {
             return;
         }
         FrameDecoder decoder = context.pipeline().get(FrameDecoder.class);
-        int before = -1;
+        int readsBefore = -1;
         for (int i = 0;
-                i < LOOKS && before != decoder.reads() && context.channel().isActive();
+                i < MAX_DIRECT_READS && readsBefore != decoder.reads() && context.channel().isActive();
                 i++) {
-            before = decoder.reads();
+            readsBefore = decoder.reads();
             unsafe.read();
         }
         if (!context.channel().isActive()) {
-            gone(); // its channelInactive comes only after what is worked on now
+            onClosed(); // channelInactive is called only after the current task
         }
     }
 
@@ -163,171 +166,171 @@
         return stage;
     }
 
-    private void frame(ByteBuf frame) {
+    private void handleFrame(ByteBuf frame) {
         counters.add(Name.BYTES_IN, frame.readableBytes());
         activeAt = loop.clock();
-        midwaySince = -1;
-        if (!context.channel().isWritable() && backlog() > 2L * limits.clientBacklogBytes()) {
-            cut("its answers are not read");
+        partialFrameSince = -1;
+        if (!context.channel().isWritable() && backlogBytes() > 2L * limits.clientBacklogBytes()) {
+            closeNow("its answers are not read");
             return;
         }
         if (frame.readableBytes() < 5) {
-            throw new CorruptedFrameException("a frame of " + frame.readableBytes() + " bytes");
+            throw new CorruptedFrameException("frame of " + frame.readableBytes() + " bytes is shorter than its header");
         }
         int type = frame.readUnsignedByte();
         int stream = frame.readInt();
         switch (type) {
-            case ClientFrame.REQUEST -> request(stream, frame);
-            case ClientFrame.WITHDRAWN -> {
-                Input.Request early = arrived.remove(stream);
-                if (early != null) {
-                    open.remove(stream);
-                    early.body().release();
+            case ClientFrame.REQUEST -> handleRequest(stream, frame);
+            case ClientFrame.CANCEL -> {
+                Input.Request received = receivedRequests.remove(stream);
+                if (received != null) {
+                    openStreams.remove(stream);
+                    received.body().release();
                     counters.add(Name.WITHDRAWN);
-                } else if (open.remove(stream)) {
-                    loop.submit(new Input.RequestCancelled(number, stream));
+                } else if (openStreams.remove(stream)) {
+                    loop.submit(new Input.RequestCancelled(connectionId, stream));
                 }
             }
-            case ClientFrame.READY_ASKED -> answerReady(stream, frame);
-            default -> throw new CorruptedFrameException("a frame of the unknown type " + type);
+            case ClientFrame.READINESS_REQUEST -> handleReadinessRequest(stream, frame);
+            default -> throw new CorruptedFrameException("unknown frame type " + type);
         }
     }
 
-    private void answerReady(int stream, ByteBuf frame) {
-        asked = true;
+    private void handleReadinessRequest(int stream, ByteBuf frame) {
+        sentValidRequest = true;
         if (!context.channel().isWritable()) {
-            return; // it does not read what it asked for so far
+            return; // the client does not read its earlier answers
         }
         Map<String, String> fields = new LinkedHashMap<>();
-        Map<String, String> wanted = ClientFrame.wanted(frame);
-        if (wanted.containsKey("drain")) {
-            command(stream, wanted);
+        Map<String, String> requested = ClientFrame.requestedFields(frame);
+        if (requested.containsKey("drain")) {
+            handleCommand(stream, requested);
             return;
         }
-        if ("1".equals(wanted.get("counters"))) {
+        if ("1".equals(requested.get("counters"))) {
             fields.putAll(counters.all());
             fields.putAll(loop.state());
         }
-        if (wanted.containsKey("rows")) {
-            loop.rows(wanted.get("rows")).ifPresent(rows -> ClientFrame.cut(rows)
+        if (requested.containsKey("rows")) {
+            loop.rows(requested.get("rows")).ifPresent(rows -> ClientFrame.split(rows)
                     .forEach(part -> fields.put("rows-" + fields.size(), part)));
         }
-        context.writeAndFlush(ClientFrame.ready(context.alloc(), stream, loop.ready(), fields), context.voidPromise());
+        context.writeAndFlush(ClientFrame.readiness(context.alloc(), stream, loop.ready(), fields), context.voidPromise());
     }
 
-    /** Operators' commands are taken from this machine alone: clients from elsewhere have no say in what is taken out. */
-    private void command(int stream, Map<String, String> fields) {
+    /** Accepts operator commands from the router's own machine only: remote clients must not drain members. */
+    private void handleCommand(int stream, Map<String, String> fields) {
         if (context.channel().remoteAddress() instanceof InetSocketAddress peer
                 && !peer.getAddress().isLoopbackAddress()) {
             counters.add(Name.BAD_INPUT);
-            told(new Effect.CommandReply(number, stream, "refused: commands are taken from the router's own machine alone"));
+            writeReply(new Effect.CommandReply(connectionId, stream, "refused: commands are taken from the router's own machine alone"));
         } else {
-            loop.submit(new Input.Command(number, stream, fields));
+            loop.submit(new Input.Command(connectionId, stream, fields));
         }
     }
 
-    /** Says what became of a command. */
-    void told(Effect.CommandReply told) {
+    /** Writes the reply to a command. */
+    void writeReply(Effect.CommandReply reply) {
         context.writeAndFlush(
-                ClientFrame.ready(context.alloc(), told.stream(), loop.ready(), Map.of("said", told.text())),
+                ClientFrame.readiness(context.alloc(), reply.stream(), loop.ready(), Map.of("said", reply.text())),
                 context.voidPromise());
     }
 
-    private void request(int stream, ByteBuf frame) {
-        if (!use(stream)) {
+    private void handleRequest(int stream, ByteBuf frame) {
+        if (!markUsed(stream)) {
             throw new CorruptedFrameException(
-                    "a request on stream " + Integer.toUnsignedString(stream) + ", which is not new");
+                    "request reuses stream " + Integer.toUnsignedString(stream) + " or one below it");
         }
-        open.add(stream);
+        openStreams.add(stream);
         Input.Request request;
         try {
-            request = ClientFrame.request(number, stream, frame, limits);
+            request = ClientFrame.request(connectionId, stream, frame, limits);
         } catch (CorruptedFrameException e) {
             counters.add(Name.BAD_INPUT);
-            loop.complain("a request was failed: " + e.getMessage());
-            answer(new Effect.Answer(number, stream, Code.FAILED, false, 0, Bytes.NONE));
-            misused();
+            loop.complain("invalid request answered with FAILED: " + e.getMessage());
+            answer(new Effect.Answer(connectionId, stream, Code.FAILED, false, 0, Bytes.NONE));
+            onInvalidRequest();
             return;
         }
-        boolean tooMany = open.size() > limits.openPerClient();
-        // a client that does not read its answers gets no more of them to read, but its end is seen all the same
+        boolean tooMany = openStreams.size() > limits.openPerClient();
+        // a client that does not read its answers is refused, but its connection is still read, so that its close is seen
         if (tooMany
                 || !context.channel().isWritable()
-                || !budget.room(request.body().size())) {
+                || !budget.hasCapacity(request.body().size())) {
             counters.add(Name.TURNED_AWAY);
             request.body().release();
-            answer(new Effect.Answer(number, stream, Code.REFUSED, false, limits.pushback(), Bytes.NONE));
+            answer(new Effect.Answer(connectionId, stream, Code.REFUSED, false, limits.pushback(), Bytes.NONE));
             if (tooMany) {
-                misused();
+                onInvalidRequest();
             }
             return;
         }
-        asked = true;
-        arrived.put(stream, request);
+        sentValidRequest = true;
+        receivedRequests.put(stream, request);
     }
 
     /**
-     * Marks a stream as used; false if it was. A client counts its streams up, so only the newest need be
-     * known one by one, whatever the connection's age.
+     * Marks a stream as used; returns false if it already was. Clients number their streams upwards, so only the newest
+     * are kept one by one, whatever the age of the connection.
      */
-    private boolean use(int stream) {
-        if (Integer.compareUnsigned(stream, usedUpTo) <= 0 || !used.add(stream)) {
+    private boolean markUsed(int stream) {
+        if (Integer.compareUnsigned(stream, usedStreamsUpTo) <= 0 || !usedStreams.add(stream)) {
             return false;
         }
-        while (!used.isEmpty() && (used.first() == usedUpTo + 1 || used.size() > limits.streamsKnown())) {
-            usedUpTo = used.pollFirst();
+        while (!usedStreams.isEmpty() && (usedStreams.first() == usedStreamsUpTo + 1 || usedStreams.size() > limits.streamsKnown())) {
+            usedStreamsUpTo = usedStreams.pollFirst();
         }
         return true;
     }
 
-    /** What cannot be used gets its answer, time and again; who goes on with it loses the connection. */
-    void misused() {
-        if (++misuses >= limits.misuses()) {
-            turnAway("too much that cannot be used");
+    /** Counts an invalid request, which has been answered; after too many of them the connection is closed. */
+    void onInvalidRequest() {
+        if (++invalidRequests >= limits.misuses()) {
+            closeWithError("too many invalid requests");
         }
     }
 
-    /** Says on the connection that it ends here for a reason, and ends it once what is open has its answer. */
-    void turnAway(String reason) {
+    /** Reports a connection error to the client on stream 0, and closes once all open requests are answered. */
+    void closeWithError(String reason) {
         if (stage.compareTo(Stage.ENDING) >= 0) {
             return;
         }
         counters.add(Name.TURNED_OUT);
-        loop.complain("a client's connection was closed: " + reason);
+        loop.complain("a client's connection is closed: " + reason);
         context.write(ClientFrame.answerHead(context.alloc(), 0, Code.FAILED, false, 0, 0), context.voidPromise());
         context.flush();
-        end();
+        closeAfterAnswers();
     }
 
-    /** An idle client in good standing gives its place to another: told to bring nothing new here, then let go. */
-    boolean makeWay() {
-        look(); // it may have asked meanwhile
-        if (!open.isEmpty() || stage.compareTo(Stage.ENDING) >= 0) {
+    /** Closes an idle connection in good order, to free its slot for another client; false if it is not idle. */
+    boolean closeIfIdle() {
+        readAvailable(); // a request may have arrived meanwhile
+        if (!openStreams.isEmpty() || stage.compareTo(Stage.ENDING) >= 0) {
             return false;
         }
         counters.add(Name.TURNED_OUT);
         drain();
-        end();
+        closeAfterAnswers();
         return true;
     }
 
-    /** Takes nothing more; answers what is open, then lets go. */
-    private void end() {
+    /** Accepts no more frames; closes once all open requests are answered. */
+    private void closeAfterAnswers() {
         stage = Stage.ENDING;
-        if (open.isEmpty()) {
-            release();
+        if (openStreams.isEmpty()) {
+            closeGracefully();
         }
     }
 
     /**
-     * Lets go in order: what was written leaves, then the client is told that no more comes, and what it still sends
-     * is read and dropped. A close over unread bytes would reset the connection and take the last answers along.
+     * Closes gracefully: flushes all writes, shuts down the output, then reads and discards input until the client
+     * closes. Closing a socket with unread bytes would reset the connection and lose the last answers.
      */
-    ChannelFuture release() {
+    ChannelFuture closeGracefully() {
         if (stage.compareTo(Stage.RELEASING) < 0) {
             stage = Stage.RELEASING;
-            loop.closed(number);
-            dropArrived();
+            loop.clientClosed(connectionId);
+            releaseReceived();
             context.writeAndFlush(context.alloc().buffer(0)).addListener(done -> {
                 if (done.isSuccess() && context.channel() instanceof DuplexChannel duplex) {
                     duplex.shutdownOutput();
@@ -340,18 +343,18 @@
         return context.channel().closeFuture();
     }
 
-    /** Whether it has asked for nothing that can be used so far. */
-    boolean silent() {
-        return !asked;
+    /** Whether the client has sent no valid request so far. */
+    boolean hasSentNoRequest() {
+        return !sentValidRequest;
     }
 
-    /** Since when nothing is open on it; Long.MAX_VALUE while something is. */
+    /** The time (microseconds) since which no request is open; Long.MAX_VALUE while one is. */
     long idleSince() {
-        return open.isEmpty() ? activeAt : Long.MAX_VALUE;
+        return openStreams.isEmpty() ? activeAt : Long.MAX_VALUE;
     }
 
     void answer(Effect.Answer answer) {
-        if (!open.remove(answer.stream()) || stage.compareTo(Stage.RELEASING) >= 0) {
+        if (!openStreams.remove(answer.stream()) || stage.compareTo(Stage.RELEASING) >= 0) {
             answer.body().release();
             return;
         }
@@ -369,8 +372,8 @@
             context.write(body, context.voidPromise());
         }
         context.flush();
-        if (stage == Stage.ENDING && open.isEmpty()) {
-            release();
+        if (stage == Stage.ENDING && openStreams.isEmpty()) {
+            closeGracefully();
         }
     }
 
@@ -379,52 +382,52 @@
         context.writeAndFlush(ClientFrame.drain(context.alloc()), context.voidPromise());
     }
 
-    /** What was written and has not left yet. */
-    private long backlog() {
+    /** Bytes that are written but not yet passed to the socket. */
+    private long backlogBytes() {
         ChannelOutboundBuffer backlog = context.channel().unsafe().outboundBuffer();
         return backlog == null || backlog.totalPendingWriteBytes() == 0
                 ? 0
                 : backlog.totalPendingWriteBytes() - backlog.currentProgress();
     }
 
-    /** Closes at once, where nothing can be told any more. */
-    void cut(String reason) {
+    /** Closes at once, without a message to the client. */
+    void closeNow(String reason) {
         counters.add(Name.TURNED_OUT);
-        loop.complain("a client's connection was closed: " + reason);
+        loop.complain("a client's connection is closed: " + reason);
         context.close();
     }
 
-    /** Lets go of a client that keeps a connection and has no use of it, or no proper one. */
+    /** Disconnects a client that leaves its connection unused, stalls, or sends no valid request. */
     void sweep(long now) {
         if (stage == Stage.RELEASING || stage == Stage.CLOSED) {
             return;
         }
-        long seen = backlog();
-        if (seen == 0 || seen != backlogSeen) {
-            backlogSeen = seen;
-            activeAt = seen == 0 ? activeAt : now;
+        long backlog = backlogBytes();
+        if (backlog == 0 || backlog != lastBacklogBytes) {
+            lastBacklogBytes = backlog;
+            activeAt = backlog == 0 ? activeAt : now;
         }
         FrameDecoder decoder = context.pipeline().get(FrameDecoder.class);
-        midwaySince = decoder == null || !decoder.midway() ? -1 : midwaySince < 0 ? now : midwaySince;
-        if (seen > 0 && now - activeAt > limits.clientStall()) {
-            cut("its answers are not read");
-        } else if (midwaySince >= 0 && now - midwaySince > limits.clientFirst()) {
-            turnAway("half a frame and no more");
-        } else if (!asked && open.isEmpty() && now - openedAt > limits.clientFirst()) {
-            turnAway("nothing that can be used was asked");
-        } else if (seen == 0 && open.isEmpty() && now - activeAt > limits.clientIdle()) {
-            leave(now);
+        partialFrameSince = decoder == null || !decoder.hasPartialFrame() ? -1 : partialFrameSince < 0 ? now : partialFrameSince;
+        if (backlog > 0 && now - activeAt > limits.clientStall()) {
+            closeNow("its answers are not read");
+        } else if (partialFrameSince >= 0 && now - partialFrameSince > limits.clientFirst()) {
+            closeWithError("a frame was sent only in part");
+        } else if (!sentValidRequest && openStreams.isEmpty() && now - openedAt > limits.clientFirst()) {
+            closeWithError("no valid request was sent");
+        } else if (backlog == 0 && openStreams.isEmpty() && now - activeAt > limits.clientIdle()) {
+            closeIdle(now);
         }
     }
 
-    /** An idle client is told to bring nothing new, so that no request need cross the close that follows. */
-    private void leave(long now) {
+    /** Asks an idle client to send no new requests before it closes, so that no request is lost in the close. */
+    private void closeIdle(long now) {
         if (stage == Stage.OPEN) {
             drain();
         } else if (now - activeAt > limits.clientIdle() + limits.clientLeave()) {
-            look();
-            if (open.isEmpty() && context.channel().isActive()) {
-                end();
+            readAvailable();
+            if (openStreams.isEmpty() && context.channel().isActive()) {
+                closeAfterAnswers();
             }
         }
     }
@@ -434,7 +437,7 @@
         if (cause instanceof DecoderException) {
             if (stage.compareTo(Stage.ENDING) < 0) {
                 counters.add(Name.BAD_INPUT);
-                turnAway(cause.getMessage());
+                closeWithError(cause.getMessage());
             }
         } else {
             ctx.close();
--- a/src/main/java/pumicemoor/net/ClientFrame.java
+++ b/src/main/java/pumicemoor/net/ClientFrame.java
@@ -15,106 +15,106 @@
 import pumicemoor.node.ResourceLimits;
 
 /**
- * The form of the frames between clients and this router: reads those of clients, writes the router's. It
- * owns no state and must never judge a request beyond whether its form can be read.
+ * Decodes the frames of clients and encodes those of the router. It has no state and must never reject a request for
+ * anything but its syntax.
  */
 final class ClientFrame {
 
     static final int LENGTH_BYTES = 4;
-    static final int READY_ASKED = 1;
-    static final int READY = 2;
+    static final int READINESS_REQUEST = 1;
+    static final int READINESS = 2;
     static final int DRAIN = 3;
     static final int REQUEST = 7;
     static final int ANSWER = 8;
-    static final int WITHDRAWN = 9;
+    static final int CANCEL = 9;
 
-    private static final int HEADER = 1 + 4;
-    private static final Pattern WORD = Pattern.compile("[0-9A-Za-z._~-]{1,64}");
+    private static final int HEADER_BYTES = 1 + 4;
+    private static final Pattern TOKEN = Pattern.compile("[0-9A-Za-z._~-]{1,64}");
     private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
-    private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}");
-    private static final int MOST_GROUP = 255;
-    private static final int LONGEST_VALUE = 60_000;
-    private static final int LONGEST_TEXT = 4 * LONGEST_VALUE; // a client takes frames of 262,144 bytes
+    private static final Pattern DIGITS = Pattern.compile("[0-9]{1,18}");
+    private static final int MAX_GROUP = 255;
+    private static final int MAX_VALUE_BYTES = 60_000;
+    private static final int MAX_TEXT_BYTES = 4 * MAX_VALUE_BYTES; // clients accept frames of up to 262,144 bytes
 
     private ClientFrame() {}
 
-    /** The request that follows type and stream; the body stays a slice of the frame. */
+    /** Decodes a request after its type and stream; the body remains a slice of the frame. */
     static Input.Request request(long connection, int stream, ByteBuf frame, ResourceLimits limits) {
         Map<String, String> fields = fields(frame);
         if (frame.readableBytes() > limits.requestBytes()) {
-            throw new CorruptedFrameException("a body of " + frame.readableBytes() + " bytes is too long");
+            throw new CorruptedFrameException("request body of " + frame.readableBytes() + " bytes is too long");
         }
         String tag = fields.get("ver");
         return new Input.Request(
                 connection,
                 stream,
-                word(fields, "call", ID),
-                word(fields, "op", WORD),
-                word(fields, "row", ID),
+                token(fields, "call", ID),
+                token(fields, "op", TOKEN),
+                token(fields, "row", ID),
                 (int) number(fields, "piece", 0, Integer.MAX_VALUE),
-                (int) number(fields, "lot", -1, MOST_GROUP),
-                tag != null && WORD.matcher(tag).matches() ? tag : null,
+                (int) number(fields, "lot", -1, MAX_GROUP),
+                tag != null && TOKEN.matcher(tag).matches() ? tag : null,
                 number(fields, "ttl", -1, limits.longestTtl() / 1_000),
-                repeat(fields),
+                clientRetry(fields),
                 frame.isReadable() ? NettyBytes.of(frame.readRetainedSlice(frame.readableBytes())) : Bytes.NONE);
     }
 
     private static Map<String, String> fields(ByteBuf frame) {
         try {
             Map<String, String> fields = new LinkedHashMap<>();
-            for (int left = frame.readUnsignedByte(); left > 0; left--) {
+            for (int remaining = frame.readUnsignedByte(); remaining > 0; remaining--) {
                 String name = frame.readString(frame.readUnsignedByte(), StandardCharsets.UTF_8);
                 if (fields.put(name, frame.readString(frame.readUnsignedShort(), StandardCharsets.UTF_8)) != null) {
-                    throw new CorruptedFrameException("a field stands twice");
+                    throw new CorruptedFrameException("a field occurs twice");
                 }
             }
             return fields;
         } catch (IndexOutOfBoundsException e) {
-            throw new CorruptedFrameException("the fields end early");
+            throw new CorruptedFrameException("the frame ends within its fields");
         }
     }
 
-    private static String word(Map<String, String> fields, String name, Pattern form) {
+    private static String token(Map<String, String> fields, String name, Pattern syntax) {
         String value = fields.get(name);
-        if (value == null || !form.matcher(value).matches()) {
-            throw new CorruptedFrameException("field '" + name + "' cannot be used");
+        if (value == null || !syntax.matcher(value).matches()) {
+            throw new CorruptedFrameException("field '" + name + "' is missing or invalid");
         }
         return value;
     }
 
-    private static boolean repeat(Map<String, String> fields) {
+    private static boolean clientRetry(Map<String, String> fields) {
         String value = fields.get("rep");
         if (value != null && !value.equals("1") && !value.equals("0")) {
-            throw new CorruptedFrameException("field 'rep' cannot be used");
+            throw new CorruptedFrameException("field 'rep' is neither 0 nor 1");
         }
         return "1".equals(value);
     }
 
-    /** A number of digits alone; an absent one is what is given for it, except the time, which must be there. */
-    private static long number(Map<String, String> fields, String name, long absent, long most) {
+    /** Parses an unsigned decimal field; returns a default for an absent one, except for 'ttl', which is required. */
+    private static long number(Map<String, String> fields, String name, long defaultValue, long max) {
         String value = fields.get(name);
         if (value == null && !name.equals("ttl")) {
-            return absent;
+            return defaultValue;
         }
-        if (value != null && NUMBER.matcher(value).matches() && Long.parseLong(value) <= most) {
+        if (value != null && DIGITS.matcher(value).matches() && Long.parseLong(value) <= max) {
             return Long.parseLong(value);
         }
-        throw new CorruptedFrameException("field '" + name + "' is not a number that can be used");
+        throw new CorruptedFrameException("field '" + name + "' is missing, not a number or out of range");
     }
 
-    /** All of an answer's frame but the body, which follows it unaltered. */
+    /** Encodes the frame of an answer up to its body, which follows unaltered. */
     static ByteBuf answerHead(
-            ByteBufAllocator allocator, int stream, Code code, boolean unchanged, long pushbackMillis, int bodySize) {
+            ByteBufAllocator allocator, int stream, Code code, boolean unchanged, long retryAfterMillis, int bodySize) {
         ByteBuf head = allocator.ioBuffer(64);
         head.writeInt(0);
         head.writeByte(ANSWER).writeInt(stream);
         head.writeByte(code == Code.SERVED ? 1 : code == Code.REFUSED ? 0 : 9);
-        head.writeByte((unchanged ? 1 : 0) + (pushbackMillis > 0 ? 1 : 0));
+        head.writeByte((unchanged ? 1 : 0) + (retryAfterMillis > 0 ? 1 : 0));
         if (unchanged) {
             field(head, "unchanged", "1");
         }
-        if (pushbackMillis > 0) {
-            field(head, "pushback", Long.toString(pushbackMillis));
+        if (retryAfterMillis > 0) {
+            field(head, "pushback", Long.toString(retryAfterMillis));
         }
         return head.setInt(0, head.readableBytes() - LENGTH_BYTES + bodySize);
     }
@@ -126,26 +126,26 @@
         out.writeCharSequence(value, StandardCharsets.US_ASCII);
     }
 
-    /** What the question for readiness asks for beside it: the counters, or rows about a subject. */
-    static Map<String, String> wanted(ByteBuf frame) {
+    /** The optional fields of a readiness request: counters, rows about a subject, or a command. */
+    static Map<String, String> requestedFields(ByteBuf frame) {
         return frame.isReadable() ? fields(frame) : Map.of();
     }
 
-    /** A long text as values that a field can hold, and no more of it than a frame can. */
-    static List<String> cut(String text) {
+    /** Splits a text into values that fit into a field; text beyond the capacity of a frame is cut off. */
+    static List<String> split(String text) {
         List<String> parts = new ArrayList<>();
-        for (int from = 0; from < Math.min(text.length(), LONGEST_TEXT); from += LONGEST_VALUE) {
-            parts.add(text.substring(from, Math.min(text.length(), from + LONGEST_VALUE)));
+        for (int from = 0; from < Math.min(text.length(), MAX_TEXT_BYTES); from += MAX_VALUE_BYTES) {
+            parts.add(text.substring(from, Math.min(text.length(), from + MAX_VALUE_BYTES)));
         }
         return parts;
     }
 
-    /** The answer to whether the router is ready, with these fields. */
-    static ByteBuf ready(ByteBufAllocator allocator, int stream, boolean ready, Map<String, String> fields) {
+    /** Encodes the answer to a readiness request, with these fields. */
+    static ByteBuf readiness(ByteBufAllocator allocator, int stream, boolean ready, Map<String, String> fields) {
         ByteBuf out = allocator
                 .ioBuffer(16)
                 .writeInt(0)
-                .writeByte(READY)
+                .writeByte(READINESS)
                 .writeInt(stream)
                 .writeByte(ready ? 1 : 0)
                 .writeByte(fields.size());
@@ -153,8 +153,8 @@
         return out.setInt(0, out.readableBytes() - LENGTH_BYTES);
     }
 
-    /** Bring no new request on this connection. */
+    /** Encodes the request to the client to send no new requests on this connection. */
     static ByteBuf drain(ByteBufAllocator allocator) {
-        return allocator.ioBuffer(16).writeInt(HEADER).writeByte(DRAIN).writeInt(0);
+        return allocator.ioBuffer(16).writeInt(HEADER_BYTES).writeByte(DRAIN).writeInt(0);
     }
 }
--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -36,30 +36,30 @@
 import pumicemoor.node.ResourceLimits;
 
 /**
- * The coordinator's stream of events, held open for as long as the router runs. It owns the connection that is read
- * and those that were opened to take its place. A coordinator that is slow to answer is asked on a second and a third
- * connection, and the first one that answers is read; a stream from the coordinator before is read until then. It must
- * never read what an event says: each goes on as the text that came.
+ * The stream of events from the coordinator, kept open while the router runs. It owns the connection that is read and
+ * the connection attempts that are to replace it. If the coordinator is slow to answer, a second and a third connection
+ * are tried, and the first one that answers is read; until then, the stream from the previous coordinator is still read.
+ * It must never parse an event: each is passed on as the text received.
  */
 final class CoordinatorStream {
 
     private static final Logger LOG = LoggerFactory.getLogger(CoordinatorStream.class);
     private static final String PATH = "/v2/stream";
-    private static final int ATTEMPTS = 3; // connections that wait for their answer at once
+    private static final int MAX_PENDING_ATTEMPTS = 3; // connections that wait for an answer at the same time
 
     private final Bootstrap bootstrap;
     private final ResourceLimits limits;
     private final LongSupplier lastEvent;
     private final Counters counters;
     private final Loop loop;
-    private final List<Channel> attempts = new ArrayList<>(); // not answered yet, the oldest first
+    private final List<Channel> pendingAttempts = new ArrayList<>(); // without an answer so far, the oldest first
     private String address = "";
-    private Channel stream; // that is read; null while there is none
+    private Channel stream; // the connection that is read; null while there is none
     private String streamAddress = "";
-    private Future<?> nextAttempt;
-    private int failedInARow; // connections that did not come up since the last stream
-    private long heardAt = Long.MIN_VALUE; // the last sign that all was told until then
-    private boolean taking; // in the middle of what was read
+    private Future<?> scheduledConnect;
+    private int consecutiveFailures; // connections that failed since the last stream
+    private long lastHeartbeatAt = Long.MIN_VALUE; // when the coordinator last confirmed that all events were sent
+    private boolean decoding; // while received bytes are being decoded
 
     CoordinatorStream(
             Bootstrap bootstrap, ResourceLimits limits, LongSupplier lastEvent, Counters counters, Loop loop) {
@@ -78,14 +78,14 @@
                 });
     }
 
-    /** What one connection needs. */
+    /** The channel handlers of one connection. */
     ChannelHandler[] handlers() {
         return new ChannelHandler[] {new HttpClientCodec(), new Reader()};
     }
 
     /**
-     * Follows the coordinator at this address; an empty one is nobody. Where it is the same as before, the stream is
-     * asked for again from the last event that was applied, and what the old connection goes on to tell is dropped.
+     * Follows the coordinator at this address; with an empty address, none. If the address is unchanged, the stream is
+     * requested again from the last applied event on, and the old connection is closed.
      */
     void follow(String newAddress) {
         closeAttempts();
@@ -93,71 +93,71 @@
             closeStream();
         }
         address = newAddress;
-        attempt();
+        connect();
     }
 
-    private void attempt() {
-        nextAttempt = null;
+    private void connect() {
+        scheduledConnect = null;
         if (address.isEmpty()) {
             return;
         }
-        if (attempts.size() >= ATTEMPTS) {
-            attempts.remove(0).close();
+        if (pendingAttempts.size() >= MAX_PENDING_ATTEMPTS) {
+            pendingAttempts.remove(0).close();
         }
         int colon = address.lastIndexOf(':');
         ChannelFuture connecting = bootstrap.connect(
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
-        Channel attempt = connecting.channel();
-        attempts.add(attempt);
-        attemptAfter(limits.feedSilence());
-        // where no socket can be had, the listener is called on a thread that is not the loop's
+        Channel connection = connecting.channel();
+        pendingAttempts.add(connection);
+        connectAfter(limits.feedSilence());
+        // where no socket can be opened, Netty calls the listener on a thread other than the event loop's
         connecting.addListener(done -> bootstrap.config().group().next().execute(() -> {
             if (!done.isSuccess()) {
                 connectFailed(done.cause());
-                ended(attempt);
+                onClosed(connection);
             }
         }));
     }
 
-    private void attemptAfter(long micros) {
-        cancelNextAttempt();
-        nextAttempt = bootstrap.config().group().next().schedule(this::attempt, micros, TimeUnit.MICROSECONDS);
+    private void connectAfter(long micros) {
+        cancelScheduledConnect();
+        scheduledConnect = bootstrap.config().group().next().schedule(this::connect, micros, TimeUnit.MICROSECONDS);
     }
 
-    private void cancelNextAttempt() {
-        if (nextAttempt != null) {
-            nextAttempt.cancel(false);
-            nextAttempt = null;
+    private void cancelScheduledConnect() {
+        if (scheduledConnect != null) {
+            scheduledConnect.cancel(false);
+            scheduledConnect = null;
         }
     }
 
-    /** The first failure in a row is logged with its cause; the line of the next stream tells how many there were. */
+    /** Logs the first of consecutive failures with its cause; the message at the next stream gives their number. */
     private void connectFailed(Throwable cause) {
         counters.add(Name.COORDINATOR_CONNECT_FAILED);
-        if (failedInARow++ == 0) {
+        if (consecutiveFailures++ == 0) {
             LOG.warn("the coordinator at {} can't be reached: {}", address, cause.toString());
         }
     }
 
-    /** The first answer wins: its connection is read from now on, in place of any other. */
-    private void answered(Channel attempt) {
-        attempts.remove(attempt);
+    /** Reads the first connection that answers, in place of any other. */
+    private void onAnswer(Channel connection) {
+        pendingAttempts.remove(connection);
         closeAttempts();
         closeStream();
-        stream = attempt;
+        stream = connection;
         streamAddress = address;
         counters.add(Name.COORDINATOR_STREAMS);
         LOG.info(
                 "the coordinator's stream is open from event {} on, after {} failed connections",
                 lastEvent.getAsLong(),
-                failedInARow);
-        failedInARow = 0;
+                consecutiveFailures);
+        consecutiveFailures = 0;
     }
 
-    /** After the end of a connection; one that was given up for another opens none. */
-    private void ended(Channel connection) {
+    /** Handles the close of a connection; one that was abandoned in favour of another is not reopened. */
+    private void onClosed(Channel connection) {
         boolean wasStream = connection == stream;
-        if (!attempts.remove(connection) && !wasStream) {
+        if (!pendingAttempts.remove(connection) && !wasStream) {
             return;
         }
         if (wasStream) {
@@ -165,27 +165,27 @@
             counters.add(Name.COORDINATOR_STREAMS_LOST);
             LOG.info("the coordinator's stream ended at event {}", lastEvent.getAsLong());
         }
-        if (attempts.isEmpty()) {
-            // at chance within half of the time to either side: many routers that lost it together come back spread out
-            attemptAfter(limits.feedRetry() / 2 + ThreadLocalRandom.current().nextLong(limits.feedRetry() + 1));
+        if (pendingAttempts.isEmpty()) {
+            // a random delay of 0.5 to 1.5 times the retry interval spreads the reconnects of many routers
+            connectAfter(limits.feedRetry() / 2 + ThreadLocalRandom.current().nextLong(limits.feedRetry() + 1));
         }
     }
 
-    /** Takes in what has come by now: a loop that was held up must not go on before the news that came meanwhile. */
-    void look() {
-        if (taking) {
+    /** Reads all input that is available now: after a stall, the loop must apply the missed updates first. */
+    void readAvailable() {
+        if (decoding) {
             return;
         }
-        List<Channel> open = new ArrayList<>(attempts);
+        List<Channel> channels = new ArrayList<>(pendingAttempts);
         if (stream != null) {
-            open.add(0, stream);
+            channels.add(0, stream);
         }
-        open.stream().filter(Channel::isActive).forEach(c -> ((AbstractNioChannel.NioUnsafe) c.unsafe()).read());
+        channels.stream().filter(Channel::isActive).forEach(c -> ((AbstractNioChannel.NioUnsafe) c.unsafe()).read());
     }
 
-    /** Whether there was a sign since this time (microseconds) that all was told until then. */
-    boolean heardSince(long time) {
-        return heardAt >= time;
+    /** Whether a heartbeat was received at this time (microseconds) or later. */
+    boolean heartbeatSince(long time) {
+        return lastHeartbeatAt >= time;
     }
 
     void close() {
@@ -195,23 +195,23 @@
     }
 
     private void closeAttempts() {
-        cancelNextAttempt();
-        List<Channel> given = List.copyOf(attempts);
-        attempts.clear();
-        given.forEach(Channel::close);
+        cancelScheduledConnect();
+        List<Channel> abandoned = List.copyOf(pendingAttempts);
+        pendingAttempts.clear();
+        abandoned.forEach(Channel::close);
     }
 
     private void closeStream() {
-        Channel last = stream;
+        Channel previous = stream;
         stream = null;
-        if (last != null) {
-            last.close();
+        if (previous != null) {
+            previous.close();
         }
     }
 
-    /** Cuts the stream into events. */
+    /** Requests the stream on one connection and decodes its events. */
     private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
-        private final ServerSentEvents events = new ServerSentEvents(this::take);
+        private final ServerSentEvents events = new ServerSentEvents(this::submitEvent);
         private ChannelHandlerContext context;
         private boolean answered;
 
@@ -220,8 +220,8 @@
             context = ctx;
         }
 
-        private void take(String event) {
-            if (context.channel().isOpen()) { // what stands behind the end of this stream is asked for again
+        private void submitEvent(String event) {
+            if (context.channel().isOpen()) { // events after the close are requested again
                 loop.submit(new Input.CoordinatorUpdate(event));
             }
         }
@@ -242,23 +242,23 @@
                 answered = response.status().equals(HttpResponseStatus.OK);
                 if (answered) {
                     ctx.pipeline().addFirst(new ReadTimeoutHandler(limits.feedSilence(), TimeUnit.MICROSECONDS));
-                    answered(ctx.channel());
+                    onAnswer(ctx.channel());
                 } else {
-                    LOG.warn("the coordinator answered {}", response.status());
+                    LOG.warn("the coordinator answered the stream request with status {}", response.status());
                     ctx.close();
                 }
             }
             if (answered && message instanceof HttpContent content) {
                 ByteBuf bytes = content.content();
-                taking = true;
+                decoding = true;
                 try {
-                    events.take(bytes);
+                    events.decode(bytes);
                 } finally {
-                    taking = false;
+                    decoding = false;
                 }
-                // the coordinator before may live on without being told anything: its comments are no sign
-                if (events.heard() && context.channel().isOpen() && streamAddress.equals(address)) {
-                    heardAt = loop.clock();
+                // the previous coordinator may run on without receiving updates: its comments are no heartbeat
+                if (events.pollHeartbeat() && context.channel().isOpen() && streamAddress.equals(address)) {
+                    lastHeartbeatAt = loop.clock();
                     loop.submit(new Input.CoordinatorHeartbeat());
                 }
             }
@@ -266,7 +266,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ended(ctx.channel());
+            onClosed(ctx.channel());
         }
 
         @Override
--- a/src/main/java/pumicemoor/net/FleetSocket.java
+++ b/src/main/java/pumicemoor/net/FleetSocket.java
@@ -16,8 +16,8 @@
 import pumicemoor.node.Input;
 
 /**
- * The UDP socket by which routers of a fleet speak. It owns that socket alone: what came goes on as it came, and what
- * can't be sent is lost, as any packet may be. It must never read a packet.
+ * The UDP socket for packets between the routers of a fleet. It owns that socket only: received packets are passed on
+ * unparsed, and a packet that cannot be sent is dropped, as any packet may be lost. It must never parse a packet.
  */
 final class FleetSocket {
 
@@ -28,12 +28,12 @@
         this.loop = loop;
     }
 
-    /** Listens; an address that can't be had is an exception. */
+    /** Binds the socket; throws an exception if the address is not available. */
     void listen(EventLoopGroup group, String address) throws InterruptedException {
         channel = new Bootstrap()
                 .group(group)
                 .channel(NioDatagramChannel.class)
-                // one byte more than a packet may have, so that a longer one is not taken for one cut to fit
+                // one byte more than the largest valid packet, so that a longer one is not mistaken for a valid one
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(PacketCodec.LONGEST + 1))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
@@ -43,22 +43,22 @@
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // a peer that is not there; who lives is found out by who answers
+                        // a peer is unreachable, which the membership protocol detects by missing answers
                     }
                 })
-                .bind(inet(address))
+                .bind(socketAddress(address))
                 .sync()
                 .channel();
     }
 
-    private static InetSocketAddress inet(String address) {
+    private static InetSocketAddress socketAddress(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
     void send(String address, byte[] bytes) {
         if (channel != null && channel.isWritable()) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), inet(address)));
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), socketAddress(address)));
         }
     }
 
--- a/src/main/java/pumicemoor/net/FrameDecoder.java
+++ b/src/main/java/pumicemoor/net/FrameDecoder.java
@@ -4,15 +4,15 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 
 /**
- * Cuts what a client sends into frames, without their length. It owns the frame that is coming in and must
- * never let a length decide how much is kept: one over the limit ends the connection.
+ * Splits a client's input into frames and strips their length field. It owns the frame being received and must never
+ * buffer as much as a length field asks for: a length over the limit ends the connection.
  */
 final class FrameDecoder extends LengthFieldBasedFrameDecoder {
 
     private int reads;
 
-    FrameDecoder(int longestFrame) {
-        super(longestFrame + ClientFrame.LENGTH_BYTES, 0, ClientFrame.LENGTH_BYTES, 0, ClientFrame.LENGTH_BYTES);
+    FrameDecoder(int maxFrameBytes) {
+        super(maxFrameBytes + ClientFrame.LENGTH_BYTES, 0, ClientFrame.LENGTH_BYTES, 0, ClientFrame.LENGTH_BYTES);
     }
 
     @Override
@@ -21,13 +21,13 @@
         super.channelRead(ctx, message);
     }
 
-    /** How often bytes have come. */
+    /** How many reads have delivered bytes so far. */
     int reads() {
         return reads;
     }
 
-    /** Whether part of a frame has come and the rest has not. */
-    boolean midway() {
+    /** Whether a frame has been received in part. */
+    boolean hasPartialFrame() {
         return actualReadableBytes() > 0;
     }
 }
--- a/src/main/java/pumicemoor/net/Inbox.java
+++ b/src/main/java/pumicemoor/net/Inbox.java
@@ -6,50 +6,50 @@
 import pumicemoor.node.Input;
 
 /**
- * The inputs that wait for the loop: first what the coordinator has told, then who has left, then all that may be
- * decided by either, in the order in which it came. Requests can be held back while the rest goes on.
+ * The queue of inputs for the event loop: coordinator updates come first, then cancellations, then all other inputs in
+ * order of arrival, as their processing may depend on both. Requests can be held back while other inputs go on.
  */
 final class Inbox {
 
-    private final Deque<Input> news = new ArrayDeque<>();
-    private final Deque<Input> departures = new ArrayDeque<>();
+    private final Deque<Input> updates = new ArrayDeque<>();
+    private final Deque<Input> cancellations = new ArrayDeque<>();
     private final Deque<Input> others = new ArrayDeque<>();
-    private final Deque<Input.Request> held = new ArrayDeque<>();
+    private final Deque<Input.Request> heldRequests = new ArrayDeque<>();
     private boolean holding;
 
     void add(Input input) {
         if (input instanceof Input.CoordinatorUpdate || input instanceof Input.CoordinatorHeartbeat) {
-            news.add(input);
+            updates.add(input);
         } else {
             others.add(input);
         }
     }
 
-    /** A client waits no more: gives back how many of its requests never went out of here. */
-    int leave(Input how, Predicate<Input.Request> whose) {
-        departures.add(how);
-        Predicate<Input> its = input -> input instanceof Input.Request request && whose.test(request);
-        int before = others.size() + held.size();
-        others.stream().filter(its).forEach(Inbox::release);
-        held.stream().filter(its).forEach(Inbox::release);
-        others.removeIf(its);
-        held.removeIf(its);
-        return before - others.size() - held.size();
+    /** Queues a cancellation and removes the requests it applies to; returns how many were still queued. */
+    int cancel(Input cancellation, Predicate<Input.Request> selected) {
+        cancellations.add(cancellation);
+        Predicate<Input> matching = input -> input instanceof Input.Request request && selected.test(request);
+        int queuedBefore = others.size() + heldRequests.size();
+        others.stream().filter(matching).forEach(Inbox::release);
+        heldRequests.stream().filter(matching).forEach(Inbox::release);
+        others.removeIf(matching);
+        heldRequests.removeIf(matching);
+        return queuedBefore - others.size() - heldRequests.size();
     }
 
     private static void release(Input request) {
         ((Input.Request) request).body().release();
     }
 
-    /** Nobody knows how long each request has lain unread: as long as the loop was held up, at most. */
-    void requestsUnreadFor(long micros) {
-        for (int i = others.size(); i > 0; i--) {
+    /** Adds an unread delay to the queued requests: each may have waited unread for as long as the loop was stalled. */
+    void addUnreadDelay(long micros) {
+        for (int remaining = others.size(); remaining > 0; remaining--) {
             Input input = others.poll();
             others.add(input instanceof Input.Request request ? request.withUnreadDelay(micros) : input);
         }
     }
 
-    /** From now on requests stay here. */
+    /** Holds back requests from now on. */
     void holdRequests() {
         holding = true;
     }
@@ -58,24 +58,24 @@
         return holding;
     }
 
-    /** Requests go on, those held first; they have waited here for so long at most. */
+    /** Releases the held requests, ahead of other inputs; each has waited here for at most this many microseconds. */
     void releaseRequests(long micros) {
         holding = false;
-        while (!held.isEmpty()) {
-            others.addFirst(held.pollLast().withUnreadDelay(micros));
+        while (!heldRequests.isEmpty()) {
+            others.addFirst(heldRequests.pollLast().withUnreadDelay(micros));
         }
     }
 
-    /** What the coordinator has told, else who has left; null where there is neither. */
+    /** The next coordinator update, else the next cancellation; null if there is neither. */
     Input nextUrgent() {
-        return news.isEmpty() ? departures.poll() : news.poll();
+        return updates.isEmpty() ? cancellations.poll() : updates.poll();
     }
 
-    /** The next of the rest that is not held back; null where there is none. */
+    /** The next other input that is not held back; null if there is none. */
     Input nextOther() {
         Input input = others.poll();
         while (holding && input instanceof Input.Request request) {
-            held.add(request);
+            heldRequests.add(request);
             input = others.poll();
         }
         return input;
--- a/src/main/java/pumicemoor/net/Loop.java
+++ b/src/main/java/pumicemoor/net/Loop.java
@@ -4,28 +4,28 @@
 import java.util.Optional;
 import pumicemoor.node.Input;
 
-/** What connections may ask of the loop they run on; none of it may be called from another thread. */
+/** The services that the event loop offers to the connections on it; callable on the loop's thread only. */
 interface Loop {
 
-    /** Hands an input to the reducer, after those that came before. */
+    /** Passes an input to the reducer, after those submitted before. */
     void submit(Input input);
 
-    /** Microseconds that count on in real time from the Unix time of the router's start. */
+    /** Microseconds: the Unix time of the router's start plus the monotonic time since. */
     long clock();
 
-    /** A log line about what another side did wrong; those past a rate are left out. */
+    /** Logs an error made by a peer; rate-limited. */
     void complain(String text);
 
-    /** Whether new requests are wanted. */
+    /** Whether the router accepts new requests. */
     boolean ready();
 
-    /** What can be seen of the parts that are switched on, by name. */
+    /** Status values of the enabled components, by name. */
     Map<String, String> state();
 
-    /** Rows about one subject as JSON, where there are such. */
+    /** Rows about one subject as JSON; empty for an unknown subject. */
     Optional<String> rows(String subject);
 
-    void opened(long number, ClientConnection client);
+    void clientOpened(long connectionId, ClientConnection client);
 
-    void closed(long number);
+    void clientClosed(long connectionId);
 }
--- a/src/main/java/pumicemoor/net/NettyBytes.java
+++ b/src/main/java/pumicemoor/net/NettyBytes.java
@@ -3,10 +3,10 @@
 import io.netty.buffer.ByteBuf;
 import pumicemoor.node.Bytes;
 
-/** A body held in a buffer of Netty's. It owns one reference of that buffer and must never change its bytes. */
+/** A message body in a Netty buffer. It owns one reference to the buffer and must never change its bytes. */
 record NettyBytes(ByteBuf buffer) implements Bytes {
 
-    /** Takes over the reference that the caller holds. */
+    /** Wraps a buffer and takes over the caller's reference to it. */
     static Bytes of(ByteBuf buffer) {
         if (buffer.isReadable()) {
             return new NettyBytes(buffer);
@@ -15,9 +15,9 @@
         return NONE;
     }
 
-    /** The buffer behind a body, or null for one without a byte; the reference goes to the caller. */
+    /** The buffer of a body, or null for an empty one; ownership of the reference passes to the caller. */
     static ByteBuf buffer(Bytes bytes) {
-        return bytes instanceof NettyBytes held ? held.buffer() : null;
+        return bytes instanceof NettyBytes netty ? netty.buffer() : null;
     }
 
     @Override
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -47,86 +47,89 @@
 import pumicemoor.operator.OperatorConfig;
 
 /**
- * The router on sockets: one event loop that hands every input to the reducer, one after the other, and
- * carries out its effects. It owns the listening socket, the clock and the loop's one timer, and must never
- * decide anything about a request.
+ * The network server of the router: one event loop passes each input to the reducer, one at a time, and executes the
+ * effects that it returns. It owns the listening socket, the clock and the loop's only timer, and must never decide
+ * anything about a request.
  */
 public final class NodeServer implements Loop, CallLoop {
 
     private static final Logger LOG = LoggerFactory.getLogger(NodeServer.class);
 
-    private static final long WAKE_GRAIN = 1_000;
+    private static final long TIMER_GRANULARITY_MICROS = 1_000;
 
-    private final RouterClock time = new RouterClock();
+    private final RouterClock routerClock = new RouterClock();
     private final NodeConfig config;
-    private final OperatorConfig operator;
+    private final OperatorConfig operatorConfig;
     private final ResourceLimits limits;
     private final Counters counters = new Counters();
     private final Reducer reducer;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BufferBudget budget;
-    private final CacheLines lines;
+    private final CacheConnections cacheConnections;
     private final CoordinatorStream coordinator;
-    private final Map<Long, ClientConnection> clients = new LinkedHashMap<>(); // the longest open first
-    private final Set<ClientConnection> connections = new LinkedHashSet<>(); // those too that are being let go
-    private final BoundedLog complaints;
+    private final Map<Long, ClientConnection> clients = new LinkedHashMap<>(); // by connection id, the oldest first
+    private final Set<ClientConnection> allClients = new LinkedHashSet<>(); // also those in stage RELEASING
+    private final BoundedLog errorLog;
     private final Inbox inbox = new Inbox();
     private final List<Effect> effects = new ArrayList<>();
     private final CountDownLatch synced = new CountDownLatch(1);
     private final CountDownLatch ended = new CountDownLatch(1);
     private final FleetSocket fleet = new FleetSocket(this);
-    private Optional<CallFront> front = Optional.empty();
+    private Optional<CallFront> callFront = Optional.empty();
     private Channel listener;
-    private long lastClient;
-    private boolean working;
+    private long lastConnectionId;
+    private boolean processing;
     private boolean draining;
-    private long wakeAt = Long.MAX_VALUE;
-    private long turnedAt, unreadFor, unreadUntil;
-    private long heldFrom, heldUntil; // requests, after a pause in which the coordinator was lost
-
-    /** A router with the platform's configuration, and what the operator has set beyond it. */
-    public NodeServer(NodeConfig config, OperatorConfig operator) {
+    private long timerDueAt = Long.MAX_VALUE;
+    private long lastTurnAt;
+    private long unreadDelayMicros; // the length of the last stall
+    private long unreadDelayUntil; // requests received until then may have waited unread through the last stall
+    private long requestsHeldSince; // requests are held back after a stall in which contact with the coordinator was lost
+    private long requestsHeldUntil;
+
+    /** Creates a router from the platform's configuration and the operator's configuration. */
+    public NodeServer(NodeConfig config, OperatorConfig operatorConfig) {
         this.config = config;
-        this.operator = operator;
+        this.operatorConfig = operatorConfig;
         this.limits = ResourceLimits.of(config.words().settings(), config.figures());
         this.reducer =
                 new Reducer(new Logic(config.words().settings(), config.seed()), config.words(), limits, counters);
-        this.complaints = new BoundedLog(LOG, limits.complaints());
-        Bootstrap connections = new Bootstrap()
+        this.errorLog = new BoundedLog(LOG, limits.complaints());
+        Bootstrap bootstrap = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, PooledByteBufAllocator.DEFAULT);
         this.budget = new BufferBudget(PooledByteBufAllocator.DEFAULT::pinnedDirectMemory, limits.bufferedBytes());
-        this.lines = new CacheLines(connections, limits, budget, counters, this);
-        this.coordinator = new CoordinatorStream(connections, limits, reducer::lastUpdate, counters, this);
+        this.cacheConnections = new CacheConnections(bootstrap, limits, budget, counters, this);
+        this.coordinator = new CoordinatorStream(bootstrap, limits, reducer::lastUpdate, counters, this);
     }
 
-    /** Has proxies call through this front too; before the start. */
+    /** Adds a front to which proxies call; must be called before the start. */
     public void attach(CallFront calls) {
-        front = Optional.of(calls);
+        callFront = Optional.of(calls);
     }
 
-    /** Follows the coordinator and, once what it has told is known, listens; returns then. */
+    /** Follows the coordinator and listens once its updates are applied; returns then. */
     public void start() throws InterruptedException, IOException {
         start(true);
     }
 
-    /** The same, without clients where none are wanted. */
+    /** Starts the router; listens for clients only if wanted. */
     public void start(boolean clientsWanted) throws InterruptedException, IOException {
         follow();
         open(clientsWanted);
     }
 
-    /** Takes what is known and follows the coordinator from there; from then on a reload can be taken. */
+    /** Applies the configured members and follows the coordinator from there; reloads are possible from then on. */
     public void follow() throws InterruptedException, IOException {
-        if (operator.fleet().isPresent()) {
-            fleet.listen(group, operator.fleet().get().listen());
+        if (operatorConfig.fleet().isPresent()) {
+            fleet.listen(group, operatorConfig.fleet().get().listen());
         }
         loop.submit(() -> {
-                    reducer.applyOperatorConfig(clock(), operator, config.location(), config.name(), config.seed());
+                    reducer.applyOperatorConfig(clock(), operatorConfig, config.location(), config.name(), config.seed());
                     reducer.known(clock(), config, effects::add);
-                    work();
+                    processInbox();
                     loop.scheduleAtFixedRate(this::sweep, limits.sweep(), limits.sweep(), TimeUnit.MICROSECONDS);
                     coordinator.follow(config.coordinator());
                 })
@@ -134,12 +137,12 @@
         LOG.info("{}: the coordinator is being followed from event {} on", config.name(), config.knownIndex());
     }
 
-    /** Listens once the router has caught up with the coordinator, or has given up waiting for that. */
+    /** Warms up, waits until the router has caught up with the coordinator or the wait has timed out, then listens. */
     public void open(boolean clientsWanted) throws InterruptedException, IOException {
-        rehearse();
+        warmUp();
         synced.await();
-        if (front.isPresent()) {
-            front.get().start(this);
+        if (callFront.isPresent()) {
+            callFront.get().start(this);
         }
         if (!clientsWanted) {
             return;
@@ -156,7 +159,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        if (!makeRoom()) {
+                        if (!reserveClientSlot()) {
                             counters.add(Name.TURNED_OUT);
                             ch.close();
                             return;
@@ -165,9 +168,9 @@
                                 .setWriteBufferWaterMark(new WriteBufferWaterMark(
                                         limits.clientBacklogBytes() / 2, limits.clientBacklogBytes()));
                         ClientConnection client =
-                                new ClientConnection(++lastClient, limits, budget, counters, NodeServer.this);
-                        connections.add(client);
-                        ch.closeFuture().addListener(done -> connections.remove(client));
+                                new ClientConnection(++lastConnectionId, limits, budget, counters, NodeServer.this);
+                        allClients.add(client);
+                        ch.closeFuture().addListener(done -> allClients.remove(client));
                         ch.pipeline().addLast(new FrameDecoder(limits.frameBytes()), client);
                     }
                 })
@@ -179,70 +182,70 @@
         LOG.info("{} listens on {}", config.name(), config.listen());
     }
 
-    private void rehearse() throws InterruptedException {
-        long began = System.nanoTime();
-        long answered = new Rehearsal(config, limits, clock())
+    private void warmUp() throws InterruptedException {
+        long startNanos = System.nanoTime();
+        long answered = new WarmUp(config, limits, clock())
                 .run(limits.rehearsals(), limits.rehearsalTime(), () -> loop.submit(() -> {})
                         .sync());
         LOG.info(
                 "{} rehearsed {} requests in {} ms",
                 config.name(),
                 answered,
-                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began));
+                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
     }
 
     /**
-     * Room for one client more: at the bound the one that says nothing for longest goes, else the one idle for
-     * longest, so that whoever holds connections without use keeps nobody out.
+     * Whether one more client can be accepted. At the limit, this closes the oldest connection that has sent no valid
+     * request, else the one that has been idle for longest, so that unused connections keep no client out.
      */
-    private boolean makeRoom() {
-        if (connections.size() >= limits.clients() + limits.clients() / 8) { // few may be on their way out at once
-            connections.stream()
+    private boolean reserveClientSlot() {
+        if (allClients.size() >= limits.clients() + limits.clients() / 8) { // few connections may be closing at the same time
+            allClients.stream()
                     .filter(c -> c.stage() == ClientConnection.Stage.RELEASING)
                     .findFirst()
-                    .ifPresent(c -> c.cut("it was told to go, and its place is needed"));
+                    .ifPresent(c -> c.closeNow("it is already being closed, and its place is needed"));
         }
         if (clients.size() < limits.clients()) {
             return true;
         }
         Optional<ClientConnection> silent =
-                clients.values().stream().filter(ClientConnection::silent).findFirst();
-        silent.ifPresent(c -> c.turnAway("it said nothing, and its place is needed"));
+                clients.values().stream().filter(ClientConnection::hasSentNoRequest).findFirst();
+        silent.ifPresent(c -> c.closeWithError("it sent no valid request, and its place is needed"));
         return silent.isPresent()
                 || clients.values().stream()
                         .filter(c -> c.idleSince() < Long.MAX_VALUE)
                         .sorted(Comparator.comparingLong(ClientConnection::idleSince))
                         .toList()
                         .stream()
-                        .anyMatch(ClientConnection::makeWay);
+                        .anyMatch(ClientConnection::closeIfIdle);
     }
 
     private void sweep() {
         long now = clock();
-        lines.sweep(now);
+        cacheConnections.sweep(now);
         clients.values().stream().toList().forEach(c -> c.sweep(now));
     }
 
-    /** Ends the router in good order: no new requests, all that are open answered, then out. */
+    /** Shuts the router down gracefully: accepts no new requests, answers all open ones, then exits. */
     public void terminate() {
         if (!group.isShuttingDown()) {
             loop.execute(() -> submit(new Input.Terminate()));
         }
     }
 
-    /** Takes over what it can of a configuration read anew; null with the problem where it can't be used. */
+    /** Applies a reloaded configuration as far as possible; an unusable one is null, with the problem stated. */
     public void reload(NodeConfig next, OperatorConfig nextOperator, String problem) {
         if (!group.isShuttingDown()) {
             loop.execute(() -> submit(new Input.Reload(next, nextOperator, problem)));
         }
     }
 
-    /** Waits for the end; true once it has come within that time. */
+    /** Waits for the end of the router; returns false if the time passes before. */
     public boolean awaitEnd(long millis) throws InterruptedException {
         return ended.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Where it listens. */
+    /** The local address of the listener. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
@@ -251,11 +254,11 @@
         return counters;
     }
 
-    /** What can be seen of the parts that the operator has switched on, by name; only on the loop's thread or after its end. */
+    /** Status values of the components enabled by the operator, by name; on the loop's thread only, or after its end. */
     @Override
     public Map<String, String> state() {
         Map<String, String> state = new LinkedHashMap<>(reducer.state());
-        front.ifPresent(f -> state.putAll(f.state()));
+        callFront.ifPresent(f -> state.putAll(f.state()));
         return state;
     }
 
@@ -265,9 +268,9 @@
     }
 
     @Override
-    public boolean execute(Runnable what) {
+    public boolean execute(Runnable task) {
         try {
-            loop.execute(what);
+            loop.execute(task);
             return true;
         } catch (RejectedExecutionException e) {
             return false;
@@ -275,14 +278,14 @@
     }
 
     @Override
-    public Runnable schedule(long micros, Runnable what) {
-        Future<?> due = loop.schedule(what, micros, TimeUnit.MICROSECONDS);
-        return () -> due.cancel(false);
+    public Runnable schedule(long micros, Runnable task) {
+        Future<?> scheduled = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
+        return () -> scheduled.cancel(false);
     }
 
     @Override
     public long clock() {
-        return time.now();
+        return routerClock.now();
     }
 
     @Override
@@ -292,137 +295,137 @@
 
     @Override
     public void complain(String text) {
-        complaints.warn(clock(), text);
+        errorLog.warn(clock(), text);
     }
 
     @Override
-    public void opened(long number, ClientConnection client) {
-        clients.put(number, client);
+    public void clientOpened(long connectionId, ClientConnection client) {
+        clients.put(connectionId, client);
         if (draining) {
             client.drain();
         }
     }
 
     @Override
-    public void closed(long number) {
-        clients.remove(number);
+    public void clientClosed(long connectionId) {
+        clients.remove(connectionId);
     }
 
-    /** Takes an input on the loop's thread; one that comes while another is worked on waits its turn. */
+    /** Queues an input and processes the queue, unless that is under way; on the loop's thread only. */
     @Override
     public void submit(Input input) {
-        if (input instanceof Input.ClientClosed c) {
-            leave(c, r -> r.connection() == c.connection());
-        } else if (input instanceof Input.RequestCancelled w) {
-            leave(w, r -> r.connection() == w.connection() && r.stream() == w.stream());
+        if (input instanceof Input.ClientClosed closed) {
+            removeRequests(closed, r -> r.connection() == closed.connection());
+        } else if (input instanceof Input.RequestCancelled cancelled) {
+            removeRequests(cancelled, r -> r.connection() == cancelled.connection() && r.stream() == cancelled.stream());
         } else {
-            inbox.add(input instanceof Input.Request r && clock() < unreadUntil ? r.withUnreadDelay(unreadFor) : input);
+            inbox.add(input instanceof Input.Request r && clock() < unreadDelayUntil ? r.withUnreadDelay(unreadDelayMicros) : input);
         }
-        work();
+        processInbox();
     }
 
-    /** A client waits no more: what of it was not worked on yet never will be. */
-    private void leave(Input how, Predicate<Input.Request> whose) {
-        counters.add(Name.WITHDRAWN, inbox.leave(how, whose));
+    /** Removes the queued requests of a client that no longer waits for them. */
+    private void removeRequests(Input cancellation, Predicate<Input.Request> selected) {
+        counters.add(Name.WITHDRAWN, inbox.cancel(cancellation, selected));
     }
 
     /**
-     * The next input: first what the coordinator has told by now, then who has left, then all that may be decided by
-     * either. The decisions ask to be called far more often than a loop that turns freely could miss; one that was held
-     * up, whatever by, first takes in all that came meanwhile.
+     * The next input: coordinator updates first, then cancellations, then all inputs whose processing may depend on
+     * them. The decision logic schedules its calls so often that only a stalled loop exceeds the limit between two
+     * turns. A loop that was stalled, for whatever reason, first reads all input that arrived meanwhile.
      */
     private Input next() {
         long now = clock();
-        if (now - turnedAt > limits.heldUp()) {
-            afterHoldUp(now);
+        if (now - lastTurnAt > limits.heldUp()) {
+            recoverFromStall(now);
         }
-        turnedAt = now;
+        lastTurnAt = now;
         Input urgent = inbox.nextUrgent();
         if (urgent != null) {
             return urgent;
         }
-        if (inbox.holdsRequests() && (now >= heldUntil || coordinator.heardSince(heldFrom))) {
-            inbox.releaseRequests(now - heldFrom);
+        if (inbox.holdsRequests() && (now >= requestsHeldUntil || coordinator.heartbeatSince(requestsHeldSince))) {
+            inbox.releaseRequests(now - requestsHeldSince);
         }
         return inbox.nextOther();
     }
 
-    private void afterHoldUp(long now) {
-        long gap = turnedAt == 0 ? 0 : now - turnedAt;
-        boolean heardBefore = coordinator.heardSince(turnedAt - limits.feedSilence());
-        turnedAt = now;
-        unreadUntil = 0;
-        coordinator.look();
-        List.copyOf(clients.values()).forEach(ClientConnection::look);
-        inbox.requestsUnreadFor(gap);
-        unreadFor = gap;
-        unreadUntil = now + limits.heldUp() / 3; // who is only accepted now
-        if (heardBefore && !coordinator.heardSince(now - limits.feedSilence())) {
+    private void recoverFromStall(long now) {
+        long stallMicros = lastTurnAt == 0 ? 0 : now - lastTurnAt;
+        boolean inContactBefore = coordinator.heartbeatSince(lastTurnAt - limits.feedSilence());
+        lastTurnAt = now;
+        unreadDelayUntil = 0;
+        coordinator.readAvailable();
+        List.copyOf(clients.values()).forEach(ClientConnection::readAvailable);
+        inbox.addUnreadDelay(stallMicros);
+        unreadDelayMicros = stallMicros;
+        unreadDelayUntil = now + limits.heldUp() / 3; // for connections that are accepted only now
+        if (inContactBefore && !coordinator.heartbeatSince(now - limits.feedSilence())) {
             holdRequests(now);
         }
     }
 
-    /** What was told during the pause is not known: requests wait until it is, for a bounded time. */
+    /** Updates of the time of the stall are missing: requests wait until they are received, for a limited time. */
     private void holdRequests(long now) {
         counters.add(Name.HOLDS);
-        LOG.warn("the coordinator was lost while this process was held up: requests wait for it");
-        heldFrom = now;
-        heldUntil = now + limits.requestHold();
+        LOG.warn("the coordinator was lost while this process was stalled; requests are held back until contact is restored");
+        requestsHeldSince = now;
+        requestsHeldUntil = now + limits.requestHold();
         inbox.holdRequests();
-        loop.schedule(this::work, limits.requestHold(), TimeUnit.MICROSECONDS);
+        loop.schedule(this::processInbox, limits.requestHold(), TimeUnit.MICROSECONDS);
     }
 
-    private void work() {
-        if (working) {
+    private void processInbox() {
+        if (processing) {
             return;
         }
-        working = true;
+        processing = true;
         try {
-            carryOut();
+            executeEffects();
             for (Input input = next(); input != null; input = next()) {
-                reducer.accept(time.now(), time.wall(), input, effects::add);
-                carryOut();
+                reducer.accept(routerClock.now(), routerClock.wall(), input, effects::add);
+                executeEffects();
             }
         } finally {
-            working = false;
+            processing = false;
         }
         if (reducer.synced()) {
             synced.countDown();
         }
         budget.resume();
         long due = reducer.nextDue();
-        if (due < wakeAt) {
-            wakeAt = due;
-            // the selector waits in milliseconds only and would turn idly through what is less than one
-            long wait = Math.max(1, (due - clock() + WAKE_GRAIN - 1) / WAKE_GRAIN);
-            loop.schedule(this::wake, wait * WAKE_GRAIN, TimeUnit.MICROSECONDS);
+        if (due < timerDueAt) {
+            timerDueAt = due;
+            // the selector waits in whole milliseconds and would spin through a shorter wait
+            long wait = Math.max(1, (due - clock() + TIMER_GRANULARITY_MICROS - 1) / TIMER_GRANULARITY_MICROS);
+            loop.schedule(this::onTimer, wait * TIMER_GRANULARITY_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
-    private void wake() {
-        wakeAt = Long.MAX_VALUE;
+    private void onTimer() {
+        timerDueAt = Long.MAX_VALUE;
         submit(new Input.TimerFired());
     }
 
-    private void carryOut() {
+    private void executeEffects() {
         for (int i = 0; i < effects.size(); i++) {
-            carryOut(effects.get(i));
+            executeEffect(effects.get(i));
         }
         effects.clear();
     }
 
-    private void carryOut(Effect effect) {
-        if (effect instanceof Effect.SendAttempt ask) {
-            lines.ask(ask);
-        } else if (effect instanceof Effect.AbandonAttempt quit) {
-            lines.quit(quit);
-        } else if (effect instanceof Effect.AnnounceAttempt name) {
-            front.ifPresent(f -> f.attemptAnnounced(name));
+    private void executeEffect(Effect effect) {
+        if (effect instanceof Effect.SendAttempt send) {
+            cacheConnections.send(send);
+        } else if (effect instanceof Effect.AbandonAttempt abandon) {
+            cacheConnections.abandon(abandon);
+        } else if (effect instanceof Effect.AnnounceAttempt announcement) {
+            callFront.ifPresent(f -> f.attemptAnnounced(announcement));
         } else if (effect instanceof Effect.Answer answer && answer.connection() < 0) {
             answer.body().release();
-            front.ifPresent(f -> f.answered(answer.connection(), answer.code(), answer.retryAfterMillis()));
-        } else if (effect instanceof Effect.ApplyOperatorConfig operate) {
-            front.ifPresent(f -> f.applyOperatorConfig(operate.operator()));
+            callFront.ifPresent(f -> f.answered(answer.connection(), answer.code(), answer.retryAfterMillis()));
+        } else if (effect instanceof Effect.ApplyOperatorConfig apply) {
+            callFront.ifPresent(f -> f.applyOperatorConfig(apply.operator()));
         } else if (effect instanceof Effect.Answer answer) {
             ClientConnection client = clients.get(answer.connection());
             if (client == null) {
@@ -430,59 +433,59 @@
             } else {
                 client.answer(answer);
             }
-        } else if (effect instanceof Effect.ReportProtocolError misused) {
-            if (clients.containsKey(misused.connection())) {
-                clients.get(misused.connection()).misused();
+        } else if (effect instanceof Effect.ReportProtocolError error) {
+            if (clients.containsKey(error.connection())) {
+                clients.get(error.connection()).onInvalidRequest();
             }
         } else if (effect instanceof Effect.CloseIdleConnections close) {
-            lines.closeIdle(close.instance());
+            cacheConnections.closeIdle(close.instance());
         } else if (effect instanceof Effect.DropConnections drop) {
-            lines.drop(drop.instance(), drop.openedBefore());
+            cacheConnections.closeOpenedBefore(drop.instance(), drop.openedBefore());
         } else if (effect instanceof Effect.RetireConnections retire) {
-            lines.retire(retire.instance());
+            cacheConnections.retire(retire.instance());
         } else if (effect instanceof Effect.DrainClients) {
             draining = true;
             clients.values().forEach(ClientConnection::drain);
-            front.ifPresent(CallFront::drain);
+            callFront.ifPresent(CallFront::drain);
         } else if (effect instanceof Effect.FollowCoordinator follow) {
             coordinator.follow(follow.coordinator());
         } else if (effect instanceof Effect.SendFleetPacket packet) {
             fleet.send(packet.address(), packet.bytes());
-        } else if (effect instanceof Effect.CommandReply told) {
-            if (clients.containsKey(told.connection())) {
-                clients.get(told.connection()).told(told);
+        } else if (effect instanceof Effect.CommandReply reply) {
+            if (clients.containsKey(reply.connection())) {
+                clients.get(reply.connection()).writeReply(reply);
             }
         } else if (effect instanceof Effect.CompleteClientReads) {
-            readAll();
+            completeClientReads();
         } else if (effect instanceof Effect.Exit) {
-            end();
+            shutDown();
         }
     }
 
-    /** Takes in who has connected and what has been asked by now, to the last. */
-    private void readAll() {
-        for (long before = -1; listener != null && before != lastClient; ) {
-            before = lastClient;
+    /** Accepts all pending connections and reads all input that is available now. */
+    private void completeClientReads() {
+        for (long previousId = -1; listener != null && previousId != lastConnectionId; ) {
+            previousId = lastConnectionId;
             ((AbstractNioChannel.NioUnsafe) listener.unsafe()).read();
         }
-        List.copyOf(clients.values()).forEach(ClientConnection::look);
+        List.copyOf(clients.values()).forEach(ClientConnection::readAvailable);
         submit(new Input.ClientReadsCompleted());
     }
 
-    private void end() {
+    private void shutDown() {
         if (listener != null) {
             listener.close();
         }
-        front.ifPresent(CallFront::close);
+        callFront.ifPresent(CallFront::close);
         coordinator.close();
         fleet.close();
-        lines.closeAll();
-        // answers still on their way to a slow client are given the time that they take
+        cacheConnections.closeAll();
+        // answers that a slow client has not read yet are given time to arrive
         PromiseCombiner flushed = new PromiseCombiner(loop);
-        List.copyOf(connections).forEach(c -> flushed.add(c.release()));
-        Promise<Void> all = loop.newPromise();
-        flushed.finish(all);
-        all.addListener(
+        List.copyOf(allClients).forEach(c -> flushed.add(c.closeGracefully()));
+        Promise<Void> allFlushed = loop.newPromise();
+        flushed.finish(allFlushed);
+        allFlushed.addListener(
                 done -> group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).addListener(end -> ended.countDown()));
     }
 }
--- a/src/main/java/pumicemoor/net/ServerSentEvents.java
+++ b/src/main/java/pumicemoor/net/ServerSentEvents.java
@@ -7,57 +7,58 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a text/event-stream into the data of its events, wherever the input is split. It owns the line and
- * the event that are coming in, and must never hand on an event before the empty line that ends it.
+ * Decodes a text/event-stream into the data of its events, however the input is split. It owns the line and the event
+ * being received, and must never deliver an event before the empty line that ends it.
  */
 final class ServerSentEvents {
 
-    private static final int LONGEST = 4 * 1_048_576;
+    private static final int MAX_EVENT_BYTES = 4 * 1_048_576;
 
     private final Consumer<String> sink;
-    private boolean heard;
-    private boolean commented; // a comment has come before
+    private boolean heartbeatReceived;
+    private boolean firstCommentReceived; // the first comment has been received
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private StringBuilder data;
-    private boolean afterReturn;
+    private boolean afterCarriageReturn;
 
     ServerSentEvents(Consumer<String> sink) {
         this.sink = sink;
     }
 
-    void take(ByteBuf in) {
+    void decode(ByteBuf in) {
         while (in.isReadable()) {
-            byte b = in.readByte();
-            if (b == '\n' && afterReturn) {
-                afterReturn = false;
-            } else if (b == '\n' || b == '\r') {
-                afterReturn = b == '\r';
-                line(line.toString(StandardCharsets.UTF_8));
+            byte next = in.readByte();
+            if (next == '\n' && afterCarriageReturn) {
+                afterCarriageReturn = false;
+            } else if (next == '\n' || next == '\r') {
+                afterCarriageReturn = next == '\r';
+                handleLine(line.toString(StandardCharsets.UTF_8));
                 line.reset();
             } else {
-                afterReturn = false;
-                line.write(b);
-                if (line.size() + (data == null ? 0 : data.length()) > LONGEST) {
-                    throw new TooLongFrameException("an event of more than " + LONGEST + " bytes");
+                afterCarriageReturn = false;
+                line.write(next);
+                if (line.size() + (data == null ? 0 : data.length()) > MAX_EVENT_BYTES) {
+                    throw new TooLongFrameException("event exceeds " + MAX_EVENT_BYTES + " bytes");
                 }
             }
         }
     }
 
     /**
-     * Whether a sign that all was told has come since this was asked last: a comment, which comes each second, but not
-     * the stream's first, which may stand before what was missed. An event alone says nothing of those behind it.
+     * Whether a heartbeat has been received since the last call. A heartbeat is a comment, sent each second after all
+     * events so far; the first comment of a stream does not count, as it may precede the events that were missed. An
+     * event is no heartbeat, as more events may follow it.
      */
-    boolean heard() {
-        boolean was = heard;
-        heard = false;
-        return was;
+    boolean pollHeartbeat() {
+        boolean received = heartbeatReceived;
+        heartbeatReceived = false;
+        return received;
     }
 
-    private void line(String text) {
+    private void handleLine(String text) {
         if (text.startsWith(":")) {
-            heard |= commented;
-            commented = true;
+            heartbeatReceived |= firstCommentReceived;
+            firstCommentReceived = true;
         }
         if (text.isEmpty()) {
             if (data != null) {
--- a/src/main/java/pumicemoor/net/Rehearsal.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -22,17 +22,18 @@
 import pumicemoor.node.ResourceLimits;
 
 /**
- * Takes made-up requests the whole way from a client's frame to the answer before the router is ready, so
- * that its first clients don't wait for classes and the compiler. It owns a reducer, decisions and a clock of
- * its own, and must never touch a socket or anything of the router that serves.
+ * Warms up the JVM before the router is ready (the "rehearsal" of the documentation): runs synthetic requests through
+ * all stages from a client's frame to the answer, so that the first clients do not wait for class loading and JIT
+ * compilation. It owns a reducer, decision logic and clock of its own, and must never use a socket or any object of the
+ * serving router.
  */
-final class Rehearsal implements Loop {
+final class WarmUp implements Loop {
 
-    private static final long STEP = 1_000; // microseconds between requests on the clock of the rehearsal
-    private static final int OBJECTS = 512;
-    private static final int BODY = 1_024;
-    private static final int MISS_EVERY = 16;
-    private static final int PAUSE_EVERY = 8;
+    private static final long STEP_MICROS = 1_000; // between requests, on the simulated clock
+    private static final int OBJECT_COUNT = 512;
+    private static final int BODY_BYTES = 1_024;
+    private static final int MISS_INTERVAL_REQUESTS = 16;
+    private static final int PAUSE_INTERVAL_REQUESTS = 8;
 
     private final ByteBufAllocator allocator = PooledByteBufAllocator.DEFAULT;
     private final List<RequestClass> classes;
@@ -43,10 +44,10 @@
     private final EmbeddedChannel fromCache;
     private final Queue<Input> inbox = new ArrayDeque<>();
     private final List<Effect> effects = new ArrayList<>();
-    private final Queue<Effect.SendAttempt> asked = new ArrayDeque<>();
+    private final Queue<Effect.SendAttempt> sentAttempts = new ArrayDeque<>();
     private long clock;
 
-    Rehearsal(NodeConfig config, ResourceLimits limits, long now) {
+    WarmUp(NodeConfig config, ResourceLimits limits, long now) {
         BufferBudget budget = new BufferBudget(() -> 0, limits.bufferedBytes());
         classes = config.words().settings().classes();
         clock = now;
@@ -58,16 +59,16 @@
         work();
     }
 
-    /** What the caller does between requests, so that it is not held up for the whole of the rehearsal. */
+    /** Called between requests, so that the caller's event loop is not blocked for the whole warm-up. */
     interface Pause {
         void run() throws InterruptedException;
     }
 
-    /** Goes on until so many requests are done or this time has passed; tells how many were answered. */
-    long run(int requests, long longestMicros, Pause pause) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(longestMicros);
-        for (int i = 1; i <= requests && !classes.isEmpty() && System.nanoTime() < end && fromClient.isOpen(); i++) {
-            clock += STEP;
+    /** Runs until this many requests are done or the time has passed; returns the number of answered requests. */
+    long run(int requests, long maxMicros, Pause pause) throws InterruptedException {
+        long endNanos = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(maxMicros);
+        for (int i = 1; i <= requests && !classes.isEmpty() && System.nanoTime() < endNanos && fromClient.isOpen(); i++) {
+            clock += STEP_MICROS;
             if (reducer.nextDue() <= clock) {
                 submit(new Input.TimerFired());
             }
@@ -75,11 +76,11 @@
                 break;
             }
             fromClient.writeInbound(request(i));
-            for (Effect.SendAttempt ask = asked.poll(); ask != null; ask = asked.poll()) {
-                answer(ask, i);
+            for (Effect.SendAttempt attempt = sentAttempts.poll(); attempt != null; attempt = sentAttempts.poll()) {
+                answer(attempt, i);
             }
             release(fromClient);
-            if (i % PAUSE_EVERY == 0) {
+            if (i % PAUSE_INTERVAL_REQUESTS == 0) {
                 pause.run();
             }
         }
@@ -104,7 +105,7 @@
             "ttl",
             "1000",
             "row",
-            id(number % OBJECTS),
+            id(number % OBJECT_COUNT),
             "piece",
             "0",
             "lot",
@@ -121,38 +122,38 @@
         return String.format("%016x", number);
     }
 
-    private void answer(Effect.SendAttempt ask, int number) {
-        CacheLine.ask(allocator, ask).release();
-        submit(new Input.Written(ask.attempt()));
-        boolean miss = number % MISS_EVERY == 0;
-        ByteBuf bytes = allocator.ioBuffer(BODY + 128);
+    private void answer(Effect.SendAttempt attempt, int number) {
+        CacheProtocol.request(allocator, attempt).release();
+        submit(new Input.Written(attempt.attempt()));
+        boolean miss = number % MISS_INTERVAL_REQUESTS == 0;
+        ByteBuf bytes = allocator.ioBuffer(BODY_BYTES + 128);
         bytes.writeCharSequence(
-                ask.id() + (miss ? " absent - 0" : " data entity=0,issued=1,tell=mem,meter=a:1;b:0.5 " + BODY) + "\r\n",
+                attempt.id() + (miss ? " absent - 0" : " data entity=0,issued=1,tell=mem,meter=a:1;b:0.5 " + BODY_BYTES) + "\r\n",
                 StandardCharsets.US_ASCII);
-        bytes.writeZero(miss ? 0 : BODY).writeCharSequence("\r\n", StandardCharsets.US_ASCII);
+        bytes.writeZero(miss ? 0 : BODY_BYTES).writeCharSequence("\r\n", StandardCharsets.US_ASCII);
         fromCache.writeInbound(bytes);
-        for (AnswerDecoder.Answer a = fromCache.readInbound(); a != null; a = fromCache.readInbound()) {
+        for (AnswerDecoder.Answer decoded = fromCache.readInbound(); decoded != null; decoded = fromCache.readInbound()) {
             submit(new Input.Answered(
-                    ask.attempt(),
-                    CacheLine.word(a.word()),
-                    a.fields().get("tell"),
-                    CacheLine.load(a.fields().get("meter")),
-                    NettyBytes.of(a.body())));
+                    attempt.attempt(),
+                    CacheProtocol.status(decoded.status()),
+                    decoded.fields().get("tell"),
+                    CacheProtocol.load(decoded.fields().get("meter")),
+                    NettyBytes.of(decoded.body())));
         }
     }
 
     private static void release(EmbeddedChannel channel) {
-        for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-            out.release();
+        for (ByteBuf frame = channel.readOutbound(); frame != null; frame = channel.readOutbound()) {
+            frame.release();
         }
     }
 
     private void work() {
         for (int i = 0; i < effects.size(); i++) {
             Effect effect = effects.get(i);
-            if (effect instanceof Effect.SendAttempt ask) {
-                ask.body().release();
-                asked.add(ask);
+            if (effect instanceof Effect.SendAttempt attempt) {
+                attempt.body().release();
+                sentAttempts.add(attempt);
             } else if (effect instanceof Effect.Answer answer) {
                 client.answer(answer);
             }
@@ -181,7 +182,7 @@
 
     @Override
     public void complain(String text) {
-        // nothing here is anybody's fault
+        // no peer takes part in the warm-up
     }
 
     @Override
@@ -195,12 +196,12 @@
     }
 
     @Override
-    public void opened(long number, ClientConnection connection) {
-        // the one client is held above
+    public void clientOpened(long connectionId, ClientConnection connection) {
+        // the only client is a field
     }
 
     @Override
-    public void closed(long number) {
-        // the one client is held above
+    public void clientClosed(long connectionId) {
+        // the only client is a field
     }
 }
--- a/src/test/java/pumicemoor/net/AnswerDecoderTest.java
+++ b/src/test/java/pumicemoor/net/AnswerDecoderTest.java
@@ -16,14 +16,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Answers of cache servers, however they come in. */
+/** Decoding of cache servers' answers, however their bytes are split. */
 class AnswerDecoderTest {
 
-    private static final String TWO = "a1 data entity=4be0,issued=17,tell=mem,meter=inflight:7;util:0.61 6\r\n"
+    private static final String TWO_ANSWERS = "a1 data entity=4be0,issued=17,tell=mem,meter=inflight:7;util:0.61 6\r\n"
             + "\r\nB\r\n\0\r\nb2 absent - 0\r\n\r\n";
 
-    private long held;
-    private final BufferBudget budget = new BufferBudget(() -> held, 1_000);
+    private long usedBytes;
+    private final BufferBudget budget = new BufferBudget(() -> usedBytes, 1_000);
 
     private EmbeddedChannel channel() {
         return new EmbeddedChannel(new AnswerDecoder(256, 500, budget));
@@ -33,43 +33,43 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private static void checkTwo(EmbeddedChannel channel) {
+    private static void checkTwoAnswers(EmbeddedChannel channel) {
         AnswerDecoder.Answer first = channel.readInbound();
         assertEquals("a1", first.id());
-        assertEquals("data", first.word());
+        assertEquals("data", first.status());
         assertEquals("mem", first.fields().get("tell"));
         assertEquals(
                 Map.of("inflight", 7.0, "util", 0.61),
-                CacheLine.load(first.fields().get("meter")));
+                CacheProtocol.load(first.fields().get("meter")));
         assertEquals("\r\nB\r\n\0", first.body().toString(StandardCharsets.ISO_8859_1));
         first.body().release();
         AnswerDecoder.Answer second = channel.readInbound();
         assertEquals("b2", second.id());
-        assertEquals("absent", second.word());
+        assertEquals("absent", second.status());
         assertFalse(second.body().isReadable());
         second.body().release();
         assertNull(channel.readInbound());
     }
 
     @Test
-    void anAnswerIsReadWholeWhereverTheInputIsSplit() {
-        for (int split = 0; split <= TWO.length(); split++) {
+    void answersAreDecodedWhereverTheInputIsSplit() {
+        for (int split = 0; split <= TWO_ANSWERS.length(); split++) {
             EmbeddedChannel channel = channel();
-            channel.writeInbound(bytes(TWO.substring(0, split)));
-            channel.writeInbound(bytes(TWO.substring(split)));
-            checkTwo(channel);
+            channel.writeInbound(bytes(TWO_ANSWERS.substring(0, split)));
+            channel.writeInbound(bytes(TWO_ANSWERS.substring(split)));
+            checkTwoAnswers(channel);
             assertFalse(channel.finish());
         }
         EmbeddedChannel channel = channel();
-        for (char c : TWO.toCharArray()) {
+        for (char c : TWO_ANSWERS.toCharArray()) {
             channel.writeInbound(bytes(String.valueOf(c)));
         }
-        checkTwo(channel);
+        checkTwoAnswers(channel);
         assertFalse(channel.finish());
     }
 
     @Test
-    void halfAnAnswerIsNeverPassedOnAndItsBufferIsLetGo() {
+    void incompleteAnswerIsNotPassedOnAndItsBufferIsReleased() {
         EmbeddedChannel channel = channel();
         channel.writeInbound(bytes("a1 data - 400\r\n" + "x".repeat(399)));
         assertNull(channel.readInbound());
@@ -78,17 +78,17 @@
 
     @Test
     void oversizedInputEndsTheConnection() {
-        EmbeddedChannel line = channel();
-        assertThrows(TooLongFrameException.class, () -> line.writeInbound(bytes("x".repeat(300))));
-        line.finishAndReleaseAll();
-        EmbeddedChannel body = channel();
-        assertThrows(DecoderException.class, () -> body.writeInbound(bytes("a1 data - 501\r\n")));
-        body.finishAndReleaseAll();
+        EmbeddedChannel longHead = channel();
+        assertThrows(TooLongFrameException.class, () -> longHead.writeInbound(bytes("x".repeat(300))));
+        longHead.finishAndReleaseAll();
+        EmbeddedChannel longBody = channel();
+        assertThrows(DecoderException.class, () -> longBody.writeInbound(bytes("a1 data - 501\r\n")));
+        longBody.finishAndReleaseAll();
     }
 
     @Test
-    void garbageEndsTheConnection() {
-        for (String garbage : new String[] {
+    void malformedInputEndsTheConnection() {
+        for (String malformed : new String[] {
             "\r\n",
             "a1\r\n",
             "a1 data 5\r\n",
@@ -99,34 +99,34 @@
             "a  data - 1 1\r\n"
         }) {
             EmbeddedChannel channel = channel();
-            assertThrows(DecoderException.class, () -> channel.writeInbound(bytes(garbage)), garbage);
+            assertThrows(DecoderException.class, () -> channel.writeInbound(bytes(malformed)), malformed);
             channel.finishAndReleaseAll();
         }
     }
 
     @Test
-    void withoutRoomForABodyNothingMoreIsReadUntilThereIs() {
-        held = 999;
+    void readingIsPausedWhileTheBudgetHasNoCapacity() {
+        usedBytes = 999;
         EmbeddedChannel channel = channel();
-        channel.writeInbound(bytes(TWO));
+        channel.writeInbound(bytes(TWO_ANSWERS));
         assertNull(channel.readInbound());
         assertFalse(channel.config().isAutoRead());
         budget.resume();
-        assertNull(channel.readInbound(), "there is still no room");
-        held = 0;
+        assertNull(channel.readInbound(), "there is still no capacity");
+        usedBytes = 0;
         budget.resume();
         assertTrue(channel.config().isAutoRead());
-        checkTwo(channel);
+        checkTwoAnswers(channel);
         assertFalse(channel.finish());
     }
 
     @Test
-    void aConnectionThatEndsWhileWaitingForRoomIsForgotten() {
-        held = 1_001;
+    void connectionClosedWhileReadingIsPausedIsNotResumed() {
+        usedBytes = 1_001;
         EmbeddedChannel channel = channel();
-        channel.writeInbound(bytes(TWO));
+        channel.writeInbound(bytes(TWO_ANSWERS));
         assertFalse(channel.finish());
-        held = 0;
+        usedBytes = 0;
         budget.resume();
         AnswerDecoder.Answer none = channel.readInbound();
         assertNull(none);
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -26,7 +26,7 @@
 import pumicemoor.node.NodeTestConfig;
 import pumicemoor.node.ResourceLimits;
 
-/** Frames of clients, however they come in, and the frames that answer them. */
+/** Frames of clients, however their bytes are split, and the frames that answer them. */
 class ClientConnectionTest {
 
     private static final Map<String, String> FIELDS = new TreeMap<>(Map.of(
@@ -52,7 +52,7 @@
 
     private final TestLoop loop = new TestLoop();
     private ResourceLimits limits;
-    private long held;
+    private long usedBytes;
     private ClientConnection connection;
     private EmbeddedChannel channel;
 
@@ -65,7 +65,7 @@
 
     private void open() {
         loop.inputs.clear();
-        connection = new ClientConnection(1, limits, new BufferBudget(() -> held, 1_000_000), new Counters(), loop);
+        connection = new ClientConnection(1, limits, new BufferBudget(() -> usedBytes, 1_000_000), new Counters(), loop);
         channel = new EmbeddedChannel(new FrameDecoder(limits.frameBytes()), connection);
     }
 
@@ -109,9 +109,9 @@
 
     private String written() {
         ByteBuf all = Unpooled.buffer();
-        for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-            all.writeBytes(out);
-            out.release();
+        for (ByteBuf message = channel.readOutbound(); message != null; message = channel.readOutbound()) {
+            all.writeBytes(message);
+            message.release();
         }
         return ByteBufUtil.hexDump(all);
     }
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void aRequestIsReadWhereverTheInputIsSplit() {
+    void requestIsDecodedWhereverTheInputIsSplit() {
         byte[] request = request(5);
         for (int split = 0; split <= request.length; split++) {
             open();
@@ -164,8 +164,8 @@
     }
 
     @Test
-    void aRequestWhoseFieldsCannotBeUsedFailsAndTheConnectionGoesOn() {
-        String[][] bad = {
+    void requestWithAnInvalidFieldFailsAndTheConnectionStaysOpen() {
+        String[][] invalidChanges = {
             {"call", null},
             {"op", null},
             {"row", null},
@@ -185,13 +185,13 @@
             {"rep", "2"}
         };
         int stream = 0;
-        for (String[] change : bad) {
+        for (String[] change : invalidChanges) {
             write(request(++stream, change));
             String answer = "00000007" + "08" + String.format("%08x", stream) + "09" + "00";
             if (stream % limits.misuses() != 0) {
                 assertEquals(answer, written());
                 assertTrue(channel.isOpen());
-            } else { // who goes on with it loses the connection
+            } else { // too many invalid requests close the connection
                 assertEquals(answer + "0000000708000000000900", written());
                 assertFalse(channel.isOpen());
                 open();
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void aFieldThatStandsTwiceFailsTheRequest() {
+    void duplicateFieldFailsTheRequest() {
         byte[] once = request(5);
         byte[] twice = java.util.Arrays.copyOf(once, once.length + 9);
         byte[] field = {3, 'l', 'o', 't', 0, 2, '1', '7'};
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void aStreamThatWasUsedIsNotNewAlsoWhenItIsNoLongerOpen() {
+    void streamThatWasUsedIsNotAcceptedAgainAfterItsAnswer() {
         for (int stream : new int[] {1, 2, 5, 3, 700}) {
             write(request(stream));
             connection.answer(new Effect.Answer(1, stream, Code.FAILED, false, 0, Bytes.NONE));
@@ -230,22 +230,22 @@
     }
 
     @Test
-    void aClientThatSendsNothingOrHalfAFrameIsLetGoWithinThreeSeconds() {
+    void clientThatSendsNoCompleteRequestIsDisconnectedWithinThreeSeconds() {
         byte[][] starts = {{}, {0}, java.util.Arrays.copyOf(request(5), 30), frame(9, 5, null, new byte[0])};
-        for (byte[] start : starts) {
+        for (byte[] beginning : starts) {
             open();
-            write(start);
+            write(beginning);
             for (int i = 0; i < 3_000_000 / limits.sweep(); i++) {
                 loop.time += limits.sweep();
                 connection.sweep(loop.time);
             }
-            assertFalse(channel.isOpen(), "after " + start.length + " bytes");
+            assertFalse(channel.isOpen(), "after " + beginning.length + " bytes");
             assertEquals("0000000708000000000900", written());
         }
     }
 
     @Test
-    void aClientThatAskedOnceMayRestAndHalfAFrameLaterEndsIt() {
+    void clientWithAValidRequestMayIdleButAPartialFrameEndsIt() {
         write(frame(1, 3, Map.of(), new byte[0]));
         loop.time += limits.clientFirst() * 2;
         connection.sweep(loop.time);
@@ -259,7 +259,7 @@
     }
 
     @Test
-    void aTagThatCannotStandOnALineIsNotPassedOn() {
+    void tagWithIllegalCharactersIsNotPassedOn() {
         write(request(5, "ver", "a,b"));
         Input.Request request = (Input.Request) inputs().get(0);
         assertNull(request.tag());
@@ -267,15 +267,15 @@
     }
 
     @Test
-    void garbageIsToldOnStreamZeroAndEndsTheConnection() {
-        byte[][] garbage = {
+    void malformedFrameIsReportedOnStreamZeroAndEndsTheConnection() {
+        byte[][] malformed = {
             frame(42, 5, null, new byte[0]),
             {0, 0, 0, 2, 7, 7},
             {-1, -1, -1, -1, 0, 0, 0, 0},
             {0, 0x10, 0, 0, 7},
             frame(7, 0, FIELDS, new byte[0])
         };
-        for (byte[] bytes : garbage) {
+        for (byte[] bytes : malformed) {
             open();
             write(bytes);
             assertEquals("0000000708000000000900", written());
@@ -285,7 +285,7 @@
     }
 
     @Test
-    void fieldsThatEndEarlyFailTheRequest() {
+    void truncatedFieldsFailTheRequest() {
         byte[] whole = request(5);
         byte[] cut = java.util.Arrays.copyOf(whole, 30);
         cut[3] = 26;
@@ -295,21 +295,21 @@
     }
 
     @Test
-    void aBodyThatIsTooLongFailsTheRequest() {
+    void oversizedBodyFailsTheRequest() {
         write(frame(7, 5, FIELDS, new byte[48_001]));
         assertEquals("00000007" + "0800000005" + "0900", written());
     }
 
     @Test
-    void aStreamStillOpenIsNotNew() {
+    void streamThatIsStillOpenIsNotAcceptedAgain() {
         write(request(5));
         checkRequest();
         write(request(5));
-        assertEquals("0000000708000000000900", written(), "told at once");
-        assertTrue(channel.isOpen(), "what is open is owed its answer");
+        assertEquals("0000000708000000000900", written(), "reported at once");
+        assertTrue(channel.isOpen(), "open requests are still answered");
         write(request(6));
         write(frame(9, 5, null, new byte[0]));
-        assertEquals(1, loop.inputs.size(), "nothing more is taken");
+        assertEquals(1, loop.inputs.size(), "no further frame is accepted");
         connection.answer(new Effect.Answer(1, 5, Code.SERVED, false, 0, Bytes.NONE));
         assertEquals("00000007" + "08" + "00000005" + "0100", written());
         assertFalse(channel.isOpen());
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void anAnswerIsOneFrameAndIsWrittenOnce() {
+    void answerIsOneFrameAndIsWrittenOnce() {
         write(request(5));
         checkRequest();
         byte[] body = {9, 8, 7};
@@ -340,7 +340,7 @@
     }
 
     @Test
-    void anAnswerThatCrossesAWithdrawalIsNotWritten() {
+    void answerThatCrossesACancellationIsNotWritten() {
         write(request(5));
         checkRequest();
         write(frame(9, 5, null, new byte[0]));
@@ -353,7 +353,7 @@
     }
 
     @Test
-    void readinessIsToldOnTheStreamThatAsked() {
+    void readinessIsReportedOnTheStreamOfTheRequest() {
         write(frame(1, 3, Map.of(), new byte[0]));
         loop.ready = false;
         write(frame(1, 4, null, new byte[0]));
@@ -361,13 +361,13 @@
     }
 
     @Test
-    void aDrainIsToldOnStreamZero() {
+    void drainIsSentOnStreamZero() {
         connection.drain();
         assertEquals("00000005" + "03" + "00000000", written());
     }
 
     @Test
-    void moreThanThirtyTwoOpenStreamsAreRefused() {
+    void requestsBeyondThirtyTwoOpenStreamsAreRefused() {
         for (int stream = 1; stream <= 33; stream++) {
             write(request(stream));
         }
@@ -377,38 +377,38 @@
     }
 
     @Test
-    void withoutRoomForItsBodyARequestIsRefused() {
-        held = 999_999;
+    void requestIsRefusedWithoutBufferCapacityForItsBody() {
+        usedBytes = 999_999;
         write(request(5));
         assertTrue(loop.inputs.isEmpty());
         assertEquals("00000015" + "08" + "00000005" + "0001" + PUSHBACK, written());
     }
 
     @Test
-    void aClientWithALargeBacklogIsRefusedMoreButItsWithdrawalAndItsEndAreSeen() {
+    void clientWithALargeBacklogIsRefusedButItsCancellationsAndCloseAreProcessed() {
         write(request(5));
         checkRequest();
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         channel.runPendingTasks();
-        assertTrue(channel.config().isAutoRead(), "a stopped read would hide that it has gone");
+        assertTrue(channel.config().isAutoRead(), "with reading paused, the close would go unnoticed");
         write(request(6));
         write(frame(1, 7, null, new byte[0]));
         write(frame(9, 5, null, new byte[0]));
         assertEquals(List.of(new Input.RequestCancelled(1, 5)), inputs().subList(1, loop.inputs.size()));
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, true);
         channel.runPendingTasks();
-        assertEquals("00000015" + "08" + "00000006" + "0001" + PUSHBACK, written(), "refused, and no more than that");
+        assertEquals("00000015" + "08" + "00000006" + "0001" + PUSHBACK, written(), "refused, without any other answer");
         write(request(8));
         assertEquals(3, loop.inputs.size());
         ((Input.Request) inputs().get(2)).body().release();
     }
 
     @Test
-    void aRequestThatIsWithdrawnInTheSameReadIsNeverWorkedOn() {
-        byte[] asked = request(5);
-        byte[] both = java.util.Arrays.copyOf(asked, asked.length + 9);
-        System.arraycopy(frame(9, 5, null, new byte[0]), 0, both, asked.length, 9);
-        write(both);
+    void requestCancelledInTheSameReadIsNeverSubmitted() {
+        byte[] requestFrame = request(5);
+        byte[] requestAndCancel = java.util.Arrays.copyOf(requestFrame, requestFrame.length + 9);
+        System.arraycopy(frame(9, 5, null, new byte[0]), 0, requestAndCancel, requestFrame.length, 9);
+        write(requestAndCancel);
         assertTrue(loop.inputs.isEmpty());
         assertEquals("", written());
         write(request(6));
@@ -417,12 +417,12 @@
     }
 
     @Test
-    void aClientThatReadsNothingIsClosedAfterAWhile() {
-        connection = new ClientConnection(1, limits, new BufferBudget(() -> held, 1_000_000), new Counters(), loop);
+    void clientThatDoesNotReadIsDisconnectedAfterItsTimeout() {
+        connection = new ClientConnection(1, limits, new BufferBudget(() -> usedBytes, 1_000_000), new Counters(), loop);
         channel = new EmbeddedChannel(connection) {
             @Override
             protected void doWrite(ChannelOutboundBuffer in) {
-                // takes nothing
+                // the socket accepts no bytes
             }
         };
         channel.writeInbound(Unpooled.copiedBuffer(request(5), 4, request(5).length - 4));
@@ -439,7 +439,7 @@
     }
 
     @Test
-    void anIdleConnectionIsClosedButNotOneWithAnOpenRequest() {
+    void idleConnectionIsClosedButNotOneWithAnOpenRequest() {
         write(request(5));
         checkRequest();
         loop.time += limits.clientIdle() + 1;
@@ -448,7 +448,7 @@
         connection.answer(new Effect.Answer(1, 5, Code.FAILED, false, 0, Bytes.NONE));
         written();
         connection.sweep(loop.time);
-        assertEquals("00000005" + "03" + "00000000", written(), "told first, so that no request crosses the close");
+        assertEquals("00000005" + "03" + "00000000", written(), "a drain comes first, so that no request crosses the close");
         assertTrue(channel.isOpen());
         loop.time += limits.clientLeave();
         connection.sweep(loop.time);
--- a/src/test/java/pumicemoor/net/CoordinatorMoveTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorMoveTest.java
@@ -12,40 +12,40 @@
 import pumicemoor.node.NodeTestConfig;
 import pumicemoor.operator.OperatorConfig;
 
-/** SIGHUP moves discovery to a coordinator that takes connections and does not answer yet. */
+/** A reload switches to a coordinator that accepts connections but does not answer yet. */
 class CoordinatorMoveTest extends SocketRig {
 
-    /** Reads what it is asked and says nothing. */
-    private final class Mute extends StandIn {
-        final CountDownLatch asked = new CountDownLatch(1);
+    /** Reads the request and never answers. */
+    private final class SilentCoordinator extends StubServer {
+        final CountDownLatch requested = new CountDownLatch(1);
 
-        Mute() throws IOException {}
+        SilentCoordinator() throws IOException {}
 
         @Override
         void serve(Socket socket) throws IOException {
             line(socket.getInputStream());
-            asked.countDown();
+            requested.countDown();
             socket.getInputStream().transferTo(java.io.OutputStream.nullOutputStream());
         }
     }
 
     @Test
-    void aDrainIsAppliedThatTheOldCoordinatorTellsWhileTheNewOneDoesNotAnswer() throws Exception {
-        Cache draining = new Cache("data");
-        Cache other = new Cache("data");
-        Coordinator before = new Coordinator();
-        Mute after = new Mute();
-        String known = NodeTestConfig.list(1, true, member("s-1", draining, "box"), member("s-2", other, "box"));
-        start(before.address(), known);
+    void drainFromTheOldCoordinatorIsAppliedWhileTheNewOneDoesNotAnswer() throws Exception {
+        Cache drainingCache = new Cache("data");
+        Cache otherCache = new Cache("data");
+        Coordinator oldCoordinator = new Coordinator();
+        SilentCoordinator newCoordinator = new SilentCoordinator();
+        String initialMembers = NodeTestConfig.list(1, true, member("s-1", drainingCache, "box"), member("s-2", otherCache, "box"));
+        start(oldCoordinator.address(), initialMembers);
         server.reload(
-                NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:0", after.address(), known)),
+                NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:0", newCoordinator.address(), initialMembers)),
                 OperatorConfig.NONE,
                 null);
-        assertTrue(after.asked.await(PATIENCE, TimeUnit.MILLISECONDS));
-        before.events.add("id: 2\ndata: "
-                + NodeTestConfig.list(2, false, NodeTestConfig.member("s-1", draining.address(), "box", "leaving", 0)));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2);
-        while (server.counters().get(Name.UPDATES) < 2 && System.nanoTime() < end) {
+        assertTrue(newCoordinator.requested.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+        oldCoordinator.events.add("id: 2\ndata: "
+                + NodeTestConfig.list(2, false, NodeTestConfig.member("s-1", drainingCache.address(), "box", "leaving", 0)));
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(2);
+        while (server.counters().get(Name.UPDATES) < 2 && System.nanoTime() < deadlineNanos) {
             Thread.sleep(5);
         }
         assertEquals(2, server.counters().get(Name.UPDATES));
--- a/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
@@ -24,7 +24,7 @@
 import pumicemoor.node.NodeTestConfig;
 import pumicemoor.node.ResourceLimits;
 
-/** One connection to the coordinator, on a clock that the test moves. */
+/** One connection to the coordinator, on a clock that the test advances. */
 class CoordinatorStreamTest {
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -52,93 +52,93 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    private void take(String text) {
+    private void receive(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    private void pass(long micros) {
+    private void advanceTime(long micros) {
         channel.advanceTimeBy(micros, TimeUnit.MICROSECONDS);
         channel.runPendingTasks();
     }
 
     @Test
-    void itAsksFromTheLastEventThatWasTaken() {
+    void streamIsRequestedFromTheLastAppliedEvent() {
         StringBuilder request = new StringBuilder();
-        for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-            request.append(out.toString(StandardCharsets.US_ASCII));
-            out.release();
+        for (ByteBuf message = channel.readOutbound(); message != null; message = channel.readOutbound()) {
+            request.append(message.toString(StandardCharsets.US_ASCII));
+            message.release();
         }
         assertTrue(request.toString().startsWith("GET /v2/stream HTTP/1.1\r\n"), request.toString());
         assertTrue(request.toString().toLowerCase().contains("last-event-id: 41\r\n"), request.toString());
     }
 
     @Test
-    void aLinkWithoutCommentsIsDeadAndOneWithThemIsNot() {
-        take("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+    void connectionWithoutCommentsTimesOutAndOneWithThemDoesNot() {
+        receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
         for (int i = 0; i < 10; i++) {
-            pass(limits.feedSilence() / 2);
-            take(":\n\n");
+            advanceTime(limits.feedSilence() / 2);
+            receive(":\n\n");
         }
         assertTrue(channel.isOpen());
-        pass(limits.feedSilence() + 1_000);
+        advanceTime(limits.feedSilence() + 1_000);
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void eventsAreHandedOnAsTheTextThatCame() {
-        take("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nid: 42\ndata: {\"i\r\n");
+    void eventsArePassedOnUnparsed() {
+        receive("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nid: 42\ndata: {\"i\r\n");
         assertEquals(0, loop.inputs.size());
-        take("a\r\nndex\":42}\n\r\n1\r\n\n\r\n");
+        receive("a\r\nndex\":42}\n\r\n1\r\n\n\r\n");
         assertEquals(List.of(new Input.CoordinatorUpdate("{\"index\":42}")), List.copyOf(loop.inputs));
     }
 
-    /** After a cut a purge may stand behind any event of what was missed: only a comment behind all of it is a sign. */
+    /** After a reconnect, missed purges may follow any event: only a comment after all events proves that none is missing. */
     @Test
-    void whatWasMissedIsNoSignThatAllWasTold() {
-        take("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n");
+    void missedEventsAreNoHeartbeat() {
+        receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n");
         for (int i = 42; i < 52; i++) {
-            take("id: " + i + "\ndata: {\"index\":" + i + "}\n\n");
+            receive("id: " + i + "\ndata: {\"index\":" + i + "}\n\n");
         }
         assertEquals(10, loop.inputs.size());
         assertTrue(loop.inputs.stream().allMatch(i -> i instanceof Input.CoordinatorUpdate), loop.inputs.toString());
-        take(":\n\n");
+        receive(":\n\n");
         assertEquals(new Input.CoordinatorHeartbeat(), List.copyOf(loop.inputs).get(10));
-        take("id: 52\ndata: {\"index\":52}\n\n");
+        receive("id: 52\ndata: {\"index\":52}\n\n");
         assertEquals(12, loop.inputs.size());
     }
 
     @Test
-    void aStreamThatStopsIsGivenUpWellBeforeItsNewsCountsAsTold() {
-        take("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n");
-        pass(1_200_000);
+    void silentStreamIsClosedBeforeUpdatesCountAsOutdated() {
+        receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n");
+        advanceTime(1_200_000);
         assertTrue(channel.isOpen(), "a comment comes each second");
-        pass(800_000);
+        advanceTime(800_000);
         assertFalse(channel.isOpen(), "two seconds of silence are enough");
         assertTrue(limits.feedSilence() + limits.feedRetry() + limits.feedConnect() < 4_000_000);
     }
 
     @Test
-    void aCommentSaysThatAllHasComeAndAnAnswerAloneDoesNot() {
-        take("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+    void onlyCommentsAfterTheFirstAreHeartbeats() {
+        receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
         assertEquals(0, loop.inputs.size());
-        take(": \n\n");
-        assertEquals(0, loop.inputs.size(), "the first may stand before what was missed");
-        take(": \n\n");
+        receive(": \n\n");
+        assertEquals(0, loop.inputs.size(), "the first comment may precede missed events");
+        receive(": \n\n");
         assertEquals(List.of(new Input.CoordinatorHeartbeat()), List.copyOf(loop.inputs));
-        take("\n");
-        assertEquals(1, loop.inputs.size(), "an empty line says nothing");
+        receive("\n");
+        assertEquals(1, loop.inputs.size(), "an empty line is no heartbeat");
     }
 
     @Test
-    void halfAnEventIsNeverHandedOn() {
-        take("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 42\ndata: {\"index\":42}");
+    void incompleteEventIsNotDelivered() {
+        receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 42\ndata: {\"index\":42}");
         channel.close();
         assertEquals(0, loop.inputs.size());
     }
 
     @Test
-    void anAnswerThatIsNoStreamEndsTheConnection() {
-        take("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    void answerOtherThan200ClosesTheConnection() {
+        receive("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         assertFalse(channel.isOpen());
     }
 }
--- a/src/test/java/pumicemoor/net/CrossingsTest.java
+++ b/src/test/java/pumicemoor/net/CrossingsTest.java
@@ -10,13 +10,13 @@
 import pumicemoor.node.NodeTestConfig;
 
 /**
- * Two events that cross, on sockets: the loop is held up while the test brings both about in the order it states, so
- * that the router finds them together.
+ * Races between two events, on sockets: the test stalls the event loop while it triggers both in a fixed order, so that
+ * the router finds them together.
  */
 class CrossingsTest extends SocketRig {
 
     @Test
-    void aPurgeThatCameWhileTheLoopWasHeldUpBindsTheRequestsThatCameBeforeIt() throws Exception {
+    void purgeReceivedDuringAStallAppliesToRequestsReceivedBeforeIt() throws Exception {
         Cache cache = new Cache("data");
         Coordinator coordinator = new Coordinator();
         start(coordinator.address(), NodeTestConfig.list(1, true, member("s-1", cache, "box")));
@@ -25,110 +25,110 @@
         assertEquals(1, client.next().code());
         assertTrue(!cache.next().line().contains("within="));
         coordinator.lastEventIds.take();
-        CountDownLatch letGo = holdLoop();
+        CountDownLatch resumeLoop = stallLoop();
         client.request(2, "segment", new byte[0]);
         coordinator.events.add("id: 2\ndata: {\"index\":2,\"evict\":{\"ref\":\"7f3a9c21e0b4d655\",\"unix_ms\":"
                 + (System.currentTimeMillis() - 5_000) + "}}");
-        while (coordinator.written.get() < 1) {
+        while (coordinator.eventsWritten.get() < 1) {
             Thread.onSpinWait();
         }
-        letGo.countDown();
+        resumeLoop.countDown();
         assertEquals(1, client.next().code());
         String line = cache.next().line();
-        assertTrue(line.contains("within="), "decided on older news: " + line);
+        assertTrue(line.contains("within="), "decided without the purge: " + line);
     }
 
     @Test
-    void aRequestThatLayUnreadWhileTheLoopWasHeldUpHasSoMuchLessTimeLeft() throws Exception {
+    void timeOfAStallIsDeductedFromAnUnreadRequest() throws Exception {
         Cache cache = new Cache("data");
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box")));
         Client client = new Client();
         client.request(1, "segment", new byte[0]);
         assertEquals(1, client.next().code());
         cache.next();
-        CountDownLatch letGo = holdLoop();
+        CountDownLatch resumeLoop = stallLoop();
         client.request(2, "segment", new byte[0]);
-        letGo.countDown();
+        resumeLoop.countDown();
         assertEquals(1, client.next().code());
-        assertTrue(limit(cache.next()) <= 1_500, "it lay unread for 300 ms at least");
+        assertTrue(limitMillis(cache.next()) <= 1_500, "it was unread for at least 300 ms");
     }
 
-    private static int limit(Asked asked) {
-        return Integer.parseInt(asked.line().replaceAll(".*limit=(\\d+).*", "$1"));
+    private static int limitMillis(ReceivedRequest request) {
+        return Integer.parseInt(request.line().replaceAll(".*limit=(\\d+).*", "$1"));
     }
 
-    /** A router that was asked to end some time ago and has one request left, whose answer the test withholds. */
-    private Asked lastOne(Cache cache, Client client) throws Exception {
+    /** Terminates the router while one request is open, whose answer the test withholds; returns that request. */
+    private ReceivedRequest terminateWithOneOpenRequest(Cache cache, Client client) throws Exception {
         client.request(1, "segment", new byte[0]);
-        Asked asked = cache.next();
+        ReceivedRequest request = cache.next();
         server.terminate();
         assertEquals(3, client.next().type());
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
-        while (System.nanoTime() < end) { // past the time in which it waits for requests on their way
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
+        while (System.nanoTime() < deadlineNanos) { // longer than the router waits for requests in transit
             Thread.sleep(10);
         }
-        cache.word = "data";
-        return asked;
+        cache.status = "data";
+        return request;
     }
 
-    private void answer(Cache cache, Asked asked) throws Exception {
+    private void answer(Cache cache, ReceivedRequest request) throws Exception {
         synchronized (cache.sockets) {
-            cache.answer(cache.sockets.get(0).getOutputStream(), asked.id());
+            cache.answer(cache.sockets.get(0).getOutputStream(), request.id());
         }
     }
 
     @Test
-    void aRequestOnARestingConnectionThatCrossesTheLastAnswerBeforeTheEndIsAnswered() throws Exception {
+    void requestOnAnIdleConnectionThatCrossesTheLastAnswerIsAnsweredBeforeTheEnd() throws Exception {
         Cache cache = new Cache("");
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box")));
         Client client = new Client();
-        Client resting = new Client();
-        resting.send(1, 7);
-        assertEquals(2, resting.next().type());
-        Asked asked = lastOne(cache, client);
-        assertEquals(3, resting.next().type());
-        CountDownLatch letGo = holdLoop();
-        answer(cache, asked); // after it nothing is open
-        resting.request(2, "segment", new byte[0]);
-        letGo.countDown();
+        Client idle = new Client();
+        idle.send(1, 7);
+        assertEquals(2, idle.next().type());
+        ReceivedRequest request = terminateWithOneOpenRequest(cache, client);
+        assertEquals(3, idle.next().type());
+        CountDownLatch resumeLoop = stallLoop();
+        answer(cache, request); // after it no request is open
+        idle.request(2, "segment", new byte[0]);
+        resumeLoop.countDown();
         assertEquals(1, client.next().code());
-        assertEquals(1, resting.next().code());
-        assertTrue(server.awaitEnd(PATIENCE));
+        assertEquals(1, idle.next().code());
+        assertTrue(server.awaitEnd(TIMEOUT_MILLIS));
     }
 
     @Test
-    void aRequestOnAConnectionThatWasNotAcceptedYetIsAnsweredBeforeTheEnd() throws Exception {
+    void requestOnAConnectionNotYetAcceptedIsAnsweredBeforeTheEnd() throws Exception {
         Cache cache = new Cache("");
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box")));
         Client client = new Client();
-        Asked asked = lastOne(cache, client);
-        CountDownLatch letGo = holdLoop();
-        answer(cache, asked);
+        ReceivedRequest request = terminateWithOneOpenRequest(cache, client);
+        CountDownLatch resumeLoop = stallLoop();
+        answer(cache, request);
         Client late = new Client();
         late.request(2, "segment", new byte[0]);
-        letGo.countDown();
+        resumeLoop.countDown();
         assertEquals(1, client.next().code());
         assertEquals(3, late.next().type());
         assertEquals(1, late.next().code());
-        assertTrue(server.awaitEnd(PATIENCE));
+        assertTrue(server.awaitEnd(TIMEOUT_MILLIS));
     }
 
     @Test
-    void noFurtherAttemptIsBegunForAClientThatLeftBehindTheFailureOfItsFirst() throws Exception {
+    void noRetryIsSentForAClientThatDisconnectedAfterTheFirstFailure() throws Exception {
         Cache cache = new Cache("");
         Cache other = new Cache("");
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box"), member("s-2", other, "box")));
         Client client = new Client();
         client.request(1, "segment", new byte[0]);
-        while (cache.asked.isEmpty() && other.asked.isEmpty()) {
+        while (cache.requests.isEmpty() && other.requests.isEmpty()) {
             Thread.onSpinWait();
         }
-        Cache first = cache.asked.isEmpty() ? other : cache;
-        CountDownLatch letGo = holdLoop();
-        first.word = "full";
+        Cache first = cache.requests.isEmpty() ? other : cache;
+        CountDownLatch resumeLoop = stallLoop();
+        first.status = "full";
         answer(first, first.next());
         client.close();
-        letGo.countDown();
+        resumeLoop.countDown();
         while (server.counters().get(Name.WITHDRAWN) < 1) {
             Thread.onSpinWait();
         }
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void aRequestWhoseClientLeftWhileTheLoopWasHeldUpIsNotBegun() throws Exception {
+    void requestOfAClientThatDisconnectedDuringAStallIsNotSent() throws Exception {
         Cache cache = new Cache("data");
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box")));
         Client client = new Client();
@@ -145,12 +145,12 @@
         second.request(2, "segment", new byte[0]);
         assertEquals(1, client.next().code());
         assertEquals(1, second.next().code());
-        CountDownLatch letGo = holdLoop();
+        CountDownLatch resumeLoop = stallLoop();
         client.request(3, "segment", new byte[0]);
         second.request(4, "segment", new byte[0]);
         second.send(9, 4);
         client.close();
-        letGo.countDown();
+        resumeLoop.countDown();
         Client third = new Client();
         third.request(5, "segment", new byte[0]);
         assertEquals(1, third.next().code());
--- a/src/test/java/pumicemoor/net/InboxTest.java
+++ b/src/test/java/pumicemoor/net/InboxTest.java
@@ -7,6 +7,7 @@
 import pumicemoor.node.Bytes;
 import pumicemoor.node.Input;
 
+/** The order in which inputs leave the queue, and requests that are held back. */
 class InboxTest {
 
     private final Inbox inbox = new Inbox();
@@ -15,23 +16,23 @@
         return new Input.Request(1, stream, "c" + stream, "segment", "o", 0, -1, null, 1_000, false, Bytes.NONE);
     }
 
-    private static Input.RequestCancelled withdrawn(int stream) {
+    private static Input.RequestCancelled cancelled(int stream) {
         return new Input.RequestCancelled(1, stream);
     }
 
     @Test
-    void newsGoesBeforeDeparturesAndBothBeforeTheRest() {
+    void updatesComeBeforeCancellationsAndBothBeforeOtherInputs() {
         inbox.add(request(1));
-        inbox.leave(withdrawn(9), r -> false);
+        inbox.cancel(cancelled(9), r -> false);
         inbox.add(new Input.CoordinatorHeartbeat());
         assertEquals(new Input.CoordinatorHeartbeat(), inbox.nextUrgent());
-        assertEquals(withdrawn(9), inbox.nextUrgent());
+        assertEquals(cancelled(9), inbox.nextUrgent());
         assertNull(inbox.nextUrgent());
         assertEquals(request(1), inbox.nextOther());
     }
 
     @Test
-    void heldRequestsKeepTheirOrderAndLoseTheTimeThatTheyWaited() {
+    void heldRequestsKeepTheirOrderAndAreChargedTheTimeTheyWaited() {
         inbox.holdRequests();
         inbox.add(request(1));
         inbox.add(new Input.TimerFired());
@@ -46,14 +47,14 @@
     }
 
     @Test
-    void aHeldRequestWhoseClientLeftNeverGoesOut() {
+    void cancelledHeldRequestIsNotReleased() {
         inbox.holdRequests();
         inbox.add(request(1));
         inbox.add(request(2));
         assertNull(inbox.nextOther());
-        assertEquals(1, inbox.leave(withdrawn(1), r -> r.stream() == 1));
+        assertEquals(1, inbox.cancel(cancelled(1), r -> r.stream() == 1));
         inbox.releaseRequests(0);
-        assertEquals(withdrawn(1), inbox.nextUrgent());
+        assertEquals(cancelled(1), inbox.nextUrgent());
         assertEquals(request(2), inbox.nextOther());
         assertNull(inbox.nextOther());
     }
--- a/src/test/java/pumicemoor/net/NodeServerTest.java
+++ b/src/test/java/pumicemoor/net/NodeServerTest.java
@@ -15,11 +15,11 @@
 import pumicemoor.node.NodeTestConfig;
 import pumicemoor.operator.OperatorConfig;
 
-/** The whole router on loopback, with small stand-ins for members, coordinator and clients. */
+/** The complete router on loopback, with stubs for members, coordinator and clients. */
 class NodeServerTest extends SocketRig {
 
     @Test
-    void bytesGoThroughUnalteredInBothDirections() throws Exception {
+    void bodiesArePassedOnUnalteredInBothDirections() throws Exception {
         Cache cache = new Cache("data");
         Cache origin = new Cache("data");
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box"), member("o-1", origin, "store")));
@@ -66,18 +66,18 @@
     }
 
     @Test
-    void anUnsafeRequestWhoseConnectionBreaksIsNotSentAgainAndFails() throws Exception {
+    void unsafeRequestWhoseConnectionBreaksFailsWithoutRetry() throws Exception {
         Cache origin = new Cache(null);
         start("", NodeTestConfig.list(1, true, member("o-1", origin, "store")));
         Client client = new Client();
         client.request(1, "order", new byte[10]);
         Frame answer = client.next();
         assertEquals(9, answer.code());
-        assertEquals(1, origin.asked.size());
+        assertEquals(1, origin.requests.size());
     }
 
     @Test
-    void anUnsafeRequestThatReachedNobodyIsRefused() throws Exception {
+    void unsafeRequestThatReachedNoMemberIsRefused() throws Exception {
         Cache origin = new Cache("data");
         String address = member("o-1", origin, "store");
         origin.close();
@@ -88,34 +88,34 @@
     }
 
     @Test
-    void theCoordinatorIsFollowedFromWhatIsKnownAndAgainAfterACut() throws Exception {
-        Cache old = new Cache("data");
-        Cache fresh = new Cache("data");
-        old.body = new byte[] {1};
-        fresh.body = new byte[] {2};
+    void coordinatorIsFollowedFromTheLastKnownEventAndAgainAfterAReconnect() throws Exception {
+        Cache oldCache = new Cache("data");
+        Cache newCache = new Cache("data");
+        oldCache.body = new byte[] {1};
+        newCache.body = new byte[] {2};
         Coordinator coordinator = new Coordinator();
-        start(coordinator.address(), NodeTestConfig.list(1, true, member("s-1", old, "box")));
-        assertEquals("1", coordinator.lastEventIds.poll(PATIENCE, TimeUnit.MILLISECONDS));
+        start(coordinator.address(), NodeTestConfig.list(1, true, member("s-1", oldCache, "box")));
+        assertEquals("1", coordinator.lastEventIds.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         coordinator.events.add("id: 2\ndata: "
                 + NodeTestConfig.list(
                         2,
                         false,
-                        member("s-2", fresh, "box"),
-                        NodeTestConfig.member("s-1", old.address(), "box", "left", 0)));
+                        member("s-2", newCache, "box"),
+                        NodeTestConfig.member("s-1", oldCache.address(), "box", "left", 0)));
         Client client = new Client();
         int stream = 0;
-        byte[] got = {1};
-        while (got[0] == 1) { // until the event has arrived
+        byte[] body = {1};
+        while (body[0] == 1) { // until the update has been applied
             client.request(++stream, "segment", new byte[0]);
-            got = client.next().body();
+            body = client.next().body();
         }
-        assertEquals(2, got[0]);
-        coordinator.cut();
-        assertEquals("2", coordinator.lastEventIds.poll(PATIENCE, TimeUnit.MILLISECONDS));
+        assertEquals(2, body[0]);
+        coordinator.closeConnections();
+        assertEquals("2", coordinator.lastEventIds.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
     @Test
-    void aMemberThatTakesTheAddressOfOneThatLeftIsAskedOnANewConnection() throws Exception {
+    void memberThatReusesTheAddressOfOneThatLeftGetsANewConnection() throws Exception {
         Cache cache = new Cache("data");
         Coordinator coordinator = new Coordinator();
         start(coordinator.address(), NodeTestConfig.list(1, true, member("s-1", cache, "box")));
@@ -138,28 +138,28 @@
     }
 
     @Test
-    void aWithdrawnRequestIsCalledOffAtTheCacheAndNotAnswered() throws Exception {
+    void cancelledRequestIsAbandonedAtTheCacheAndNotAnswered() throws Exception {
         Cache cache = new Cache("");
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box")));
         Client client = new Client();
         client.request(1, "segment", new byte[0]);
         assertEquals("0000000000000001", cache.next().id());
         client.send(9, 1);
-        assertEquals("0000000000000001", cache.quits.poll(PATIENCE, TimeUnit.MILLISECONDS));
-        cache.word = "data";
+        assertEquals("0000000000000001", cache.abandonedIds.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+        cache.status = "data";
         client.request(2, "segment", new byte[0]);
         assertEquals(2, client.next().stream());
     }
 
     @Test
-    void askedToEndItTellsItsClientsAnswersWhatIsOpenAndCloses() throws Exception {
+    void terminationDrainsClientsAnswersOpenRequestsAndCloses() throws Exception {
         Cache cache = new Cache("");
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box")));
         Client client = new Client();
         client.send(1, 7);
         assertEquals(1, client.next().code());
         client.request(1, "segment", new byte[0]);
-        Asked asked = cache.next();
+        ReceivedRequest request = cache.next();
         server.terminate();
         Frame drain = client.next();
         assertEquals(3, drain.type());
@@ -168,19 +168,19 @@
         assertEquals(3, late.next().type());
         late.send(1, 7);
         assertEquals(0, late.next().code());
-        cache.word = "data";
+        cache.status = "data";
         late.request(2, "segment", new byte[0]);
         assertEquals(1, late.next().code());
         synchronized (cache.sockets) {
-            cache.answer(cache.sockets.get(0).getOutputStream(), asked.id());
+            cache.answer(cache.sockets.get(0).getOutputStream(), request.id());
         }
         assertEquals(1, client.next().code());
-        assertTrue(server.awaitEnd(PATIENCE));
+        assertTrue(server.awaitEnd(TIMEOUT_MILLIS));
         assertNull(client.next());
     }
 
     @Test
-    void answersOnTheirWayToASlowClientArriveWholeThoughTheRouterEnds() throws Exception {
+    void pendingAnswersReachASlowClientCompletelyBeforeTheRouterEnds() throws Exception {
         Cache cache = new Cache("data");
         cache.body = new byte[240_000];
         start("", NodeTestConfig.list(1, true, member("s-1", cache, "box")));
@@ -193,21 +193,21 @@
         }
         server.terminate();
         boolean listening = true;
-        while (listening) { // until the router has begun to close
+        while (listening) { // until the router has closed its listener
             try {
                 new Client().close();
             } catch (IOException e) {
                 listening = false;
             }
         }
-        int whole = 0;
+        int answers = 0;
         for (Frame frame = slow.next(); frame != null; frame = slow.next()) {
-            whole += frame.type() == 8 ? 1 : 0;
+            answers += frame.type() == 8 ? 1 : 0;
         }
-        assertEquals(32, whole);
+        assertEquals(32, answers);
     }
 
-    /** A router that may hold no more than 16 connections of clients. */
+    /** Starts a router with a limit of 16 client connections. */
     private void startSmall(String... updates) throws Exception {
         server = new NodeServer(
                 NodeTestConfig.parse(
@@ -217,47 +217,47 @@
     }
 
     @Test
-    void aUsualClientGetsInWhileSilentOnesHoldAllTheyCan() throws Exception {
+    void newClientIsAcceptedWhileSilentClientsHoldAllConnections() throws Exception {
         Cache cache = new Cache("data");
         startSmall(NodeTestConfig.list(1, true, member("s-1", cache, "box")));
         for (int i = 0; i < 100; i++) {
             new Client();
         }
-        Client usual = new Client();
-        usual.request(1, "segment", new byte[0]);
-        assertEquals(1, usual.next().code());
+        Client newClient = new Client();
+        newClient.request(1, "segment", new byte[0]);
+        assertEquals(1, newClient.next().code());
     }
 
     @Test
-    void aUsualClientGetsInWhileOthersAskedOnceAndKeepTheirConnections() throws Exception {
+    void newClientIsAcceptedWhileIdleClientsHoldAllConnections() throws Exception {
         Cache cache = new Cache("data");
         startSmall(NodeTestConfig.list(1, true, member("s-1", cache, "box")));
         for (int i = 1; i <= 50; i++) {
-            Client keeper = new Client();
-            keeper.request(i, "segment", new byte[0]);
-            assertEquals(1, keeper.next().code());
+            Client idleClient = new Client();
+            idleClient.request(i, "segment", new byte[0]);
+            assertEquals(1, idleClient.next().code());
         }
     }
 
     @Test
-    void aNewCoordinatorIsFollowedFromTheLastEventOn() throws Exception {
-        Coordinator before = new Coordinator();
-        Coordinator after = new Coordinator();
-        String known = NodeTestConfig.list(1, true);
-        start(before.address(), known);
-        assertEquals("1", before.lastEventIds.poll(PATIENCE, TimeUnit.MILLISECONDS));
-        before.events.add("id: 2\ndata: " + NodeTestConfig.list(2, false));
+    void newCoordinatorIsFollowedFromTheLastAppliedEvent() throws Exception {
+        Coordinator oldCoordinator = new Coordinator();
+        Coordinator newCoordinator = new Coordinator();
+        String initialMembers = NodeTestConfig.list(1, true);
+        start(oldCoordinator.address(), initialMembers);
+        assertEquals("1", oldCoordinator.lastEventIds.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+        oldCoordinator.events.add("id: 2\ndata: " + NodeTestConfig.list(2, false));
         while (server.counters().get(Name.UPDATES) < 2) {
             Thread.onSpinWait();
         }
         server.reload(
-                NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:0", after.address(), known)),
+                NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:0", newCoordinator.address(), initialMembers)),
                 OperatorConfig.NONE,
                 null);
-        assertEquals("2", after.lastEventIds.poll(PATIENCE, TimeUnit.MILLISECONDS));
-        before.events.add("id: 3\ndata: " + NodeTestConfig.list(3, false));
-        after.events.add("id: 3\ndata: " + NodeTestConfig.list(3, false));
-        after.events.add("id: 4\ndata: " + NodeTestConfig.list(4, false));
+        assertEquals("2", newCoordinator.lastEventIds.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+        oldCoordinator.events.add("id: 3\ndata: " + NodeTestConfig.list(3, false));
+        newCoordinator.events.add("id: 3\ndata: " + NodeTestConfig.list(3, false));
+        newCoordinator.events.add("id: 4\ndata: " + NodeTestConfig.list(4, false));
         while (server.counters().get(Name.UPDATES) < 4) {
             Thread.onSpinWait();
         }
--- a/src/test/java/pumicemoor/net/SocketRig.java
+++ b/src/test/java/pumicemoor/net/SocketRig.java
@@ -27,11 +27,11 @@
 import pumicemoor.node.NodeTestConfig;
 import pumicemoor.operator.OperatorConfig;
 
-/** A whole router on loopback for tests, with small stand-ins for members, coordinator and clients. */
+/** A complete router on loopback for tests, with stubs for members, coordinator and clients. */
 abstract class SocketRig {
 
-    static final int COMMENT_EVERY = 200; // milliseconds
-    static final int PATIENCE = 20_000; // milliseconds; far above anything waited for here
+    static final int COMMENT_INTERVAL_MILLIS = 200;
+    static final int TIMEOUT_MILLIS = 20_000; // far above any expected wait
 
     final List<AutoCloseable> toClose = new ArrayList<>();
     NodeServer server;
@@ -40,10 +40,10 @@
     void stop() throws Exception {
         if (server != null) {
             server.terminate();
-            assertTrue(server.awaitEnd(PATIENCE));
+            assertTrue(server.awaitEnd(TIMEOUT_MILLIS));
         }
-        for (AutoCloseable c : toClose) {
-            c.close();
+        for (AutoCloseable resource : toClose) {
+            resource.close();
         }
     }
 
@@ -53,30 +53,30 @@
         server.start();
     }
 
-    /** Holds the router's loop up until it is let go, for long enough that what was read before counts as old. */
-    CountDownLatch holdLoop() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch letGo = new CountDownLatch(1);
+    /** Stalls the router's event loop until the latch is released, and for long enough that the router notices. */
+    CountDownLatch stallLoop() throws InterruptedException {
+        CountDownLatch stalled = new CountDownLatch(1);
+        CountDownLatch resumeLoop = new CountDownLatch(1);
         server.execute(() -> {
-            held.countDown();
+            stalled.countDown();
             try {
-                letGo.await();
-                Thread.sleep(300); // what the test has prepared is older than any look at the feed
+                resumeLoop.await();
+                Thread.sleep(300); // the test's events are older than the last read of the coordinator stream
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(held.await(PATIENCE, TimeUnit.MILLISECONDS));
-        return letGo;
+        assertTrue(stalled.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+        return resumeLoop;
     }
 
-    /** Anything that listens; each connection has a thread that ends with it. */
-    abstract class StandIn implements AutoCloseable {
+    /** A stub server; each connection has a thread that ends with it. */
+    abstract class StubServer implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         final List<Socket> sockets = new ArrayList<>();
         private final Thread accepting;
 
-        StandIn() throws IOException {
+        StubServer() throws IOException {
             toClose.add(this);
             accepting = new Thread(() -> {
                 try {
@@ -85,15 +85,15 @@
                         synchronized (sockets) {
                             sockets.add(socket);
                         }
-                        Thread each = new Thread(() -> {
+                        Thread worker = new Thread(() -> {
                             try {
                                 serve(socket);
                             } catch (IOException e) {
                                 // the connection has ended
                             }
                         });
-                        each.setDaemon(true);
-                        each.start();
+                        worker.setDaemon(true);
+                        worker.start();
                     }
                 } catch (IOException e) {
                     // closed at the end of the test
@@ -109,7 +109,7 @@
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        void cut() throws IOException {
+        void closeConnections() throws IOException {
             synchronized (sockets) {
                 for (Socket socket : sockets) {
                     socket.close();
@@ -122,29 +122,32 @@
         public void close() throws IOException {
             listener.close();
             try {
-                accepting.join(PATIENCE); // the system accepts connections for as long as a thread waits for one
+                accepting.join(TIMEOUT_MILLIS); // the kernel accepts connections while a thread is blocked in accept
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            cut();
+            closeConnections();
         }
     }
 
-    record Asked(String line, byte[] body) {
+    record ReceivedRequest(String line, byte[] body) {
         String id() {
             return line.split(" ")[1];
         }
     }
 
-    /** A cache, parent or origin: notes each request, answers with what the test says; null breaks off. */
-    class Cache extends StandIn {
-        final BlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> quits = new LinkedBlockingQueue<>();
-        volatile String word;
+    /**
+     * A stub cache, parent or origin: records each request and answers with the status set by the test; with null it
+     * closes the connection, with an empty status it does not answer.
+     */
+    class Cache extends StubServer {
+        final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> abandonedIds = new LinkedBlockingQueue<>();
+        volatile String status;
         volatile byte[] body = new byte[0];
 
-        Cache(String word) throws IOException {
-            this.word = word;
+        Cache(String status) throws IOException {
+            this.status = status;
         }
 
         @Override
@@ -154,7 +157,7 @@
             for (String line = line(in); !line.isEmpty(); line = line(in)) {
                 String[] words = line.split(" ");
                 if (words[0].equals("QUIT")) {
-                    quits.add(words[1]);
+                    abandonedIds.add(words[1]);
                     continue;
                 }
                 if (words[0].equals("NOOP")) {
@@ -163,10 +166,10 @@
                 }
                 byte[] sent = in.readNBytes(Integer.parseInt(words[3]));
                 assertEquals("", line(in));
-                asked.add(new Asked(line, sent));
-                if (word == null) {
+                requests.add(new ReceivedRequest(line, sent));
+                if (status == null) {
                     socket.close();
-                } else if (!word.isEmpty()) {
+                } else if (!status.isEmpty()) {
                     answer(out, words[1]);
                 }
             }
@@ -174,7 +177,7 @@
 
         void answer(OutputStream out, String id) throws IOException {
             ByteArrayOutputStream answer = new ByteArrayOutputStream();
-            answer.writeBytes((id + " " + word + " entity=e,issued=17,tell=mem " + body.length + "\r\n")
+            answer.writeBytes((id + " " + status + " entity=e,issued=17,tell=mem " + body.length + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
             answer.writeBytes(body);
             answer.writeBytes("\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -182,26 +185,27 @@
             out.flush();
         }
 
-        Asked next() throws InterruptedException {
-            return asked.poll(PATIENCE, TimeUnit.MILLISECONDS);
+        ReceivedRequest next() throws InterruptedException {
+            return requests.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** A line without its end; empty at the end of the stream too. */
+    /** Reads a line without its line end; empty at the end of the stream too. */
     static String line(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int b = in.read(); b >= 0 && b != '\n'; b = in.read()) {
-            if (b != '\r') {
-                line.append((char) b);
+        for (int next = in.read(); next >= 0 && next != '\n'; next = in.read()) {
+            if (next != '\r') {
+                line.append((char) next);
             }
         }
         return line.toString();
     }
 
-    final class Coordinator extends StandIn {
+    /** A stub coordinator: streams the test's events, and comments in between. */
+    final class Coordinator extends StubServer {
         final BlockingQueue<String> lastEventIds = new LinkedBlockingQueue<>();
         final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-        final AtomicInteger written = new AtomicInteger();
+        final AtomicInteger eventsWritten = new AtomicInteger();
 
         Coordinator() throws IOException {}
 
@@ -219,9 +223,9 @@
                     .getBytes(StandardCharsets.US_ASCII));
             try {
                 while (true) {
-                    String event = events.poll(COMMENT_EVERY, TimeUnit.MILLISECONDS);
+                    String event = events.poll(COMMENT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
                     out.write((event == null ? ":\n\n" : event + "\n\n").getBytes(StandardCharsets.UTF_8));
-                    written.addAndGet(event == null ? 0 : 1);
+                    eventsWritten.addAndGet(event == null ? 0 : 1);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -239,6 +243,7 @@
         }
     }
 
+    /** A client that sends requests and reads frames. */
     final class Client implements AutoCloseable {
         final Socket socket = new Socket();
         final DataInputStream in;
@@ -248,14 +253,14 @@
             this(0);
         }
 
-        /** A client that takes in so many bytes before it reads; 0 for the usual. */
+        /** A client with this receive buffer in bytes; 0 for the default. */
         Client(int receiveBuffer) throws IOException {
             toClose.add(this);
             if (receiveBuffer > 0) {
                 socket.setReceiveBufferSize(receiveBuffer);
             }
             socket.connect(new InetSocketAddress("127.0.0.1", server.address().getPort()));
-            socket.setSoTimeout(PATIENCE);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             in = new DataInputStream(socket.getInputStream());
             out = new DataOutputStream(socket.getOutputStream());
         }
@@ -319,7 +324,7 @@
         }
     }
 
-    static String member(String instance, StandIn at, String kind) {
+    static String member(String instance, StubServer at, String kind) {
         return NodeTestConfig.member(instance, at.address(), kind, "active", 0);
     }
 }
--- a/src/test/java/pumicemoor/net/TestLoop.java
+++ b/src/test/java/pumicemoor/net/TestLoop.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import pumicemoor.node.Input;
 
-/** A loop whose clock a test sets and whose inputs it reads. */
+/** An event loop whose clock the test sets and whose submitted inputs it reads. */
 final class TestLoop implements Loop {
 
     final BlockingQueue<Input> inputs = new LinkedBlockingQueue<>();
-    final BlockingQueue<String> complaints = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> reportedErrors = new LinkedBlockingQueue<>();
     volatile long time = 1_000_000_000;
     volatile boolean ready = true;
     volatile Thread submitter;
@@ -33,7 +33,7 @@
 
     @Override
     public void complain(String text) {
-        complaints.add(text);
+        reportedErrors.add(text);
     }
 
     @Override
@@ -47,12 +47,12 @@
     }
 
     @Override
-    public void opened(long number, ClientConnection client) {
-        // a test holds its own
+    public void clientOpened(long connectionId, ClientConnection client) {
+        // the test has its own reference
     }
 
     @Override
-    public void closed(long number) {
-        // a test holds its own
+    public void clientClosed(long connectionId) {
+        // the test has its own reference
     }
 }
--- a/src/test/java/pumicemoor/net/RehearsalTest.java
+++ b/src/test/java/pumicemoor/net/WarmUpTest.java
@@ -8,19 +8,19 @@
 import pumicemoor.node.NodeTestConfig;
 import pumicemoor.node.ResourceLimits;
 
-/** The way of a request, played before the router is ready. */
-class RehearsalTest {
+/** The warm-up runs synthetic requests through all stages before the router is ready, within its time. */
+class WarmUpTest {
 
-    private static final long NOW = 1_764_576_000_000_000L;
+    private static final long NOW_MICROS = 1_764_576_000_000_000L;
 
-    private static long run(int requests, long time, String... updates) throws Exception {
+    private static long run(int requests, long maxMicros, String... updates) throws Exception {
         NodeConfig config = NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:1", "", updates));
-        return new Rehearsal(config, ResourceLimits.of(config.words().settings(), config.figures()), NOW)
-                .run(requests, time, () -> {});
+        return new WarmUp(config, ResourceLimits.of(config.words().settings(), config.figures()), NOW_MICROS)
+                .run(requests, maxMicros, () -> {});
     }
 
     @Test
-    void everyRequestGoesTheWholeWay() throws Exception {
+    void everyRequestIsAnswered() throws Exception {
         assertEquals(
                 500,
                 run(
@@ -36,12 +36,12 @@
     }
 
     @Test
-    void withoutMembersItEndsAllTheSame() throws Exception {
+    void warmUpEndsWithoutMembers() throws Exception {
         assertTrue(run(100, 60_000_000) <= 100);
     }
 
     @Test
-    void itDoesNotGoOnPastItsTime() throws Exception {
+    void warmUpStopsAtItsTimeLimit() throws Exception {
         assertEquals(0, run(100, 0));
     }
 }
