--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -15,10 +15,10 @@
 import pumicemoor.node.Effect;
 import pumicemoor.node.Input.AnswerStatus;
 
-/** The project's own service, for callers that report each attempt's end. It only reads and words messages. */
+/** The project's own service, for callers that report the end of each attempt. It only decodes and encodes messages. */
 final class DecisionsService extends DecisionsGrpc.DecisionsImplBase {
 
-    private static final int LAST_GROUP = 255;
+    private static final int MAX_GROUP = 255;
 
     private final ProcessorFront front;
 
@@ -30,10 +30,10 @@
     public StreamObserver<FromCaller> decide(StreamObserver<ToCaller> responses) {
         ServerCallStreamObserver<ToCaller> out = (ServerCallStreamObserver<ToCaller>) responses;
         ReporterStream stream = new ReporterStream(ProcessorFront.caller(), out);
-        return front.listen(stream, out, message -> heard(stream, message));
+        return front.receive(stream, out, message -> onMessage(stream, message));
     }
 
-    private void heard(ReporterStream stream, FromCaller message) {
+    private void onMessage(ReporterStream stream, FromCaller message) {
         switch (message.getMessageCase()) {
             case ASK -> {
                 Ask ask = message.getAsk();
@@ -41,9 +41,9 @@
                         || ask.getObject().length() > CallRules.LONGEST_OBJECT
                         || ask.getPart() < 0
                         || ask.getGroup() < -1
-                        || ask.getGroup() > LAST_GROUP
+                        || ask.getGroup() > MAX_GROUP
                         || ask.getTimeLeftMs() < 0) {
-                    front.act(stream, front.malformed(stream, "an object, part, group or time that can't be"));
+                    front.execute(stream, front.malformed(stream, "an object, part, group or time that can't be"));
                 } else {
                     front.request(
                             stream,
@@ -56,23 +56,23 @@
             case END -> {
                 End end = message.getEnd();
                 if (end.getHow() == End.How.UNREACHED
-                        && stream.name != null
-                        && stream.name.attempt() == end.getAttempt()) {
+                        && stream.attempt != null
+                        && stream.attempt.attempt() == end.getAttempt()) {
                     front.unreached(stream);
                 } else {
                     front.response(
                             stream,
                             end.getAttempt(),
-                            word(end.getHow()),
+                            status(end.getHow()),
                             end.getNote().isEmpty() ? null : end.getNote());
                 }
             }
-            default -> front.act(stream, front.malformed(stream, "a message that is neither ask nor end"));
+            default -> front.execute(stream, front.malformed(stream, "a message that is neither ask nor end"));
         }
     }
 
-    /** Null where nothing is known but that it may have run. */
-    private static AnswerStatus word(End.How how) {
+    /** The status of an ended attempt; null if nothing is known, so that the request may have run. */
+    private static AnswerStatus status(End.How how) {
         return switch (how) {
             case OK -> AnswerStatus.DATA;
             case UNCHANGED -> AnswerStatus.UNCHANGED;
@@ -83,7 +83,7 @@
         };
     }
 
-    /** The caller's side of one request. */
+    /** The stream of one request, towards the caller. */
     private static final class ReporterStream extends ProcessorFront.Stream {
         private final ServerCallStreamObserver<ToCaller> out;
 
@@ -93,30 +93,30 @@
         }
 
         private void send(ToCaller.Builder message) {
-            if (heardBy()) {
+            if (callerConnected()) {
                 out.onNext(message.build());
             }
         }
 
         @Override
-        void tellName(Effect.AnnounceAttempt n) {
+        void sendAttempt(Effect.AnnounceAttempt attempt) {
             send(ToCaller.newBuilder()
                     .setNamed(Named.newBuilder()
-                            .setAttempt(n.attempt())
-                            .setCache(n.instance())
-                            .setAddress(n.address())
-                            .setSource(n.source() == null ? "" : n.source())
-                            .addAllWay(n.fillPath())
-                            .setKeepRank(n.keepRank())
-                            .setOldestMs(n.maxAgeMillis())
-                            .setJoin(n.join())
-                            .setOnlyIfHeld(n.onlyIfCached())
-                            .setRenew(n.renew())
-                            .setTimeoutMs(n.timeoutMillis())));
+                            .setAttempt(attempt.attempt())
+                            .setCache(attempt.instance())
+                            .setAddress(attempt.address())
+                            .setSource(attempt.source() == null ? "" : attempt.source())
+                            .addAllWay(attempt.fillPath())
+                            .setKeepRank(attempt.keepRank())
+                            .setOldestMs(attempt.maxAgeMillis())
+                            .setJoin(attempt.join())
+                            .setOnlyIfHeld(attempt.onlyIfCached())
+                            .setRenew(attempt.renew())
+                            .setTimeoutMs(attempt.timeoutMillis())));
         }
 
         @Override
-        void tellFinal(CallState.Code code, long stayAwayMillis) {
+        void sendFinal(CallState.Code code, long stayAwayMillis) {
             send(ToCaller.newBuilder()
                     .setFinal(Final.newBuilder()
                             .setCode(Final.Code.valueOf(code.name()))
@@ -124,8 +124,8 @@
         }
 
         @Override
-        void goOn() {
-            // this service has nothing to let go on
+        void sendContinue() {
+            // this service has no messages that need a "continue"
         }
     }
 }
--- a/src/main/java/pumicemoor/extproc/ExtProcService.java
+++ b/src/main/java/pumicemoor/extproc/ExtProcService.java
@@ -19,11 +19,11 @@
 import pumicemoor.extproc.proto.TrailersResponse;
 import pumicemoor.node.Effect;
 
-/** Envoy's external processing service: one stream for each HTTP request. It only reads and words messages. */
+/** Envoy's external processing service, one stream for each HTTP request. It only decodes and encodes messages. */
 final class ExtProcService extends ExternalProcessorGrpc.ExternalProcessorImplBase {
 
-    private static final int REFUSED = 503;
-    private static final int FAILED = 502;
+    private static final int REFUSED_HTTP_STATUS = 503;
+    private static final int FAILED_HTTP_STATUS = 502;
     private static final ProcessingMode RESPONSE_HEADERS_ONLY = ProcessingMode.newBuilder()
             .setResponseHeaderMode(ProcessingMode.HeaderSendMode.SEND)
             .setRequestTrailerMode(ProcessingMode.HeaderSendMode.SKIP)
@@ -40,17 +40,17 @@
     public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> responses) {
         ServerCallStreamObserver<ProcessingResponse> out = (ServerCallStreamObserver<ProcessingResponse>) responses;
         ProxyStream stream = new ProxyStream(ProcessorFront.caller(), out);
-        return front.listen(stream, out, message -> heard(stream, message));
+        return front.receive(stream, out, message -> onMessage(stream, message));
     }
 
-    private void heard(ProxyStream stream, ProcessingRequest message) {
-        stream.heard = message.getRequestCase();
+    private void onMessage(ProxyStream stream, ProcessingRequest message) {
+        stream.answeredPhase = message.getRequestCase();
         switch (message.getRequestCase()) {
             case REQUEST_HEADERS -> {
                 Optional<Map<String, String>> headers =
                         Headers.read(message.getRequestHeaders().getHeaders());
                 if (headers.isEmpty()) {
-                    front.act(stream, front.malformed(stream, "headers that are too many or not text"));
+                    front.execute(stream, front.malformed(stream, "headers that are too many or not text"));
                 } else {
                     front.request(stream, headers.get());
                 }
@@ -58,14 +58,14 @@
             case RESPONSE_HEADERS -> {
                 Map<String, String> headers =
                         Headers.read(message.getResponseHeaders().getHeaders()).orElse(Map.of());
-                front.response(stream, -1, Headers.end(headers), Headers.note(headers));
+                front.response(stream, -1, Headers.endStatus(headers), Headers.note(headers));
             }
-            case REQUEST_NOT_SET -> front.act(stream, front.malformed(stream, "a phase that is not known"));
+            case REQUEST_NOT_SET -> front.execute(stream, front.malformed(stream, "a phase that is not known"));
             default -> front.other(stream);
         }
     }
 
-    /** The caller's side of one HTTP request. */
+    /** The stream of one HTTP request, towards the proxy. */
     private static final class ProxyStream extends ProcessorFront.Stream {
         private final ServerCallStreamObserver<ProcessingResponse> out;
 
@@ -75,36 +75,36 @@
         }
 
         private void send(ProcessingResponse.Builder response) {
-            if (heardBy()) {
+            if (callerConnected()) {
                 out.onNext(response.build());
             }
         }
 
         @Override
-        void tellName(Effect.AnnounceAttempt attempt) {
+        void sendAttempt(Effect.AnnounceAttempt attempt) {
             send(ProcessingResponse.newBuilder()
                     .setModeOverride(RESPONSE_HEADERS_ONLY)
                     .setRequestHeaders(HeadersResponse.newBuilder()
                             .setResponse(CommonResponse.newBuilder()
-                                    .setHeaderMutation(Headers.name(attempt))
+                                    .setHeaderMutation(Headers.attemptHeaders(attempt))
                                     .setClearRouteCache(true))));
         }
 
         @Override
-        void tellFinal(CallState.Code code, long stayAwayMillis) {
+        void sendFinal(CallState.Code code, long stayAwayMillis) {
             boolean refused = code == CallState.Code.REFUSED;
             send(ProcessingResponse.newBuilder()
                     .setImmediateResponse(ImmediateResponse.newBuilder()
-                            .setStatus(HttpStatus.newBuilder().setCode(refused ? REFUSED : FAILED))
+                            .setStatus(HttpStatus.newBuilder().setCode(refused ? REFUSED_HTTP_STATUS : FAILED_HTTP_STATUS))
                             .setHeaders(Headers.refusal(refused ? "refused" : "failed", stayAwayMillis))
                             .setBody(ByteString.EMPTY)
                             .setDetails(refused ? "refused" : "failed")));
         }
 
         @Override
-        void goOn() {
+        void sendContinue() {
             ProcessingResponse.Builder response = ProcessingResponse.newBuilder();
-            switch ((ProcessingRequest.RequestCase) heard) {
+            switch ((ProcessingRequest.RequestCase) answeredPhase) {
                 case REQUEST_HEADERS -> response.setRequestHeaders(HeadersResponse.getDefaultInstance());
                 case RESPONSE_HEADERS -> response.setResponseHeaders(HeadersResponse.getDefaultInstance());
                 case REQUEST_BODY -> response.setRequestBody(BodyResponse.getDefaultInstance());
--- a/src/main/java/pumicemoor/extproc/FrontRehearsal.java
+++ b/src/main/java/pumicemoor/extproc/FrontWarmUp.java
@@ -26,47 +26,48 @@
 import pumicemoor.wire.SettingsReader;
 
 /**
- * Makes calls to a front of its own before the real one listens, so that the first callers don't wait for classes
- * and the compiler past their message time-out. It owns that front, its loop and a listener on loopback, and answers
- * in place of the decisions; it must never touch the router that serves.
+ * Warms up the JVM before the router's front listens (the "rehearsal" of the documentation): makes calls to a front of
+ * its own, so that the first callers do not exceed their message time-out by waiting for class loading and JIT
+ * compilation. It owns that front, its event loop and a listener on loopback, and answers in place of the decision logic;
+ * it must never use any object of the serving router.
  */
-final class FrontRehearsal {
+final class FrontWarmUp {
 
     private static final int CALLS = 1_500;
-    private static final int AT_ONCE = 16;
-    private static final long LONGEST = 5; // seconds
-    private static final FairAdmission.Limits NONE = new FairAdmission.Limits(1_000_000, 1_000_000, 1_000_000, true);
+    private static final int MAX_CONCURRENT_CALLS = 16;
+    private static final long MAX_SECONDS = 5;
+    private static final FairAdmission.Limits NO_LIMITS = new FairAdmission.Limits(1_000_000, 1_000_000, 1_000_000, true);
 
-    private FrontRehearsal() {}
+    private FrontWarmUp() {}
 
-    /** Goes on until so many calls are done or the longest time has passed; tells how many were. */
-    static int run(ProcessorSection real, SettingsReader words) throws IOException, InterruptedException {
-        String requestClass = real.rules().get(0).requestClass();
+    /** Runs until all calls are made or the time limit has passed; returns the number of calls. */
+    static int run(ProcessorSection servingSection, SettingsReader settingsReader) throws IOException, InterruptedException {
+        String requestClass = servingSection.rules().get(0).requestClass();
         ProcessorSection section = new ProcessorSection(
                 "127.0.0.1:0",
                 Optional.empty(),
-                real.messageTimeout(),
+                servingSection.messageTimeout(),
                 0,
-                real.headerBytes(),
+                servingSection.headerBytes(),
                 1_000,
-                NONE,
-                real.noRule(),
+                NO_LIMITS,
+                servingSection.noRule(),
                 List.of(new ProcessorSection.RuleText("GET", "/(?P<object>.+)", Map.of(), requestClass, null)));
-        ProcessorFront front = new ProcessorFront(section, words);
-        OwnLoop loop = new OwnLoop(front);
+        ProcessorFront front = new ProcessorFront(section, settingsReader);
+        WarmUpLoop loop = new WarmUpLoop(front);
         front.open(loop);
         ManagedChannel channel = NettyChannelBuilder.forAddress("127.0.0.1", front.port())
                 .usePlaintext()
                 .directExecutor()
                 .build();
-        Semaphore room = new Semaphore(AT_ONCE);
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST);
+        Semaphore slots = new Semaphore(MAX_CONCURRENT_CALLS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
         int done = 0;
         try {
-            while (done < CALLS && room.tryAcquire(Math.max(1, end - System.nanoTime()), TimeUnit.NANOSECONDS)) {
-                new OneCall(room).begin(ExternalProcessorGrpc.newStub(channel), done++);
+            while (done < CALLS && slots.tryAcquire(Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS)) {
+                new OneCall(slots).begin(ExternalProcessorGrpc.newStub(channel), done++);
             }
-            room.tryAcquire(AT_ONCE, Math.max(1, end - System.nanoTime()), TimeUnit.NANOSECONDS);
+            slots.tryAcquire(MAX_CONCURRENT_CALLS, Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
         } finally {
             channel.shutdownNow();
             front.close();
@@ -75,35 +76,35 @@
         return done;
     }
 
-    /** Stands in for the loop and the decisions: names a member for each call, serves each response. */
-    private static final class OwnLoop implements CallLoop {
+    /** Replaces the event loop and the decision logic: announces an attempt for each call, and ends it as served. */
+    private static final class WarmUpLoop implements CallLoop {
         private final ExecutorService thread = Executors.newSingleThreadExecutor();
         private final ProcessorFront front;
 
-        OwnLoop(ProcessorFront front) {
+        WarmUpLoop(ProcessorFront front) {
             this.front = front;
         }
 
         @Override
-        public boolean execute(Runnable what) {
+        public boolean execute(Runnable task) {
             if (thread.isShutdown()) {
                 return false;
             }
-            thread.execute(what);
+            thread.execute(task);
             return true;
         }
 
         @Override
-        public Runnable schedule(long micros, Runnable what) {
-            return () -> {}; // nothing is late here
+        public Runnable schedule(long micros, Runnable task) {
+            return () -> {}; // no time-out occurs here
         }
 
         @Override
         public void submit(Input input) {
-            if (input instanceof Input.Call c) {
+            if (input instanceof Input.Call call) {
                 front.attemptAnnounced(new Effect.AnnounceAttempt(
-                        c.number(),
-                        -c.number(),
+                        call.number(),
+                        -call.number(),
                         0,
                         "rehearsal",
                         "127.0.0.1:1",
@@ -115,8 +116,8 @@
                         true,
                         false,
                         false));
-            } else if (input instanceof Input.Answered a) {
-                front.answered(-a.attempt(), Effect.Code.SERVED, 0);
+            } else if (input instanceof Input.Answered answered) {
+                front.answered(-answered.attempt(), Effect.Code.SERVED, 0);
             }
         }
 
@@ -127,16 +128,17 @@
 
         @Override
         public void complain(String text) {
-            // nobody called
+            // no other peer takes part in the warm-up
         }
     }
 
+    /** One call to the front: a request, its response and the end of the stream. */
     private static final class OneCall implements StreamObserver<ProcessingResponse> {
-        private final Semaphore room;
+        private final Semaphore slots;
         private StreamObserver<ProcessingRequest> out;
 
-        OneCall(Semaphore room) {
-            this.room = room;
+        OneCall(Semaphore slots) {
+            this.slots = slots;
         }
 
         void begin(ExternalProcessorGrpc.ExternalProcessorStub stub, int number) {
@@ -149,8 +151,8 @@
 
         private static HttpHeaders headers(Map<String, String> values) {
             HeaderMap.Builder map = HeaderMap.newBuilder();
-            values.forEach((k, v) ->
-                    map.addHeaders(HeaderValue.newBuilder().setKey(k).setRawValue(ByteString.copyFromUtf8(v))));
+            values.forEach((name, value) ->
+                    map.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value))));
             return HttpHeaders.newBuilder().setHeaders(map).build();
         }
 
@@ -166,13 +168,13 @@
         }
 
         @Override
-        public void onError(Throwable t) {
-            room.release();
+        public void onError(Throwable cause) {
+            slots.release();
         }
 
         @Override
         public void onCompleted() {
-            room.release();
+            slots.release();
         }
     }
 }
--- a/src/main/java/pumicemoor/extproc/Headers.java
+++ b/src/main/java/pumicemoor/extproc/Headers.java
@@ -14,105 +14,106 @@
 import pumicemoor.node.Effect;
 import pumicemoor.node.Input.AnswerStatus;
 
-/** The headers that callers send and are told, by name; it only words them. */
+/** Decodes the HTTP headers that callers send, and encodes those sent to them; it makes no decision. */
 final class Headers {
 
     static final String END = "x-pumicemoor-end";
     private static final String NOTE = "x-pumicemoor-note";
-    private static final int MOST = 200;
+    private static final int MAX_HEADERS = 200;
 
     private Headers() {}
 
-    /** By lower-case name, the first of each; empty where they are too many or not text. */
+    /** The headers by lower-case name, the first value of each; empty if there are too many or one is not text. */
     static Optional<Map<String, String>> read(HeaderMap headers) {
-        if (headers.getHeadersCount() > MOST) {
+        if (headers.getHeadersCount() > MAX_HEADERS) {
             return Optional.empty();
         }
         Map<String, String> read = new LinkedHashMap<>();
-        for (HeaderValue h : headers.getHeadersList()) {
-            String value = h.getValue();
-            if (value.isEmpty() && !h.getRawValue().isEmpty()) {
+        for (HeaderValue header : headers.getHeadersList()) {
+            String value = header.getValue();
+            if (value.isEmpty() && !header.getRawValue().isEmpty()) {
                 try {
                     value = StandardCharsets.UTF_8
                             .newDecoder()
-                            .decode(h.getRawValue().asReadOnlyByteBuffer())
+                            .decode(header.getRawValue().asReadOnlyByteBuffer())
                             .toString();
                 } catch (CharacterCodingException e) {
-                    if (h.getKey().startsWith(":") || h.getKey().startsWith("x-")) {
-                        return Optional.empty(); // one that decides
+                    if (header.getKey().startsWith(":") || header.getKey().startsWith("x-")) {
+                        return Optional.empty(); // the decision may depend on it
                     }
-                    continue; // a header that is no matter here may hold any bytes
+                    continue; // a header that is not used here may contain any bytes
                 }
             }
-            read.putIfAbsent(h.getKey().toLowerCase(Locale.ROOT), value);
+            read.putIfAbsent(header.getKey().toLowerCase(Locale.ROOT), value);
         }
         return Optional.of(read);
     }
 
-    /** What an attempt is to be, each header replaced where the request had one. */
-    static HeaderMutation name(Effect.AnnounceAttempt name) {
-        HeaderMutation.Builder all = HeaderMutation.newBuilder();
-        set(all, "x-pumicemoor-cache", name.instance());
-        set(all, "x-pumicemoor-address", name.address());
-        set(all, "x-pumicemoor-source", name.source() == null ? "" : name.source());
-        set(all, "x-pumicemoor-way", String.join("+", name.fillPath()));
-        set(all, "x-pumicemoor-keep-rank", Integer.toString(name.keepRank()));
-        set(all, "x-pumicemoor-oldest-ms", Long.toString(name.maxAgeMillis()));
-        set(all, "x-pumicemoor-flags", flags(name));
-        set(all, "x-pumicemoor-attempt", Integer.toString(name.attempt()));
-        set(all, "x-pumicemoor-timeout-ms", Long.toString(name.timeoutMillis()));
-        return all.build();
+    /** The headers that describe an attempt; each replaces a header of the same name in the request. */
+    static HeaderMutation attemptHeaders(Effect.AnnounceAttempt attempt) {
+        HeaderMutation.Builder mutation = HeaderMutation.newBuilder();
+        set(mutation, "x-pumicemoor-cache", attempt.instance());
+        set(mutation, "x-pumicemoor-address", attempt.address());
+        set(mutation, "x-pumicemoor-source", attempt.source() == null ? "" : attempt.source());
+        set(mutation, "x-pumicemoor-way", String.join("+", attempt.fillPath()));
+        set(mutation, "x-pumicemoor-keep-rank", Integer.toString(attempt.keepRank()));
+        set(mutation, "x-pumicemoor-oldest-ms", Long.toString(attempt.maxAgeMillis()));
+        set(mutation, "x-pumicemoor-flags", flags(attempt));
+        set(mutation, "x-pumicemoor-attempt", Integer.toString(attempt.attempt()));
+        set(mutation, "x-pumicemoor-timeout-ms", Long.toString(attempt.timeoutMillis()));
+        return mutation.build();
     }
 
-    private static String flags(Effect.AnnounceAttempt name) {
+    private static String flags(Effect.AnnounceAttempt attempt) {
         java.util.StringJoiner flags = new java.util.StringJoiner("+");
-        if (name.join()) {
+        if (attempt.join()) {
             flags.add("collapse");
         }
-        if (name.onlyIfCached()) {
+        if (attempt.onlyIfCached()) {
             flags.add("only-if-cached");
         }
-        if (name.renew()) {
+        if (attempt.renew()) {
             flags.add("refresh");
         }
         return flags.toString();
     }
 
     static HeaderMutation refusal(String end, long stayAwayMillis) {
-        HeaderMutation.Builder all = HeaderMutation.newBuilder();
-        set(all, END, end);
+        HeaderMutation.Builder mutation = HeaderMutation.newBuilder();
+        set(mutation, END, end);
         if (stayAwayMillis > 0) {
-            set(all, "retry-after", Long.toString((stayAwayMillis + 999) / 1_000)); // seconds, RFC 9110 10.2.3
-            set(all, "x-pumicemoor-stay-away-ms", Long.toString(stayAwayMillis));
+            set(mutation, "retry-after", Long.toString((stayAwayMillis + 999) / 1_000)); // seconds, RFC 9110 10.2.3
+            set(mutation, "x-pumicemoor-stay-away-ms", Long.toString(stayAwayMillis));
         }
-        return all.build();
+        return mutation.build();
     }
 
-    private static void set(HeaderMutation.Builder all, String key, String value) {
-        all.addSetHeaders(HeaderValueOption.newBuilder()
+    private static void set(HeaderMutation.Builder mutation, String key, String value) {
+        mutation.addSetHeaders(HeaderValueOption.newBuilder()
                 .setAppendAction(HeaderValueOption.HeaderAppendAction.OVERWRITE_IF_EXISTS_OR_ADD)
                 .setHeader(HeaderValue.newBuilder().setKey(key).setRawValue(ByteString.copyFromUtf8(value))));
     }
 
     /**
-     * How an attempt ended by its response: by the word that a cache of ours gives, else by the status. 429 proves
-     * that nothing ran; any 5xx may have run; everything else is an answer to the client.
+     * How an attempt ended, according to its response: by the header that this system's caches set, else by the HTTP
+     * status. 429 proves that the request did not run; after any 5xx it may have run; any other status is an answer to
+     * the client.
      */
-    static AnswerStatus end(Map<String, String> headers) {
-        String told = headers.get(END);
-        if (told != null) {
-            for (AnswerStatus w : AnswerStatus.values()) {
-                if (w.name().toLowerCase(Locale.ROOT).equals(told)) {
-                    return w;
+    static AnswerStatus endStatus(Map<String, String> headers) {
+        String reported = headers.get(END);
+        if (reported != null) {
+            for (AnswerStatus status : AnswerStatus.values()) {
+                if (status.name().toLowerCase(Locale.ROOT).equals(reported)) {
+                    return status;
                 }
             }
         }
-        String status = headers.getOrDefault(":status", "");
-        return status.equals("429")
+        String httpStatus = headers.getOrDefault(":status", "");
+        return httpStatus.equals("429")
                 ? AnswerStatus.FULL
-                : status.equals("304")
+                : httpStatus.equals("304")
                         ? AnswerStatus.UNCHANGED
-                        : status.startsWith("5") || status.isEmpty() ? AnswerStatus.FAILED : AnswerStatus.DATA;
+                        : httpStatus.startsWith("5") || httpStatus.isEmpty() ? AnswerStatus.FAILED : AnswerStatus.DATA;
     }
 
     static String note(Map<String, String> headers) {
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -53,26 +53,27 @@
 import pumicemoor.wire.WireException;
 
 /**
- * The gRPC server, and what connects its streams with the router's loop. It owns the streams by number, the attempts
- * held ready for a caller that tries again, and the counts; all of that lives on the loop's thread. It must never
- * decide: CallState says what a stream may say, the decisions what a request gets.
+ * The gRPC server for other proxies, and the adapter between its streams and the router's event loop. It owns the
+ * streams by request number, the attempts kept ready for a caller's retry, and the counters; all of these are used on
+ * the loop's thread only. It must never decide: CallState determines which messages a stream may carry, and the decision
+ * logic what happens to a request.
  */
 public final class ProcessorFront implements CallFront {
 
     private static final Logger LOG = LoggerFactory.getLogger(ProcessorFront.class);
-    /** The transport would log a stack trace for each message that is too long; the caller is told, which is enough. */
+    /** The transport logs a stack trace for each oversized message; an error status to the caller is enough. */
     private static final java.util.logging.Logger TRANSPORT_LOG =
             java.util.logging.Logger.getLogger("io.grpc.netty.shaded.io.grpc.netty");
 
     private static final Context.Key<String> CALLER = Context.key("caller");
     private static final Metadata.Key<String> CALLER_NAME =
             Metadata.Key.of("x-pumicemoor-caller", Metadata.ASCII_STRING_MARSHALLER);
-    private static final int LONGEST_NAME = 128;
-    private static final int BOOK = 100_000; // ids of requests with an effect
-    private static final long BOOK_KEPT = 600_000_000L; // microseconds
-    private static final long MARGIN = 15_000; // microseconds before a caller's time-out in which an answer leaves
-    private static final long STREAM_GRACE = 2_000_000; // microseconds a stream may outlast its request's time
-    private static final long MILLI = 1_000;
+    private static final int MAX_NAME_LENGTH = 128;
+    private static final int MAX_REGISTERED_IDS = 100_000; // ids of requests that must not run twice
+    private static final long ID_RETENTION_MICROS = 600_000_000L;
+    private static final long ANSWER_MARGIN_MICROS = 15_000; // an answer is sent this long before the caller's message time-out
+    private static final long STREAM_GRACE_MICROS = 2_000_000; // a stream may exceed its request's deadline by this much
+    private static final long MICROS_PER_MILLI = 1_000;
 
     enum Count {
         CALLS,
@@ -90,14 +91,14 @@
         STREAMS_EXPIRED
     }
 
-    private final SettingsReader words;
+    private final SettingsReader settingsReader;
     private ProcessorSection section;
     private CallRules rules;
     private final FairAdmission admission;
-    private final CallRegistry book = new CallRegistry(BOOK, BOOK_KEPT);
+    private final CallRegistry callRegistry = new CallRegistry(MAX_REGISTERED_IDS, ID_RETENTION_MICROS);
     private final TlsFiles tls;
     private final Map<Long, Stream> streams = new HashMap<>();
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, ReadyAttempt> readyAttempts = new HashMap<>();
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
     private final EventLoopGroup boss = new NioEventLoopGroup(1);
     private final EventLoopGroup workers = new NioEventLoopGroup(1);
@@ -106,24 +107,24 @@
     private long lastNumber;
     private boolean draining;
 
-    /** An attempt that the decisions hold ready until the caller tries again by itself. */
-    private record Held(long number, Effect.AnnounceAttempt name, String bookId, boolean mayHaveRun) {}
+    /** An attempt that is kept ready until the caller itself retries the request. */
+    private record ReadyAttempt(long number, Effect.AnnounceAttempt attempt, String registryId, boolean mayHaveRun) {}
 
-    /** One stream of a caller, whichever service it came by. */
+    /** One stream of a caller, of either service. */
     abstract static class Stream {
         final String caller;
         final CallState state;
-        long number; // of the request in the reducer, under 0
+        long number; // of the request in the reducer; negative
         String id = "";
-        String bookId; // where its request must not run twice
-        Effect.AnnounceAttempt name; // the attempt named last
-        AnswerStatus end; // how that ended, as it was heard
+        String registryId; // null if the request may run twice
+        Effect.AnnounceAttempt attempt; // the last attempt sent to the caller
+        AnswerStatus endStatus; // of that attempt, as reported; null if only its connection is known to be lost
         String note;
         boolean admitted;
         boolean ended;
-        boolean unreached; // the attempt that ends never reached its member
-        Object heard; // the phase that GoOn answers
-        final List<Runnable> timers = new ArrayList<>(2); // to be taken back at its end
+        boolean unreached; // the attempt that ended never reached its member
+        Object answeredPhase; // the message that the next "continue" answers
+        final List<Runnable> timers = new ArrayList<>(2); // cancellations of its timers
 
         private final ServerCallStreamObserver<?> out;
 
@@ -133,78 +134,78 @@
             this.out = out;
         }
 
-        abstract void tellName(Effect.AnnounceAttempt attempt);
+        abstract void sendAttempt(Effect.AnnounceAttempt attempt);
 
-        abstract void tellFinal(CallState.Code code, long stayAwayMillis);
+        abstract void sendFinal(CallState.Code code, long stayAwayMillis);
 
-        abstract void goOn();
+        abstract void sendContinue();
 
-        /** Whether anyone is there to be told. */
-        boolean heardBy() {
+        /** Whether the caller can still receive messages. */
+        boolean callerConnected() {
             return !out.isCancelled();
         }
 
         void complete() {
-            if (heardBy()) {
+            if (callerConnected()) {
                 out.onCompleted();
             }
         }
 
         void abort(Status status) {
-            if (heardBy()) {
+            if (callerConnected()) {
                 out.onError(status.asRuntimeException());
             }
         }
 
-        /** Asks for the next message, once this one is done with. */
-        void more() {
+        /** Requests the next message from the transport, once this one is processed. */
+        void requestNextMessage() {
             if (!ended) {
                 out.request(1);
             }
         }
     }
 
-    public ProcessorFront(ProcessorSection section, SettingsReader words) throws IOException {
+    public ProcessorFront(ProcessorSection section, SettingsReader settingsReader) throws IOException {
         TRANSPORT_LOG.setLevel(Level.SEVERE);
         this.section = section;
-        this.words = words;
+        this.settingsReader = settingsReader;
         this.rules = section.callRules();
         this.admission = new FairAdmission(section.limits());
         this.tls = section.tls().isPresent() ? new TlsFiles(section.tls().get()) : null;
-        for (Count c : Count.values()) {
-            counts.put(c, 0L);
+        for (Count counter : Count.values()) {
+            counts.put(counter, 0L);
         }
     }
 
-    /** The classes that rules name must be known; the exception names the first that is not. */
-    public static void check(ProcessorSection section, SettingsReader words) throws WireException {
+    /** Checks that the request classes in the rules exist; the exception names the first unknown one. */
+    public static void check(ProcessorSection section, SettingsReader settingsReader) throws WireException {
         for (ProcessorSection.RuleText rule : section.rules()) {
-            words.requestClass(rule.requestClass());
+            settingsReader.requestClass(rule.requestClass());
         }
     }
 
-    /** Makes calls to itself first, so that its first callers find it quick; before the start. */
+    /** Warms up the JVM with calls to a front of its own, so that the first callers get quick answers; call before start. */
     public void rehearse() throws IOException, InterruptedException {
-        long began = System.nanoTime();
-        int calls = FrontRehearsal.run(section, words);
+        long startNanos = System.nanoTime();
+        int calls = FrontWarmUp.run(section, settingsReader);
         LOG.info(
-                "{} calls of other proxies were rehearsed in {} ms",
+                "rehearsed {} calls of proxies in {} ms",
                 calls,
-                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began));
+                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
     }
 
     @Override
-    public void start(CallLoop on) throws IOException {
-        open(on);
+    public void start(CallLoop callLoop) throws IOException {
+        open(callLoop);
         LOG.info(
-                "calls of other proxies are taken on {}{}; no call is known from before",
+                "calls of proxies are accepted on {}{}; calls before this start are not known",
                 section.listen(),
                 tls == null ? " in plain text" : "");
     }
 
-    /** Listens; what is heard goes to this loop. */
-    void open(CallLoop on) throws IOException {
-        loop = on;
+    /** Starts the gRPC server; all calls are processed on this event loop. */
+    void open(CallLoop callLoop) throws IOException {
+        loop = callLoop;
         int colon = section.listen().lastIndexOf(':');
         InetSocketAddress address = new InetSocketAddress(
                 section.listen().substring(0, colon),
@@ -221,18 +222,18 @@
                 .maxConcurrentCallsPerConnection(section.callsPerConnection())
                 .addService(new ExtProcService(this))
                 .addService(new DecisionsService(this))
-                .intercept(new NameCaller())
+                .intercept(new CallerNameInterceptor())
                 .build()
                 .start();
     }
 
-    /** Where it listens. */
+    /** The port of the listener. */
     public int port() {
         return server.getPort();
     }
 
-    /** Who calls: the subject of its certificate, else the name it gives, else its connection. */
-    private static final class NameCaller implements ServerInterceptor {
+    /** Determines the caller's name: its certificate subject, else the name header, else the remote address. */
+    private static final class CallerNameInterceptor implements ServerInterceptor {
         @Override
         public <Q, A> ServerCall.Listener<Q> interceptCall(
                 ServerCall<Q, A> call, Metadata headers, ServerCallHandler<Q, A> next) {
@@ -243,12 +244,12 @@
                 try {
                     name = session.getPeerPrincipal().getName();
                 } catch (SSLPeerUnverifiedException e) {
-                    // it showed none, and none is asked for
+                    // the peer has sent no certificate, and none is required
                 }
             }
             String caller = name == null ? String.valueOf(address) : name;
             return Contexts.interceptCall(
-                    Context.current().withValue(CALLER, caller.substring(0, Math.min(LONGEST_NAME, caller.length()))),
+                    Context.current().withValue(CALLER, caller.substring(0, Math.min(MAX_NAME_LENGTH, caller.length()))),
                     call,
                     headers,
                     next);
@@ -259,44 +260,44 @@
         return CALLER.get();
     }
 
-    // ---- what is heard, on the transport's thread -----------------------------------------------------
+    // ---- messages from callers, on the transport's thread ---------------------------------------------
 
-    /** Takes each message to the loop, one at a time: the next is asked for when this is done with. */
-    <Q> StreamObserver<Q> listen(Stream stream, ServerCallStreamObserver<?> out, java.util.function.Consumer<Q> heard) {
+    /** Passes messages to the event loop one at a time: the next is requested when one has been processed. */
+    <Q> StreamObserver<Q> receive(Stream stream, ServerCallStreamObserver<?> out, java.util.function.Consumer<Q> handler) {
         out.disableAutoRequest();
-        out.setOnCancelHandler(() -> loop.execute(() -> act(stream, stream.state.gone())));
+        out.setOnCancelHandler(() -> loop.execute(() -> execute(stream, stream.state.gone())));
         out.request(1);
         return new StreamObserver<>() {
             @Override
             public void onNext(Q message) {
                 loop.execute(() -> {
                     if (!stream.ended) {
-                        heard.accept(message);
-                        stream.more();
+                        handler.accept(message);
+                        stream.requestNextMessage();
                     }
                 });
             }
 
             @Override
-            public void onError(Throwable t) {
-                loop.execute(() -> act(stream, stream.state.gone()));
+            public void onError(Throwable cause) {
+                loop.execute(() -> execute(stream, stream.state.gone()));
             }
 
             @Override
             public void onCompleted() {
-                loop.execute(() -> act(stream, stream.state.halfClosed()));
+                loop.execute(() -> execute(stream, stream.state.halfClosed()));
             }
         };
     }
 
     // ---- on the loop's thread -------------------------------------------------------------------------
 
-    /** A request as headers tell it, fitted by the rules. */
+    /** A request given by its HTTP headers, matched against the rules. */
     void request(Stream stream, Map<String, String> headers) {
         String method = headers.getOrDefault(":method", "");
         String path = headers.get(":path");
         if (path == null || headers.get("x-request-id") == null) {
-            act(
+            execute(
                     stream,
                     stream.state.phase() == Phase.NEW
                             ? malformed(stream, "no path or no x-request-id")
@@ -307,26 +308,26 @@
         if (about.isEmpty()) {
             boolean pass = rules.noRule() == CallRules.NoRule.PASS;
             count(pass ? Count.PASSED : Count.REFUSED_BY_RULE);
-            act(stream, pass ? stream.state.passed() : stream.state.answered(CallState.Code.REFUSED, 0));
+            execute(stream, pass ? stream.state.passed() : stream.state.answered(CallState.Code.REFUSED, 0));
             return;
         }
-        long ttl = number(headers.get("x-envoy-expected-rq-timeout-ms"));
-        long attempt = number(headers.get("x-envoy-attempt-count"));
-        request(stream, headers.get("x-request-id"), about.get(), ttl, attempt > 1);
+        long ttlMillis = parseNumber(headers.get("x-envoy-expected-rq-timeout-ms"));
+        long attemptCount = parseNumber(headers.get("x-envoy-attempt-count"));
+        request(stream, headers.get("x-request-id"), about.get(), ttlMillis, attemptCount > 1);
     }
 
-    /** A request that is to be decided; repeat says that its caller has asked for it before. */
+    /** A request to be decided; repeat is true if its caller has sent it before. */
     void request(Stream stream, String id, About about, long ttlMillis, boolean repeat) {
         count(Count.CALLS);
         int requestClass;
         try {
-            requestClass = words.requestClass(about.requestClass());
+            requestClass = settingsReader.requestClass(about.requestClass());
         } catch (WireException e) {
-            act(stream, malformed(stream, "an unknown class"));
+            execute(stream, malformed(stream, "an unknown class"));
             return;
         }
-        if (id.isEmpty() || id.length() > LONGEST_NAME || stream.state.phase() != Phase.NEW) {
-            act(
+        if (id.isEmpty() || id.length() > MAX_NAME_LENGTH || stream.state.phase() != Phase.NEW) {
+            execute(
                     stream,
                     stream.state.phase() == Phase.NEW
                             ? malformed(stream, "an id that is empty or too long")
@@ -334,45 +335,45 @@
             return;
         }
         stream.id = stream.caller + '/' + id;
-        Held ready = held.remove(stream.id);
+        ReadyAttempt ready = readyAttempts.remove(stream.id);
         FairAdmission.Verdict verdict = draining ? null : admission.admit(loop.clock(), stream.caller);
         if (verdict == null || !verdict.admitted()) {
             count(Count.REFUSED_BY_BOUND);
             if (ready != null) {
-                held.put(stream.id, ready);
+                readyAttempts.put(stream.id, ready);
             }
-            act(
+            execute(
                     stream,
                     stream.state.answered(CallState.Code.REFUSED, verdict == null ? 1_000_000 : verdict.stayAway()));
             return;
         }
         stream.admitted = true;
-        RouterApi.RequestClass type = words.settings().classes().get(requestClass);
+        RouterApi.RequestClass settings = settingsReader.settings().classes().get(requestClass);
         if (ready != null) {
             count(Count.TRIED_AGAIN);
             stream.number = ready.number();
-            stream.bookId = ready.bookId();
-            stream.name = ready.name();
+            stream.registryId = ready.registryId();
+            stream.attempt = ready.attempt();
             streams.put(stream.number, stream);
-            stream.timers.add(loop.schedule(type.deadline() + STREAM_GRACE, () -> expire(stream)));
-            act(stream, stream.state.adopt(ready.name().attempt()));
+            stream.timers.add(loop.schedule(settings.deadline() + STREAM_GRACE_MICROS, () -> expire(stream)));
+            execute(stream, stream.state.adopt(ready.attempt().attempt()));
             return;
         }
-        if (type.idempotency() != RouterApi.Idempotency.SAFE) {
-            if (!book.mayBegin(loop.clock(), stream.id, repeat)) {
-                count(Count.REPEATS_FAILED); // it may have run, so nothing is named for it again
-                act(stream, stream.state.answered(CallState.Code.FAILED, 0));
+        if (settings.idempotency() != RouterApi.Idempotency.SAFE) {
+            if (!callRegistry.mayBegin(loop.clock(), stream.id, repeat)) {
+                count(Count.REPEATS_FAILED); // it may have run already, so it gets no further attempt
+                execute(stream, stream.state.answered(CallState.Code.FAILED, 0));
                 return;
             }
-            stream.bookId = stream.id;
+            stream.registryId = stream.id;
         }
         stream.number = --lastNumber;
         streams.put(stream.number, stream);
-        long ttl = ttlMillis > 0 ? Math.min(ttlMillis, type.deadline() / MILLI) : type.deadline() / MILLI;
+        long timeoutMillis = ttlMillis > 0 ? Math.min(ttlMillis, settings.deadline() / MICROS_PER_MILLI) : settings.deadline() / MICROS_PER_MILLI;
         List<Act> acts = stream.state.request();
         stream.timers.add(loop.schedule(
-                Math.max(1, Math.min(section.messageTimeout(), ttl * MILLI) - MARGIN), () -> messageTimeUp(stream)));
-        stream.timers.add(loop.schedule(ttl * MILLI + STREAM_GRACE, () -> expire(stream)));
+                Math.max(1, Math.min(section.messageTimeout(), timeoutMillis * MICROS_PER_MILLI) - ANSWER_MARGIN_MICROS), () -> onMessageTimeout(stream)));
+        stream.timers.add(loop.schedule(timeoutMillis * MICROS_PER_MILLI + STREAM_GRACE_MICROS, () -> expire(stream)));
         for (Act act : acts) {
             if (act instanceof Act.Ask) {
                 loop.submit(new Input.Call(
@@ -382,46 +383,47 @@
                         about.object(),
                         about.part(),
                         about.group(),
-                        ttl,
+                        timeoutMillis,
                         repeat));
             }
         }
     }
 
-    private void messageTimeUp(Stream stream) {
+    private void onMessageTimeout(Stream stream) {
         if (!stream.ended && stream.state.phase() == Phase.DECIDING) {
             List<Act> acts = stream.state.messageTimeUp(section.messageTimeout());
             if (!acts.isEmpty()) {
                 count(Count.REFUSED_LATE);
             }
-            act(stream, acts);
+            execute(stream, acts);
         }
     }
 
-    /** A caller that keeps a stream long after its request's time. */
+    /** Ends a stream that is open long after its request's deadline. */
     private void expire(Stream stream) {
         if (!stream.ended) {
             count(Count.STREAMS_EXPIRED);
-            act(stream, stream.state.gone());
+            execute(stream, stream.state.gone());
             stream.abort(Status.DEADLINE_EXCEEDED.withDescription("the request's time is long over"));
         }
     }
 
-    /** How an attempt ended; number -1 for the one named last. */
-    void response(Stream stream, int number, AnswerStatus word, String note) {
-        stream.end = word;
+    /** Reports how an attempt ended; number -1 means the last one sent to the caller. */
+    void response(Stream stream, int number, AnswerStatus status, String note) {
+        stream.endStatus = status;
         stream.note = note;
-        act(stream, stream.state.response(number, word == AnswerStatus.ABSENT || word == AnswerStatus.FULL || word == AnswerStatus.MOOT));
+        execute(stream, stream.state.response(number, status == AnswerStatus.ABSENT || status == AnswerStatus.FULL || status == AnswerStatus.MOOT));
     }
 
-    /** The attempt named last never reached its member. */
+    /** Reports that the last attempt sent to the caller never reached its member. */
     void unreached(Stream stream) {
         stream.unreached = true;
-        act(stream, stream.state.response(stream.name.attempt(), true));
+        execute(stream, stream.state.response(stream.attempt.attempt(), true));
     }
 
+    /** Handles a message that does not concern the decision, such as a body or trailers. */
     void other(Stream stream) {
-        act(stream, stream.state.other());
+        execute(stream, stream.state.other());
     }
 
     List<Act> malformed(Stream stream, String why) {
@@ -430,29 +432,29 @@
         return acts;
     }
 
-    /** Does what the state says; what the decisions answer meanwhile comes behind it. */
-    void act(Stream stream, List<Act> acts) {
+    /** Executes the actions of the call state; answers of the decision logic that arrive meanwhile are processed after them. */
+    void execute(Stream stream, List<Act> acts) {
         for (Act act : acts) {
             if (act instanceof Act.TellName) {
                 count(Count.NAMED);
-                stream.tellName(stream.name);
-            } else if (act instanceof Act.TellFinal f) {
+                stream.sendAttempt(stream.attempt);
+            } else if (act instanceof Act.TellFinal answer) {
                 count(Count.FINALS);
-                stream.tellFinal(f.code(), (f.stayAway() + MILLI - 1) / MILLI);
+                stream.sendFinal(answer.code(), (answer.stayAway() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
             } else if (act instanceof Act.GoOn) {
-                stream.goOn();
+                stream.sendContinue();
             } else if (act instanceof Act.End) {
                 count(Count.ENDS);
-                Effect.AnnounceAttempt ended = stream.name;
-                AnswerStatus word = stream.end;
+                Effect.AnnounceAttempt ended = stream.attempt;
+                AnswerStatus status = stream.endStatus;
                 boolean unreached = stream.unreached;
                 stream.unreached = false;
                 loop.submit(
                         unreached
                                 ? new Input.NeverSent(ended.key())
-                                : word == null
+                                : status == null
                                         ? new Input.ConnectionLost(ended.key())
-                                        : new Input.Answered(ended.key(), word, stream.note, Map.of(), Bytes.NONE));
+                                        : new Input.Answered(ended.key(), status, stream.note, Map.of(), Bytes.NONE));
             } else if (act instanceof Act.Withdraw) {
                 count(Count.WITHDRAWN);
                 streams.remove(stream.number);
@@ -460,11 +462,11 @@
             } else if (act instanceof Act.Complete) {
                 finish(stream);
                 stream.complete();
-            } else if (act instanceof Act.Abort a) {
+            } else if (act instanceof Act.Abort abort) {
                 count(Count.ABORTED);
-                loop.complain("a call of another proxy was ended: " + a.why());
+                loop.complain("a call of a proxy was aborted: " + abort.why());
                 finish(stream);
-                stream.abort(Status.INVALID_ARGUMENT.withDescription(a.why()));
+                stream.abort(Status.INVALID_ARGUMENT.withDescription(abort.why()));
             }
         }
         if (stream.state.phase() == Phase.OVER) {
@@ -472,7 +474,7 @@
         }
     }
 
-    /** The stream is over: nothing of it stays but what must not run twice. */
+    /** Releases a stream that is over; only the id of a request that must not run twice is kept. */
     private void finish(Stream stream) {
         if (stream.ended) {
             return;
@@ -483,38 +485,38 @@
         if (stream.admitted) {
             admission.ended(stream.caller);
         }
-        if (stream.bookId != null) {
-            book.ended(loop.clock(), stream.bookId, stream.state.mayHaveRun());
+        if (stream.registryId != null) {
+            callRegistry.ended(loop.clock(), stream.registryId, stream.state.mayHaveRun());
         }
     }
 
-    // ---- what the decisions say -----------------------------------------------------------------------
+    // ---- results of the decision logic ----------------------------------------------------------------
 
     @Override
-    public void attemptAnnounced(Effect.AnnounceAttempt name) {
-        Stream stream = streams.get(name.call());
+    public void attemptAnnounced(Effect.AnnounceAttempt attempt) {
+        Stream stream = streams.get(attempt.call());
         if (stream == null) {
-            return; // withdrawn meanwhile
+            return; // the call was cancelled meanwhile
         }
         if (stream.state.phase() == Phase.RESPONDED && section.retryWait() > 0) {
-            holdReady(stream, name);
+            keepReady(stream, attempt);
             return;
         }
         if (stream.state.phase() == Phase.DECIDING || stream.state.phase() == Phase.NAMED) {
-            stream.name = name;
+            stream.attempt = attempt;
         }
-        act(stream, stream.state.named(name.attempt()));
+        execute(stream, stream.state.named(attempt.attempt()));
     }
 
-    private void holdReady(Stream stream, Effect.AnnounceAttempt name) {
+    private void keepReady(Stream stream, Effect.AnnounceAttempt attempt) {
         stream.state.detach();
-        streams.remove(name.call());
-        Held ready = new Held(name.call(), name, stream.bookId, stream.state.mayHaveRun());
-        stream.bookId = null;
-        held.put(stream.id, ready);
+        streams.remove(attempt.call());
+        ReadyAttempt ready = new ReadyAttempt(attempt.call(), attempt, stream.registryId, stream.state.mayHaveRun());
+        stream.registryId = null;
+        readyAttempts.put(stream.id, ready);
         loop.schedule(section.retryWait(), () -> {
-            if (held.remove(stream.id, ready)) {
-                letGo(ready);
+            if (readyAttempts.remove(stream.id, ready)) {
+                discard(ready);
                 loop.submit(new Input.RequestCancelled(ready.number(), 0));
             }
         });
@@ -524,19 +526,19 @@
     public void answered(long call, Effect.Code code, long pushbackMillis) {
         Stream stream = streams.remove(call);
         if (stream != null) {
-            act(stream, stream.state.decided(CallState.Code.valueOf(code.name()), pushbackMillis * MILLI));
+            execute(stream, stream.state.decided(CallState.Code.valueOf(code.name()), pushbackMillis * MICROS_PER_MILLI));
             return;
         }
-        held.values().stream().filter(h -> h.number() == call).findFirst().ifPresent(h -> {
-            held.values().remove(h);
-            letGo(h);
+        readyAttempts.values().stream().filter(ready -> ready.number() == call).findFirst().ifPresent(ready -> {
+            readyAttempts.values().remove(ready);
+            discard(ready);
         });
     }
 
-    /** An attempt held ready that nobody came for: what is known of its request is kept. */
-    private void letGo(Held ready) {
-        if (ready.bookId() != null) {
-            book.ended(loop.clock(), ready.bookId(), ready.mayHaveRun());
+    /** Discards a ready attempt that was not used; whether its request may have run is still recorded. */
+    private void discard(ReadyAttempt ready) {
+        if (ready.registryId() != null) {
+            callRegistry.ended(loop.clock(), ready.registryId(), ready.mayHaveRun());
         }
     }
 
@@ -544,16 +546,16 @@
     public void applyOperatorConfig(OperatorConfig operator) {
         operator.processor().ifPresent(next -> {
             try {
-                check(next, words);
+                check(next, settingsReader);
             } catch (WireException e) {
-                LOG.error("the rules of the processor stay as they were: {}", e.getMessage());
+                LOG.error("reloading the processor section failed, the rules in force are kept: {}", e.getMessage());
                 return;
             }
             section = next;
             rules = next.callRules();
             admission.limits(next.limits());
             if (tls != null) {
-                tls.read();
+                tls.reload();
             }
         });
     }
@@ -571,23 +573,23 @@
         workers.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private void count(Count c) {
-        counts.merge(c, 1L, Long::sum);
+    private void count(Count counter) {
+        counts.merge(counter, 1L, Long::sum);
     }
 
     @Override
     public Map<String, String> state() {
         Map<String, String> state = new LinkedHashMap<>();
-        counts.forEach((c, n) ->
-                state.put("processor-" + c.name().toLowerCase(Locale.ROOT).replace('_', '-'), Long.toString(n)));
+        counts.forEach((counter, value) ->
+                state.put("processor-" + counter.name().toLowerCase(Locale.ROOT).replace('_', '-'), Long.toString(value)));
         state.put("processor-open", Integer.toString(admission.open()));
-        state.put("processor-held-ready", Integer.toString(held.size()));
-        state.put("processor-ids-kept", Integer.toString(book.size()));
-        state.put("processor-ids-forgotten-early", Long.toString(book.forgottenEarly()));
+        state.put("processor-held-ready", Integer.toString(readyAttempts.size()));
+        state.put("processor-ids-kept", Integer.toString(callRegistry.size()));
+        state.put("processor-ids-forgotten-early", Long.toString(callRegistry.forgottenEarly()));
         return state;
     }
 
-    private static long number(String text) {
+    private static long parseNumber(String text) {
         return text != null && text.matches("\\d{1,9}") ? Long.parseLong(text) : 0;
     }
 }
--- a/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
+++ b/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
@@ -44,7 +44,7 @@
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.OperatorFile;
 
-/** The front on a socket of loopback, called as a proxy calls it, round the real reducer and decisions. */
+/** The front on a loopback socket, called as proxies call it, with the real reducer and decision logic. */
 class ProcessorFrontTest {
 
     private static final String OPERATOR =
@@ -72,8 +72,8 @@
         start(0);
     }
 
-    private void start(int retryWait) throws Exception {
-        OperatorConfig operator = operator(OPERATOR.formatted(retryWait));
+    private void start(int retryWaitMillis) throws Exception {
+        OperatorConfig operator = operator(OPERATOR.formatted(retryWaitMillis));
         NodeConfig config = NodeTestConfig.parse(NodeTestConfig.json(
                 "127.0.0.1:0",
                 "",
@@ -104,7 +104,7 @@
         server.awaitEnd(10_000);
     }
 
-    /** One stream, its answers in a queue; the end is an answer without a case, or its status. */
+    /** One stream of a proxy, with its answers in a queue and the status of its end. */
     private final class Call implements StreamObserver<ProcessingResponse> {
         final BlockingQueue<ProcessingResponse> answers = new LinkedBlockingQueue<>();
         final CompletableFuture<Status> end = new CompletableFuture<>();
@@ -117,8 +117,8 @@
         }
 
         @Override
-        public void onError(Throwable t) {
-            end.complete(Status.fromThrowable(t));
+        public void onError(Throwable cause) {
+            end.complete(Status.fromThrowable(cause));
         }
 
         @Override
@@ -157,21 +157,21 @@
     private static HttpHeaders http(Map<String, String> headers) {
         HeaderMap.Builder map = HeaderMap.newBuilder();
         headers.forEach(
-                (k, v) -> map.addHeaders(HeaderValue.newBuilder().setKey(k).setRawValue(ByteString.copyFromUtf8(v))));
+                (name, value) -> map.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value))));
         return HttpHeaders.newBuilder().setHeaders(map).build();
     }
 
-    private static Map<String, String> told(ProcessingResponse answer) {
+    private static Map<String, String> attemptHeaders(ProcessingResponse answer) {
         assertNotNull(answer);
         assertEquals(ResponseCase.REQUEST_HEADERS, answer.getResponseCase(), answer.toString());
-        Map<String, String> told = new LinkedHashMap<>();
+        Map<String, String> headers = new LinkedHashMap<>();
         answer.getRequestHeaders()
                 .getResponse()
                 .getHeaderMutation()
                 .getSetHeadersList()
-                .forEach(h -> told.put(
+                .forEach(header -> headers.put(
                         h.getHeader().getKey(), h.getHeader().getRawValue().toStringUtf8()));
-        return told;
+        return headers;
     }
 
     private long state(String name) throws Exception {
@@ -180,36 +180,36 @@
         return value.get(10, TimeUnit.SECONDS);
     }
 
-    private void awaitNothingOpen() throws Exception {
+    private void awaitNoOpenCalls() throws Exception {
         while (state("open") > 0) {
             Thread.sleep(5);
         }
     }
 
     @Test
-    void aRequestIsToldItsCacheSourceRankAndLimits() throws Exception {
+    void requestGetsHeadersForCacheSourceRankAndFlags() throws Exception {
         Call call = new Call().request("GET", "/video/00af/3?x=1", "r-1", 1);
-        Map<String, String> told = told(call.next());
-        assertTrue(told.get("x-pumicemoor-cache").matches("s-[12]"), told.toString());
-        assertEquals("127.0.0.1:1" + told.get("x-pumicemoor-cache").charAt(2), told.get("x-pumicemoor-address"));
-        assertEquals("p-1", told.get("x-pumicemoor-source"));
-        assertEquals("1", told.get("x-pumicemoor-keep-rank"));
-        assertEquals("collapse", told.get("x-pumicemoor-flags"));
-        assertEquals("0", told.get("x-pumicemoor-attempt"));
+        Map<String, String> headers = attemptHeaders(call.next());
+        assertTrue(headers.get("x-pumicemoor-cache").matches("s-[12]"), headers.toString());
+        assertEquals("127.0.0.1:1" + headers.get("x-pumicemoor-cache").charAt(2), headers.get("x-pumicemoor-address"));
+        assertEquals("p-1", headers.get("x-pumicemoor-source"));
+        assertEquals("1", headers.get("x-pumicemoor-keep-rank"));
+        assertEquals("collapse", headers.get("x-pumicemoor-flags"));
+        assertEquals("0", headers.get("x-pumicemoor-attempt"));
         call.response("200");
         assertEquals(ResponseCase.RESPONSE_HEADERS, call.next().getResponseCase());
         call.out.onCompleted();
         assertEquals(Status.Code.OK, call.endCode());
-        awaitNothingOpen();
+        awaitNoOpenCalls();
         assertEquals(0, server.counters().get(pumicemoor.node.Counters.Name.FAULTS));
         Call again = new Call().request("GET", "/video/00af/3", "r-2", 1);
-        assertEquals(told.get("x-pumicemoor-cache"), told(again.next()).get("x-pumicemoor-cache"));
+        assertEquals(headers.get("x-pumicemoor-cache"), attemptHeaders(again.next()).get("x-pumicemoor-cache"));
         again.out.onCompleted();
         assertEquals(Status.Code.OK, again.endCode());
     }
 
     @Test
-    void whatNoRuleFitsIsRefusedOrPassedAsTheFileSays() throws Exception {
+    void requestWithoutAMatchingRuleIsRefusedOrPassedAsConfigured() throws Exception {
         Call call = new Call().request("GET", "/elsewhere", "r-1", 1);
         ProcessingResponse answer = call.next();
         assertEquals(503, answer.getImmediateResponse().getStatus().getCode());
@@ -222,7 +222,7 @@
         });
         reloaded.get(10, TimeUnit.SECONDS);
         Call passed = new Call().request("GET", "/elsewhere", "r-2", 1);
-        assertEquals(0, told(passed.next()).size());
+        assertEquals(0, attemptHeaders(passed.next()).size());
         passed.response("500");
         assertEquals(ResponseCase.RESPONSE_HEADERS, passed.next().getResponseCase());
         passed.out.onCompleted();
@@ -230,13 +230,13 @@
     }
 
     @Test
-    void aRequestWithAnEffectIsNeverNamedTwiceOnceItMayHaveRun() throws Exception {
+    void unsafeRequestGetsNoSecondAttemptOnceItMayHaveRun() throws Exception {
         Call call = new Call().request("POST", "/book/7", "b-1", 1);
-        told(call.next());
+        attemptHeaders(call.next());
         Call second = new Call().request("POST", "/book/7", "b-1", 1);
-        assertEquals(502, second.next().getImmediateResponse().getStatus().getCode(), "while it is open");
+        assertEquals(502, second.next().getImmediateResponse().getStatus().getCode(), "while the first call is open");
         call.out.onError(Status.CANCELLED.asRuntimeException());
-        awaitNothingOpen();
+        awaitNoOpenCalls();
         assertEquals(
                 502,
                 new Call()
@@ -245,7 +245,7 @@
                         .getImmediateResponse()
                         .getStatus()
                         .getCode(),
-                "its end is unknown");
+                "the outcome of the first call is unknown");
         assertEquals(
                 502,
                 new Call()
@@ -254,28 +254,28 @@
                         .getImmediateResponse()
                         .getStatus()
                         .getCode(),
-                "a repeat of which nothing is known, as after a start");
-        Call turnedAway = new Call().request("POST", "/book/9", "b-3", 1);
-        told(turnedAway.next());
-        turnedAway.response("429");
-        turnedAway.next();
-        turnedAway.out.onCompleted();
-        turnedAway.endCode();
-        told(new Call().request("POST", "/book/9", "b-3", 2).next()); // it never ran
+                "a retry whose first call is not known, as after a start of the router");
+        Call refused = new Call().request("POST", "/book/9", "b-3", 1);
+        attemptHeaders(refused.next());
+        refused.response("429");
+        refused.next();
+        refused.out.onCompleted();
+        refused.endCode();
+        attemptHeaders(new Call().request("POST", "/book/9", "b-3", 2).next()); // it never ran
     }
 
     @Test
-    void aCallerThatTriesAgainByItselfGetsTheAttemptHeldReady() throws Exception {
+    void retryOfTheCallerGetsTheAttemptKeptReady() throws Exception {
         end();
         start(2_000);
         Call first = new Call().request("GET", "/video/aa/0", "r-1", 1);
-        assertEquals("0", told(first.next()).get("x-pumicemoor-attempt"));
+        assertEquals("0", attemptHeaders(first.next()).get("x-pumicemoor-attempt"));
         first.response("503");
         assertEquals(ResponseCase.RESPONSE_HEADERS, first.next().getResponseCase());
         first.out.onCompleted();
         first.endCode();
         Call second = new Call().request("GET", "/video/aa/0", "r-1", 2);
-        assertEquals("1", told(second.next()).get("x-pumicemoor-attempt"), "it belongs to the same request");
+        assertEquals("1", attemptHeaders(second.next()).get("x-pumicemoor-attempt"), "the retry belongs to the same request");
         second.response("200");
         second.next();
         second.out.onCompleted();
@@ -286,11 +286,11 @@
     }
 
     @Test
-    void whatIsHeldReadyAndNotFetchedIsLetGo() throws Exception {
+    void unusedReadyAttemptIsDiscarded() throws Exception {
         end();
         start(100);
         Call first = new Call().request("POST", "/book/1", "b-1", 1);
-        told(first.next());
+        attemptHeaders(first.next());
         first.response("429");
         assertEquals(ResponseCase.RESPONSE_HEADERS, first.next().getResponseCase());
         first.out.onCompleted();
@@ -299,43 +299,43 @@
             Thread.sleep(5);
         }
         Call later = new Call().request("POST", "/book/1", "b-1", 2);
-        assertEquals("0", told(later.next()).get("x-pumicemoor-attempt"), "it never ran, and is a new request now");
+        assertEquals("0", attemptHeaders(later.next()).get("x-pumicemoor-attempt"), "the first request never ran, so this is a new one");
         assertEquals(1, state("ids-kept"));
     }
 
     @Test
-    void badStreamsEndByThemselvesAndOthersGoOn() throws Exception {
+    void invalidStreamsAreAbortedWithoutEffectOnOthers() throws Exception {
         Call good = new Call().request("GET", "/video/aa/0", "r-1", 1);
-        told(good.next());
-        Call order = new Call().response("200");
-        assertEquals(Status.Code.INVALID_ARGUMENT, order.endCode());
-        Call twice = new Call().request("GET", "/video/aa/0", "r-2", 1);
-        told(twice.next());
-        twice.request("GET", "/video/aa/0", "r-2", 1);
-        assertEquals(Status.Code.INVALID_ARGUMENT, twice.endCode());
-        Call nothing = new Call();
-        nothing.out.onNext(ProcessingRequest.getDefaultInstance());
-        assertEquals(Status.Code.INVALID_ARGUMENT, nothing.endCode());
-        Call empty = new Call();
-        empty.out.onNext(ProcessingRequest.newBuilder()
+        attemptHeaders(good.next());
+        Call responseFirst = new Call().response("200");
+        assertEquals(Status.Code.INVALID_ARGUMENT, responseFirst.endCode());
+        Call secondRequest = new Call().request("GET", "/video/aa/0", "r-2", 1);
+        attemptHeaders(secondRequest.next());
+        secondRequest.request("GET", "/video/aa/0", "r-2", 1);
+        assertEquals(Status.Code.INVALID_ARGUMENT, secondRequest.endCode());
+        Call withoutPhase = new Call();
+        withoutPhase.out.onNext(ProcessingRequest.getDefaultInstance());
+        assertEquals(Status.Code.INVALID_ARGUMENT, withoutPhase.endCode());
+        Call withoutHeaders = new Call();
+        withoutHeaders.out.onNext(ProcessingRequest.newBuilder()
                 .setRequestHeaders(HttpHeaders.getDefaultInstance())
                 .build());
-        assertEquals(Status.Code.INVALID_ARGUMENT, empty.endCode());
-        Call bytes = new Call();
-        bytes.out.onNext(ProcessingRequest.newBuilder()
+        assertEquals(Status.Code.INVALID_ARGUMENT, withoutHeaders.endCode());
+        Call notText = new Call();
+        notText.out.onNext(ProcessingRequest.newBuilder()
                 .setRequestHeaders(HttpHeaders.newBuilder()
                         .setHeaders(HeaderMap.newBuilder()
                                 .addHeaders(HeaderValue.newBuilder()
                                         .setKey(":path")
                                         .setRawValue(ByteString.copyFrom(new byte[] {(byte) 0xff, (byte) 0xfe})))))
                 .build());
-        assertEquals(Status.Code.INVALID_ARGUMENT, bytes.endCode());
-        Call large = new Call();
-        large.out.onNext(ProcessingRequest.newBuilder()
+        assertEquals(Status.Code.INVALID_ARGUMENT, notText.endCode());
+        Call oversized = new Call();
+        oversized.out.onNext(ProcessingRequest.newBuilder()
                 .setRequestBody(HttpBody.newBuilder().setBody(ByteString.copyFrom(new byte[20_000])))
                 .build());
-        assertEquals(Status.Code.RESOURCE_EXHAUSTED, large.endCode());
-        StatusRuntimeException unknown = org.junit.jupiter.api.Assertions.assertThrows(
+        assertEquals(Status.Code.RESOURCE_EXHAUSTED, oversized.endCode());
+        StatusRuntimeException unknownMethod = org.junit.jupiter.api.Assertions.assertThrows(
                 StatusRuntimeException.class,
                 () -> io.grpc.stub.ClientCalls.blockingUnaryCall(
                         channel,
@@ -345,19 +345,19 @@
                                 .build(),
                         io.grpc.CallOptions.DEFAULT,
                         ProcessingRequest.getDefaultInstance()));
-        assertEquals(Status.Code.UNIMPLEMENTED, unknown.getStatus().getCode());
+        assertEquals(Status.Code.UNIMPLEMENTED, unknownMethod.getStatus().getCode());
         good.response("200");
         assertEquals(ResponseCase.RESPONSE_HEADERS, good.next().getResponseCase());
         good.out.onCompleted();
         good.endCode();
-        awaitNothingOpen();
+        awaitNoOpenCalls();
         assertTrue(state("aborted") >= 5);
     }
 
     @Test
-    void pastTheBoundOnOpenCallsTheAnswerIsARefusalAtOnceWithATimeToStayAway() throws Exception {
+    void callOverTheLimitOfOpenCallsIsRefusedAtOnceWithARetryDelay() throws Exception {
         for (int i = 0; i < 5; i++) {
-            told(new Call()
+            attemptHeaders(new Call()
                     .request("GET", "/video/" + Integer.toHexString(i) + "/0", "r-" + i, 1)
                     .next());
         }
@@ -367,14 +367,14 @@
         assertTrue(answer.getImmediateResponse().getHeaders().getSetHeadersList().stream()
                 .anyMatch(h -> h.getHeader().getKey().equals("retry-after")));
         channel.shutdownNow();
-        awaitNothingOpen();
+        awaitNoOpenCalls();
         assertEquals(0, state("ids-kept"));
     }
 
     @Test
-    void aPlannedEndTakesNoNewCallsAndWaitsForTheOpenOnes() throws Exception {
+    void terminationWaitsForOpenCalls() throws Exception {
         Call open = new Call().request("GET", "/video/aa/0", "r-1", 1);
-        told(open.next());
+        attemptHeaders(open.next());
         server.terminate();
         open.response("200");
         assertEquals(ResponseCase.RESPONSE_HEADERS, open.next().getResponseCase());
@@ -383,17 +383,17 @@
     }
 
     @Test
-    void aReporterIsNamedOneAttemptAfterTheOtherUntilTheEnd() throws Exception {
+    void reporterGetsOneAttemptAfterAnotherUntilTheFinalAnswer() throws Exception {
         BlockingQueue<ToCaller> answers = new LinkedBlockingQueue<>();
         CompletableFuture<Boolean> ended = new CompletableFuture<>();
         StreamObserver<FromCaller> out = DecisionsGrpc.newStub(channel).decide(new StreamObserver<>() {
             @Override
-            public void onNext(ToCaller m) {
-                answers.add(m);
+            public void onNext(ToCaller message) {
+                answers.add(message);
             }
 
             @Override
-            public void onError(Throwable t) {
+            public void onError(Throwable cause) {
                 ended.complete(false);
             }
 
--- a/src/test/java/pumicemoor/extproc/TlsTest.java
+++ b/src/test/java/pumicemoor/extproc/TlsTest.java
@@ -40,7 +40,7 @@
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.OperatorFile;
 
-/** Certificates on both sides, made for each run, and replaced while the router runs. */
+/** Mutual TLS with certificates generated for each run, which are replaced while the router runs. */
 class TlsTest {
 
     @TempDir
@@ -48,16 +48,16 @@
 
     private long serial = 1;
 
-    private record Pair(X509Certificate certificate, KeyPair keys) {}
+    private record CertifiedKey(X509Certificate certificate, KeyPair keys) {}
 
-    private Pair issue(String name, Pair by) throws Exception {
+    private CertifiedKey issue(String name, CertifiedKey issuerKey) throws Exception {
         KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
         generator.initialize(256);
         KeyPair keys = generator.generateKeyPair();
         X500Name issuer = new X500Name("CN="
-                + (by == null
+                + (issuerKey == null
                         ? name
-                        : by.certificate().getSubjectX500Principal().getName().substring(3)));
+                        : issuerKey.certificate().getSubjectX500Principal().getName().substring(3)));
         JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(
                 issuer,
                 BigInteger.valueOf(serial++),
@@ -65,19 +65,19 @@
                 new Date(System.currentTimeMillis() + 3_600_000),
                 new X500Name("CN=" + name),
                 keys.getPublic());
-        builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(by == null));
+        builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(issuerKey == null));
         builder.addExtension(
                 Extension.subjectAlternativeName,
                 false,
                 new GeneralNames(new GeneralName(GeneralName.iPAddress, "127.0.0.1")));
-        return new Pair(
+        return new CertifiedKey(
                 new JcaX509CertificateConverter()
                         .getCertificate(builder.build(new JcaContentSignerBuilder("SHA256withECDSA")
-                                .build((by == null ? keys : by.keys()).getPrivate()))),
+                                .build((issuerKey == null ? keys : issuerKey.keys()).getPrivate()))),
                 keys);
     }
 
-    private void write(Pair pair, String name) throws Exception {
+    private void write(CertifiedKey pair, String name) throws Exception {
         StringWriter certificate = new StringWriter();
         try (JcaPEMWriter pem = new JcaPEMWriter(certificate)) {
             pem.writeObject(pair.certificate());
@@ -90,13 +90,13 @@
         Files.writeString(folder.resolve(name + "-key.pem"), key.toString());
     }
 
-    private ManagedChannel channel(int port, String trusted, String shown) throws Exception {
+    private ManagedChannel channel(int port, String trustedName, String clientName) throws Exception {
         TlsChannelCredentials.Builder credentials = TlsChannelCredentials.newBuilder()
-                .trustManager(folder.resolve(trusted + ".pem").toFile());
-        if (shown != null) {
+                .trustManager(folder.resolve(trustedName + ".pem").toFile());
+        if (clientName != null) {
             credentials.keyManager(
-                    folder.resolve(shown + ".pem").toFile(),
-                    folder.resolve(shown + "-key.pem").toFile());
+                    folder.resolve(clientName + ".pem").toFile(),
+                    folder.resolve(clientName + "-key.pem").toFile());
         }
         return NettyChannelBuilder.forAddress("127.0.0.1", port, credentials.build())
                 .build();
@@ -120,14 +120,14 @@
     }
 
     @Test
-    void onlyCallersWithACertificateAreHeardAndNewCertificatesAreFollowed() throws Exception {
-        Pair authority = issue("authority", null);
-        Pair other = issue("other", null);
+    void onlyCallersWithATrustedCertificateAreAcceptedAndReloadedCertificatesAreUsed() throws Exception {
+        CertifiedKey authority = issue("authority", null);
+        CertifiedKey otherAuthority = issue("other", null);
         write(authority, "authority");
-        write(other, "other");
+        write(otherAuthority, "other");
         write(issue("router", authority), "router");
         write(issue("proxy-1", authority), "proxy");
-        write(issue("stranger", other), "stranger");
+        write(issue("stranger", otherAuthority), "stranger");
         OperatorConfig operator = OperatorFile.read(Files.writeString(
                 folder.resolve("operator.yaml"),
                 """
@@ -146,13 +146,13 @@
         server.attach(front);
         server.start(false);
         ManagedChannel first = channel(front.port(), "authority", "proxy");
-        ManagedChannel none = channel(front.port(), "authority", null);
+        ManagedChannel withoutCertificate = channel(front.port(), "authority", null);
         ManagedChannel stranger = channel(front.port(), "authority", "stranger");
         try {
             assertEquals("s-1", ask(first).getNamed().getCache());
             assertEquals(
                     Status.Code.UNAVAILABLE,
-                    assertThrows(StatusRuntimeException.class, () -> ask(none))
+                    assertThrows(StatusRuntimeException.class, () -> ask(withoutCertificate))
                             .getStatus()
                             .getCode());
             assertEquals(
@@ -160,23 +160,23 @@
                     assertThrows(StatusRuntimeException.class, () -> ask(stranger))
                             .getStatus()
                             .getCode());
-            write(issue("router", other), "router");
-            java.util.concurrent.CompletableFuture<Void> read = new java.util.concurrent.CompletableFuture<>();
+            write(issue("router", otherAuthority), "router");
+            java.util.concurrent.CompletableFuture<Void> reloaded = new java.util.concurrent.CompletableFuture<>();
             server.execute(() -> {
                 front.applyOperatorConfig(operator);
-                read.complete(null);
+                reloaded.complete(null);
             });
-            read.get(10, java.util.concurrent.TimeUnit.SECONDS);
-            assertEquals("s-1", ask(first).getNamed().getCache(), "the connection that is open goes on");
+            reloaded.get(10, java.util.concurrent.TimeUnit.SECONDS);
+            assertEquals("s-1", ask(first).getNamed().getCache(), "the open connection stays in use");
             ManagedChannel second = channel(front.port(), "other", "proxy");
             try {
-                assertEquals("s-1", ask(second).getNamed().getCache(), "new handshakes use what was read last");
+                assertEquals("s-1", ask(second).getNamed().getCache(), "new handshakes use the certificates loaded last");
             } finally {
                 second.shutdownNow();
             }
         } finally {
             first.shutdownNow();
-            none.shutdownNow();
+            withoutCertificate.shutdownNow();
             stranger.shutdownNow();
             server.terminate();
             server.awaitEnd(10_000);
