--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -104,17 +104,17 @@
     private final EventLoopGroup workers = new NioEventLoopGroup(1);
     private CallLoop loop;
     private Server server;
-    private long lastNumber;
+    private long lastRequestNumber;
     private boolean draining;
 
     /** An attempt that is kept ready until the caller itself retries the request. */
-    private record ReadyAttempt(long number, Effect.AnnounceAttempt attempt, String registryId, boolean mayHaveRun) {}
+    private record ReadyAttempt(long requestNumber, Effect.AnnounceAttempt attempt, String registryId, boolean mayHaveRun) {}
 
     /** One stream of a caller, of either service. */
     abstract static class Stream {
         final String caller;
         final CallState state;
-        long number; // of the request in the reducer; negative
+        long requestNumber; // in the reducer; negative
         String id = "";
         String registryId; // null if the request may run twice
         Effect.AnnounceAttempt attempt; // the last attempt sent to the caller
@@ -351,10 +351,10 @@
         RouterApi.RequestClass settings = settingsReader.settings().classes().get(requestClass);
         if (ready != null) {
             count(Count.TRIED_AGAIN);
-            stream.number = ready.number();
+            stream.requestNumber = ready.requestNumber();
             stream.registryId = ready.registryId();
             stream.attempt = ready.attempt();
-            streams.put(stream.number, stream);
+            streams.put(stream.requestNumber, stream);
             stream.timers.add(loop.schedule(settings.deadline() + STREAM_GRACE_MICROS, () -> expire(stream)));
             execute(stream, stream.state.adopt(ready.attempt().attempt()));
             return;
@@ -367,8 +367,8 @@
             }
             stream.registryId = stream.id;
         }
-        stream.number = --lastNumber;
-        streams.put(stream.number, stream);
+        stream.requestNumber = --lastRequestNumber;
+        streams.put(stream.requestNumber, stream);
         long timeoutMillis = ttlMillis > 0 ? Math.min(ttlMillis, settings.deadline() / MICROS_PER_MILLI) : settings.deadline() / MICROS_PER_MILLI;
         List<Act> acts = stream.state.request();
         stream.timers.add(loop.schedule(
@@ -377,7 +377,7 @@
         for (Act act : acts) {
             if (act instanceof Act.Ask) {
                 loop.submit(new Input.Call(
-                        stream.number,
+                        stream.requestNumber,
                         stream.id,
                         about.requestClass(),
                         about.object(),
@@ -408,11 +408,11 @@
         }
     }
 
-    /** Reports how an attempt ended; number -1 means the last one sent to the caller. */
-    void response(Stream stream, int number, AnswerStatus status, String note) {
+    /** Reports how an attempt ended; attempt number -1 means the last one sent to the caller. */
+    void response(Stream stream, int attemptNumber, AnswerStatus status, String note) {
         stream.endStatus = status;
         stream.note = note;
-        execute(stream, stream.state.response(number, status == AnswerStatus.ABSENT || status == AnswerStatus.FULL || status == AnswerStatus.MOOT));
+        execute(stream, stream.state.response(attemptNumber, status == AnswerStatus.ABSENT || status == AnswerStatus.FULL || status == AnswerStatus.MOOT));
     }
 
     /** Reports that the last attempt sent to the caller never reached its member. */
@@ -457,8 +457,8 @@
                                         : new Input.Answered(ended.key(), status, stream.note, Map.of(), Bytes.NONE));
             } else if (act instanceof Act.Withdraw) {
                 count(Count.WITHDRAWN);
-                streams.remove(stream.number);
-                loop.submit(new Input.RequestCancelled(stream.number, 0));
+                streams.remove(stream.requestNumber);
+                loop.submit(new Input.RequestCancelled(stream.requestNumber, 0));
             } else if (act instanceof Act.Complete) {
                 finish(stream);
                 stream.complete();
@@ -481,7 +481,7 @@
         }
         stream.ended = true;
         stream.timers.forEach(Runnable::run);
-        streams.remove(stream.number, stream);
+        streams.remove(stream.requestNumber, stream);
         if (stream.admitted) {
             admission.ended(stream.caller);
         }
@@ -517,7 +517,7 @@
         loop.schedule(section.retryWait(), () -> {
             if (readyAttempts.remove(stream.id, ready)) {
                 discard(ready);
-                loop.submit(new Input.RequestCancelled(ready.number(), 0));
+                loop.submit(new Input.RequestCancelled(ready.requestNumber(), 0));
             }
         });
     }
@@ -529,7 +529,7 @@
             execute(stream, stream.state.decided(CallState.Code.valueOf(code.name()), pushbackMillis * MICROS_PER_MILLI));
             return;
         }
-        readyAttempts.values().stream().filter(ready -> ready.number() == call).findFirst().ifPresent(ready -> {
+        readyAttempts.values().stream().filter(ready -> ready.requestNumber() == call).findFirst().ifPresent(ready -> {
             readyAttempts.values().remove(ready);
             discard(ready);
         });
--- a/src/main/java/pumicemoor/net/BufferBudget.java
+++ b/src/main/java/pumicemoor/net/BufferBudget.java
@@ -6,7 +6,7 @@
 
 /**
  * Limits the memory that message bodies use. It owns the queue of readers that wait for capacity and must never reject
- * one: a waitingReaders reader stops reading, so that flow control stops the peer.
+ * one: a waiting reader stops reading, so that flow control stops the peer.
  */
 final class BufferBudget {
 
@@ -33,7 +33,7 @@
         return admitted;
     }
 
-    /** Resumes waitingReaders readers, as far as there is capacity. */
+    /** Resumes waiting readers, as far as there is capacity. */
     void resume() {
         for (int remaining = waitingReaders.size(); remaining > 0 && hasCapacity(0); remaining--) {
             waitingReaders.poll().run();
--- a/src/main/java/pumicemoor/net/ClientFrame.java
+++ b/src/main/java/pumicemoor/net/ClientFrame.java
@@ -21,6 +21,8 @@
 final class ClientFrame {
 
     static final int LENGTH_BYTES = 4;
+
+    // frame types
     static final int READINESS_REQUEST = 1;
     static final int READINESS = 2;
     static final int DRAIN = 3;
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -74,15 +74,15 @@
     private final Inbox inbox = new Inbox();
     private final List<Effect> effects = new ArrayList<>();
     private final CountDownLatch synced = new CountDownLatch(1);
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final FleetSocket fleet = new FleetSocket(this);
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private final FleetSocket fleetSocket = new FleetSocket(this);
     private Optional<CallFront> callFront = Optional.empty();
     private Channel listener;
     private long lastConnectionId;
     private boolean processing;
     private boolean draining;
     private long timerDueAt = Long.MAX_VALUE;
-    private long lastTurnAt;
+    private long lastTurnAt; // when the loop last took an input
     private long unreadDelayMicros; // the length of the last stall
     private long unreadDelayUntil; // requests received until then may have waited unread through the last stall
     private long requestsHeldSince; // requests are held back after a stall in which contact with the coordinator was lost
@@ -106,8 +106,8 @@
     }
 
     /** Adds a front to which proxies call; must be called before the start. */
-    public void attach(CallFront calls) {
-        callFront = Optional.of(calls);
+    public void attach(CallFront front) {
+        callFront = Optional.of(front);
     }
 
     /** Follows the coordinator and listens once its updates are applied; returns then. */
@@ -124,7 +124,7 @@
     /** Applies the configured members and follows the coordinator from there; reloads are possible from then on. */
     public void follow() throws InterruptedException, IOException {
         if (operatorConfig.fleet().isPresent()) {
-            fleet.listen(group, operatorConfig.fleet().get().listen());
+            fleetSocket.listen(group, operatorConfig.fleet().get().listen());
         }
         loop.submit(() -> {
                     reducer.applyOperatorConfig(clock(), operatorConfig, config.location(), config.name(), config.seed());
@@ -199,7 +199,7 @@
      * request, else the one that has been idle for longest, so that unused connections keep no client out.
      */
     private boolean reserveClientSlot() {
-        if (allClients.size() >= limits.clients() + limits.clients() / 8) { // few connections may be closing at the same time
+        if (allClients.size() >= limits.clients() + limits.clients() / 8) { // at most an eighth more may be closing
             allClients.stream()
                     .filter(c -> c.stage() == ClientConnection.Stage.RELEASING)
                     .findFirst()
@@ -242,7 +242,7 @@
 
     /** Waits for the end of the router; returns false if the time passes before. */
     public boolean awaitEnd(long millis) throws InterruptedException {
-        return ended.await(millis, TimeUnit.MILLISECONDS);
+        return terminated.await(millis, TimeUnit.MILLISECONDS);
     }
 
     /** The local address of the listener. */
@@ -450,7 +450,7 @@
         } else if (effect instanceof Effect.FollowCoordinator follow) {
             coordinator.follow(follow.coordinator());
         } else if (effect instanceof Effect.SendFleetPacket packet) {
-            fleet.send(packet.address(), packet.bytes());
+            fleetSocket.send(packet.address(), packet.bytes());
         } else if (effect instanceof Effect.CommandReply reply) {
             if (clients.containsKey(reply.connection())) {
                 clients.get(reply.connection()).writeReply(reply);
@@ -478,7 +478,7 @@
         }
         callFront.ifPresent(CallFront::close);
         coordinator.close();
-        fleet.close();
+        fleetSocket.close();
         cacheConnections.closeAll();
         // answers that a slow client has not read yet are given time to arrive
         PromiseCombiner flushed = new PromiseCombiner(loop);
@@ -486,6 +486,6 @@
         Promise<Void> allFlushed = loop.newPromise();
         flushed.finish(allFlushed);
         allFlushed.addListener(
-                done -> group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).addListener(end -> ended.countDown()));
+                done -> group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).addListener(end -> terminated.countDown()));
     }
 }
--- a/src/main/java/pumicemoor/net/ServerSentEvents.java
+++ b/src/main/java/pumicemoor/net/ServerSentEvents.java
@@ -16,7 +16,7 @@
 
     private final Consumer<String> sink;
     private boolean heartbeatReceived;
-    private boolean firstCommentReceived; // the first comment has been received
+    private boolean firstCommentReceived;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private StringBuilder data;
     private boolean afterCarriageReturn;
