--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -55,8 +55,8 @@
 /**
  * The gRPC server for other proxies, and the adapter between its streams and the router's event loop. It owns the
  * streams by request number, the attempts kept ready for a caller's retry, and the counters; all of these are used on
- * the loop's thread only. It must never decide: CallState determines which messages a stream may carry, and the decision
- * logic what happens to a request.
+ * the loop's thread only. It must never decide: CallState determines which messages a stream may carry, and the
+ * decision logic what happens to a request.
  */
 public final class ProcessorFront implements CallFront {
 
@@ -71,8 +71,10 @@
     private static final int MAX_NAME_LENGTH = 128;
     private static final int MAX_REGISTERED_IDS = 100_000; // ids of requests that must not run twice
     private static final long ID_RETENTION_MICROS = 600_000_000L;
-    private static final long ANSWER_MARGIN_MICROS = 15_000; // an answer is sent this long before the caller's message time-out
-    private static final long STREAM_GRACE_MICROS = 2_000_000; // a stream may exceed its request's deadline by this much
+    // an answer is sent this long before the caller's message time-out
+    private static final long ANSWER_MARGIN_MICROS = 15_000;
+    // a stream may exceed its request's deadline by this much
+    private static final long STREAM_GRACE_MICROS = 2_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
     enum Count {
@@ -184,7 +186,10 @@
         }
     }
 
-    /** Warms up the JVM with calls to a front of its own, so that the first callers get quick answers; call before start. */
+    /**
+     * Warms up the JVM with calls to a front of its own, so that the first callers get quick answers; call before
+     * start.
+     */
     public void rehearse() throws IOException, InterruptedException {
         long startNanos = System.nanoTime();
         int calls = FrontWarmUp.run(section, settingsReader);
@@ -432,7 +437,10 @@
         return acts;
     }
 
-    /** Executes the actions of the call state; answers of the decision logic that arrive meanwhile are processed after them. */
+    /**
+     * Executes the actions of the call state; answers of the decision logic that arrive meanwhile are processed after
+     * them.
+     */
     void execute(Stream stream, List<Act> acts) {
         for (Act act : acts) {
             if (act instanceof Act.TellName) {
--- a/src/main/java/pumicemoor/net/AcceptFailures.java
+++ b/src/main/java/pumicemoor/net/AcceptFailures.java
@@ -8,8 +8,9 @@
 import pumicemoor.node.Counters.Name;
 
 /**
- * Handles failures to accept a connection (no file descriptor or no memory left): pauses the listener briefly, so that a
- * persistent failure does not keep the event loop busy. The connection waits in the accept queue of the kernel meanwhile.
+ * Handles failures to accept a connection (no file descriptor or no memory left): pauses the listener briefly, so that
+ * a persistent failure does not keep the event loop busy. The connection waits in the accept queue of the kernel
+ * meanwhile.
  */
 final class AcceptFailures extends ChannelInboundHandlerAdapter {
 
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -65,8 +65,8 @@
         List<Connection> pool = connectionsByInstance.computeIfAbsent(request.instance(), i -> new ArrayList<>());
         Connection connection = pool.stream().filter(c -> c.accepts(request)).findFirst().orElse(null);
         if (connection == null && pool.size() >= limits.linesPerMember()) {
-            // at the limit of connections an answered id may be reused; an abandoned one may not, as its answer may still
-            // arrive
+            // at the limit of connections an answered id may be reused; an abandoned one may not, as its answer may
+            // still arrive
             connection = pool.stream().filter(c -> c.acceptsReusedId(request)).findFirst().orElse(null);
             if (connection == null) {
                 request.body().release();
@@ -167,7 +167,9 @@
         }
     }
 
-    /** The time at which an id ended on a connection, and whether it was abandoned, so that its answer may still come. */
+    /**
+     * The time at which an id ended on a connection, and whether it was abandoned, so that its answer may still come.
+     */
     private record EndedId(long endedAt, boolean abandoned) {
         private static final EndedId ANSWERED = new EndedId(0, false);
     }
@@ -239,9 +241,9 @@
         }
 
         /**
-         * Writes the queued requests one by one, each only after the previous one has been written completely. A request
-         * that has waited for too long is dropped: after a stall of the loop, the connection may be established before
-         * the request's own time-out is processed.
+         * Writes the queued requests one by one, each only after the previous one has been written completely. A
+         * request that has waited for too long is dropped: after a stall of the loop, the connection may be
+         * established before the request's own time-out is processed.
          */
         void writeQueue() {
             if (writingQueue) {
@@ -318,8 +320,8 @@
         }
 
         /**
-         * Remembers an id that has ended on this connection: its answer, or a duplicate of it, may arrive for as long as
-         * the id may be requested again.
+         * Remembers an id that has ended on this connection: its answer, or a duplicate of it, may arrive for as long
+         * as the id may be requested again.
          */
         private void rememberEndedId(String id, boolean abandoned) {
             long now = loop.clock();
--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -28,17 +28,17 @@
 /**
  * The channel handler of one client connection: converts complete frames to inputs and writes answers, each as one
  * frame. It owns the sets of open and of used streams, and must never delay an answer or decide its content. A client
- * that sends no valid request, or only part of a frame, is disconnected soon; a client that has sent a valid request may
- * stay idle for a while, as long as there is capacity. A connection passes through its stages in their order only, and
- * the stage is changed only in this file; docs/architecture.md lists what each event does in each stage.
+ * that sends no valid request, or only part of a frame, is disconnected soon; a client that has sent a valid request
+ * may stay idle for a while, as long as there is capacity. A connection passes through its stages in their order only,
+ * and the stage is changed only in this file; docs/architecture.md lists what each event does in each stage.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
 
     /**
      * OPENING: not active yet. OPEN: frames are accepted. DRAINING: the client has been asked to send no new requests;
-     * those that still arrive are accepted. ENDING: no frame is accepted, open requests are answered. RELEASING: nothing
-     * more is written; input is read and discarded, so that no answer is lost by a reset, until the client closes or a
-     * short time has passed.
+     * those that still arrive are accepted. ENDING: no frame is accepted, open requests are answered. RELEASING:
+     * nothing more is written; input is read and discarded, so that no answer is lost by a reset, until the client
+     * closes or a short time has passed.
      */
     enum Stage {
         OPENING,
@@ -60,7 +60,8 @@
     private final TreeSet<Integer> usedStreams = new TreeSet<>(Integer::compareUnsigned); // those above usedStreamsUpTo
     private ChannelHandlerContext context;
     private int usedStreamsUpTo; // every stream up to this number is used, or too old to be new
-    private final Map<Integer, Input.Request> receivedRequests = new LinkedHashMap<>(); // of the current read, by stream
+    // of the current read, by stream
+    private final Map<Integer, Input.Request> receivedRequests = new LinkedHashMap<>();
     private int invalidRequests;
     private boolean sentValidRequest;
     private boolean reading;
@@ -140,8 +141,8 @@
     }
 
     /**
-     * Reads all input that is available now, including the close of the connection. Called after a stall of the loop, or
-     * before an apparently idle connection is closed.
+     * Reads all input that is available now, including the close of the connection. Called after a stall of the loop,
+     * or before an apparently idle connection is closed.
      */
     void readAvailable() {
         if (reading
@@ -253,7 +254,8 @@
             return;
         }
         boolean tooMany = openStreams.size() > limits.openPerClient();
-        // a client that does not read its answers is refused, but its connection is still read, so that its close is seen
+        // a client that does not read its answers is refused, but its connection is still read, so that its close is
+        // seen
         if (tooMany
                 || !context.channel().isWritable()
                 || !budget.hasCapacity(request.body().size())) {
--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -37,9 +37,9 @@
 
 /**
  * The stream of events from the coordinator, kept open while the router runs. It owns the connection that is read and
- * the connection attempts that are to replace it. If the coordinator is slow to answer, a second and a third connection
- * are tried, and the first one that answers is read; until then, the stream from the previous coordinator is still read.
- * It must never parse an event: each is passed on as the text received.
+ * the connection attempts that are to replace it. If the coordinator is slow to answer, a second and a third
+ * connection are tried, and the first one that answers is read; until then, the stream from the previous coordinator
+ * is still read. It must never parse an event: each is passed on as the text received.
  */
 final class CoordinatorStream {
 
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -85,7 +85,8 @@
     private long lastTurnAt; // when the loop last took an input
     private long unreadDelayMicros; // the length of the last stall
     private long unreadDelayUntil; // requests received until then may have waited unread through the last stall
-    private long requestsHeldSince; // requests are held back after a stall in which contact with the coordinator was lost
+    // requests are held back after a stall in which contact with the coordinator was lost
+    private long requestsHeldSince;
     private long requestsHeldUntil;
 
     /** Creates a router from the platform's configuration and the operator's configuration. */
@@ -254,7 +255,9 @@
         return counters;
     }
 
-    /** Status values of the components enabled by the operator, by name; on the loop's thread only, or after its end. */
+    /**
+     * Status values of the components enabled by the operator, by name; on the loop's thread only, or after its end.
+     */
     @Override
     public Map<String, String> state() {
         Map<String, String> state = new LinkedHashMap<>(reducer.state());
--- a/src/main/java/pumicemoor/net/RouterClock.java
+++ b/src/main/java/pumicemoor/net/RouterClock.java
@@ -4,9 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The router's only source of time, with two readings in microseconds. The first is the Unix time of the router's start
- * plus the time elapsed on the monotonic clock, so that intervals (deadlines, grace periods, leases, waits) stay right
- * when the system clock is stepped. The second is the system clock, for comparison with Unix times received from others.
+ * The router's only source of time, with two readings in microseconds. The first is the Unix time of the router's
+ * start plus the time elapsed on the monotonic clock, so that intervals (deadlines, grace periods, leases, waits) stay
+ * right when the system clock is stepped. The second is the system clock, for comparison with Unix times received from
+ * others.
  */
 final class RouterClock {
 
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -30,7 +30,9 @@
 import pumicemoor.node.NodeTestConfig;
 import pumicemoor.node.ResourceLimits;
 
-/** The pooled connections to members, against a listener whose answers each test writes, on a clock that the test sets. */
+/**
+ * The pooled connections to members, against a listener whose answers each test writes, on a clock that the test sets.
+ */
 class CacheConnectionsTest {
 
     private static final int TIMEOUT_MILLIS = 20_000; // far above any expected wait
--- a/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
@@ -92,7 +92,10 @@
         assertEquals(List.of(new Input.CoordinatorUpdate("{\"index\":42}")), List.copyOf(loop.inputs));
     }
 
-    /** After a reconnect, missed purges may follow any event: only a comment after all events proves that none is missing. */
+    /**
+     * After a reconnect, missed purges may follow any event: only a comment after all events proves that none is
+     * missing.
+     */
     @Test
     void missedEventsAreNoHeartbeat() {
         receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n");
