--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -240,7 +240,7 @@
     private void handleRequest(int stream, ByteBuf frame) {
         if (!markUsed(stream)) {
             throw new CorruptedFrameException(
-                    "request reuses stream " + Integer.toUnsignedString(stream) + " or one below it");
+                    "request on stream " + Integer.toUnsignedString(stream) + ", which is already used or too low");
         }
         openStreams.add(stream);
         Input.Request request;
--- a/src/test/java/pumicemoor/net/AnswerDecoderTest.java
+++ b/src/test/java/pumicemoor/net/AnswerDecoderTest.java
@@ -61,8 +61,8 @@
             assertFalse(channel.finish());
         }
         EmbeddedChannel channel = channel();
-        for (char c : TWO_ANSWERS.toCharArray()) {
-            channel.writeInbound(bytes(String.valueOf(c)));
+        for (char character : TWO_ANSWERS.toCharArray()) {
+            channel.writeInbound(bytes(String.valueOf(character)));
         }
         checkTwoAnswers(channel);
         assertFalse(channel.finish());
