--- a/src/main/java/pumicemoor/fleet/BadPacketException.java
+++ b/src/main/java/pumicemoor/fleet/BadPacketException.java
@@ -1,6 +1,6 @@
 package pumicemoor.fleet;
 
-/** A packet that is not used; the reason is the name it is counted under. */
+/** Thrown when a received packet is rejected. The reason in lower case names the counter of dropped packets. */
 public final class BadPacketException extends Exception {
 
     private static final long serialVersionUID = 1;
@@ -14,7 +14,7 @@
     final transient Reason reason;
 
     BadPacketException(Reason reason) {
-        super(reason.name(), null, false, false); // bad packets must be cheap: no trace
+        super(reason.name(), null, false, false); // no stack trace: rejecting a bad packet must be cheap
         this.reason = reason;
     }
 }
--- a/src/main/java/pumicemoor/fleet/Bounds.java
+++ b/src/main/java/pumicemoor/fleet/Bounds.java
@@ -2,41 +2,42 @@
 
 import pumicemoor.fleet.cells.CellFleet;
 
-/** The stated bounds of docs/fleet-design.md as formulas, for tests and for who watches a fleet. */
+/** The bounds stated in docs/fleet-design.md as formulas, for tests and for monitoring a fleet. */
 public final class Bounds {
 
     private Bounds() {}
 
-    private static int log(int routers) {
+    private static int bitLength(int routers) {
         return Math.max(1, 32 - Integer.numberOfLeadingZeros(routers));
     }
 
-    /** Gossip periods until news is at every router of a fleet of so many, with up to 30 % of packets lost. */
+    /** Gossip periods until an update has reached every router of a fleet of this size, with up to 30 % of packets lost. */
     public static int spread(int routers) {
-        return 5 + 3 * log(routers);
+        return 5 + 3 * bitLength(routers);
     }
 
     /**
-     * Microseconds until a verdict of the keeper is at every router of a fleet of cells: gossip among so many delegates,
-     * then in a cell of so many routers, whose period is given (microseconds).
+     * Microseconds until an ejection by the leader has reached every router of a fleet of cells: gossip among this many
+     * delegates, then within a cell of this many routers with this gossip period (microseconds).
      */
-    public static long spreadInCells(int delegates, int cell, long period) {
-        return spread(delegates) * period * CellFleet.UPPER_PERIOD + spread(cell) * period;
+    public static long spreadInCells(int delegates, int routersInCell, long periodMicros) {
+        return spread(delegates) * periodMicros * CellFleet.UPPER_PERIOD + spread(routersInCell) * periodMicros;
     }
 
     /**
-     * The most that all routers may spend of a limit at one moment (its own unit), where so many processes were started
-     * anew within the last two shrink times of their leases.
+     * The most that all routers together may use of a limit at one moment (in the limit's unit), where
+     * {@code restarts} processes were restarted within the last two shrink times of their leases.
      */
-    public static double spent(double limit, int size, long startedAnew) {
-        return limit + startedAnew * limit / size;
+    public static double spent(double limit, int routers, long restarts) {
+        return limit + restarts * limit / routers;
     }
 
     /**
-     * Requests that so many routers send at most to a member within a time (microseconds): the limit for that time and
-     * for a bucket's depth more, and one request for each router, since a bucket holds one at least.
+     * The most requests that this many routers send to a member within a time (microseconds): what the limit allows in
+     * that time plus the depth of a token bucket (microseconds), and one request for each router, since a bucket always
+     * holds at least one.
      */
-    public static double requests(double perSecond, long time, long bucket, int routers) {
-        return perSecond * (time + bucket) / 1e6 + routers;
+    public static double requests(double perSecond, long micros, long bucketMicros, int routers) {
+        return perSecond * (micros + bucketMicros) / 1e6 + routers;
     }
 }
--- a/src/main/java/pumicemoor/fleet/Datagram.java
+++ b/src/main/java/pumicemoor/fleet/Datagram.java
@@ -1,4 +1,4 @@
 package pumicemoor.fleet;
 
-/** A packet that is to be sent. */
+/** An encoded packet and the address ("host:port") that it is to be sent to. */
 public record Datagram(String address, byte[] bytes) {}
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -25,15 +25,15 @@
 import pumicemoor.fleet.Packet.Ask;
 import pumicemoor.fleet.Packet.Body;
 import pumicemoor.fleet.Packet.CellAsk;
-import pumicemoor.fleet.Packet.CellWant;
+import pumicemoor.fleet.Packet.CellDemand;
 import pumicemoor.fleet.Packet.DrainAsk;
 import pumicemoor.fleet.Packet.Grant;
 import pumicemoor.fleet.Packet.News;
-import pumicemoor.fleet.Packet.Part;
+import pumicemoor.fleet.Packet.GrantedShare;
 import pumicemoor.fleet.Packet.Piece;
 import pumicemoor.fleet.Packet.PlanGrant;
 import pumicemoor.fleet.Packet.PlanReport;
-import pumicemoor.fleet.Packet.Want;
+import pumicemoor.fleet.Packet.Demand;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.drains.DrainCommandParser;
 import pumicemoor.fleet.drains.Drains;
@@ -55,42 +55,45 @@
 import pumicemoor.fleet.verdicts.EjectionTable;
 
 /**
- * One router's part in its fleet: membership, leases and verdicts over the same packets. It owns the packets' numbers,
- * what rides along with them, and who reports to whom: every router reports to the living one that the cluster's hash
- * puts first. It takes time, packets, the list of members and what the decisions tell; packets, events for the
- * decisions and lines for people are fetched from it. In a large fleet it is one level of two: that of a cell's routers,
- * or that of the cells' delegates (docs/fleet-design.md, "Cells").
+ * One router's participation in its fleet: membership, leases and ejections over the same packets. Owns the packet
+ * numbers, the gossip that is piggybacked on packets, and the choice of the grantor: every router reports to the living
+ * router that ranks first by rendezvous hashing. It is given the time, packets, the list of members and reports of the
+ * routing decisions; packets, events for the decisions and log events are fetched from it. In a large fleet an instance
+ * is one of two levels: that of the routers of a cell, or that of the delegates of all cells (docs/fleet-design.md,
+ * "Cells").
  */
 public final class Fleet implements FleetParticipant {
 
-    private static final int ASKS_A_LEASE = 5;
-    private static final int QUIET =
-            8; // periods until a router in a cell knows to whom to report; it changes that slowly
-    private static final int CELL_NEWS =
-            300; // bytes of news of routers in a packet: a start at once is spread over time
-    private static final int VOTE = 3; // leases that a vote binds a router in a cell; it outlasts its cell's own vote
-    private static final int INFORMED = 16; // periods until a process has compared all that it knows of routers
-    private static final int MOST_CHANGES = 256; // lines kept until they are fetched
-
-    /** What is known of a listed member; ready where the list has nothing against it. */
+    private static final int REPORTS_PER_LEASE = 5;
+    private static final int CELL_REPORT_DELAY_PERIODS =
+            8; // until a router in a cell knows its grantor; a grantor is replaced no faster than that
+    private static final int CELL_GOSSIP_BYTES =
+            300; // of router records in a packet; spreads the load over time when all routers start at once
+    private static final int CELL_VOTE_LEASES = 3; // for which a vote binds a router of a cell; it outlasts the vote of its cell
+    private static final int FULL_COMPARE_PERIODS = 16; // until a new process has compared its whole membership table with another's
+    private static final int MAX_PENDING_LOG_EVENTS = 256; // kept until they are fetched
+    private static final long EJECTION_MEMORY_MICROS = 60_000_000; // after an ejection has ended
+    private static final int MAX_LIST_ENTRIES = 255; // the largest count that fits the byte before a list in a packet
+
+    /** A member in the list of members; {@code ready} if the list allows its use. */
     public record Listed(String name, Role role, long started, boolean ready) {
 
-        /** One that is ready. */
+        /** A member that is ready. */
         public Listed(String name, Role role, long started) {
             this(name, role, started, true);
         }
     }
 
-    private record Accused(FailureReport accusation, long until) {}
+    private record ActiveReport(FailureReport report, long until) {}
 
-    /** A whole fleet; the routers of a cell; the delegates of all cells. */
+    /** What an instance spans: a whole fleet, the routers of one cell, or the delegates of all cells. */
     private enum Level {
         FLAT,
         CELL,
         UPPER
     }
 
-    private static final Drains.Usage NOTHING = new Drains.Usage() {
+    private static final Drains.Usage NO_USAGE = new Drains.Usage() {
         @Override
         public int underWay(long member) {
             return 0;
@@ -104,80 +107,81 @@
 
     private final FleetSetup setup;
     private final Level level;
-    private final long order;
+    private final long rendezvousSeed;
     private final LeaseTimes times;
     private final PacketCodec codec;
     private final Membership membership;
-    private final Votes votes;
-    private final GossipQueue<RouterRecord> routerNews = new GossipQueue<>();
-    private final GossipQueue<Long> verdictNews = new GossipQueue<>(); // the members meant; the verdict is told as it stands
+    private final LeaderElection election;
+    private final GossipQueue<RouterRecord> routerGossip = new GossipQueue<>();
+    private final GossipQueue<Long> ejectionGossip = new GossipQueue<>(); // member ids; the ejection is read from the table when it is sent
     private final Map<Long, HeldLease> leases = new TreeMap<>();
-    private final Map<Long, LeaseBook> books = new HashMap<>();
-    private final Map<Long, CellShare> shares = new TreeMap<>(); // of its own cell, where this is the level above
-    private final List<Ejection> passing = new ArrayList<>(); // verdicts that are new here, for the other level
-    private final Map<Long, Want> wants = new HashMap<>();
-    private final EjectionTable verdicts = new EjectionTable();
-    private final EjectionPolicy bench;
-    private final Map<Long, Accused> accused = new TreeMap<>();
+    private final Map<Long, LeaseBook> leaseTables = new HashMap<>();
+    private final Map<Long, CellShare> cellShares = new TreeMap<>(); // the shares of the own cell; used on the upper level only
+    private final List<Ejection> ejectionsForOtherLevel = new ArrayList<>(); // new on this level, to be passed to the other one
+    private final Map<Long, Demand> demands = new HashMap<>();
+    private final EjectionTable ejections = new EjectionTable();
+    private final EjectionPolicy ejectionPolicy;
+    private final Map<Long, ActiveReport> failureReports = new TreeMap<>();
     private final Optional<Drains> drains;
-    private final Map<String, Long> dropped = new TreeMap<>();
+    private final Map<String, Long> dropCounters = new TreeMap<>();
     private final List<Datagram> outbox = new ArrayList<>();
     private final List<Event> events = new ArrayList<>();
-    private final List<LogEvent> notices = new ArrayList<>();
+    private final List<LogEvent> logEvents = new ArrayList<>();
     private final long startedAt;
     private Map<Long, Listed> members = Map.of();
     private long now;
-    private long numbers;
-    private long askAt;
-    private long askedAt;
-    private long plannedAt;
-    private long planAt; // when the keeper of the plan is to hear again
-    private long gossipAt;
-    private long sent;
-    private long sentBytes;
-    private long heard;
-    private boolean inOffice;
-    private boolean allowancesNew = true;
-    private boolean verdictsNew = true;
-    private boolean membersNew;
-    private int routersTold;
-    private List<RouterRecord> placed = List.of(); // those that live, of which the first by the cluster's hash is known
-    private RouterRecord firstPlaced; // null where there are none
-    private Map<Long, String> tiers = Map.of(); // of the members that may be out
-    private Fleet below; // the own cell, where this is the level above
-    private Fleet above; // the level above, where this is a cell and this router is a delegate
-    private String accusedTo = ""; // the cell's grantor that accusations were last told
-    private long accusedAt;
-
-    /** One whose router has nothing under way. */
+    private long lastNumber;
+    private long nextReportAt;
+    private long lastReportAt;
+    private long lastPlanReportAt;
+    private long nextPlanReportAt; // when this router reports to the grantor about the drain plan
+    private long nextGossipAt;
+    private long packetsSent;
+    private long bytesSent;
+    private long packetsReceived;
+    private boolean isLeader;
+    private boolean limitSharesChanged = true;
+    private boolean ejectionsChanged = true;
+    private boolean membersChanged;
+    private int lastRouterCount;
+    private List<RouterRecord> rankedRouters = List.of(); // the list of living routers that topRanked was computed from
+    private RouterRecord topRanked; // null if the list is empty
+    private Map<Long, String> ejectableTiers = Map.of(); // the tiers of the members that can be ejected, by member id
+    private Fleet lowerLevel; // the own cell, on the upper level
+    private Fleet upperLevel; // the upper level, in a cell whose delegate this router is
+    private String failureReportsSentTo = ""; // the grantor of the cell that last received failure reports
+    private long failureReportsSentAt;
+
+    /** Creates an instance for a router that has no requests in flight. */
     public Fleet(FleetSetup setup, long time, long seed) {
-        this(setup, time, seed, NOTHING);
+        this(setup, time, seed, NO_USAGE);
     }
 
-    /** Starts at this time (Unix microseconds). */
+    /** Creates an instance that starts at this time (Unix microseconds). */
     public Fleet(FleetSetup setup, long time, long seed, Drains.Usage usage) {
         this(setup, setup.cluster(), time, seed, usage, Level.FLAT, 0);
     }
 
     /**
-     * The level of a cell's routers, for a process of this instance. The order names whose hash orders its routers: that of
-     * the cell before all splits, so that a grantor is still that of its part after one.
+     * Creates the level of a cell's routers, for a process with this instance number. The hash of the rendezvous key ranks
+     * the routers. It is the name of the cell before all splits, so that a grantor remains the grantor of its part of the
+     * cell after a split.
      */
-    public static Fleet ofCell(FleetSetup setup, String order, long time, long seed, long instance) {
-        return new Fleet(setup, order, time, seed, NOTHING, Level.CELL, instance);
+    public static Fleet ofCell(FleetSetup setup, String rendezvousKey, long time, long seed, long instance) {
+        return new Fleet(setup, rendezvousKey, time, seed, NO_USAGE, Level.CELL, instance);
     }
 
-    /** The level of the cells' delegates, for a process of this instance in this cell. */
+    /** Creates the level of the cells' delegates, for a process with this instance number in this cell. */
     public static Fleet ofDelegates(FleetSetup setup, long time, long seed, long instance, Fleet cell) {
-        Fleet upper = new Fleet(setup, setup.cluster(), time, seed, NOTHING, Level.UPPER, instance);
-        upper.below = cell;
+        Fleet upper = new Fleet(setup, setup.cluster(), time, seed, NO_USAGE, Level.UPPER, instance);
+        upper.lowerLevel = cell;
         return upper;
     }
 
     private Fleet(
-            FleetSetup setup, String order, long time, long seed, Drains.Usage usage, Level level, long instance) {
+            FleetSetup setup, String rendezvousKey, long time, long seed, Drains.Usage usage, Level level, long instance) {
         this.level = level;
-        this.order = Hashes.of(order);
+        this.rendezvousSeed = Hashes.of(rendezvousKey);
         this.times = switch (level) {
             case FLAT -> setup.times();
             case CELL -> setup.times().inCells();
@@ -187,10 +191,10 @@
         this.now = time;
         this.startedAt = time;
         this.codec = new PacketCodec(setup.cluster());
-        this.votes = new Votes(setup.membership().name(), (level == Level.CELL ? VOTE : 1) * times.lease(), time);
-        this.bench = new EjectionPolicy(setup.verdicts().orElse(new EjectionPolicy.Rules(0, 1, 1, 1)));
-        this.askAt = time + setup.membership().period();
-        this.gossipAt = askAt;
+        this.election = new LeaderElection(setup.membership().name(), (level == Level.CELL ? CELL_VOTE_LEASES : 1) * times.lease(), time);
+        this.ejectionPolicy = new EjectionPolicy(setup.verdicts().orElse(new EjectionPolicy.Rules(0, 1, 1, 1)));
+        this.nextReportAt = time + setup.membership().period();
+        this.nextGossipAt = nextReportAt;
         this.membership =
                 new Membership(setup.membership(), time, seed, instance, level != Level.FLAT, new Membership.Outlet() {
                     @Override
@@ -199,41 +203,41 @@
                     }
 
                     @Override
-                    public void sendAll(String address, Predicate<RouterRecord> which) {
-                        Fleet.this.sendAll(address, which);
+                    public void sendAll(String address, Predicate<RouterRecord> filter) {
+                        Fleet.this.sendAll(address, filter);
                     }
 
                     @Override
-                    public void spread(RouterRecord news) {
-                        routerNews.put(news.name(), news);
+                    public void gossip(RouterRecord router) {
+                        routerGossip.put(router.name(), router);
                     }
 
                     @Override
-                    public void changed(RouterRecord news, RouterStatus before, String cause) {
-                        notice(
-                                "router " + news.name() + " is " + lower(news.standing()) + ": " + cause,
+                    public void statusChanged(RouterRecord router, RouterStatus before, String cause) {
+                        addLogEvent(
+                                "router " + router.name() + " is " + lower(router.status()) + ": " + cause,
                                 Map.of(
                                         "router",
-                                        news.name(),
+                                        router.name(),
                                         "standing",
-                                        lower(news.standing()),
+                                        lower(router.status()),
                                         "before",
                                         before == null ? "unknown" : lower(before),
                                         "incarnation",
-                                        news.incarnation(),
+                                        router.incarnation(),
                                         "cause",
                                         cause));
-                        if (news.standing().compareTo(RouterStatus.DEAD) >= 0) {
-                            votes.forget(news.name());
+                        if (router.status().compareTo(RouterStatus.DEAD) >= 0) {
+                            election.forget(router.name());
                         }
                     }
 
                     @Override
-                    public void dropped(String what) {
-                        drop(what);
+                    public void dropped(String counter) {
+                        drop(counter);
                     }
                 });
-        this.planAt = askAt;
+        this.nextPlanReportAt = nextReportAt;
         this.drains = setup.drains()
                 .map(t -> new Drains(
                         t,
@@ -250,17 +254,17 @@
 
                             @Override
                             public void term(long term) {
-                                votes.heard(term);
+                                election.observeTerm(term);
                             }
 
                             @Override
-                            public void dropped(String what) {
-                                drop(what);
+                            public void dropped(String counter) {
+                                drop(counter);
                             }
 
                             @Override
                             public void changed(String text, Map<String, Object> figures) {
-                                notice(text, figures);
+                                addLogEvent(text, figures);
                             }
                         }));
     }
@@ -269,19 +273,19 @@
         return value.name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    private void notice(String text, Map<String, Object> figures) {
-        if (notices.size() < MOST_CHANGES) {
-            notices.add(new LogEvent(text, figures));
+    private void addLogEvent(String text, Map<String, Object> figures) {
+        if (logEvents.size() < MAX_PENDING_LOG_EVENTS) {
+            logEvents.add(new LogEvent(text, figures));
         }
     }
 
-    private void drop(String what) {
-        dropped.merge(what, 1L, Long::sum);
+    private void drop(String counter) {
+        dropCounters.merge(counter, 1L, Long::sum);
     }
 
-    // ---- what comes in --------------------------------------------------------------------------------
+    // ---- input ----------------------------------------------------------------------------------------
 
-    /** Takes a packet, whatever it is. */
+    /** Handles a received datagram. Bytes that are not a valid packet of this fleet are counted and dropped. */
     @Override
     public void receive(long time, byte[] bytes) {
         now = Math.max(now, time);
@@ -292,18 +296,18 @@
             drop(lower(e.reason));
             return;
         }
-        heard++;
-        if (membership.heard(now, packet)) {
-            packet.verdicts().forEach(this::take);
-            if (packet.body() instanceof Ask a) {
-                asked(packet, a);
-            } else if (packet.body() instanceof CellAsk a) {
-                asked(packet, a);
-            } else if (packet.body() instanceof Grant g) {
-                granted(packet, g);
+        packetsReceived++;
+        if (membership.receive(now, packet)) {
+            packet.ejections().forEach(this::take);
+            if (packet.body() instanceof Ask ask) {
+                handleAsk(packet, ask);
+            } else if (packet.body() instanceof CellAsk ask) {
+                handleAsk(packet, ask);
+            } else if (packet.body() instanceof Grant grant) {
+                handleGrant(packet, grant);
             } else {
-                drains.ifPresentOrElse(d -> heard(d, packet), () -> {
-                    if (ofDrains(packet.body())) {
+                drains.ifPresentOrElse(d -> handleDrainPacket(d, packet), () -> {
+                    if (isDrainBody(packet.body())) {
                         drop("drains-off");
                     }
                 });
@@ -311,132 +315,132 @@
         }
     }
 
-    private static boolean ofDrains(Body body) {
+    private static boolean isDrainBody(Body body) {
         return body instanceof PlanReport
                 || body instanceof PlanGrant
                 || body instanceof Piece
                 || body instanceof DrainAsk;
     }
 
-    private void heard(Drains d, Packet packet) {
+    private void handleDrainPacket(Drains drains, Packet packet) {
         RouterRecord from = packet.from();
-        if (packet.body() instanceof PlanGrant g) {
-            d.answered(now, from.address(), g);
-        } else if (packet.body() instanceof Piece p) {
-            if (d.take(p)) {
-                planAt = now; // the keeper waits for a majority that holds it
+        if (packet.body() instanceof PlanGrant grant) {
+            drains.answered(now, from.address(), grant);
+        } else if (packet.body() instanceof Piece piece) {
+            if (drains.take(piece)) {
+                nextPlanReportAt = now; // the leader waits until a majority holds the plan
             }
-        } else if (ofDrains(packet.body()) && !grants()) {
+        } else if (isDrainBody(packet.body()) && !grants()) {
             drop("asked-not-grantor");
-        } else if (packet.body() instanceof PlanReport r) {
-            d.reported(world(), peer(from), packet.number(), r);
-        } else if (packet.body() instanceof DrainAsk a) {
-            d.passedOn(world(), a.command());
+        } else if (packet.body() instanceof PlanReport report) {
+            drains.reported(snapshot(), peer(from), packet.number(), report);
+        } else if (packet.body() instanceof DrainAsk ask) {
+            drains.passedOn(snapshot(), ask.command());
         }
     }
 
-    /** The members as they are listed now, by their number. */
+    /** Replaces the list of members, keyed by member id. */
     @Override
-    public void updateMembers(long time, Map<Long, Listed> listed) {
+    public void updateMembers(long time, Map<Long, Listed> newMembers) {
         now = Math.max(now, time);
-        if (listed.equals(members)) {
+        if (newMembers.equals(members)) {
             return;
         }
-        listed(Map.copyOf(listed));
-        membersNew = true;
+        setMembers(Map.copyOf(newMembers));
+        membersChanged = true;
         Map<Long, FleetLimit> limits = new TreeMap<>();
-        members.forEach((id, m) -> setup.limits().stream()
-                .filter(r -> covers(r, m)
+        members.forEach((id, member) -> setup.limits().stream()
+                .filter(rule -> appliesTo(rule, member)
                         && setup.limits().stream()
-                                .noneMatch(o -> covers(o, m) && o.measure() == r.measure() && tighter(o, r)))
-                .forEach(r -> limits.put(
-                        Hashes.of(r.name() + "/" + m.name()), new FleetLimit(r.name(), id, r.measure(), r.amount()))));
+                                .noneMatch(o -> appliesTo(o, member) && o.measure() == rule.measure() && isTighter(o, rule)))
+                .forEach(rule -> limits.put(
+                        Hashes.of(rule.name() + "/" + member.name()), new FleetLimit(rule.name(), id, rule.measure(), rule.amount()))));
         setup.limits().stream()
                 .filter(r -> r.scope() == Scope.ACROSS_ZONES)
-                .forEach(r -> limits.put(
-                        Hashes.of(r.name()),
-                        new FleetLimit(r.name(), LimitShare.ACROSS_ZONES, r.measure(), r.amount())));
+                .forEach(rule -> limits.put(
+                        Hashes.of(rule.name()),
+                        new FleetLimit(rule.name(), LimitShare.ACROSS_ZONES, rule.measure(), rule.amount())));
         leases.keySet().retainAll(limits.keySet());
-        shares.keySet().retainAll(limits.keySet());
-        books.keySet().retainAll(limits.keySet());
-        wants.keySet().retainAll(limits.keySet());
+        cellShares.keySet().retainAll(limits.keySet());
+        leaseTables.keySet().retainAll(limits.keySet());
+        demands.keySet().retainAll(limits.keySet());
         if (level == Level.UPPER) {
-            limits.forEach((id, limit) -> shares.computeIfAbsent(
+            limits.forEach((id, limit) -> cellShares.computeIfAbsent(
                     id, i -> new CellShare(limit, times, setup.times().lease(), startedAt)));
         } else {
             limits.forEach((id, limit) -> leases.computeIfAbsent(id, i -> new HeldLease(limit, times, startedAt)));
         }
-        accused.entrySet()
+        failureReports.entrySet()
                 .removeIf(e -> !members.containsKey(e.getKey())
                         || members.get(e.getKey()).started()
-                                != e.getValue().accusation().started());
-        allowancesNew = true;
+                                != e.getValue().report().started());
+        limitSharesChanged = true;
     }
 
-    private void listed(Map<Long, Listed> listed) {
-        members = listed;
-        tiers = new TreeMap<>();
-        members.forEach((id, m) -> {
-            if (m.role() != Role.ORIGIN) {
-                tiers.put(id, lower(m.role()));
+    private void setMembers(Map<Long, Listed> newMembers) {
+        members = newMembers;
+        ejectableTiers = new TreeMap<>();
+        members.forEach((id, member) -> {
+            if (member.role() != Role.ORIGIN) {
+                ejectableTiers.put(id, lower(member.role()));
             }
         });
     }
 
-    /** Of two limits of one measure on one member the lower counts; the names settle a tie. */
-    private static boolean tighter(LimitRule one, LimitRule other) {
+    /** Of two limits with the same measure on the same member the lower one applies; names break a tie. */
+    private static boolean isTighter(LimitRule one, LimitRule other) {
         return one.amount() != other.amount()
                 ? one.amount() < other.amount()
                 : one.name().compareTo(other.name()) < 0;
     }
 
-    private static boolean covers(LimitRule rule, Listed m) {
+    private static boolean appliesTo(LimitRule rule, Listed member) {
         return switch (rule.scope()) {
-            case MEMBER -> rule.member().equals(m.name());
-            case EACH_CACHE -> m.role() == Role.CACHE;
-            case EACH_PARENT -> m.role() == Role.PARENT;
-            case ORIGIN -> m.role() == Role.ORIGIN;
-            case ACROSS_ZONES -> false; // it is for none of them
+            case MEMBER -> rule.member().equals(member.name());
+            case EACH_CACHE -> member.role() == Role.CACHE;
+            case EACH_PARENT -> member.role() == Role.PARENT;
+            case ORIGIN -> member.role() == Role.ORIGIN;
+            case ACROSS_ZONES -> false; // applies to traffic, not to a member
         };
     }
 
-    /** What the decisions wanted of an allowance. */
+    /** Records the current demand of the routing decisions on a limit share. */
     @Override
-    public void reportDemand(LimitDemand w) {
+    public void reportDemand(LimitDemand demand) {
         leases.forEach((id, lease) -> {
-            if (lease.limit().member() == w.member() && lease.limit().measure() == w.measure()) {
-                wants.put(id, new Want(id, 0, w.demand(), w.inUse()));
+            if (lease.limit().member() == demand.member() && lease.limit().measure() == demand.measure()) {
+                demands.put(id, new Demand(id, 0, demand.demand(), demand.inUse()));
             }
         });
     }
 
-    /** What the decisions hold of a member now. */
+    /** Records the health of a member as the routing decisions see it now. */
     @Override
-    public void reportHealth(long time, MemberHealthReport j) {
+    public void reportHealth(long time, MemberHealthReport health) {
         now = Math.max(now, time);
-        Listed m = members.get(j.member());
-        if (m == null || setup.verdicts().isEmpty()) {
+        Listed member = members.get(health.member());
+        if (member == null || setup.verdicts().isEmpty()) {
             return;
         }
-        if (j.failing()) {
-            accused.put(
-                    j.member(),
-                    new Accused(
+        if (health.failing()) {
+            failureReports.put(
+                    health.member(),
+                    new ActiveReport(
                             new FailureReport(
-                                    j.member(),
-                                    m.started(),
-                                    j.unresponsive() ? Cause.SILENT : Cause.FAILING,
-                                    j.consecutiveFailures(),
-                                    j.failureRate()),
-                            j.until() + setup.verdicts().get().hold()));
+                                    health.member(),
+                                    member.started(),
+                                    health.unresponsive() ? Cause.SILENT : Cause.FAILING,
+                                    health.consecutiveFailures(),
+                                    health.failureRate()),
+                            health.until() + setup.verdicts().get().hold()));
         } else {
-            accused.remove(j.member());
+            failureReports.remove(health.member());
         }
-        // who keeps the verdicts is told at once, but however often judgements come, no more than four times a period
-        askAt = Math.min(askAt, Math.max(now, askedAt + setup.membership().period() / 4));
+        // Reports to the grantor at once, but at most four times per period however often health reports arrive.
+        nextReportAt = Math.min(nextReportAt, Math.max(now, lastReportAt + setup.membership().period() / 4));
     }
 
-    /** Ends this router's part in good order. */
+    /** Announces that this router leaves the fleet in good order. */
     @Override
     public void leave(long time) {
         now = Math.max(now, time);
@@ -447,8 +451,8 @@
 
     @Override
     public long nextDue() {
-        long due = Math.min(Math.min(membership.nextDue(), askAt), verdicts.nextEnd(now));
-        return Math.min(due, drains.map(d -> Math.min(planAt, d.nextDue(now))).orElse(Long.MAX_VALUE));
+        long due = Math.min(Math.min(membership.nextDue(), nextReportAt), ejections.nextEnd(now));
+        return Math.min(due, drains.map(d -> Math.min(nextPlanReportAt, d.nextDue(now))).orElse(Long.MAX_VALUE));
     }
 
     /** Lives on to this time. */
@@ -457,162 +461,162 @@
         long before = now;
         now = Math.max(now, time);
         membership.advance(now);
-        if (now >= gossipAt) {
-            gossipAt = now + setup.membership().period();
-            if (!routerNews.isEmpty() || !verdictNews.isEmpty()) {
-                membership.listeners().forEach(n -> send(n.address(), new News()));
+        if (now >= nextGossipAt) {
+            nextGossipAt = now + setup.membership().period();
+            if (!routerGossip.isEmpty() || !ejectionGossip.isEmpty()) {
+                membership.gossipTargets().forEach(n -> send(n.address(), new News()));
             }
         }
-        if (now >= askAt) {
-            askAt = now + times.lease() / ASKS_A_LEASE;
-            askedAt = now;
-            accused.values().removeIf(a -> now >= a.until());
-            if (inOffice) {
-                office(); // also where nobody reports here any more
+        if (now >= nextReportAt) {
+            nextReportAt = now + times.lease() / REPORTS_PER_LEASE;
+            lastReportAt = now;
+            failureReports.values().removeIf(a -> now >= a.until());
+            if (isLeader) {
+                updateLeadership(); // also when no other router reports here any more
             }
             if (level == Level.UPPER) {
                 reportCell();
             } else if (level == Level.FLAT
-                    || now >= startedAt + QUIET * setup.membership().period()) {
+                    || now >= startedAt + CELL_REPORT_DELAY_PERIODS * setup.membership().period()) {
                 report();
             }
         }
-        if (now >= planAt) {
+        if (now >= nextPlanReportAt) {
             drains.ifPresent(this::reportPlan);
         }
-        for (EjectionTable.Held ended : verdicts.ended(before, now)) {
-            verdictsNew = true;
-            notice(ended.verdict(), "ended: nobody renewed it");
+        for (EjectionTable.Held ended : ejections.ended(before, now)) {
+            ejectionsChanged = true;
+            addLogEvent(ended.verdict(), "ended: it expired without being renewed");
         }
-        verdicts.forget(now, 60_000_000);
-        if (routers() != routersTold || leases.values().stream().anyMatch(l -> l.changesAt(before) <= now)) {
-            routersTold = routers();
-            allowancesNew = true;
+        ejections.forget(now, EJECTION_MEMORY_MICROS);
+        if (routers() != lastRouterCount || leases.values().stream().anyMatch(l -> l.changesAt(before) <= now)) {
+            lastRouterCount = routers();
+            limitSharesChanged = true;
         }
     }
 
-    /** How many routers the fleet is taken for. */
+    /** The fleet size that shares and majorities are computed from. */
     @Override
     public int routers() {
-        return Math.max(setup.size(), membership.known());
+        return Math.max(setup.size(), membership.knownRouters());
     }
 
-    /** To whom all report: of those that live the one that the cluster's hash puts first. */
+    /** The router that all report to: of the living routers the one with the highest rendezvous weight. */
     private RouterRecord grantor() {
         RouterRecord self = membership.self();
         List<RouterRecord> living = membership.living();
-        if (living != placed) {
-            placed = living;
-            firstPlaced = null;
-            for (RouterRecord n : living) {
-                if (firstPlaced == null || Long.compareUnsigned(place(n), place(firstPlaced)) > 0) {
-                    firstPlaced = n;
+        if (living != rankedRouters) {
+            rankedRouters = living;
+            topRanked = null;
+            for (RouterRecord router : living) {
+                if (topRanked == null || Long.compareUnsigned(rendezvousWeight(router), rendezvousWeight(topRanked)) > 0) {
+                    topRanked = router;
                 }
             }
         }
-        return firstPlaced != null && Long.compareUnsigned(place(firstPlaced), place(self)) > 0 ? firstPlaced : self;
+        return topRanked != null && Long.compareUnsigned(rendezvousWeight(topRanked), rendezvousWeight(self)) > 0 ? topRanked : self;
     }
 
-    private long place(RouterRecord n) {
-        return Hashes.mix(Hashes.of(n.name()) ^ order);
+    private long rendezvousWeight(RouterRecord router) {
+        return Hashes.mix(Hashes.of(router.name()) ^ rendezvousSeed);
     }
 
-    /** Whether all report to this router, as far as it knows. */
+    /** Whether this router is the grantor, as far as it knows. */
     public boolean grants() {
         return grantor().name().equals(setup.membership().name());
     }
 
     // ---- the two levels -------------------------------------------------------------------------------
 
-    /** The first so many of those that live, by the cluster's hash: a cell's delegates, its grantor before the others. */
+    /** The living routers with the highest rendezvous weights, highest first: in a cell its delegates, led by its grantor. */
     public List<RouterRecord> first(int count) {
         List<RouterRecord> all = new ArrayList<>(membership.living());
         all.add(membership.self());
-        Map<RouterRecord, Long> places = new HashMap<>();
-        all.forEach(n -> places.put(n, place(n)));
-        all.sort((a, b) -> Long.compareUnsigned(places.get(b), places.get(a)));
+        Map<RouterRecord, Long> weights = new HashMap<>();
+        all.forEach(n -> weights.put(n, rendezvousWeight(n)));
+        all.sort((a, b) -> Long.compareUnsigned(weights.get(b), weights.get(a)));
         return List.copyOf(all.subList(0, Math.min(count, all.size())));
     }
 
-    /** Whether this router is among the first so many. */
+    /** Whether this router is among the {@code count} living routers with the highest rendezvous weights. */
     public boolean among(int count) {
-        long own = place(membership.self());
+        long own = rendezvousWeight(membership.self());
         return membership.living().stream()
-                        .filter(n -> Long.compareUnsigned(place(n), own) > 0)
+                        .filter(n -> Long.compareUnsigned(rendezvousWeight(n), own) > 0)
                         .limit(count)
                         .count()
                 < count;
     }
 
-    /** Those known to live on this level, without this router. */
+    /** The routers known to be alive on this level, without this router. */
     public List<RouterRecord> living() {
         return membership.living();
     }
 
-    /** This router as it tells of itself on this level. */
+    /** The record that this router sends about itself on this level. */
     public RouterRecord self() {
         return membership.self();
     }
 
-    /** The number of this level's cluster, as it stands in its packets. */
+    /** The id of this level's cluster, as written into its packets. */
     public long cluster() {
         return codec.cluster();
     }
 
-    /** Sets the level above this cell; null for none, which may be only once all of its shares are over. */
+    /** Sets the upper level of this cell; null for none, which is allowed only once all shares of that level are over. */
     public void setAbove(Fleet upper) {
-        above = upper;
+        upperLevel = upper;
     }
 
-    /** Sets the cell whose delegate this is. */
+    /** Sets the cell that this router is a delegate of. */
     public void setBelow(Fleet cell) {
-        below = cell;
+        lowerLevel = cell;
     }
 
-    /** Whether nothing that was lent to this cell can be counted on any more. */
+    /** Whether all shares that were leased to this cell have ended. */
     public boolean sharesOver(long time) {
-        return shares.values().stream().allMatch(s -> s.over(time));
+        return cellShares.values().stream().allMatch(s -> s.over(time));
     }
 
-    /** Passes terms and verdicts between this cell and the level above, both ways. */
+    /** Exchanges terms and ejections between this cell and the upper level, in both directions. */
     public void meet(long time, Fleet upper) {
         now = Math.max(now, time);
         upper.now = Math.max(upper.now, time);
-        votes.heard(upper.votes.term());
-        upper.votes.heard(votes.term());
-        while (!passing.isEmpty() || !upper.passing.isEmpty()) {
-            takeAll(passing).forEach(v -> upper.take(upper.asOf(v, this)));
-            takeAll(upper.passing).forEach(v -> take(asOf(v, upper)));
+        election.observeTerm(upper.election.term());
+        upper.election.observeTerm(election.term());
+        while (!ejectionsForOtherLevel.isEmpty() || !upper.ejectionsForOtherLevel.isEmpty()) {
+            takeAll(ejectionsForOtherLevel).forEach(v -> upper.take(upper.withTimeLeftAt(v, this)));
+            takeAll(upper.ejectionsForOtherLevel).forEach(v -> take(withTimeLeftAt(v, upper)));
         }
     }
 
-    /** A verdict with the time that is left of it at the other level. */
-    private Ejection asOf(Ejection v, Fleet other) {
-        EjectionTable.Held h = other.verdicts.on(v.member());
-        return h != null && h.verdict().version() == v.version() ? v.withLeft(Math.max(0, h.until() - other.now)) : v;
+    /** The ejection with the time that is left of it at the other level. */
+    private Ejection withTimeLeftAt(Ejection ejection, Fleet other) {
+        EjectionTable.Held held = other.ejections.on(ejection.member());
+        return held != null && held.verdict().version() == ejection.version() ? ejection.withLeft(Math.max(0, held.until() - other.now)) : ejection;
     }
 
     /**
-     * Goes on in place of an older level of the same process, whose cell was split: with its leases and books, which
-     * name processes and not cells, and all that was told to it. Its votes are as those of a fresh process.
+     * Takes over from an older level of the same process whose cell was split: its leases and lease tables, which name
+     * processes and not cells, and everything reported to it. Votes are not taken over; they start as in a new process.
      */
     public void succeed(Fleet old) {
         leases.putAll(old.leases);
-        books.putAll(old.books);
-        wants.putAll(old.wants);
-        accused.putAll(old.accused);
-        accusedTo = old.accusedTo;
-        accusedAt = old.accusedAt;
-        numbers = old.numbers;
-        sent = old.sent;
-        sentBytes = old.sentBytes;
-        heard = old.heard;
-        old.dropped.forEach((what, count) -> dropped.merge(what, count, Long::sum));
-        listed(old.members);
-        votes.heard(old.votes.term());
-        old.verdicts.all().forEach(h -> take(h.verdict().withLeft(Math.max(0, h.until() - now))));
-        allowancesNew = true;
-        verdictsNew = true;
+        leaseTables.putAll(old.leaseTables);
+        demands.putAll(old.demands);
+        failureReports.putAll(old.failureReports);
+        failureReportsSentTo = old.failureReportsSentTo;
+        failureReportsSentAt = old.failureReportsSentAt;
+        lastNumber = old.lastNumber;
+        packetsSent = old.packetsSent;
+        bytesSent = old.bytesSent;
+        packetsReceived = old.packetsReceived;
+        old.dropCounters.forEach((counter, count) -> dropCounters.merge(counter, count, Long::sum));
+        setMembers(old.members);
+        election.observeTerm(old.election.term());
+        old.ejections.all().forEach(h -> take(h.verdict().withLeft(Math.max(0, h.until() - now))));
+        limitSharesChanged = true;
+        ejectionsChanged = true;
     }
 
     // ---- reports and grants ---------------------------------------------------------------------------
@@ -620,181 +624,181 @@
     private void report() {
         RouterRecord to = grantor();
         boolean own = to.name().equals(setup.membership().name());
-        boolean vote = votes.vote(now, to.name(), to.instance());
-        List<FailureReport> accusations = mayAccuse(to.name())
-                ? accused.values().stream()
-                        .map(Accused::accusation)
-                        .limit(PacketCodec.ACCUSATIONS)
+        boolean vote = election.vote(now, to.name(), to.instance());
+        List<FailureReport> reports = mayReportFailures(to.name())
+                ? failureReports.values().stream()
+                        .map(ActiveReport::report)
+                        .limit(PacketCodec.MAX_FAILURE_REPORTS)
                         .toList()
                 : List.of();
         if (own) {
-            bench.reported(to.name(), ++numbers, now + times.lease(), accusations);
-            keepOwn(to);
-            sit();
+            ejectionPolicy.reported(to.name(), ++lastNumber, now + times.lease(), reports);
+            renewOwnLeases(to);
+            decideEjections();
             return;
         }
         List<Long> ids = new ArrayList<>(leases.keySet());
-        for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.WANTS) {
-            List<Want> list = new ArrayList<>();
-            for (long id : ids.subList(from, Math.min(ids.size(), from + PacketCodec.WANTS))) {
-                long holds = leases.get(id).asks(now, to.name(), to.instance(), numbers + 1);
-                Want w = wants.getOrDefault(id, new Want(id, 0, 0, 0));
-                if (holds >= 0) {
-                    list.add(new Want(id, holds, w.wanted(), w.inUse()));
+        for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.MAX_DEMANDS) {
+            List<Demand> batch = new ArrayList<>();
+            for (long id : ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_DEMANDS))) {
+                long leaseAsk = leases.get(id).asks(now, to.name(), to.instance(), lastNumber + 1);
+                Demand demand = demands.getOrDefault(id, new Demand(id, 0, 0, 0));
+                if (leaseAsk >= 0) {
+                    batch.add(new Demand(id, leaseAsk, demand.demand(), demand.inUse()));
                 }
             }
-            send(to.address(), new Ask(vote, votes.seen(to.name(), to.instance()), votes.term(), list, accusations));
+            send(to.address(), new Ask(vote, election.lastSeen(to.name(), to.instance()), election.term(), batch, reports));
         }
     }
 
-    /** In a cell, whether another grantor can count what this router accuses in its sum no more. */
-    private boolean mayAccuse(String to) {
-        if (level == Level.CELL && !accused.isEmpty()) {
-            if (!to.equals(accusedTo) && !accusedTo.isEmpty() && now < accusedAt + times.shrink()) {
+    /** Whether, in a cell, no other grantor can still include this router's failure reports in its sum. */
+    private boolean mayReportFailures(String to) {
+        if (level == Level.CELL && !failureReports.isEmpty()) {
+            if (!to.equals(failureReportsSentTo) && !failureReportsSentTo.isEmpty() && now < failureReportsSentAt + times.shrink()) {
                 return false;
             }
-            accusedTo = to;
-            accusedAt = now;
+            failureReportsSentTo = to;
+            failureReportsSentAt = now;
         }
         return true;
     }
 
-    /** What the cell wants, as its grantor tells it to whom it takes for the grantor of the level above. */
+    /** Sends the demand of the cell, if this router is its grantor, to the grantor of the upper level. */
     private void reportCell() {
-        if (!below.grants()) {
+        if (!lowerLevel.grants()) {
             return;
         }
         RouterRecord to = grantor();
         boolean own = to.name().equals(setup.membership().name());
-        boolean vote = votes.vote(now, to.name(), to.instance());
-        List<FailureReport> accusations =
-                below.bench.inSum(now).stream().limit(PacketCodec.ACCUSATIONS).toList();
+        boolean vote = election.vote(now, to.name(), to.instance());
+        List<FailureReport> reports =
+                lowerLevel.ejectionPolicy.inSum(now).stream().limit(PacketCodec.MAX_FAILURE_REPORTS).toList();
         List<Long> ids =
-                shares.keySet().stream().filter(id -> below.held(id, now) > 0).toList();
+                cellShares.keySet().stream().filter(id -> lowerLevel.leaseHolders(id, now) > 0).toList();
         if (own) {
-            bench.reported(to.name(), ++numbers, now + times.lease(), accusations);
+            ejectionPolicy.reported(to.name(), ++lastNumber, now + times.lease(), reports);
             for (long id : ids) {
-                CellWant w = cellWant(id, to, ++numbers);
-                if (w.holds() >= 0) {
-                    granted(
-                            shares.get(id),
+                CellDemand demand = cellDemand(id, to, ++lastNumber);
+                if (demand.leaseAsk() >= 0) {
+                    acceptGrant(
+                            cellShares.get(id),
                             to.name(),
                             to.instance(),
-                            numbers,
-                            ask(to.name(), to.instance(), numbers, w));
+                            lastNumber,
+                            grantFor(to.name(), to.instance(), lastNumber, demand));
                 }
             }
-            sit();
+            decideEjections();
             return;
         }
-        Votes.Backing backing = below.votes.backing(now + times.lease());
-        for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.CELL_WANTS) {
-            List<CellWant> list = ids.subList(from, Math.min(ids.size(), from + PacketCodec.CELL_WANTS)).stream()
-                    .map(id -> cellWant(id, to, numbers + 1))
-                    .filter(w -> w.holds() >= 0)
+        LeaderElection.Backing backing = lowerLevel.election.backing(now + times.lease());
+        for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.MAX_CELL_DEMANDS) {
+            List<CellDemand> batch = ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_CELL_DEMANDS)).stream()
+                    .map(id -> cellDemand(id, to, lastNumber + 1))
+                    .filter(w -> w.leaseAsk() >= 0)
                     .toList();
             send(
                     to.address(),
                     new CellAsk(
                             vote,
-                            votes.seen(to.name(), to.instance()),
-                            votes.term(),
+                            election.lastSeen(to.name(), to.instance()),
+                            election.term(),
                             backing.routers(),
-                            Math.min(backing.term(), votes.term()),
-                            list,
-                            accusations));
+                            Math.min(backing.term(), election.term()),
+                            batch,
+                            reports));
         }
     }
 
-    private CellWant cellWant(long id, RouterRecord to, long number) {
-        LeaseBook book = below.books.get(id);
-        return new CellWant(
+    private CellDemand cellDemand(long id, RouterRecord to, long number) {
+        LeaseBook table = lowerLevel.leaseTables.get(id);
+        return new CellDemand(
                 id,
-                shares.get(id).asks(now, to.name(), to.instance(), number, book.held()),
-                book.held(),
-                book.wanted(),
-                book.countedOfHolders(routers()));
+                cellShares.get(id).asks(now, to.name(), to.instance(), number, table.held()),
+                table.held(),
+                table.wanted(),
+                table.countedOfHolders(routers()));
     }
 
-    private double ask(String name, long instance, long number, CellWant w) {
-        return book(w.limit())
+    private double grantFor(String name, long instance, long number, CellDemand demand) {
+        return leaseTable(demand.limit())
                 .ask(
                         now,
-                        new LeaseBook.Asker(name, instance, number, w.holds(), w.routers()),
-                        w.wanted(),
-                        w.inUse(),
+                        new LeaseBook.Asker(name, instance, number, demand.leaseAsk(), demand.routers()),
+                        demand.demand(),
+                        demand.inUse(),
                         routers(),
-                        held -> held * limitOf(w.limit()).evenPart(routers()));
+                        held -> held * limitOf(demand.limit()).evenPart(routers()));
     }
 
-    /** How many routers this cell's book of a limit holds now. */
-    private int held(long id, long time) {
-        LeaseBook book = books.get(id);
-        if (book == null) {
+    /** The number of routers in this cell's lease table for a limit. */
+    private int leaseHolders(long id, long time) {
+        LeaseBook table = leaseTables.get(id);
+        if (table == null) {
             return 0;
         }
-        book.expire(time);
-        return book.held();
+        table.expire(time);
+        return table.held();
     }
 
-    /** What this cell may lend, in a cell: its share, or the even parts of those that its book holds. */
-    private double pool(long id, int held) {
-        CellShare share = above == null ? null : above.shares.get(id);
+    /** How much a cell may lease out: its share, or without one the even shares of the routers in its lease table. */
+    private double lendable(long id, int held) {
+        CellShare share = upperLevel == null ? null : upperLevel.cellShares.get(id);
         return share == null ? held * limitOf(id).evenPart(routers()) : share.pool(now, held, routers());
     }
 
     private FleetLimit limitOf(long id) {
-        return level == Level.UPPER ? shares.get(id).limit() : leases.get(id).limit();
+        return level == Level.UPPER ? cellShares.get(id).limit() : leases.get(id).limit();
     }
 
-    private double ask(String name, long instance, long number, Want w) {
-        double inUse = limitOf(w.limit()).measure().wholeNumbers ? w.inUse() : 0;
-        return book(w.limit())
+    private double grantFor(String name, long instance, long number, Demand demand) {
+        double inUse = limitOf(demand.limit()).measure().wholeNumbers ? demand.inUse() : 0;
+        return leaseTable(demand.limit())
                 .ask(
                         now,
-                        new LeaseBook.Asker(name, instance, number, w.holds(), 1),
-                        w.wanted(),
+                        new LeaseBook.Asker(name, instance, number, demand.leaseAsk(), 1),
+                        demand.demand(),
                         inUse,
                         routers(),
-                        held -> pool(w.limit(), held));
+                        held -> lendable(demand.limit(), held));
     }
 
-    private void asked(Packet packet, CellAsk a) {
+    private void handleAsk(Packet packet, CellAsk ask) {
         RouterRecord from = packet.from();
         if (level != Level.UPPER || !grants()) {
             drop("asked-not-grantor");
             return;
         }
-        votes.heard(a.term());
-        votes.reported(from.name(), from.instance(), a.vote(), a.seen(), a.known(), a.backing());
-        bench.reported(from.name(), packet.number(), now + times.lease(), a.accusations());
-        List<Part> parts = new ArrayList<>();
-        for (CellWant w : a.wants()) {
-            if (!shares.containsKey(w.limit())) {
+        election.observeTerm(ask.term());
+        election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.boundRouters());
+        ejectionPolicy.reported(from.name(), packet.number(), now + times.lease(), ask.failureReports());
+        List<GrantedShare> granted = new ArrayList<>();
+        for (CellDemand demand : ask.demands()) {
+            if (!cellShares.containsKey(demand.limit())) {
                 drop("unknown-limit");
                 continue;
             }
-            double part = w.routers() == 0 ? -1 : ask(from.name(), from.instance(), packet.number(), w);
-            if (part >= 0) {
-                parts.add(new Part(w.limit(), part));
+            double amount = demand.routers() == 0 ? -1 : grantFor(from.name(), from.instance(), packet.number(), demand);
+            if (amount >= 0) {
+                granted.add(new GrantedShare(demand.limit(), amount));
             } else {
                 drop("late-ask");
             }
         }
-        sit();
-        votes.sent(now, from.name(), numbers + 1);
-        send(from.address(), new Grant(packet.number(), votes.term(), parts));
+        decideEjections();
+        election.recordSent(now, from.name(), lastNumber + 1);
+        send(from.address(), new Grant(packet.number(), election.term(), granted));
     }
 
-    private boolean granted(CellShare share, String name, long instance, long ask, double part) {
+    private boolean acceptGrant(CellShare share, String name, long instance, long ask, double amount) {
         String grantorBefore = share.grantor();
         boolean before = share.leased(now);
-        if (!share.granted(now, name, instance, ask, part)) {
+        if (!share.granted(now, name, instance, ask, amount)) {
             return false;
         }
         if (!before || !grantorBefore.equals(name)) {
-            notice(
-                    "the cell's share of " + share.limit().name() + " from " + name + ": " + part,
+            addLogEvent(
+                    "the cell's share of " + share.limit().name() + " from " + name + ": " + amount,
                     Map.of(
                             "limit",
                             share.limit().name(),
@@ -803,96 +807,96 @@
                             "grantor",
                             name,
                             "part",
-                            part,
+                            amount,
                             "cause",
                             before ? "another grantor" : "none was held"));
         }
         return true;
     }
 
-    private void reportPlan(Drains d) {
-        plannedAt = now;
+    private void reportPlan(Drains drains) {
+        lastPlanReportAt = now;
         RouterRecord to = grantor();
         if (to.name().equals(setup.membership().name())) {
-            d.sit(world());
+            drains.sit(snapshot());
         } else {
-            d.report(now, to.address(), votes.term());
+            drains.report(now, to.address(), election.term());
         }
-        planAt = now + (d.inHaste() ? setup.membership().period() : times.lease() / ASKS_A_LEASE);
+        nextPlanReportAt = now + (drains.inHaste() ? setup.membership().period() : times.lease() / REPORTS_PER_LEASE);
     }
 
-    /** The grantor's own leases are in its own book like all others. */
-    private void keepOwn(RouterRecord self) {
+    /** Renews the grantor's own leases, which are in its own lease table like those of all other routers. */
+    private void renewOwnLeases(RouterRecord self) {
         leases.forEach((id, lease) -> {
-            long number = ++numbers;
-            long holds = lease.asks(now, self.name(), self.instance(), number);
-            Want w = wants.getOrDefault(id, new Want(id, 0, 0, 0));
-            if (holds >= 0) {
-                double part = ask(self.name(), self.instance(), number, new Want(id, holds, w.wanted(), w.inUse()));
-                granted(lease, self.name(), self.instance(), number, part);
+            long number = ++lastNumber;
+            long leaseAsk = lease.asks(now, self.name(), self.instance(), number);
+            Demand demand = demands.getOrDefault(id, new Demand(id, 0, 0, 0));
+            if (leaseAsk >= 0) {
+                double amount = grantFor(self.name(), self.instance(), number, new Demand(id, leaseAsk, demand.demand(), demand.inUse()));
+                acceptGrant(lease, self.name(), self.instance(), number, amount);
             }
         });
     }
 
-    private LeaseBook book(long id) {
-        return books.computeIfAbsent(id, i -> new LeaseBook(limitOf(i), times));
+    private LeaseBook leaseTable(long id) {
+        return leaseTables.computeIfAbsent(id, i -> new LeaseBook(limitOf(i), times));
     }
 
-    private void asked(Packet packet, Ask a) {
+    private void handleAsk(Packet packet, Ask ask) {
         RouterRecord from = packet.from();
         if (level == Level.UPPER || !grants()) {
             drop("asked-not-grantor");
             return;
         }
-        votes.reported(from.name(), from.instance(), a.vote(), a.seen(), a.term());
-        bench.reported(from.name(), packet.number(), now + times.lease(), a.accusations());
-        List<Part> parts = new ArrayList<>();
-        for (Want w : a.wants()) {
-            if (!leases.containsKey(w.limit())) {
+        election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.term());
+        ejectionPolicy.reported(from.name(), packet.number(), now + times.lease(), ask.failureReports());
+        List<GrantedShare> granted = new ArrayList<>();
+        for (Demand demand : ask.demands()) {
+            if (!leases.containsKey(demand.limit())) {
                 drop("unknown-limit");
                 continue;
             }
-            double part = ask(from.name(), from.instance(), packet.number(), w);
-            if (part >= 0) {
-                parts.add(new Part(w.limit(), part));
+            double amount = grantFor(from.name(), from.instance(), packet.number(), demand);
+            if (amount >= 0) {
+                granted.add(new GrantedShare(demand.limit(), amount));
             } else {
                 drop("late-ask");
             }
         }
-        sit();
-        votes.sent(now, from.name(), numbers + 1);
-        send(from.address(), new Grant(packet.number(), votes.term(), parts));
+        decideEjections();
+        election.recordSent(now, from.name(), lastNumber + 1);
+        send(from.address(), new Grant(packet.number(), election.term(), granted));
     }
 
-    private void granted(Packet packet, Grant g) {
+    private void handleGrant(Packet packet, Grant grant) {
         RouterRecord from = packet.from();
-        votes.heard(g.term());
-        votes.saw(from.name(), from.instance(), packet.number());
-        for (Part p : g.parts()) {
-            HeldLease lease = leases.get(p.limit());
-            CellShare share = shares.get(p.limit());
+        election.observeTerm(grant.term());
+        election.recordSeen(from.name(), from.instance(), packet.number());
+        for (GrantedShare granted : grant.shares()) {
+            HeldLease lease = leases.get(granted.limit());
+            CellShare share = cellShares.get(granted.limit());
             if (lease == null && share == null) {
                 drop("unknown-limit");
-            } else if (p.amount() > limitOf(p.limit()).amount()) {
+            } else if (granted.amount() > limitOf(granted.limit()).amount()) {
                 drop("oversized-lease");
             } else if (share != null
-                    ? !granted(share, from.name(), from.instance(), g.ask(), p.amount())
-                    : !granted(lease, from.name(), from.instance(), g.ask(), p.amount())) {
+                    ? !acceptGrant(share, from.name(), from.instance(), grant.ask(), granted.amount())
+                    : !acceptGrant(lease, from.name(), from.instance(), grant.ask(), granted.amount())) {
                 drop("late-grant");
             }
         }
     }
 
-    private boolean granted(HeldLease lease, String name, long instance, long ask, double part) {
+    private boolean acceptGrant(HeldLease lease, String name, long instance, long ask, double amount) {
         String grantorBefore = lease.grantor();
         boolean before = lease.leased(now);
-        if (!lease.granted(now, name, instance, ask, part)) {
+        if (!lease.granted(now, name, instance, ask, amount)) {
             return false;
         }
-        allowancesNew = true;
+        limitSharesChanged = true;
         if (!before || !grantorBefore.equals(name)) {
-            notice(
-                    "lease of " + lease.limit().name() + " from " + name + ": " + part,
+            addLogEvent(
+                    "lease of " + lease.limit().name() + " from " + name + ": " + amount,
                     Map.of(
                             "limit",
                             lease.limit().name(),
@@ -901,75 +905,75 @@
                             "grantor",
                             name,
                             "part",
-                            part,
+                            amount,
                             "cause",
                             before ? "another grantor" : "none was held"));
         }
         return true;
     }
 
-    // ---- verdicts -------------------------------------------------------------------------------------
+    // ---- ejections ------------------------------------------------------------------------------------
 
-    /** Whether this router is the keeper now. */
-    private boolean office() {
-        boolean office = level != Level.CELL
-                && votes.inOffice(now, routers(), level == Level.FLAT ? Votes.Backing.ONE : below.votes.backing(now));
-        if (office != inOffice) {
-            inOffice = office;
-            notice(
-                    office
-                            ? "this router is the keeper of term " + votes.ownTerm()
-                            : "this router is not the keeper any more",
-                    Map.of("keeper", office, "term", votes.ownTerm()));
+    /** Returns whether this router is the leader now, and logs a change. */
+    private boolean updateLeadership() {
+        boolean leader = level != Level.CELL
+                && election.inOffice(now, routers(), level == Level.FLAT ? LeaderElection.Backing.ONE : lowerLevel.election.backing(now));
+        if (leader != isLeader) {
+            isLeader = leader;
+            addLogEvent(
+                    leader
+                            ? "this router is the leader of term " + election.ownTerm()
+                            : "this router is no longer the leader",
+                    Map.of("keeper", leader, "term", election.ownTerm()));
         }
-        return office;
+        return leader;
     }
 
-    private void sit() {
-        if (!office() || setup.verdicts().isEmpty()) {
+    private void decideEjections() {
+        if (!updateLeadership() || setup.verdicts().isEmpty()) {
             return;
         }
         EjectionPolicy.Rules rules = setup.verdicts().get();
-        boolean fresh = now >= votes.officeSince() + rules.hold() + rules.guard();
-        bench.sit(now, votes.ownTerm(), setup.membership().name(), fresh, tiers, verdicts, routers())
+        boolean mayEject = now >= election.officeSince() + rules.hold() + rules.guard();
+        ejectionPolicy.sit(now, election.ownTerm(), setup.membership().name(), mayEject, ejectableTiers, ejections, routers())
                 .forEach(this::take);
     }
 
-    private void take(Ejection v) {
-        EjectionTable.Held before = verdicts.on(v.member());
-        boolean stood = before != null && before.verdict().failing() && now < before.until();
+    private void take(Ejection ejection) {
+        EjectionTable.Held before = ejections.on(ejection.member());
+        boolean wasEjected = before != null && before.verdict().failing() && now < before.until();
         if (setup.verdicts().isEmpty()
-                || !verdicts.take(now, v, setup.verdicts().get().hold())) {
+                || !ejections.take(now, ejection, setup.verdicts().get().hold())) {
             return;
         }
-        bench.heard(verdicts.on(v.member()));
+        ejectionPolicy.heard(ejections.on(ejection.member()));
         if (level != Level.FLAT) {
-            passing.add(v);
+            ejectionsForOtherLevel.add(ejection);
         }
-        verdictNews.put(Long.toString(v.member()), v.member());
-        verdictsNew = true;
-        if (stood != v.failing()) {
-            notice(v, v.failing() ? v.accusers() + " accuse it: " + lower(v.cause()) : "the evidence ended");
+        ejectionGossip.put(Long.toString(ejection.member()), ejection.member());
+        ejectionsChanged = true;
+        if (wasEjected != ejection.failing()) {
+            addLogEvent(ejection, ejection.failing() ? ejection.accusers() + " routers report it: " + lower(ejection.cause()) : "the failure reports ended");
         }
     }
 
-    private void notice(Ejection v, String cause) {
-        notice(
-                "verdict on " + nameOf(v.member())
-                        + (cause.startsWith("ended") ? " " : v.failing() ? ": out, " : ": lifted, ") + cause,
+    private void addLogEvent(Ejection ejection, String cause) {
+        addLogEvent(
+                "ejection of " + nameOf(ejection.member())
+                        + (cause.startsWith("ended") ? " " : ejection.failing() ? ": ejected, " : ": lifted, ") + cause,
                 Map.of(
                         "member",
-                        nameOf(v.member()),
+                        nameOf(ejection.member()),
                         "out",
-                        v.failing() && !cause.startsWith("ended"),
+                        ejection.failing() && !cause.startsWith("ended"),
                         "version",
-                        v.version(),
+                        ejection.version(),
                         "accusers",
-                        v.accusers(),
+                        ejection.accusers(),
                         "strikes",
-                        v.strikes(),
+                        ejection.strikes(),
                         "keeper",
-                        v.keeper(),
+                        ejection.keeper(),
                         "cause",
                         cause));
     }
@@ -980,95 +984,98 @@
                 : members.containsKey(member) ? members.get(member).name() : Long.toString(member);
     }
 
-    /** Who is out now: never more of a tier than the share, whatever was told. */
-    private List<EjectedMember> out() {
-        Map<Role, Integer> room = new HashMap<>();
+    /** The members ejected now: never more of a tier than the configured share, whatever was received. */
+    private List<EjectedMember> ejectedMembers() {
+        Map<Role, Integer> slotsLeft = new HashMap<>();
         for (Role role : Role.values()) {
             long size = members.values().stream().filter(m -> m.role() == role).count();
-            room.put(role, (int) Math.floor(setup.verdicts().get().mostOut() * size + 1e-9));
+            slotsLeft.put(role, (int) Math.floor(setup.verdicts().get().mostOut() * size + 1e-9));
         }
-        List<EjectionTable.Held> standing = new ArrayList<>(verdicts.standing(now));
-        standing.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
-        List<EjectedMember> out = new ArrayList<>();
-        for (EjectionTable.Held h : standing) {
-            Listed m = members.get(h.verdict().member());
-            if (m != null && m.started() == h.verdict().started() && room.merge(m.role(), -1, Integer::sum) >= 0) {
-                out.add(new EjectedMember(
-                        h.verdict().member(),
+        List<EjectionTable.Held> active = new ArrayList<>(ejections.standing(now));
+        active.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
+        List<EjectedMember> ejected = new ArrayList<>();
+        for (EjectionTable.Held held : active) {
+            Listed member = members.get(held.verdict().member());
+            if (member != null && member.started() == held.verdict().started() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
+                ejected.add(new EjectedMember(
+                        held.verdict().member(),
                         Math.max(
-                                m.started(),
-                                drains.map(d -> d.returned(h.verdict().member()))
+                                member.started(),
+                                drains.map(d -> d.returned(held.verdict().member()))
                                         .orElse(0L)),
-                        h.until()));
+                        held.until()));
             }
         }
-        return out;
+        return ejected;
     }
 
     // ---- drains ---------------------------------------------------------------------------------------
 
-    /** What is known beside the plan; a process that may not yet know of every router is no keeper of it. */
-    private FleetSnapshot world() {
-        boolean keeps =
-                office() && now >= startedAt + INFORMED * setup.membership().period();
+    /**
+     * What this router knows besides the drain plan. A process that may not yet know every router does not act as the leader
+     * of the plan.
+     */
+    private FleetSnapshot snapshot() {
+        boolean actsAsLeader =
+                updateLeadership() && now >= startedAt + FULL_COMPARE_PERIODS * setup.membership().period();
         Map<Long, FleetSnapshot.Target> targets = new TreeMap<>();
-        members.forEach((id, m) -> {
-            if (m.role() != Role.ORIGIN) {
+        members.forEach((id, member) -> {
+            if (member.role() != Role.ORIGIN) {
                 targets.put(
                         id,
                         new FleetSnapshot.Target(
-                                m.name(), m.role() == Role.CACHE ? MemberKind.CACHE : MemberKind.PARENT, m.ready(), m.started()));
+                                member.name(), member.role() == Role.CACHE ? MemberKind.CACHE : MemberKind.PARENT, member.ready(), member.started()));
             }
         });
         Set<Long> failing =
-                verdicts.standing(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
+                ejections.standing(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
         return new FleetSnapshot(
                 now,
-                keeps ? votes.ownTerm() : 0,
-                votes.officeSince(),
+                actsAsLeader ? election.ownTerm() : 0,
+                election.officeSince(),
                 routers(),
-                membership.table().stream().map(this::peer).toList(),
+                membership.allRouters().stream().map(this::peer).toList(),
                 targets,
                 failing);
     }
 
-    private FleetSnapshot.Peer peer(RouterRecord n) {
+    private FleetSnapshot.Peer peer(RouterRecord router) {
         return new FleetSnapshot.Peer(
-                Hashes.of(FleetSnapshot.ROUTERS + n.name()),
-                n.name(),
-                n.address(),
-                n.instance(),
-                n.standing(),
-                membership.since(n.name()));
+                Hashes.of(FleetSnapshot.ROUTERS + router.name()),
+                router.name(),
+                router.address(),
+                router.instance(),
+                router.status(),
+                membership.statusSince(router.name()));
     }
 
-    /** What the decisions are to go by where members are taken out in order; empty where that is as before. */
+    /** The drain state that the routing decisions must follow, if it has changed since the last call. */
     @Override
     public Optional<Drains.View> takeDrainView() {
         Optional<Drains.View> view =
-                drains.filter(d -> membersNew || d.viewMayChange(now)).map(d -> d.takeView(now, world()));
-        membersNew = false;
+                drains.filter(d -> membersChanged || d.viewMayChange(now)).map(d -> d.takeView(now, snapshot()));
+        membersChanged = false;
         return view;
     }
 
-    /** Whether members may be used: not before it is known which are out, or could have been. */
+    /** Whether members may be used: false until it is known which of them are, or may have been, taken out by a drain. */
     @Override
     public boolean membersUsable() {
         return drains.map(Drains::settled).orElse(true);
     }
 
-    /** The plan of drains in force, as far as this router knows. */
+    /** The drain plan in force, as far as this router knows. */
     Optional<Plan> plan() {
         return drains.map(Drains::plan);
     }
 
-    /** Whether members are taken out in order. */
+    /** Whether this fleet coordinates the drains of its members. */
     @Override
     public boolean coordinatesDrains() {
         return drains.isPresent();
     }
 
-    /** Takes an operator's command and says what becomes of it, in one line. */
+    /** Handles an operator's drain command and returns its result as one line. */
     @Override
     public String handleCommand(long time, Map<String, String> fields) {
         now = Math.max(now, time);
@@ -1076,118 +1083,118 @@
             return "refused: this router has no section 'fleet.drains' in its operator's file";
         }
         try {
-            DrainCommand c = DrainCommandParser.command(
-                    fields, setup.cluster(), world(), drains.get().plan());
-            if (!drains.get().command(now, c)) {
+            DrainCommand command = DrainCommandParser.command(
+                    fields, setup.cluster(), snapshot(), drains.get().plan());
+            if (!drains.get().command(now, command)) {
                 return "refused: too many commands wait to be taken";
             }
-            // the keeper hears at once, but however often commands come, no more than four times a period
-            planAt = Math.min(
-                    planAt, Math.max(now, plannedAt + setup.membership().period() / 4));
-            return "waits " + Long.toUnsignedString(c.id(), 16);
+            // Reports to the leader at once, but at most four times per period however often commands arrive.
+            nextPlanReportAt = Math.min(
+                    nextPlanReportAt, Math.max(now, lastPlanReportAt + setup.membership().period() / 4));
+            return "waits " + Long.toUnsignedString(command.id(), 16);
         } catch (DrainCommandParser.Wrong e) {
             return "refused: " + e.getMessage();
         }
     }
 
-    // ---- what goes out --------------------------------------------------------------------------------
+    // ---- output ---------------------------------------------------------------------------------------
 
     private long send(String address, Body body) {
-        long number = ++numbers;
-        if (membership == null || membership.aside(now)) {
+        long number = ++lastNumber;
+        if (membership == null || membership.isSilent(now)) {
             return number;
         }
-        RouterRecord self = membership.self().as(RouterStatus.ALIVE);
-        int room = codec.room(self, body);
-        // verdicts first: they are few, and under loss there is always more news of routers than a packet holds
-        List<Ejection> told = verdictNews
+        RouterRecord self = membership.self().withStatus(RouterStatus.ALIVE);
+        int gossipBytes = codec.bytesForGossip(self, body);
+        // Ejections come first: there are few of them, and under loss there are always more router records than a packet holds.
+        List<Ejection> gossiped = ejectionGossip
                 .take(
-                        room / 2,
-                        membership.times(),
-                        m -> verdicts.on(m) == null
+                        gossipBytes / 2,
+                        membership.gossipTransmissions(),
+                        m -> ejections.on(m) == null
                                 ? PacketCodec.LONGEST
-                                : PacketCodec.size(verdicts.on(m).verdict()))
+                                : PacketCodec.size(ejections.on(m).verdict()))
                 .stream()
-                .map(this::asItStands)
+                .map(this::currentEjection)
                 .toList();
-        int left = room - told.stream().mapToInt(PacketCodec::size).sum();
-        int news = level == Level.FLAT ? left : reports(body) ? 0 : Math.min(left, CELL_NEWS);
-        List<RouterRecord> routers = routerNews.take(news, membership.times(), PacketCodec::size);
-        put(address, new Packet(self, number, body, routers, told));
+        int bytesLeft = gossipBytes - gossiped.stream().mapToInt(PacketCodec::size).sum();
+        int routerBytes = level == Level.FLAT ? bytesLeft : isReportOrGrant(body) ? 0 : Math.min(bytesLeft, CELL_GOSSIP_BYTES);
+        List<RouterRecord> routers = routerGossip.take(routerBytes, membership.gossipTransmissions(), PacketCodec::size);
+        enqueue(address, new Packet(self, number, body, routers, gossiped));
         return number;
     }
 
-    /** Whether it is one of the many that come to a grantor and go from it: in cells these carry no news of routers. */
-    private static boolean reports(Body body) {
+    /** Whether this is a report to a grantor or its answer. There are many of them, so in cells they carry no router records. */
+    private static boolean isReportOrGrant(Body body) {
         return body instanceof Ask || body instanceof CellAsk || body instanceof Grant;
     }
 
-    private Ejection asItStands(long member) {
-        EjectionTable.Held h = verdicts.on(member);
-        return h.verdict().withLeft(Math.max(0, h.until() - now));
+    private Ejection currentEjection(long member) {
+        EjectionTable.Held held = ejections.on(member);
+        return held.verdict().withLeft(Math.max(0, held.until() - now));
     }
 
-    private void put(String address, Packet packet) {
+    private void enqueue(String address, Packet packet) {
         byte[] bytes = codec.write(packet);
-        sent++;
-        sentBytes += bytes.length;
+        packetsSent++;
+        bytesSent += bytes.length;
         outbox.add(new Datagram(address, bytes));
     }
 
-    private void sendAll(String address, Predicate<RouterRecord> which) {
-        RouterRecord self = membership.self().as(RouterStatus.ALIVE);
-        int room = codec.room(self, new News());
+    private void sendAll(String address, Predicate<RouterRecord> filter) {
+        RouterRecord self = membership.self().withStatus(RouterStatus.ALIVE);
+        int gossipBytes = codec.bytesForGossip(self, new News());
         List<RouterRecord> routers = new ArrayList<>();
-        List<Ejection> told = new ArrayList<>();
-        int used = 0;
-        Collection<RouterRecord> table = membership.table();
-        for (RouterRecord n : table) {
-            if (!which.test(n)) {
+        List<Ejection> gossiped = new ArrayList<>();
+        int bytesUsed = 0;
+        Collection<RouterRecord> known = membership.allRouters();
+        for (RouterRecord router : known) {
+            if (!filter.test(router)) {
                 continue;
             }
-            if (used + PacketCodec.size(n) > room || routers.size() == 255) {
-                put(address, new Packet(self, ++numbers, new News(), routers, told));
+            if (bytesUsed + PacketCodec.size(router) > gossipBytes || routers.size() == MAX_LIST_ENTRIES) {
+                enqueue(address, new Packet(self, ++lastNumber, new News(), routers, gossiped));
                 routers = new ArrayList<>();
-                used = 0;
+                bytesUsed = 0;
             }
-            routers.add(n);
-            used += PacketCodec.size(n);
+            routers.add(router);
+            bytesUsed += PacketCodec.size(router);
         }
-        for (EjectionTable.Held h : verdicts.all()) {
-            if (used + PacketCodec.size(h.verdict()) > room || told.size() == 255) {
-                put(address, new Packet(self, ++numbers, new News(), routers, told));
+        for (EjectionTable.Held held : ejections.all()) {
+            if (bytesUsed + PacketCodec.size(held.verdict()) > gossipBytes || gossiped.size() == MAX_LIST_ENTRIES) {
+                enqueue(address, new Packet(self, ++lastNumber, new News(), routers, gossiped));
                 routers = new ArrayList<>();
-                told = new ArrayList<>();
-                used = 0;
+                gossiped = new ArrayList<>();
+                bytesUsed = 0;
             }
-            told.add(asItStands(h.verdict().member()));
-            used += PacketCodec.size(h.verdict());
+            gossiped.add(currentEjection(held.verdict().member()));
+            bytesUsed += PacketCodec.size(held.verdict());
         }
-        put(address, new Packet(self, ++numbers, new News(), routers, told));
+        enqueue(address, new Packet(self, ++lastNumber, new News(), routers, gossiped));
     }
 
-    /** The packets to be sent, each given out once. */
+    /** Returns and removes the packets to be sent. */
     @Override
     public List<Datagram> takePackets() {
         return takeAll(outbox);
     }
 
-    /** What the decisions are to be told, each given out once. */
+    /** Returns and removes the events for the routing decisions. */
     @Override
     public List<Event> takeEvents() {
-        if (allowancesNew && !setup.limits().isEmpty()) {
+        if (limitSharesChanged && !setup.limits().isEmpty()) {
             events.add(new LimitSharesUpdate(
-                    leases.values().stream().map(this::allowance).toList()));
+                    leases.values().stream().map(this::limitShare).toList()));
         }
-        if (verdictsNew && setup.verdicts().isPresent()) {
-            events.add(new EjectionsUpdate(out()));
+        if (ejectionsChanged && setup.verdicts().isPresent()) {
+            events.add(new EjectionsUpdate(ejectedMembers()));
         }
-        allowancesNew = false;
-        verdictsNew = false;
+        limitSharesChanged = false;
+        ejectionsChanged = false;
         return takeAll(events);
     }
 
-    private LimitShare allowance(HeldLease lease) {
+    private LimitShare limitShare(HeldLease lease) {
         FleetLimit limit = lease.limit();
         return new LimitShare(
                 limit.member(),
@@ -1199,7 +1206,7 @@
 
     @Override
     public List<LogEvent> takeLogEvents() {
-        return takeAll(notices);
+        return takeAll(logEvents);
     }
 
     private static <T> List<T> takeAll(List<T> list) {
@@ -1208,51 +1215,51 @@
         return taken;
     }
 
-    // ---- what can be seen -----------------------------------------------------------------------------
+    // ---- status ---------------------------------------------------------------------------------------
 
-    /** Counters and the state in short, by name. */
+    /** Counters and a summary of the state, by name. */
     @Override
     public Map<String, String> fields() {
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("fleet-routers", Integer.toString(routers()));
         fields.put("fleet-living", Integer.toString(membership.living().size() + 1));
         fields.put("fleet-grantor", grantor().name());
-        fields.put("fleet-keeper", inOffice ? "yes" : "no");
-        fields.put("fleet-term", Long.toString(votes.term()));
-        fields.put("fleet-verdicts", Integer.toString(verdicts.standing(now).size()));
-        fields.put("fleet-packets-out", Long.toString(sent));
-        fields.put("fleet-bytes-out", Long.toString(sentBytes));
-        fields.put("fleet-packets-in", Long.toString(heard));
+        fields.put("fleet-keeper", isLeader ? "yes" : "no");
+        fields.put("fleet-term", Long.toString(election.term()));
+        fields.put("fleet-verdicts", Integer.toString(ejections.standing(now).size()));
+        fields.put("fleet-packets-out", Long.toString(packetsSent));
+        fields.put("fleet-bytes-out", Long.toString(bytesSent));
+        fields.put("fleet-packets-in", Long.toString(packetsReceived));
         drains.ifPresent(d -> fields.putAll(d.fields(now)));
-        dropped.forEach((what, count) -> fields.put("fleet-dropped-" + what, Long.toString(count)));
+        dropCounters.forEach((counter, count) -> fields.put("fleet-dropped-" + counter, Long.toString(count)));
         return fields;
     }
 
-    /** Rows for people and programs about one subject; empty where there is none of that name. */
+    /** The rows of a status table, for operators and tools; empty if there is no table of that name. */
     @Override
-    public Optional<List<Map<String, Object>>> rows(String subject) {
-        return switch (subject) {
+    public Optional<List<Map<String, Object>>> rows(String table) {
+        return switch (table) {
             case "members" ->
-                Optional.of(membership.table().stream().map(this::row).toList());
+                Optional.of(membership.allRouters().stream().map(this::row).toList());
             case "limits" -> Optional.of(leases.values().stream().map(this::row).toList());
             case "verdicts" ->
-                Optional.of(verdicts.all().stream().map(this::row).toList());
-            case "drains" -> drains.map(d -> d.rows(world(), grantor().name()));
+                Optional.of(ejections.all().stream().map(this::row).toList());
+            case "drains" -> drains.map(d -> d.rows(snapshot(), grantor().name()));
             case "drain-requests" -> drains.map(Drains::requestRows);
             default -> Optional.empty();
         };
     }
 
-    private Map<String, Object> row(RouterRecord n) {
+    private Map<String, Object> row(RouterRecord router) {
         Map<String, Object> row = new LinkedHashMap<>();
-        row.put("name", n.name());
-        row.put("address", n.address());
-        row.put("standing", lower(n.standing()));
-        row.put("incarnation", n.incarnation());
-        row.put("instance", n.instance());
-        row.put("since-ms", membership.since(n.name()) / 1_000);
-        row.put("grantor", n.name().equals(grantor().name()));
-        row.put("self", n.name().equals(setup.membership().name()));
+        row.put("name", router.name());
+        row.put("address", router.address());
+        row.put("standing", lower(router.status()));
+        row.put("incarnation", router.incarnation());
+        row.put("instance", router.instance());
+        row.put("since-ms", membership.statusSince(router.name()) / 1_000);
+        row.put("grantor", router.name().equals(grantor().name()));
+        row.put("self", router.name().equals(setup.membership().name()));
         return row;
     }
 
@@ -1268,26 +1275,26 @@
         row.put("grantor", lease.grantor());
         row.put(
                 "counted",
-                books.entrySet().stream()
+                leaseTables.entrySet().stream()
                         .filter(b -> leases.get(b.getKey()) == lease)
                         .mapToDouble(b -> b.getValue().counted(routers()))
                         .sum());
         return row;
     }
 
-    private Map<String, Object> row(EjectionTable.Held h) {
-        Ejection v = h.verdict();
+    private Map<String, Object> row(EjectionTable.Held held) {
+        Ejection ejection = held.verdict();
         Map<String, Object> row = new LinkedHashMap<>();
-        row.put("member", nameOf(v.member()));
-        row.put("out", v.failing() && now < h.until());
-        row.put("version", v.version());
-        row.put("left-ms", Math.max(0, h.until() - now) / 1_000);
-        row.put("accusers", v.accusers());
-        row.put("cause", lower(v.cause()));
-        row.put("strikes", v.strikes());
-        row.put("fail-share", Math.round(v.failShare() * 1_000) / 1_000.0);
-        row.put("keeper", v.keeper());
-        row.put("heard-at-ms", h.heardAt() / 1_000);
+        row.put("member", nameOf(ejection.member()));
+        row.put("out", ejection.failing() && now < held.until());
+        row.put("version", ejection.version());
+        row.put("left-ms", Math.max(0, held.until() - now) / 1_000);
+        row.put("accusers", ejection.accusers());
+        row.put("cause", lower(ejection.cause()));
+        row.put("strikes", ejection.strikes());
+        row.put("fail-share", Math.round(ejection.failShare() * 1_000) / 1_000.0);
+        row.put("keeper", ejection.keeper());
+        row.put("heard-at-ms", held.heardAt() / 1_000);
         return row;
     }
 }
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -9,60 +9,61 @@
 import pumicemoor.fleet.drains.Drains;
 
 /**
- * One router's part in a fleet, as the program sees it: time, packets, the list of members and what the decisions tell
- * go in; packets, events for the decisions and lines for people are fetched. Times are Unix microseconds. It must never
- * send, read a clock or draw randomness of its own.
+ * One router's participation in a fleet, as the surrounding program uses it. The program passes in the time, received
+ * packets, the list of members and reports of the routing decisions, and fetches packets to send, events for the routing
+ * decisions and log events. Times are Unix microseconds. An implementation must never send packets itself, read a clock
+ * or use its own source of randomness.
  */
 public interface FleetParticipant {
 
-    /** Takes a packet, whatever it is. */
+    /** Handles a received datagram. Bytes that are not a valid packet of this fleet are counted and dropped. */
     void receive(long time, byte[] bytes);
 
-    /** The members as they are listed now, by their number. */
-    void updateMembers(long time, Map<Long, Fleet.Listed> listed);
+    /** Replaces the list of members, keyed by member id. */
+    void updateMembers(long time, Map<Long, Fleet.Listed> members);
 
-    /** What the decisions wanted of an allowance. */
-    void reportDemand(LimitDemand wanted);
+    /** Records the current demand of the routing decisions on a limit share. */
+    void reportDemand(LimitDemand demand);
 
-    /** What the decisions hold of a member now. */
-    void reportHealth(long time, MemberHealthReport judged);
+    /** Records the health of a member as the routing decisions see it now. */
+    void reportHealth(long time, MemberHealthReport report);
 
-    /** Ends this router's part in good order. */
+    /** Announces that this router leaves the fleet in good order. */
     void leave(long time);
 
-    /** When it has to live on at the latest. */
+    /** The latest time at which {@link #advance} must be called next. */
     long nextDue();
 
-    /** Lives on to this time. */
+    /** Advances to this time and runs the timers that are due. */
     void advance(long time);
 
-    /** How many routers the fleet is taken for. */
+    /** The fleet size that shares and majorities are computed from. */
     int routers();
 
-    /** What the decisions are to go by where members are taken out in order; empty where that is as before. */
+    /** The drain state that the routing decisions must follow, if it has changed since the last call. */
     Optional<Drains.View> takeDrainView();
 
-    /** Whether members may be used: not before it is known which are out, or could have been. */
+    /** Whether members may be used: false until it is known which of them are, or may have been, taken out by a drain. */
     boolean membersUsable();
 
-    /** Whether members are taken out in order. */
+    /** Whether this fleet coordinates the drains of its members. */
     boolean coordinatesDrains();
 
-    /** Takes an operator's command and says what becomes of it, in one line. */
+    /** Handles an operator's drain command and returns its result as one line. */
     String handleCommand(long time, Map<String, String> fields);
 
-    /** The packets to be sent, each given out once. */
+    /** Returns and removes the packets to be sent. */
     List<Datagram> takePackets();
 
-    /** What the decisions are to be told, each given out once. */
+    /** Returns and removes the events for the routing decisions. */
     List<Event> takeEvents();
 
-    /** What people may want to know, each given out once. */
+    /** Returns and removes the events to be logged. */
     List<LogEvent> takeLogEvents();
 
-    /** Counters and the state in short, by name. */
+    /** Counters and a summary of the state, by name. */
     Map<String, String> fields();
 
-    /** Rows for people and programs about one subject; empty where there is none of that name. */
-    Optional<List<Map<String, Object>>> rows(String subject);
+    /** The rows of a status table, for operators and tools; empty if there is no table of that name. */
+    Optional<List<Map<String, Object>>> rows(String table);
 }
--- a/src/main/java/pumicemoor/fleet/FleetSetup.java
+++ b/src/main/java/pumicemoor/fleet/FleetSetup.java
@@ -10,8 +10,9 @@
 import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
- * What a router's part in a fleet is set up with. Size is how many routers the fleet has at most; what a router may
- * spend alone and what a majority is are counted from it, or from those known where that is more.
+ * The configuration of a router's participation in a fleet. The size is the largest number of routers that the fleet is
+ * planned to have; the share that a router may use without a lease and the size of a majority are computed from it, or
+ * from the number of known routers if that is larger.
  */
 public record FleetSetup(
         String cluster,
@@ -23,7 +24,7 @@
         Optional<DrainTimes> drains,
         Optional<CellSetup> cells) {
 
-    /** One flat fleet. */
+    /** A flat fleet, without cells. */
     public FleetSetup(
             String cluster,
             Membership.Setup membership,
@@ -35,7 +36,7 @@
         this(cluster, membership, size, times, limits, verdicts, drains, Optional.empty());
     }
 
-    /** Without drains. */
+    /** A flat fleet without coordinated drains. */
     public FleetSetup(
             String cluster,
             Membership.Setup membership,
@@ -46,7 +47,7 @@
         this(cluster, membership, size, times, limits, verdicts, Optional.empty());
     }
 
-    /** Whom a limit is for: one member by its name, each of a kind by itself, or all that crosses zones. */
+    /** What a limit applies to: one named member, each member of a role separately, or all traffic across zones. */
     public enum Scope {
         MEMBER,
         EACH_CACHE,
@@ -55,6 +56,6 @@
         ACROSS_ZONES
     }
 
-    /** A limit as the operator sets it; the member is named where the scope is one. */
+    /** A limit as configured by the operator; {@code member} is set only for the scope MEMBER. */
     public record LimitRule(String name, Scope scope, String member, LimitMeasure measure, double amount) {}
 }
--- a/src/main/java/pumicemoor/fleet/GossipQueue.java
+++ b/src/main/java/pumicemoor/fleet/GossipQueue.java
@@ -9,61 +9,65 @@
 import java.util.function.ToIntFunction;
 
 /**
- * News on its way, each told a number of times that grows with the logarithm of the fleet, the least told first. It
- * owns how often each was told; only the newest about a subject is kept, so it is bounded by the subjects.
+ * A queue of updates to piggyback on outgoing packets. Each update is sent a number of times that grows with the
+ * logarithm of the fleet size; those sent least often go first, and of equals the newest. Keeps the transmission count
+ * of each update. Only the newest update about a subject is kept, so the number of subjects bounds the queue.
  */
 final class GossipQueue<T> {
 
-    private static final class Rumour<T> {
+    private static final class Entry<T> {
         final String subject;
-        final T news;
-        final long order;
-        int told;
+        final T update;
+        final long sequence;
+        int transmissions;
 
-        Rumour(String subject, T news, long order) {
+        Entry(String subject, T update, long sequence) {
             this.subject = subject;
-            this.news = news;
-            this.order = order;
+            this.update = update;
+            this.sequence = sequence;
         }
     }
 
-    private final Map<String, Rumour<T>> bySubject = new HashMap<>();
-    private final TreeSet<Rumour<T>> byTold =
-            new TreeSet<>(Comparator.comparingInt((Rumour<T> r) -> r.told).thenComparingLong(r -> -r.order));
-    private long order;
+    private final Map<String, Entry<T>> bySubject = new HashMap<>();
+    private final TreeSet<Entry<T>> byTransmissions =
+            new TreeSet<>(Comparator.comparingInt((Entry<T> e) -> e.transmissions).thenComparingLong(e -> -e.sequence));
+    private long nextSequence;
 
-    void put(String subject, T news) {
-        Rumour<T> rumour = new Rumour<>(subject, news, order++);
-        Rumour<T> before = bySubject.put(subject, rumour);
-        if (before != null) {
-            byTold.remove(before);
+    void put(String subject, T update) {
+        Entry<T> entry = new Entry<>(subject, update, nextSequence++);
+        Entry<T> replaced = bySubject.put(subject, entry);
+        if (replaced != null) {
+            byTransmissions.remove(replaced);
         }
-        byTold.add(rumour);
+        byTransmissions.add(entry);
     }
 
     boolean isEmpty() {
         return bySubject.isEmpty();
     }
 
-    /** What fits into so many bytes, counted as told; what was told often enough is forgotten. */
-    List<T> take(int bytes, int times, ToIntFunction<T> size) {
-        List<Rumour<T>> taken = new ArrayList<>();
-        int left = bytes;
-        for (Rumour<T> r : byTold) {
-            int wanted = size.applyAsInt(r.news);
-            if (wanted <= left) {
-                left -= wanted;
-                taken.add(r);
+    /**
+     * Returns the updates that fit into the given number of bytes and counts one transmission for each. Updates that have
+     * reached the given number of transmissions are removed.
+     */
+    List<T> take(int maxBytes, int maxTransmissions, ToIntFunction<T> sizeInBytes) {
+        List<Entry<T>> taken = new ArrayList<>();
+        int bytesLeft = maxBytes;
+        for (Entry<T> entry : byTransmissions) {
+            int size = sizeInBytes.applyAsInt(entry.update);
+            if (size <= bytesLeft) {
+                bytesLeft -= size;
+                taken.add(entry);
             }
         }
-        for (Rumour<T> r : taken) {
-            byTold.remove(r);
-            r.told++;
-            byTold.add(r);
+        for (Entry<T> entry : taken) {
+            byTransmissions.remove(entry);
+            entry.transmissions++;
+            byTransmissions.add(entry);
         }
-        while (!byTold.isEmpty() && byTold.last().told >= times) {
-            bySubject.remove(byTold.pollLast().subject);
+        while (!byTransmissions.isEmpty() && byTransmissions.last().transmissions >= maxTransmissions) {
+            bySubject.remove(byTransmissions.pollLast().subject);
         }
-        return taken.stream().map(r -> r.news).toList();
+        return taken.stream().map(e -> e.update).toList();
     }
 }
--- a/src/main/java/pumicemoor/fleet/LogEvent.java
+++ b/src/main/java/pumicemoor/fleet/LogEvent.java
@@ -2,5 +2,5 @@
 
 import java.util.Map;
 
-/** A change that a person may want to know of, as one line and its figures by name. */
+/** A change to be logged for operators: one line of text and the same facts as named fields. */
 public record LogEvent(String text, Map<String, Object> fields) {}
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -8,67 +8,75 @@
 import pumicemoor.fleet.verdicts.Ejection;
 
 /**
- * What one router sends to another: who it is, a number that rises with each packet of its process, what it asks or
- * answers, and the news that rides along.
+ * A packet from one router to another: its sender, a number that increases with each packet of the sending process, the
+ * request or answer in its body, and the router records and ejections that are gossiped along with it.
  */
-public record Packet(RouterRecord from, long number, Body body, List<RouterRecord> routers, List<Ejection> verdicts) {
+public record Packet(RouterRecord from, long number, Body body, List<RouterRecord> routers, List<Ejection> ejections) {
 
-    /** What a packet is for. */
+    /** The request or answer that a packet carries. */
     public sealed interface Body {}
 
-    /** Are you there? */
+    /** Asks for an {@link Ack}, to check that the receiver is alive. */
     public record Ping() implements Body {}
 
-    /** I am; the number is that of the ping, or of the relay that asked for one. */
+    /** Confirms that a router is alive. The number is that of the ping, or of the relay request that asked for one. */
     public record Ack(long number) implements Body {}
 
-    /** Ping this router for me and pass its answer on. */
+    /** Asks the receiver to ping the router at this address and to pass its answer on (an indirect probe). */
     public record Relay(String address) implements Body {}
 
-    /** This is what I know, as a digest; tell me all where yours differs, and say the same back where wanted. */
-    public record Compare(long digest, boolean back) implements Body {}
+    /**
+     * The digest of the sender's membership table. A receiver whose digest differs sends its table, and if a reply is
+     * expected, its own digest too.
+     */
+    public record Compare(long digest, boolean replyExpected) implements Body {}
 
     /**
-     * The answer to a digest that differs, in a fleet of cells: digests of what I know in so many parts, by the names'
-     * hashes. Tell me what you know in those that differ, and say the same back where wanted.
+     * The answer to a differing digest in a fleet of cells: the digests of the parts of the sender's membership table, split
+     * by the hashes of the router names. The receiver sends its records of the parts that differ, and if a reply is
+     * expected, its own digests too.
      */
-    public record Sums(List<Long> sums, boolean back) implements Body {}
+    public record Sums(List<Long> partDigests, boolean replyExpected) implements Body {}
 
-    /** Nothing but the news that rides along. */
+    /** An empty body, for a packet that carries only gossip. */
     public record News() implements Body {}
 
-    /** What a router wants of a limit: holds is the number of the ask whose grant it lives by, 0 for none. */
-    public record Want(long limit, long holds, double wanted, double inUse) {}
+    /**
+     * A router's demand on a limit. {@code leaseAsk} is the number of the ask whose grant the router uses now, 0 for none.
+     */
+    public record Demand(long limit, long leaseAsk, double demand, double inUse) {}
 
     /**
-     * A router's report to whom it takes for the grantor. Vote: it is bound to that one for a lease's time. Seen is the
-     * number of the last grant that came from there, term the highest that it knows.
+     * A router's report to the router that it considers the grantor. If {@code vote} is set, the sender is bound to the
+     * receiver for one lease. {@code lastSeen} is the number of the last grant received from there, {@code term} the
+     * highest term that the sender knows.
      */
-    public record Ask(boolean vote, long seen, long term, List<Want> wants, List<FailureReport> accusations)
+    public record Ask(boolean vote, long lastSeen, long term, List<Demand> demands, List<FailureReport> failureReports)
             implements Body {}
 
-    /** A part of a limit. */
-    public record Part(long limit, double amount) {}
+    /** The granted share of a limit. */
+    public record GrantedShare(long limit, double amount) {}
 
-    /** The answer to an ask, by its number; a lease counts from when the ask left. */
-    public record Grant(long ask, long term, List<Part> parts) implements Body {}
+    /** The answer to an ask, identified by the ask's number. A lease counts from the time the ask was sent. */
+    public record Grant(long ask, long term, List<GrantedShare> shares) implements Body {}
 
-    /** What a router has under way at a member, and how often lately that answered it from what it holds. */
+    /** The requests that a router has in flight at a member, and how often the member recently answered from its cache. */
     public record Use(long member, int underWay, double hits) {}
 
     /**
-     * A router's report about the plan of drains: the stamps of the newest it holds and of the one it goes by, whether it
-     * remembers what was agreed, and the highest term that it knows.
+     * A router's report about the drain plan: the stamps of the newest plan it holds and of the one it applies, whether it
+     * remembers what was agreed (a restarted process does not), and the highest term that it knows.
      */
     public record PlanReport(long term, long held, long applied, boolean seasoned, List<Use> uses) implements Body {}
 
     /**
-     * The answer to such a report, by its number, for that process alone. Office: a keeper's, which knows what is in force.
+     * The answer to a plan report, identified by the report's number and valid for that process only. {@code office} is set
+     * if the sender is the leader and so knows which plan is in force.
      */
     public record PlanGrant(long report, long instance, long term, boolean office, long held, long inForce)
             implements Body {}
 
-    /** A piece of a plan. */
+    /** A fragment of an encoded drain plan. */
     public record Piece(long stamp, int index, int count, byte[] bytes) implements Body {
 
         @Override
@@ -86,35 +94,39 @@
         }
     }
 
-    /** An operator's command, passed on. */
+    /** An operator's drain command, forwarded to the grantor. */
     public record DrainAsk(DrainCommand command) implements Body {}
 
     /**
-     * What a cell wants of a limit, for so many routers that its book holds: holds is the ask whose grant it lives by, 0 for
-     * none, and in use the most that its book must count its routers with.
+     * A cell's demand on a limit, for the number of routers in its lease table. {@code leaseAsk} is the number of the ask
+     * whose grant the cell uses now, 0 for none; {@code inUse} is the most that its table must count for its routers.
      */
-    public record CellWant(long limit, long holds, int routers, double wanted, double inUse) {}
+    public record CellDemand(long limit, long leaseAsk, int routers, double demand, double inUse) {}
 
     /**
-     * A cell's report to whom its grantor takes for the grantor of the level above. Vote, seen and term are as in an ask;
-     * backing tells how many routers are bound to the sender for a lease's time more, and known a term that they all know.
+     * A cell's report from its grantor to the router that it considers the grantor of the upper level. Vote, last seen and
+     * term are as in an {@link Ask}. {@code boundRouters} is the number of routers that stay bound to the sender for at
+     * least one more lease, {@code knownTerm} a term that all of them know.
      */
     public record CellAsk(
             boolean vote,
-            long seen,
+            long lastSeen,
             long term,
-            int backing,
-            long known,
-            List<CellWant> wants,
-            List<FailureReport> accusations)
+            int boundRouters,
+            long knownTerm,
+            List<CellDemand> demands,
+            List<FailureReport> failureReports)
             implements Body {}
 
-    /** Where are the routers of my cell? The depth is that of the sender's cell; hops is how often it was passed on. */
+    /**
+     * Asks for the routers of the sender's cell. The depth is that of the sender's cell; hops counts how often the request
+     * has been forwarded.
+     */
     public record Join(String root, int depth, int hops) implements Body {}
 
     /**
-     * The answer to a join by its number, or 0 where a cell is being split: how deep the cell of who asked is split (-1
-     * for not known), some addresses of it, and some of delegates.
+     * The answer to a join request, identified by its number, or 0 for the announcement of a cell split: how deep the
+     * receiver's cell is split (-1 if unknown), and some addresses of routers in that cell and of delegates.
      */
     public record Place(long join, int depth, List<String> cell, List<String> delegates) implements Body {}
 }
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -9,9 +9,9 @@
 import pumicemoor.Hashes;
 import pumicemoor.fleet.BadPacketException.Reason;
 import pumicemoor.fleet.Packet.Body;
-import pumicemoor.fleet.Packet.Part;
+import pumicemoor.fleet.Packet.GrantedShare;
 import pumicemoor.fleet.Packet.Use;
-import pumicemoor.fleet.Packet.Want;
+import pumicemoor.fleet.Packet.Demand;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.fleet.drains.Plan;
@@ -23,27 +23,29 @@
 import pumicemoor.fleet.verdicts.Ejection;
 
 /**
- * The bytes of a packet, and every check that needs no state. It must never make room for what a packet only claims to
- * hold: a count is believed no further than the bytes that are there.
+ * Encodes and decodes packets and makes every check that needs no state. It must never allocate memory for what a packet
+ * only claims to contain: a count is trusted only as far as there are bytes for it.
  */
 public final class PacketCodec {
 
-    /** The longest packet, in bytes; it passes every link whole. */
+    /** The longest packet, in bytes; short enough to pass every link without fragmentation. */
     public static final int LONGEST = 1_200;
 
     public static final int LONGEST_NAME = 64;
-    static final int WANTS = 24; // of limits in one packet
-    static final int ACCUSATIONS = 12; // in one packet
-    static final int CELL_WANTS = 14; // of limits in one packet
-    public static final int PLACES = 8; // addresses of one kind in one packet
-    public static final int MOST_DEPTH = 16; // that a cell can be split to
-    public static final int MOST_HOPS = 4; // that a join is passed on
-    static final int MOST_ROUTERS = 1_000_000; // that a packet can speak for
+    static final int MAX_DEMANDS = 24; // in one packet
+    static final int MAX_FAILURE_REPORTS = 12; // in one packet
+    static final int MAX_CELL_DEMANDS = 14; // in one packet
+    public static final int PLACES = 8; // addresses of cell routers, or of delegates, in one packet
+    public static final int MOST_DEPTH = 16; // how deep a cell can be split
+    public static final int MOST_HOPS = 4; // how often a join request is forwarded
+    static final int MAX_ROUTERS = 1_000_000; // that one cell report can count
     static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     static final Pattern ADDRESS = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}");
 
     private static final int MAGIC = 0x504d4631; // PMF1
-    private static final int VERDICT_BYTES = 48;
+    private static final int EJECTION_FIXED_BYTES = 48; // without the leader's name
+    private static final int ROUTER_FIXED_BYTES = 19; // without name and address
+    private static final int PACKET_FIXED_BYTES = 22; // without sender, body, router records and ejections
 
     private enum Type {
         PING,
@@ -69,20 +71,20 @@
         this.cluster = Hashes.of(cluster);
     }
 
-    static int size(RouterRecord news) {
-        return 19 + news.name().length() + news.address().length();
+    static int size(RouterRecord router) {
+        return ROUTER_FIXED_BYTES + router.name().length() + router.address().length();
     }
 
-    static int size(Ejection verdict) {
-        return VERDICT_BYTES + verdict.keeper().length();
+    static int size(Ejection ejection) {
+        return EJECTION_FIXED_BYTES + ejection.keeper().length();
     }
 
-    /** The cluster that a packet says it is of; 0 for none. */
+    /** The cluster id in an encoded packet; 0 if the packet is too short to have one. */
     public static long cluster(byte[] bytes) {
         return bytes.length < 12 ? 0 : ByteBuffer.wrap(bytes).getLong(4);
     }
 
-    /** The number of this codec's cluster, as it stands in its packets. */
+    /** The id of this codec's cluster, as written into its packets. */
     public long cluster() {
         return cluster;
     }
@@ -95,25 +97,25 @@
         write(out, packet.body());
         out.put((byte) packet.routers().size());
         packet.routers().forEach(r -> write(out, r));
-        out.put((byte) packet.verdicts().size());
-        packet.verdicts().forEach(v -> write(out, v));
+        out.put((byte) packet.ejections().size());
+        packet.ejections().forEach(v -> write(out, v));
         byte[] bytes = new byte[out.position()];
         out.flip().get(bytes);
         return bytes;
     }
 
-    /** The bytes that a packet with this body leaves for news. */
-    int room(RouterRecord from, Body body) {
+    /** The number of bytes that a packet with this sender and body leaves for gossip. */
+    int bytesForGossip(RouterRecord from, Body body) {
         ByteBuffer out = ByteBuffer.allocate(LONGEST);
         write(out, body);
-        return LONGEST - out.position() - size(from) - 22;
+        return LONGEST - out.position() - size(from) - PACKET_FIXED_BYTES;
     }
 
-    private static void write(ByteBuffer out, RouterRecord news) {
-        write(out, news.name());
-        write(out, news.address());
-        out.putLong(news.instance()).putLong(news.incarnation()).put((byte)
-                news.standing().ordinal());
+    private static void write(ByteBuffer out, RouterRecord router) {
+        write(out, router.name());
+        write(out, router.address());
+        out.putLong(router.instance()).putLong(router.incarnation()).put((byte)
+                router.status().ordinal());
     }
 
     private static void write(ByteBuffer out, String text) {
@@ -121,121 +123,121 @@
         out.put((byte) bytes.length).put(bytes);
     }
 
-    private static void write(ByteBuffer out, Ejection v) {
-        out.putLong(v.member())
-                .putLong(v.started())
-                .putLong(v.version())
-                .put((byte) (v.failing() ? 1 : 0))
-                .putLong(v.left())
-                .putShort((short) v.accusers())
-                .put((byte) v.cause().ordinal())
-                .putShort((short) v.strikes())
-                .putFloat((float) v.failShare());
-        write(out, v.keeper());
+    private static void write(ByteBuffer out, Ejection ejection) {
+        out.putLong(ejection.member())
+                .putLong(ejection.started())
+                .putLong(ejection.version())
+                .put((byte) (ejection.failing() ? 1 : 0))
+                .putLong(ejection.left())
+                .putShort((short) ejection.accusers())
+                .put((byte) ejection.cause().ordinal())
+                .putShort((short) ejection.strikes())
+                .putFloat((float) ejection.failShare());
+        write(out, ejection.keeper());
     }
 
     private static void write(ByteBuffer out, Body body) {
         if (body instanceof Packet.Ping) {
             out.put((byte) Type.PING.ordinal());
-        } else if (body instanceof Packet.Ack a) {
-            out.put((byte) Type.ACK.ordinal()).putLong(a.number());
-        } else if (body instanceof Packet.Relay r) {
+        } else if (body instanceof Packet.Ack ack) {
+            out.put((byte) Type.ACK.ordinal()).putLong(ack.number());
+        } else if (body instanceof Packet.Relay relay) {
             out.put((byte) Type.RELAY.ordinal());
-            write(out, r.address());
-        } else if (body instanceof Packet.Compare c) {
-            out.put((byte) Type.COMPARE.ordinal()).putLong(c.digest()).put((byte) (c.back() ? 1 : 0));
-        } else if (body instanceof Packet.Sums s) {
-            out.put((byte) Type.SUMS.ordinal()).put((byte) (s.back() ? 1 : 0)).put((byte)
-                    s.sums().size());
-            s.sums().forEach(out::putLong);
+            write(out, relay.address());
+        } else if (body instanceof Packet.Compare compare) {
+            out.put((byte) Type.COMPARE.ordinal()).putLong(compare.digest()).put((byte) (compare.replyExpected() ? 1 : 0));
+        } else if (body instanceof Packet.Sums sums) {
+            out.put((byte) Type.SUMS.ordinal()).put((byte) (sums.replyExpected() ? 1 : 0)).put((byte)
+                    sums.partDigests().size());
+            sums.partDigests().forEach(out::putLong);
         } else if (body instanceof Packet.News) {
             out.put((byte) Type.NEWS.ordinal());
-        } else if (body instanceof Packet.Ask a) {
+        } else if (body instanceof Packet.Ask ask) {
             out.put((byte) Type.ASK.ordinal())
-                    .put((byte) (a.vote() ? 1 : 0))
-                    .putLong(a.seen())
-                    .putLong(a.term())
-                    .put((byte) a.wants().size());
-            a.wants().forEach(w -> out.putLong(w.limit())
-                    .putLong(w.holds())
-                    .putFloat((float) w.wanted())
-                    .putFloat((float) w.inUse()));
-            out.put((byte) a.accusations().size());
-            a.accusations().forEach(c -> write(out, c));
-        } else if (body instanceof Packet.Grant g) {
+                    .put((byte) (ask.vote() ? 1 : 0))
+                    .putLong(ask.lastSeen())
+                    .putLong(ask.term())
+                    .put((byte) ask.demands().size());
+            ask.demands().forEach(d -> out.putLong(d.limit())
+                    .putLong(d.leaseAsk())
+                    .putFloat((float) d.demand())
+                    .putFloat((float) d.inUse()));
+            out.put((byte) ask.failureReports().size());
+            ask.failureReports().forEach(f -> write(out, f));
+        } else if (body instanceof Packet.Grant grant) {
             out.put((byte) Type.GRANT.ordinal())
-                    .putLong(g.ask())
-                    .putLong(g.term())
-                    .put((byte) g.parts().size());
-            g.parts().forEach(p -> out.putLong(p.limit()).putDouble(p.amount()));
-        } else if (body instanceof Packet.PlanReport r) {
+                    .putLong(grant.ask())
+                    .putLong(grant.term())
+                    .put((byte) grant.shares().size());
+            grant.shares().forEach(s -> out.putLong(s.limit()).putDouble(s.amount()));
+        } else if (body instanceof Packet.PlanReport report) {
             out.put((byte) Type.PLAN_REPORT.ordinal())
-                    .putLong(r.term())
-                    .putLong(r.held())
-                    .putLong(r.applied())
-                    .put((byte) (r.seasoned() ? 1 : 0))
-                    .put((byte) r.uses().size());
-            r.uses().forEach(u -> out.putLong(u.member()).putInt(u.underWay()).putFloat((float) u.hits()));
-        } else if (body instanceof Packet.PlanGrant g) {
+                    .putLong(report.term())
+                    .putLong(report.held())
+                    .putLong(report.applied())
+                    .put((byte) (report.seasoned() ? 1 : 0))
+                    .put((byte) report.uses().size());
+            report.uses().forEach(u -> out.putLong(u.member()).putInt(u.underWay()).putFloat((float) u.hits()));
+        } else if (body instanceof Packet.PlanGrant grant) {
             out.put((byte) Type.PLAN_GRANT.ordinal())
-                    .putLong(g.report())
-                    .putLong(g.instance())
-                    .putLong(g.term())
-                    .put((byte) (g.office() ? 1 : 0))
-                    .putLong(g.held())
-                    .putLong(g.inForce());
-        } else if (body instanceof Packet.Piece p) {
+                    .putLong(grant.report())
+                    .putLong(grant.instance())
+                    .putLong(grant.term())
+                    .put((byte) (grant.office() ? 1 : 0))
+                    .putLong(grant.held())
+                    .putLong(grant.inForce());
+        } else if (body instanceof Packet.Piece piece) {
             out.put((byte) Type.PIECE.ordinal())
-                    .putLong(p.stamp())
-                    .put((byte) p.index())
-                    .put((byte) p.count())
-                    .putShort((short) p.bytes().length)
-                    .put(p.bytes());
-        } else if (body instanceof Packet.DrainAsk a) {
-            DrainCommand c = a.command();
+                    .putLong(piece.stamp())
+                    .put((byte) piece.index())
+                    .put((byte) piece.count())
+                    .putShort((short) piece.bytes().length)
+                    .put(piece.bytes());
+        } else if (body instanceof Packet.DrainAsk ask) {
+            DrainCommand command = ask.command();
             out.put((byte) Type.DRAIN_ASK.ordinal())
-                    .put((byte) c.kind().ordinal())
-                    .putLong(c.id())
-                    .putInt(c.mostOut())
-                    .putInt(c.leastServing())
-                    .putLong(c.fence())
-                    .put((byte) c.members().size());
-            c.members().forEach(out::putLong);
-        } else if (body instanceof Packet.CellAsk a) {
+                    .put((byte) command.kind().ordinal())
+                    .putLong(command.id())
+                    .putInt(command.mostOut())
+                    .putInt(command.leastServing())
+                    .putLong(command.fence())
+                    .put((byte) command.members().size());
+            command.members().forEach(out::putLong);
+        } else if (body instanceof Packet.CellAsk ask) {
             out.put((byte) Type.CELL_ASK.ordinal())
-                    .put((byte) (a.vote() ? 1 : 0))
-                    .putLong(a.seen())
-                    .putLong(a.term())
-                    .putInt(a.backing())
-                    .putLong(a.known())
-                    .put((byte) a.wants().size());
-            a.wants().forEach(w -> out.putLong(w.limit())
-                    .putLong(w.holds())
-                    .putInt(w.routers())
-                    .putDouble(w.wanted())
-                    .putDouble(w.inUse()));
-            out.put((byte) a.accusations().size());
-            a.accusations().forEach(c -> {
-                write(out, c);
-                out.putShort((short) Math.min(c.accusers(), Short.MAX_VALUE));
+                    .put((byte) (ask.vote() ? 1 : 0))
+                    .putLong(ask.lastSeen())
+                    .putLong(ask.term())
+                    .putInt(ask.boundRouters())
+                    .putLong(ask.knownTerm())
+                    .put((byte) ask.demands().size());
+            ask.demands().forEach(d -> out.putLong(d.limit())
+                    .putLong(d.leaseAsk())
+                    .putInt(d.routers())
+                    .putDouble(d.demand())
+                    .putDouble(d.inUse()));
+            out.put((byte) ask.failureReports().size());
+            ask.failureReports().forEach(report -> {
+                write(out, report);
+                out.putShort((short) Math.min(report.accusers(), Short.MAX_VALUE));
             });
-        } else if (body instanceof Packet.Join j) {
+        } else if (body instanceof Packet.Join join) {
             out.put((byte) Type.JOIN.ordinal());
-            write(out, j.root());
-            out.put((byte) j.depth()).put((byte) j.hops());
-        } else if (body instanceof Packet.Place p) {
-            out.put((byte) Type.PLACE.ordinal()).putLong(p.join()).put((byte) p.depth());
-            write(out, p.cell());
-            write(out, p.delegates());
+            write(out, join.root());
+            out.put((byte) join.depth()).put((byte) join.hops());
+        } else if (body instanceof Packet.Place place) {
+            out.put((byte) Type.PLACE.ordinal()).putLong(place.join()).put((byte) place.depth());
+            write(out, place.cell());
+            write(out, place.delegates());
         }
     }
 
-    private static void write(ByteBuffer out, FailureReport c) {
-        out.putLong(c.member())
-                .putLong(c.started())
-                .put((byte) c.cause().ordinal())
-                .putShort((short) Math.min(c.strikes(), Short.MAX_VALUE))
-                .putFloat((float) c.failShare());
+    private static void write(ByteBuffer out, FailureReport report) {
+        out.putLong(report.member())
+                .putLong(report.started())
+                .put((byte) report.cause().ordinal())
+                .putShort((short) Math.min(report.strikes(), Short.MAX_VALUE))
+                .putFloat((float) report.failShare());
     }
 
     private static void write(ByteBuffer out, List<String> texts) {
@@ -243,7 +245,7 @@
         texts.forEach(t -> write(out, t));
     }
 
-    /** Reads a packet whole; incarnations past the given one can't be. */
+    /** Decodes and checks a whole packet. Incarnations above {@code lastIncarnation} are rejected as impossible. */
     public Packet read(byte[] bytes, long lastIncarnation) throws BadPacketException {
         if (bytes.length > LONGEST) {
             throw new BadPacketException(Reason.UNREADABLE);
@@ -263,27 +265,27 @@
             for (int left = in.get() & 0xff; left > 0; left--) {
                 routers.add(router(in, lastIncarnation));
             }
-            List<Ejection> verdicts = new ArrayList<>();
+            List<Ejection> ejections = new ArrayList<>();
             for (int left = in.get() & 0xff; left > 0; left--) {
-                verdicts.add(verdict(in));
+                ejections.add(ejection(in));
             }
-            if (in.hasRemaining() || number <= 0 || from.standing() != RouterStatus.ALIVE) {
+            if (in.hasRemaining() || number <= 0 || from.status() != RouterStatus.ALIVE) {
                 throw new BadPacketException(Reason.UNREADABLE);
             }
-            return new Packet(from, number, body, routers, verdicts);
+            return new Packet(from, number, body, routers, ejections);
         } catch (BufferUnderflowException e) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
     }
 
-    private static <T> T of(T[] values, int ordinal) throws BadPacketException {
+    private static <T> T constant(T[] values, int ordinal) throws BadPacketException {
         if (ordinal < 0 || ordinal >= values.length) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
         return values[ordinal];
     }
 
-    private static String text(ByteBuffer in, Pattern form) throws BadPacketException {
+    private static String text(ByteBuffer in, Pattern pattern) throws BadPacketException {
         int length = in.get() & 0xff;
         if (length > LONGEST_NAME) {
             throw new BadPacketException(Reason.UNREADABLE);
@@ -291,7 +293,7 @@
         byte[] bytes = new byte[length];
         in.get(bytes);
         String text = new String(bytes, StandardCharsets.US_ASCII);
-        if (!form.matcher(text).matches()) {
+        if (!pattern.matcher(text).matches()) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
         return text;
@@ -321,30 +323,30 @@
     }
 
     private static RouterRecord router(ByteBuffer in, long lastIncarnation) throws BadPacketException {
-        RouterRecord news = new RouterRecord(
-                text(in, NAME), address(in), in.getLong(), in.getLong(), of(RouterStatus.values(), in.get()));
-        if (news.incarnation() < 1 || news.incarnation() > lastIncarnation || news.instance() < 1) {
+        RouterRecord router = new RouterRecord(
+                text(in, NAME), address(in), in.getLong(), in.getLong(), constant(RouterStatus.values(), in.get()));
+        if (router.incarnation() < 1 || router.incarnation() > lastIncarnation || router.instance() < 1) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
-        return news;
+        return router;
     }
 
-    private static Ejection verdict(ByteBuffer in) throws BadPacketException {
-        Ejection v = new Ejection(
+    private static Ejection ejection(ByteBuffer in) throws BadPacketException {
+        Ejection ejection = new Ejection(
                 in.getLong(),
                 in.getLong(),
                 in.getLong(),
                 in.get() == 1,
                 in.getLong(),
                 in.getShort(),
-                of(Cause.values(), in.get()),
+                constant(Cause.values(), in.get()),
                 in.getShort(),
                 in.getFloat(),
                 text(in, NAME));
-        if (v.left() < 0 || v.accusers() < 0 || v.version() < 1 || !Double.isFinite(v.failShare())) {
+        if (ejection.left() < 0 || ejection.accusers() < 0 || ejection.version() < 1 || !Double.isFinite(ejection.failShare())) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
-        return v;
+        return ejection;
     }
 
     private static double amount(double value) throws BadPacketException {
@@ -355,7 +357,7 @@
     }
 
     private static Body body(ByteBuffer in) throws BadPacketException {
-        return switch (of(Type.values(), in.get())) {
+        return switch (constant(Type.values(), in.get())) {
             case PING -> new Packet.Ping();
             case ACK -> new Packet.Ack(in.getLong());
             case RELAY -> new Packet.Relay(address(in));
@@ -365,11 +367,11 @@
             case GRANT -> {
                 long ask = in.getLong();
                 long term = in.getLong();
-                List<Part> parts = new ArrayList<>();
+                List<GrantedShare> shares = new ArrayList<>();
                 for (int left = in.get() & 0xff; left > 0; left--) {
-                    parts.add(new Part(in.getLong(), amount(in.getDouble())));
+                    shares.add(new GrantedShare(in.getLong(), amount(in.getDouble())));
                 }
-                yield new Packet.Grant(ask, term, parts);
+                yield new Packet.Grant(ask, term, shares);
             }
             case PLAN_REPORT -> planReport(in);
             case PLAN_GRANT ->
@@ -404,16 +406,16 @@
                 yield new Packet.Place(join, depth, addresses(in), addresses(in));
             }
             case SUMS -> {
-                boolean back = in.get() == 1;
+                boolean replyExpected = in.get() == 1;
                 int parts = in.get();
-                if (parts < 1 || parts > Membership.MOST_PARTS || Integer.bitCount(parts) != 1) {
+                if (parts < 1 || parts > Membership.MAX_DIGEST_PARTS || Integer.bitCount(parts) != 1) {
                     throw new BadPacketException(Reason.IMPOSSIBLE);
                 }
-                List<Long> sums = new ArrayList<>();
+                List<Long> partDigests = new ArrayList<>();
                 for (int i = 0; i < parts; i++) {
-                    sums.add(in.getLong());
+                    partDigests.add(in.getLong());
                 }
-                yield new Packet.Sums(sums, back);
+                yield new Packet.Sums(partDigests, replyExpected);
             }
         };
     }
@@ -452,7 +454,7 @@
     }
 
     private static Packet.DrainAsk drainAsk(ByteBuffer in) throws BadPacketException {
-        DrainCommand.Kind kind = of(DrainCommand.Kind.values(), in.get());
+        DrainCommand.Kind kind = constant(DrainCommand.Kind.values(), in.get());
         long id = in.getLong();
         int mostOut = in.getInt();
         int leastServing = in.getInt();
@@ -469,8 +471,8 @@
         return new Packet.DrainAsk(new DrainCommand(kind, id, mostOut, leastServing, fence, members));
     }
 
-    private static int count(int value, int most) throws BadPacketException {
-        if (value < 0 || value > most) {
+    private static int count(int value, int max) throws BadPacketException {
+        if (value < 0 || value > max) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return value;
@@ -486,45 +488,45 @@
 
     private static Packet.CellAsk cellAsk(ByteBuffer in) throws BadPacketException {
         boolean vote = in.get() == 1;
-        long seen = in.getLong();
+        long lastSeen = in.getLong();
         long term = term(in.getLong());
-        int backing = count(in.getInt(), MOST_ROUTERS);
-        long known = term(in.getLong());
-        List<Packet.CellWant> wants = new ArrayList<>();
+        int boundRouters = count(in.getInt(), MAX_ROUTERS);
+        long knownTerm = term(in.getLong());
+        List<Packet.CellDemand> demands = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            wants.add(new Packet.CellWant(
+            demands.add(new Packet.CellDemand(
                     in.getLong(),
                     in.getLong(),
-                    count(in.getInt(), MOST_ROUTERS),
+                    count(in.getInt(), MAX_ROUTERS),
                     amount(in.getDouble()),
                     amount(in.getDouble())));
         }
-        List<FailureReport> accusations = new ArrayList<>();
+        List<FailureReport> failureReports = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            accusations.add(new FailureReport(
+            failureReports.add(new FailureReport(
                     in.getLong(),
                     in.getLong(),
-                    of(Cause.values(), in.get()),
+                    constant(Cause.values(), in.get()),
                     in.getShort(),
                     in.getFloat(),
                     count(in.getShort(), Short.MAX_VALUE)));
         }
-        return new Packet.CellAsk(vote, seen, term, backing, known, wants, accusations);
+        return new Packet.CellAsk(vote, lastSeen, term, boundRouters, knownTerm, demands, failureReports);
     }
 
     private static Packet.Ask ask(ByteBuffer in) throws BadPacketException {
         boolean vote = in.get() == 1;
-        long seen = in.getLong();
+        long lastSeen = in.getLong();
         long term = in.getLong();
-        List<Want> wants = new ArrayList<>();
+        List<Demand> demands = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            wants.add(new Want(in.getLong(), in.getLong(), amount(in.getFloat()), amount(in.getFloat())));
+            demands.add(new Demand(in.getLong(), in.getLong(), amount(in.getFloat()), amount(in.getFloat())));
         }
-        List<FailureReport> accusations = new ArrayList<>();
+        List<FailureReport> failureReports = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            accusations.add(new FailureReport(
-                    in.getLong(), in.getLong(), of(Cause.values(), in.get()), in.getShort(), in.getFloat()));
+            failureReports.add(new FailureReport(
+                    in.getLong(), in.getLong(), constant(Cause.values(), in.get()), in.getShort(), in.getFloat()));
         }
-        return new Packet.Ask(vote, seen, term, wants, accusations);
+        return new Packet.Ask(vote, lastSeen, term, demands, failureReports);
     }
 }
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -24,25 +24,27 @@
 import pumicemoor.fleet.Packet.Sums;
 
 /**
- * Which routers of the fleet live. It owns the table of beliefs, this router's incarnation, the probe that is out and
- * the suspicions that run. A belief changes by a newer one alone: what is old, doubled or out of order finds the newer
- * one there and does nothing. It must never send by itself; what it wants sent goes to its outlet.
+ * Detects which routers of the fleet are alive. Owns the table of router records, this router's incarnation, the probe in
+ * progress and the running suspicion timeouts. A record is replaced only by a newer one, so old, duplicated or reordered
+ * packets have no effect. It must never send packets itself; it passes them to its outlet.
  */
 public final class Membership {
 
-    private static final double SUSPICION = 2; // periods, times the logarithm of the fleet, until a suspect is dead
-    private static final int SHORTEST_SUSPICION = 4; // periods
-    private static final int COMPARE_EVERY = 8; // periods, until all that is known is compared with another's
-    private static final int WHOLE_ANSWERS = 4; // of all that is known, or of some parts, a period at most
-    private static final int SUMS_ANSWERS = 8; // of digests in parts, a period at most
-    private static final int IN_A_PART = 8; // routers, in the mean
-    /** The most parts that a table is compared in; a power of two. */
-    public static final int MOST_PARTS = 64;
-
-    private static final int ASIDE = 20; // periods that a second router of a name keeps silent
-    private static final int RELAYS = 32; // pings under way for others
-
-    /** What it is set up with; times are microseconds. */
+    private static final double SUSPICION_PERIODS_PER_BIT = 2; // for each bit of the number of routers, until a suspect is declared dead
+    private static final int MIN_SUSPICION_PERIODS = 4;
+    private static final int COMPARE_INTERVAL_PERIODS = 8; // between comparisons of the whole table with another router's
+    private static final int MAX_RECORD_ANSWERS_PER_PERIOD = 4; // answers with the records of the whole table or of the parts that differ
+    private static final int MAX_DIGEST_ANSWERS_PER_PERIOD = 8; // answers with the digests of the parts
+    private static final int MEAN_ROUTERS_PER_PART = 8;
+    /** The largest number of parts that a membership table is split into for comparison; a power of two. */
+    public static final int MAX_DIGEST_PARTS = 64;
+
+    private static final int DUPLICATE_NAME_SILENCE_PERIODS = 20; // how long the second router of a name sends nothing
+    private static final int MAX_PENDING_RELAYS = 32; // pings in flight on behalf of other routers
+    private static final int LEAVE_ANNOUNCEMENTS = 8; // routers that are notified directly when this one leaves
+    private static final long MAX_INCARNATION_LEAD_MILLIS = 86_400_000; // one day
+
+    /** The configuration of a router's membership; times are microseconds. */
     public record Setup(
             String name,
             String address,
@@ -51,185 +53,192 @@
             int indirect,
             int fanout,
             long remember,
-            int most) {}
+            int maxRouters) {}
 
-    /** Where its packets and its changes go. */
+    /** Receives the packets to send and the changes of the membership. */
     public interface Outlet {
 
-        /** A packet for an address; the number it was sent under is given back. */
+        /** Sends a packet to an address and returns the number of the packet. */
         long send(String address, Body body);
 
-        /** All that is known of some routers, in as many packets as that takes. */
-        void sendAll(String address, Predicate<RouterRecord> which);
+        /** Sends the records of all routers that match the filter, in as many packets as they need. */
+        void sendAll(String address, Predicate<RouterRecord> filter);
 
-        /** A belief that is new here and so to be told on. */
-        void spread(RouterRecord news);
+        /** Queues a record that is new to this router for gossip to others. */
+        void gossip(RouterRecord router);
 
-        /** What a person wants to know. */
-        void changed(RouterRecord news, RouterStatus before, String cause);
+        /** Reports a change of a router's status, to be logged. */
+        void statusChanged(RouterRecord router, RouterStatus before, String cause);
 
-        /** Something that was not used, by the name it is counted under. */
-        void dropped(String what);
+        /** Counts a dropped input under this counter name. */
+        void dropped(String counter);
     }
 
     private static final class Peer {
-        RouterRecord news;
-        long sum; // the digest of the news
-        long since; // of this standing
+        RouterRecord entry;
+        long digest; // of the entry
+        long statusSince; // when the status last changed
         long suspectUntil = Long.MAX_VALUE;
-        long reminded; // when it was last told what is believed of it
+        long remindedAt; // when it was last sent its own entry
     }
 
-    private record Asked(String address, long number, long at) {}
+    private record PendingRelay(String requester, long number, long sentAt) {}
 
     private final Setup setup;
     private final Outlet outlet;
     private final Random random;
     private final long instance;
-    private final boolean inParts;
+    private final boolean compareInParts;
     private final Map<String, Peer> peers = new TreeMap<>();
-    private List<RouterRecord> living = List.of(); // of the peers; null where it is to be made anew
-    private int left; // peers that left in good order
+    private List<RouterRecord> living = List.of(); // cached list of the living peers; null when outdated
+    private int leftCount; // the number of peers that left in good order
     private long peersDigest;
-    private final List<String> order = new ArrayList<>(); // whom to probe next, the last first
-    private final Map<Long, Asked> relays = new HashMap<>(); // pings sent for another, by their number
+    private final List<String> probeOrder = new ArrayList<>(); // the routers to probe next, the last one first
+    private final Map<Long, PendingRelay> pendingRelays = new HashMap<>(); // pings sent on behalf of other routers, by packet number
     private long incarnation;
     private long now;
-    private long tickAt;
-    private long relayAt = Long.MAX_VALUE;
-    private long asideUntil;
+    private long nextPeriodAt;
+    private long indirectProbeAt = Long.MAX_VALUE;
+    private long silentUntil;
     private long periods;
-    private int wholeAnswers;
-    private int sumsAnswers;
-    private String probed; // whose answer is waited for
-    private final Set<Long> probeNumbers = new HashSet<>(); // of the ping and of those asked to ping for it
+    private int recordAnswers;
+    private int digestAnswers;
+    private String probeTarget; // the router whose answer is awaited; null for none
+    private final Set<Long> probeNumbers = new HashSet<>(); // of the ping and of the relay requests for the current target
     private boolean leaving;
 
-    /** Begins at this time, which also tells this start from earlier ones of the name (Unix microseconds). */
+    /** Starts at this time (Unix microseconds), which also distinguishes this process from earlier ones of the same name. */
     public Membership(Setup setup, long time, long seed, Outlet outlet) {
         this(setup, time, seed, 0, false, outlet);
     }
 
     /**
-     * The same for a process that has an instance already, 0 for none. In parts: where tables differ, only the parts that
-     * do are told, for the price of one more way; all routers of a cluster are set alike.
+     * The same for a process that already has an instance number, 0 for none. With {@code compareInParts}, routers whose
+     * tables differ exchange only the parts that differ, at the cost of one more message; it must be the same for all
+     * routers of a cluster.
      */
-    public Membership(Setup setup, long time, long seed, long known, boolean inParts, Outlet outlet) {
-        this.inParts = inParts;
+    public Membership(Setup setup, long time, long seed, long givenInstance, boolean compareInParts, Outlet outlet) {
+        this.compareInParts = compareInParts;
         this.setup = setup;
         this.outlet = outlet;
         this.random = new Random(seed);
         this.now = time;
-        this.instance = known != 0 ? known : Math.max(1, (time / 1_000 << 20) | random.nextInt(1 << 20));
+        this.instance = givenInstance != 0 ? givenInstance : Math.max(1, (time / 1_000 << 20) | random.nextInt(1 << 20));
         this.incarnation = Math.max(1, time / 1_000);
-        this.tickAt = time + 1;
+        this.nextPeriodAt = time + 1;
     }
 
-    /** The highest incarnation that a router can have come to by this time: one begins at its start's milliseconds. */
+    /**
+     * The highest incarnation accepted at this time. Incarnations begin at the start time in Unix milliseconds, so this is
+     * one day ahead of the clock.
+     */
     public static long lastIncarnation(long time) {
-        return time / 1_000 + 86_400_000;
+        return time / 1_000 + MAX_INCARNATION_LEAD_MILLIS;
     }
 
-    /** This router as it tells of itself. */
+    /** The record that this router sends about itself. */
     public RouterRecord self() {
         return new RouterRecord(
                 setup.name(), setup.address(), instance, incarnation, leaving ? RouterStatus.LEFT : RouterStatus.ALIVE);
     }
 
-    /** Whether it keeps silent since an older router of the same name lives. */
-    public boolean aside(long time) {
-        return time < asideUntil;
+    /** Whether this router sends nothing because an older router of the same name is alive. */
+    public boolean isSilent(long time) {
+        return time < silentUntil;
     }
 
     public long nextDue() {
-        return Math.min(tickAt, relayAt);
+        return Math.min(nextPeriodAt, indirectProbeAt);
     }
 
-    /** All beliefs, its own router among them. */
-    public Collection<RouterRecord> table() {
+    /** The records of all known routers, including this one. */
+    public Collection<RouterRecord> allRouters() {
         List<RouterRecord> all = new ArrayList<>();
         all.add(self());
-        peers.values().forEach(p -> all.add(p.news));
+        peers.values().forEach(p -> all.add(p.entry));
         return all;
     }
 
-    /** Since when this is believed of a router; 0 for this one. */
-    public long since(String name) {
-        return peers.containsKey(name) ? peers.get(name).since : 0;
+    /** When the status of this router last changed here; 0 for an unknown router and for this router itself. */
+    public long statusSince(String name) {
+        return peers.containsKey(name) ? peers.get(name).statusSince : 0;
     }
 
-    /** Those that may be asked for something: alive or only suspected; never this router itself. */
+    /** The routers that may be sent requests: alive or only suspected, without this router. */
     public List<RouterRecord> living() {
         if (living == null) {
             living = peers.values().stream()
-                    .map(p -> p.news)
-                    .filter(n -> n.standing() == RouterStatus.ALIVE || n.standing() == RouterStatus.SUSPECT)
+                    .map(p -> p.entry)
+                    .filter(n -> n.status() == RouterStatus.ALIVE || n.status() == RouterStatus.SUSPECT)
                     .toList();
         }
         return living;
     }
 
-    /** How many routers the fleet has, as far as is known: those that left in good order are no part of it. */
-    public int known() {
-        return 1 + peers.size() - left;
+    /** The number of known routers, including this one. Routers that left in good order are not counted. */
+    public int knownRouters() {
+        return 1 + peers.size() - leftCount;
     }
 
-    /** The same at two routers only if they believe the same. */
+    /** A digest of the whole table, equal at two routers only if their tables are equal. */
     public long digest() {
-        return sum(self()) + peersDigest;
+        return recordDigest(self()) + peersDigest;
     }
 
-    private static long sum(RouterRecord n) {
-        return Hashes.mix(Hashes.of(n.name())
-                + 31 * n.instance()
-                + 17 * n.incarnation()
-                + n.standing().ordinal());
+    private static long recordDigest(RouterRecord router) {
+        return Hashes.mix(Hashes.of(router.name())
+                + 31 * router.instance()
+                + 17 * router.incarnation()
+                + router.status().ordinal());
     }
 
-    /** The digest in so many parts, a power of two. */
-    private List<Long> sums(int parts) {
-        Long[] sums = new Long[parts];
-        Arrays.fill(sums, 0L);
-        sums[part(setup.name(), parts)] += sum(self());
-        peers.forEach((name, p) -> sums[part(name, parts)] += p.sum);
-        return List.of(sums);
+    /** The digests of the table split into this many parts, a power of two. */
+    private List<Long> partDigests(int parts) {
+        Long[] digests = new Long[parts];
+        Arrays.fill(digests, 0L);
+        digests[partOf(setup.name(), parts)] += recordDigest(self());
+        peers.forEach((name, p) -> digests[partOf(name, parts)] += p.digest);
+        return List.of(digests);
     }
 
-    /** The part that a name is in; names of a split cell share their hashes' first bits, so these are mixed once more. */
-    private static int part(String name, int parts) {
+    /** The part that a name belongs to. Names of a split cell share the first bits of their hashes, so the hash is mixed again. */
+    private static int partOf(String name, int parts) {
         return (int) Hashes.mix(Hashes.of(name)) & parts - 1;
     }
 
-    private int parts() {
-        return Math.min(MOST_PARTS, Math.max(1, Integer.highestOneBit(2 * (peers.size() + 1) / IN_A_PART)));
+    private int partCount() {
+        return Math.min(MAX_DIGEST_PARTS, Math.max(1, Integer.highestOneBit(2 * (peers.size() + 1) / MEAN_ROUTERS_PER_PART)));
     }
 
-    /** Lives on to this time. After a pause of the whole process nobody is blamed for answers it could not take. */
+    /**
+     * Advances to this time and runs the timers that are due. After a pause of the whole process no router is suspected
+     * because of answers that could not be received meanwhile.
+     */
     public void advance(long time) {
         now = Math.max(now, time);
-        if (now >= relayAt) {
-            relayAt = Long.MAX_VALUE;
-            askOthers();
+        if (now >= indirectProbeAt) {
+            indirectProbeAt = Long.MAX_VALUE;
+            probeIndirectly();
         }
-        if (now < tickAt) {
+        if (now < nextPeriodAt) {
             return;
         }
-        long late = now - tickAt;
-        if (late > setup.period()) {
-            probed = null;
-            peers.values().stream().filter(p -> p.suspectUntil < Long.MAX_VALUE).forEach(p -> p.suspectUntil += late);
+        long overdueMicros = now - nextPeriodAt;
+        if (overdueMicros > setup.period()) {
+            probeTarget = null;
+            peers.values().stream().filter(p -> p.suspectUntil < Long.MAX_VALUE).forEach(p -> p.suspectUntil += overdueMicros);
         }
-        tickAt = now + setup.period();
+        nextPeriodAt = now + setup.period();
         periods++;
-        wholeAnswers = 0;
-        sumsAnswers = 0;
-        relays.values().removeIf(r -> now - r.at() > 2 * setup.period());
-        if (aside(now) || leaving) {
-            probed = null;
+        recordAnswers = 0;
+        digestAnswers = 0;
+        pendingRelays.values().removeIf(r -> now - r.sentAt() > 2 * setup.period());
+        if (isSilent(now) || leaving) {
+            probeTarget = null;
             return;
         }
-        if (probed != null && peers.containsKey(probed)) {
-            suspect(peers.get(probed), "no answer to a ping, nor through others");
+        if (probeTarget != null && peers.containsKey(probeTarget)) {
+            suspect(peers.get(probeTarget), "no answer to a direct or indirect probe");
         }
         expire();
         probe();
@@ -237,118 +246,121 @@
     }
 
     private void expire() {
-        for (Peer p : List.copyOf(peers.values())) {
-            if (now >= p.suspectUntil) {
-                take(p.news.as(RouterStatus.DEAD), "suspected for too long");
-            } else if (p.news.standing().compareTo(RouterStatus.DEAD) >= 0 && now - p.since > setup.remember()) {
-                peers.remove(p.news.name());
-                believed(p, null);
+        for (Peer peer : List.copyOf(peers.values())) {
+            if (now >= peer.suspectUntil) {
+                merge(peer.entry.withStatus(RouterStatus.DEAD), "the suspicion was not refuted in time");
+            } else if (peer.entry.status().compareTo(RouterStatus.DEAD) >= 0 && now - peer.statusSince > setup.remember()) {
+                peers.remove(peer.entry.name());
+                replaceEntry(peer, null);
             }
         }
     }
 
-    private void suspect(Peer p, String cause) {
-        if (p.news.standing() == RouterStatus.ALIVE) {
-            take(p.news.as(RouterStatus.SUSPECT), cause);
+    private void suspect(Peer peer, String cause) {
+        if (peer.entry.status() == RouterStatus.ALIVE) {
+            merge(peer.entry.withStatus(RouterStatus.SUSPECT), cause);
         }
     }
 
-    /** The next router in a random order that is drawn anew when all had their turn. */
+    /** Probes the next router in a random order, which is shuffled again once every router has been probed. */
     private void probe() {
-        probed = null;
-        relayAt = Long.MAX_VALUE;
+        probeTarget = null;
+        indirectProbeAt = Long.MAX_VALUE;
         Set<String> names = new LinkedHashSet<>();
         living().forEach(n -> names.add(n.name()));
-        order.removeIf(n -> !names.contains(n));
-        if (order.isEmpty()) {
-            order.addAll(names);
-            Collections.shuffle(order, random);
+        probeOrder.removeIf(n -> !names.contains(n));
+        if (probeOrder.isEmpty()) {
+            probeOrder.addAll(names);
+            Collections.shuffle(probeOrder, random);
         }
-        if (!order.isEmpty()) {
-            probed = order.remove(order.size() - 1);
+        if (!probeOrder.isEmpty()) {
+            probeTarget = probeOrder.remove(probeOrder.size() - 1);
             probeNumbers.clear();
-            probeNumbers.add(outlet.send(peers.get(probed).news.address(), new Ping()));
-            relayAt = now + setup.period() / 3;
+            probeNumbers.add(outlet.send(peers.get(probeTarget).entry.address(), new Ping()));
+            indirectProbeAt = now + setup.period() / 3;
         }
     }
 
-    private void askOthers() {
-        if (probed != null && peers.containsKey(probed)) {
-            String address = peers.get(probed).news.address();
-            some(setup.indirect(), probed).forEach(n -> probeNumbers.add(outlet.send(n.address(), new Relay(address))));
+    private void probeIndirectly() {
+        if (probeTarget != null && peers.containsKey(probeTarget)) {
+            String address = peers.get(probeTarget).entry.address();
+            randomLiving(setup.indirect(), probeTarget).forEach(n -> probeNumbers.add(outlet.send(n.address(), new Relay(address))));
         }
     }
 
-    private List<RouterRecord> some(int count, String without) {
+    private List<RouterRecord> randomLiving(int count, String excluded) {
         List<RouterRecord> all = new ArrayList<>(living());
-        all.removeIf(n -> n.name().equals(without));
+        all.removeIf(n -> n.name().equals(excluded));
         Collections.shuffle(all, random);
         return all.subList(0, Math.min(count, all.size()));
     }
 
-    /** News goes at once to a few more than the one that is probed. */
-    public List<RouterRecord> listeners() {
-        return some(setup.fanout(), "");
+    /** The random routers that gossip is sent to immediately, in addition to the probed router. */
+    public List<RouterRecord> gossipTargets() {
+        return randomLiving(setup.fanout(), "");
     }
 
-    /** How often a piece of news is told, by the size of the fleet. */
-    public int times() {
-        return 3 * log();
+    /** How often an update is sent, depending on the fleet size. */
+    public int gossipTransmissions() {
+        return 3 * bitLength();
     }
 
-    private int log() {
+    private int bitLength() {
         return Math.max(1, 64 - Long.numberOfLeadingZeros(peers.size() + 1L));
     }
 
-    /** How long a suspect may refute. */
-    long suspicion() {
-        return setup.period() * (long) Math.max(SHORTEST_SUSPICION, SUSPICION * log());
+    /** How long a suspect has time to refute the suspicion (microseconds). */
+    long suspicionTimeout() {
+        return setup.period() * (long) Math.max(MIN_SUSPICION_PERIODS, SUSPICION_PERIODS_PER_BIT * bitLength());
     }
 
-    /** Splits end and lost news is found by comparing all that is known, now and then also with the dead and the seeds. */
+    /**
+     * Compares the whole table with a random living router, and sometimes also with a dead router or a seed. This heals
+     * network splits and recovers lost updates.
+     */
     private void compare() {
-        boolean alone = living().isEmpty();
-        if (!alone && periods % COMPARE_EVERY != Math.floorMod(Hashes.of(setup.name()), COMPARE_EVERY)) {
+        boolean isolated = living().isEmpty();
+        if (!isolated && periods % COMPARE_INTERVAL_PERIODS != Math.floorMod(Hashes.of(setup.name()), COMPARE_INTERVAL_PERIODS)) {
             return;
         }
-        List<String> gone = new ArrayList<>(setup.seeds());
+        List<String> absentAddresses = new ArrayList<>(setup.seeds());
         peers.values().stream()
-                .filter(p -> p.news.standing() == RouterStatus.DEAD)
-                .forEach(p -> gone.add(p.news.address()));
-        gone.removeIf(a -> a.equals(setup.address())
+                .filter(p -> p.entry.status() == RouterStatus.DEAD)
+                .forEach(p -> absentAddresses.add(p.entry.address()));
+        absentAddresses.removeIf(a -> a.equals(setup.address())
                 || living().stream().anyMatch(n -> n.address().equals(a)));
-        some(1, "").forEach(n -> outlet.send(n.address(), new Compare(digest(), true)));
-        if (alone) {
-            gone.forEach(a -> outlet.send(a, new Compare(digest(), true)));
-        } else if (!gone.isEmpty()) {
-            outlet.send(gone.get(random.nextInt(gone.size())), new Compare(digest(), true));
+        randomLiving(1, "").forEach(n -> outlet.send(n.address(), new Compare(digest(), true)));
+        if (isolated) {
+            absentAddresses.forEach(a -> outlet.send(a, new Compare(digest(), true)));
+        } else if (!absentAddresses.isEmpty()) {
+            outlet.send(absentAddresses.get(random.nextInt(absentAddresses.size())), new Compare(digest(), true));
         }
     }
 
-    /** Takes a packet that the codec could read. False where nothing else of it may be used. */
-    public boolean heard(long time, Packet packet) {
+    /** Handles a decoded packet. Returns false if the rest of the packet must not be used. */
+    public boolean receive(long time, Packet packet) {
         now = Math.max(now, time);
         RouterRecord from = packet.from();
         if (from.name().equals(setup.name())) {
-            namesake(from);
+            handleDuplicateName(from);
             return false;
         }
-        if (aside(now) || leaving) {
+        if (isSilent(now) || leaving) {
             return false;
         }
-        take(from, "it was heard");
-        packet.routers().forEach(n -> take(n, "told by " + from.name()));
+        merge(from, "a packet from it was received");
+        packet.routers().forEach(n -> merge(n, "reported by " + from.name()));
         Peer sender = peers.get(from.name());
         if (sender == null) {
             return false; // the table is full
         }
-        boolean other = sender.news.instance() != from.instance(); // that has followed it, or that it follows
-        if ((other || sender.news.standing() != RouterStatus.ALIVE) && now - sender.reminded > setup.period() / 2) {
-            sender.reminded = now; // it can only refute what it knows
-            outlet.spread(sender.news);
+        boolean otherInstance = sender.entry.instance() != from.instance(); // a successor or a predecessor of the known process
+        if ((otherInstance || sender.entry.status() != RouterStatus.ALIVE) && now - sender.remindedAt > setup.period() / 2) {
+            sender.remindedAt = now; // a router can refute an entry only if it knows of it
+            outlet.gossip(sender.entry);
             outlet.send(from.address(), new News());
         }
-        if (other) {
+        if (otherInstance) {
             return false;
         }
         answer(packet);
@@ -359,136 +371,136 @@
         String address = packet.from().address();
         if (packet.body() instanceof Ping) {
             outlet.send(address, new Ack(packet.number()));
-        } else if (packet.body() instanceof Ack a) {
-            Asked relayed = relays.remove(a.number());
+        } else if (packet.body() instanceof Ack ack) {
+            PendingRelay relayed = pendingRelays.remove(ack.number());
             if (relayed != null) {
-                outlet.send(relayed.address(), new Ack(relayed.number()));
+                outlet.send(relayed.requester(), new Ack(relayed.number()));
             }
-            if (probeNumbers.contains(a.number())) {
-                probed = null;
+            if (probeNumbers.contains(ack.number())) {
+                probeTarget = null;
             }
-        } else if (packet.body() instanceof Relay r && relays.size() < RELAYS) {
-            relays.put(outlet.send(r.address(), new Ping()), new Asked(address, packet.number(), now));
-        } else if (packet.body() instanceof Compare c && c.digest() != digest()) {
-            if (inParts ? ++sumsAnswers > SUMS_ANSWERS : ++wholeAnswers > WHOLE_ANSWERS) {
+        } else if (packet.body() instanceof Relay relay && pendingRelays.size() < MAX_PENDING_RELAYS) {
+            pendingRelays.put(outlet.send(relay.address(), new Ping()), new PendingRelay(address, packet.number(), now));
+        } else if (packet.body() instanceof Compare compare && compare.digest() != digest()) {
+            if (compareInParts ? ++digestAnswers > MAX_DIGEST_ANSWERS_PER_PERIOD : ++recordAnswers > MAX_RECORD_ANSWERS_PER_PERIOD) {
                 outlet.dropped("compare-limited");
                 return;
             }
-            if (inParts) {
-                outlet.send(address, new Sums(sums(parts()), true));
+            if (compareInParts) {
+                outlet.send(address, new Sums(partDigests(partCount()), true));
                 return;
             }
             outlet.sendAll(address, n -> true);
-            if (c.back()) {
+            if (compare.replyExpected()) {
                 outlet.send(address, new Compare(digest(), false));
             }
-        } else if (packet.body() instanceof Sums s && inParts) {
-            answer(address, s);
+        } else if (packet.body() instanceof Sums sums && compareInParts) {
+            answer(address, sums);
         }
     }
 
-    private void answer(String address, Sums s) {
-        int parts = s.sums().size();
-        List<Long> own = sums(parts);
-        if (own.equals(s.sums())) {
+    private void answer(String address, Sums sums) {
+        int parts = sums.partDigests().size();
+        List<Long> ownDigests = partDigests(parts);
+        if (ownDigests.equals(sums.partDigests())) {
             return;
         }
-        if (++wholeAnswers > WHOLE_ANSWERS) {
+        if (++recordAnswers > MAX_RECORD_ANSWERS_PER_PERIOD) {
             outlet.dropped("compare-limited");
             return;
         }
-        outlet.sendAll(address, n -> {
-            int part = part(n.name(), parts);
-            return !own.get(part).equals(s.sums().get(part));
+        outlet.sendAll(address, router -> {
+            int part = partOf(router.name(), parts);
+            return !ownDigests.get(part).equals(sums.partDigests().get(part));
         });
-        if (s.back()) {
-            outlet.send(address, new Sums(own, false));
+        if (sums.replyExpected()) {
+            outlet.send(address, new Sums(ownDigests, false));
         }
     }
 
-    /** Takes one belief; true where it was new. */
-    private boolean take(RouterRecord news, String cause) {
-        if (news.name().equals(setup.name())) {
-            refute(news);
+    /** Merges one record into the table; returns true if it was new. */
+    private boolean merge(RouterRecord router, String cause) {
+        if (router.name().equals(setup.name())) {
+            refute(router);
             return false;
         }
-        Peer p = peers.get(news.name());
-        if (p != null && !news.overrides(p.news)) {
+        Peer peer = peers.get(router.name());
+        if (peer != null && !router.overrides(peer.entry)) {
             return false;
         }
-        if (p == null) {
-            if (peers.size() >= setup.most()) {
+        if (peer == null) {
+            if (peers.size() >= setup.maxRouters()) {
                 outlet.dropped("too-many-routers");
                 return false;
             }
-            p = new Peer();
-            peers.put(news.name(), p);
+            peer = new Peer();
+            peers.put(router.name(), peer);
         }
-        RouterStatus before = p.news == null ? null : p.news.standing();
-        boolean restarted = p.news != null && p.news.instance() != news.instance();
-        believed(p, news);
-        if (before != news.standing() || restarted) {
-            p.since = now;
-            outlet.changed(news, before, restarted ? "it was started anew" : cause);
+        RouterStatus before = peer.entry == null ? null : peer.entry.status();
+        boolean restarted = peer.entry != null && peer.entry.instance() != router.instance();
+        replaceEntry(peer, router);
+        if (before != router.status() || restarted) {
+            peer.statusSince = now;
+            outlet.statusChanged(router, before, restarted ? "it was restarted" : cause);
         }
-        p.suspectUntil = news.standing() == RouterStatus.SUSPECT ? now + suspicion() : Long.MAX_VALUE;
-        outlet.spread(news);
+        peer.suspectUntil = router.status() == RouterStatus.SUSPECT ? now + suspicionTimeout() : Long.MAX_VALUE;
+        outlet.gossip(router);
         return true;
     }
 
-    /** The one place where what is believed of a router changes; null where it is forgotten. */
-    private void believed(Peer p, RouterRecord news) {
-        if (p.news != null) {
-            peersDigest -= p.sum;
-            left -= p.news.standing() == RouterStatus.LEFT ? 1 : 0;
+    /** The only place where a table entry changes; a null record forgets the router. */
+    private void replaceEntry(Peer peer, RouterRecord router) {
+        if (peer.entry != null) {
+            peersDigest -= peer.digest;
+            leftCount -= peer.entry.status() == RouterStatus.LEFT ? 1 : 0;
         }
-        if (news != null) {
-            p.news = news;
-            p.sum = sum(news);
-            peersDigest += p.sum;
-            left += news.standing() == RouterStatus.LEFT ? 1 : 0;
+        if (router != null) {
+            peer.entry = router;
+            peer.digest = recordDigest(router);
+            peersDigest += peer.digest;
+            leftCount += router.status() == RouterStatus.LEFT ? 1 : 0;
         }
         living = null;
     }
 
-    /** What others believe of this router is overridden by a higher incarnation where it is not what it tells. */
-    private void refute(RouterRecord news) {
-        boolean same = news.instance() == instance;
-        if (!leaving && news.incarnation() >= incarnation && (!same || news.standing() != RouterStatus.ALIVE)) {
-            incarnation = news.incarnation() + 1;
-            outlet.spread(self());
-            if (same) {
-                outlet.changed(self(), news.standing(), "it refutes that");
-            } else if (!news.address().equals(setup.address()) && !aside(now)) {
-                outlet.send(news.address(), new Ping()); // is that one still there?
+    /** Refutes a wrong record about this router by raising its incarnation. */
+    private void refute(RouterRecord router) {
+        boolean sameInstance = router.instance() == instance;
+        if (!leaving && router.incarnation() >= incarnation && (!sameInstance || router.status() != RouterStatus.ALIVE)) {
+            incarnation = router.incarnation() + 1;
+            outlet.gossip(self());
+            if (sameInstance) {
+                outlet.statusChanged(self(), router.status(), "it refuted this status with a higher incarnation");
+            } else if (!router.address().equals(setup.address()) && !isSilent(now)) {
+                outlet.send(router.address(), new Ping()); // checks whether that process still runs
             }
         }
     }
 
-    /** A packet under this router's own name: of an older process that lives, whose name it is, or nothing. */
-    private void namesake(RouterRecord from) {
+    /** Handles a packet from a router with this router's name. If that process is older, it owns the name. */
+    private void handleDuplicateName(RouterRecord from) {
         if (from.instance() == instance || from.address().equals(setup.address())) {
-            return; // its own packet come back, or what its predecessor sent
+            return; // its own packet, or one that its predecessor sent
         }
         outlet.dropped("duplicate-names");
         if (from.instance() < instance) {
-            if (!aside(now)) {
-                outlet.changed(
+            if (!isSilent(now)) {
+                outlet.statusChanged(
                         self(),
                         RouterStatus.ALIVE,
-                        "an older router of this name lives at " + from.address() + ": this one stands aside");
+                        "an older router of this name is alive at " + from.address() + ": this one stands aside");
             }
-            asideUntil = now + ASIDE * setup.period();
-        } else if (now >= asideUntil) {
+            silentUntil = now + DUPLICATE_NAME_SILENCE_PERIODS * setup.period();
+        } else if (now >= silentUntil) {
             outlet.send(from.address(), new Ping());
         }
     }
 
-    /** Tells that this router ends in good order. */
+    /** Announces that this router leaves in good order. */
     public void leave() {
         leaving = true;
         incarnation++;
-        outlet.spread(self());
-        some(8, "").forEach(n -> outlet.send(n.address(), new News()));
+        outlet.gossip(self());
+        randomLiving(LEAVE_ANNOUNCEMENTS, "").forEach(n -> outlet.send(n.address(), new News()));
     }
 }
--- a/src/main/java/pumicemoor/fleet/membership/RouterRecord.java
+++ b/src/main/java/pumicemoor/fleet/membership/RouterRecord.java
@@ -3,22 +3,23 @@
 import java.util.Comparator;
 
 /**
- * A belief about a router. The instance is new with each start and rises with its time; the incarnation is raised by
- * the router itself alone, so whoever has the higher one is better informed, whenever it was heard.
+ * What is known of a router. The instance is new with each start of the process and increases with the start time. Only
+ * the router itself raises its incarnation, so the record with the higher incarnation is the more recent one, no matter
+ * when it was received.
  */
-public record RouterRecord(String name, String address, long instance, long incarnation, RouterStatus standing) {
+public record RouterRecord(String name, String address, long instance, long incarnation, RouterStatus status) {
 
-    private static final Comparator<RouterRecord> ORDER = Comparator.comparingLong(RouterRecord::incarnation)
-            .thenComparing(RouterRecord::standing)
+    private static final Comparator<RouterRecord> PRECEDENCE = Comparator.comparingLong(RouterRecord::incarnation)
+            .thenComparing(RouterRecord::status)
             .thenComparingLong(RouterRecord::instance);
 
-    /** Whether this overrides the other belief about the same name. */
+    /** Whether this record replaces another one about the same name. */
     boolean overrides(RouterRecord other) {
-        return ORDER.compare(this, other) > 0;
+        return PRECEDENCE.compare(this, other) > 0;
     }
 
-    /** The same router with another standing. */
-    public RouterRecord as(RouterStatus next) {
+    /** A copy of this record with another status. */
+    public RouterRecord withStatus(RouterStatus next) {
         return new RouterRecord(name, address, instance, incarnation, next);
     }
 }
--- a/src/main/java/pumicemoor/fleet/membership/RouterStatus.java
+++ b/src/main/java/pumicemoor/fleet/membership/RouterStatus.java
@@ -1,6 +1,6 @@
 package pumicemoor.fleet.membership;
 
-/** What is believed of a router; of two beliefs of one incarnation the later in this order holds. */
+/** The status of a router. Of two records with the same incarnation, the one with the later status in this order wins. */
 public enum RouterStatus {
     ALIVE,
     SUSPECT,
