--- a/src/main/java/pumicemoor/fleet/Bounds.java
+++ b/src/main/java/pumicemoor/fleet/Bounds.java
@@ -11,7 +11,9 @@
         return Math.max(1, 32 - Integer.numberOfLeadingZeros(routers));
     }
 
-    /** Gossip periods until an update has reached every router of a fleet of this size, with up to 30 % of packets lost. */
+    /**
+     * Gossip periods until an update has reached every router of a fleet of this size, with up to 30 % of packets lost.
+     */
     public static int spread(int routers) {
         return 5 + 3 * bitLength(routers);
     }
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -66,13 +66,15 @@
 
     private static final int REPORTS_PER_LEASE = 5;
     private static final int CELL_REPORT_DELAY_PERIODS =
-            8; // until a router in a cell knows its grantor; a grantor is replaced no faster than that
+            8; // time until a router of a cell knows its grantor; that is also how slowly a new grantor takes over
     private static final int CELL_GOSSIP_BYTES =
-            300; // of router records in a packet; spreads the load over time when all routers start at once
-    private static final int CELL_VOTE_LEASES = 3; // for which a vote binds a router of a cell; it outlasts the vote of its cell
-    private static final int FULL_COMPARE_PERIODS = 16; // until a new process has compared its whole membership table with another's
+            300; // router records in a packet; spreads them over time when all routers start at once
+    // How long a vote binds a router of a cell; it outlasts the vote of its cell's grantor on the upper level.
+    private static final int CELL_VOTE_LEASES = 3;
+    // Time until a new process has compared its whole membership table with another router's.
+    private static final int FULL_COMPARE_PERIODS = 16;
     private static final int MAX_PENDING_LOG_EVENTS = 256; // kept until they are fetched
-    private static final long EJECTION_MEMORY_MICROS = 60_000_000; // after an ejection has ended
+    private static final long EJECTION_MEMORY_MICROS = 60_000_000; // how long an ended ejection is remembered
     private static final int MAX_LIST_ENTRIES = 255; // the largest count that fits the byte before a list in a packet
 
     /** A member in the list of members; {@code ready} if the list allows its use. */
@@ -113,11 +115,14 @@
     private final Membership membership;
     private final LeaderElection election;
     private final GossipQueue<RouterRecord> routerGossip = new GossipQueue<>();
-    private final GossipQueue<Long> ejectionGossip = new GossipQueue<>(); // member ids; the ejection is read from the table when it is sent
+    // Member ids; the ejection itself is read from the table when it is sent.
+    private final GossipQueue<Long> ejectionGossip = new GossipQueue<>();
     private final Map<Long, HeldLease> leases = new TreeMap<>();
     private final Map<Long, LeaseBook> leaseTables = new HashMap<>();
-    private final Map<Long, CellShare> cellShares = new TreeMap<>(); // the shares of the own cell; used on the upper level only
-    private final List<Ejection> ejectionsForOtherLevel = new ArrayList<>(); // new on this level, to be passed to the other one
+    // The shares of the own cell; used on the upper level only.
+    private final Map<Long, CellShare> cellShares = new TreeMap<>();
+    // Ejections that are new on this level and are to be passed to the other one.
+    private final List<Ejection> ejectionsForOtherLevel = new ArrayList<>();
     private final Map<Long, Demand> demands = new HashMap<>();
     private final EjectionTable ejections = new EjectionTable();
     private final EjectionPolicy ejectionPolicy;
@@ -163,9 +168,9 @@
     }
 
     /**
-     * Creates the level of a cell's routers, for a process with this instance number. The hash of the rendezvous key ranks
-     * the routers. It is the name of the cell before all splits, so that a grantor remains the grantor of its part of the
-     * cell after a split.
+     * Creates the level of a cell's routers, for a process with this instance number. The hash of the rendezvous key
+     * ranks the routers. It is the name of the cell before all splits, so that a grantor remains the grantor of its
+     * part of the cell after a split.
      */
     public static Fleet ofCell(FleetSetup setup, String rendezvousKey, long time, long seed, long instance) {
         return new Fleet(setup, rendezvousKey, time, seed, NO_USAGE, Level.CELL, instance);
@@ -239,8 +244,8 @@
                 });
         this.nextPlanReportAt = nextReportAt;
         this.drains = setup.drains()
-                .map(t -> new Drains(
-                        t,
+                .map(drainTimes -> new Drains(
+                        drainTimes,
                         setup.times(),
                         setup.membership().name(),
                         membership.self().instance(),
@@ -371,9 +376,9 @@
             limits.forEach((id, limit) -> leases.computeIfAbsent(id, i -> new HeldLease(limit, times, startedAt)));
         }
         failureReports.entrySet()
-                .removeIf(e -> !members.containsKey(e.getKey())
-                        || members.get(e.getKey()).started()
-                                != e.getValue().report().started());
+                .removeIf(entry -> !members.containsKey(entry.getKey())
+                        || members.get(entry.getKey()).started()
+                                != entry.getValue().report().started());
         limitSharesChanged = true;
     }
 
@@ -528,7 +533,10 @@
 
     // ---- the two levels -------------------------------------------------------------------------------
 
-    /** The living routers with the highest rendezvous weights, highest first: in a cell its delegates, led by its grantor. */
+    /**
+     * The living routers with the highest rendezvous weights, highest first: in a cell its delegates, led by its
+     * grantor.
+     */
     public List<RouterRecord> first(int count) {
         List<RouterRecord> all = new ArrayList<>(membership.living());
         all.add(membership.self());
@@ -563,7 +571,9 @@
         return codec.cluster();
     }
 
-    /** Sets the upper level of this cell; null for none, which is allowed only once all shares of that level are over. */
+    /**
+     * Sets the upper level of this cell; null for none, which is allowed only once all shares of that level are over.
+     */
     public void setAbove(Fleet upper) {
         upperLevel = upper;
     }
@@ -770,7 +780,7 @@
             return;
         }
         election.observeTerm(ask.term());
-        election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.boundRouters());
+        election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.backing());
         ejectionPolicy.reported(from.name(), packet.number(), now + times.lease(), ask.failureReports());
         List<GrantedShare> granted = new ArrayList<>();
         for (CellDemand demand : ask.demands()) {
@@ -1012,8 +1022,8 @@
     // ---- drains ---------------------------------------------------------------------------------------
 
     /**
-     * What this router knows besides the drain plan. A process that may not yet know every router does not act as the leader
-     * of the plan.
+     * What this router knows besides the drain plan. A process that may not yet know every router does not act as the
+     * leader of the plan.
      */
     private FleetSnapshot snapshot() {
         boolean actsAsLeader =
@@ -1058,7 +1068,9 @@
         return view;
     }
 
-    /** Whether members may be used: false until it is known which of them are, or may have been, taken out by a drain. */
+    /**
+     * Whether members may be used: false until it is known which of them are, or may have been, taken out by a drain.
+     */
     @Override
     public boolean membersUsable() {
         return drains.map(Drains::settled).orElse(true);
@@ -1106,14 +1118,15 @@
         }
         RouterRecord self = membership.self().withStatus(RouterStatus.ALIVE);
         int gossipBytes = codec.bytesForGossip(self, body);
-        // Ejections come first: there are few of them, and under loss there are always more router records than a packet holds.
+        // Ejections come first: there are few of them, and under loss there are always more router records than a
+        // packet holds.
         List<Ejection> gossiped = ejectionGossip
                 .take(
                         gossipBytes / 2,
                         membership.gossipTransmissions(),
-                        m -> ejections.on(m) == null
+                        member -> ejections.on(member) == null
                                 ? PacketCodec.LONGEST
-                                : PacketCodec.size(ejections.on(m).verdict()))
+                                : PacketCodec.size(ejections.on(member).verdict()))
                 .stream()
                 .map(this::currentEjection)
                 .toList();
@@ -1124,7 +1137,10 @@
         return number;
     }
 
-    /** Whether this is a report to a grantor or its answer. There are many of them, so in cells they carry no router records. */
+    /**
+     * Whether this is a report to a grantor or its answer. There are many of them, so in cells they carry no router
+     * records.
+     */
     private static boolean isReportOrGrant(Body body) {
         return body instanceof Ask || body instanceof CellAsk || body instanceof Grant;
     }
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -10,9 +10,9 @@
 
 /**
  * One router's participation in a fleet, as the surrounding program uses it. The program passes in the time, received
- * packets, the list of members and reports of the routing decisions, and fetches packets to send, events for the routing
- * decisions and log events. Times are Unix microseconds. An implementation must never send packets itself, read a clock
- * or use its own source of randomness.
+ * packets, the list of members and reports of the routing decisions, and fetches packets to send, events for the
+ * routing decisions and log events. Times are Unix microseconds. An implementation must never send packets itself, read
+ * a clock or use its own source of randomness.
  */
 public interface FleetParticipant {
 
@@ -43,7 +43,9 @@
     /** The drain state that the routing decisions must follow, if it has changed since the last call. */
     Optional<Drains.View> takeDrainView();
 
-    /** Whether members may be used: false until it is known which of them are, or may have been, taken out by a drain. */
+    /**
+     * Whether members may be used: false until it is known which of them are, or may have been, taken out by a drain.
+     */
     boolean membersUsable();
 
     /** Whether this fleet coordinates the drains of its members. */
--- a/src/main/java/pumicemoor/fleet/GossipQueue.java
+++ b/src/main/java/pumicemoor/fleet/GossipQueue.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Returns the updates that fit into the given number of bytes and counts one transmission for each. Updates that have
-     * reached the given number of transmissions are removed.
+     * Returns the updates that fit into the given number of bytes and counts one transmission for each. Updates that
+     * have reached the given number of transmissions are removed.
      */
     List<T> take(int maxBytes, int maxTransmissions, ToIntFunction<T> sizeInBytes) {
         List<Entry<T>> taken = new ArrayList<>();
--- a/src/main/java/pumicemoor/fleet/LeaderElection.java
+++ b/src/main/java/pumicemoor/fleet/LeaderElection.java
@@ -6,10 +6,11 @@
 
 /**
  * Elects the leader, the one router that may act for the whole fleet, by the votes of more than half of its routers. A
- * vote binds its voter for one lease from the moment it is sent. At the leader it counts only from the time at which the
- * leader sent the packet that the voter had last received from it. The leader's term of office therefore ends before any
- * of its voters is free again, and there are never two leaders, whatever clocks say and however packets are lost, delayed
- * or reordered. Each term of office has a term number above all that a majority knew, which serves as a fencing token.
+ * vote binds its voter for one lease from the moment it is sent. At the leader it counts only from the time at which
+ * the leader sent the packet that the voter had last received from it. The leader's term of office therefore ends
+ * before any of its voters is free again, and there are never two leaders, whatever clocks say and however packets are
+ * lost, delayed or reordered. Each term of office has a term number above all that a majority knew, which serves as a
+ * fencing token.
  */
 final class LeaderElection {
 
@@ -32,8 +33,8 @@
     private long lastInOfficeAt; // the last time at which a check found this router to be the leader
 
     /**
-     * Starts without a vote. A restarted process does not know whom it voted for, so it votes for no router for one lease,
-     * until any earlier vote has expired.
+     * Starts without a vote. A restarted process does not know whom it voted for, so it votes for no router for one
+     * lease, until any earlier vote has expired.
      */
     LeaderElection(String self, long leaseMicros, long startedAt) {
         this.self = self;
@@ -90,8 +91,8 @@
     }
 
     /**
-     * Handles a report that carries the votes of {@code weight} routers, all of which know this term and stay bound for one
-     * lease from now on.
+     * Handles a report that carries the votes of {@code weight} routers, all of which know this term and stay bound for
+     * one lease from now on.
      */
     void receiveReport(String from, long instance, boolean vote, long lastSeen, long knownTerm, int weight) {
         observeTerm(knownTerm);
@@ -99,7 +100,8 @@
         if (vote && seenSentAt != null) {
             Vote before = votes.get(from);
             boolean boundLonger =
-                    before != null && before.until > seenSentAt + leaseMicros; // a report never increases an earlier promise
+                    // A report never increases an earlier promise.
+                    before != null && before.until > seenSentAt + leaseMicros;
             votes.put(
                     from,
                     new Vote(
@@ -110,7 +112,9 @@
         }
     }
 
-    /** The routers, including this one, that are bound to this router beyond the given time, and a term that all know. */
+    /**
+     * The routers, including this one, that are bound to this router beyond the given time, and a term that all know.
+     */
     Backing backing(long until) {
         boolean own = votedFor != null && votedFor.name().equals(self) && until < freeAt;
         List<Vote> lasting =
@@ -126,21 +130,23 @@
         static final Backing ONE = new Backing(1, Long.MAX_VALUE);
     }
 
-    /** Whether this router is the leader now, in a fleet of this size, and more than half of the fleet know its term. */
+    /**
+     * Whether this router is the leader now, in a fleet of this size, and more than half of the fleet know its term.
+     */
     boolean inOffice(long now, int routers) {
         return inOffice(now, routers, Backing.ONE);
     }
 
     /** The same, where this router's own vote stands for the routers of the given backing. */
-    boolean inOffice(long now, int routers, Backing self) {
+    boolean inOffice(long now, int routers, Backing ownBacking) {
         votes.values().removeIf(v -> now >= v.until);
         boolean own = votedFor != null && votedFor.name().equals(this.self) && now < freeAt;
-        if (2 * (votes.values().stream().mapToInt(Vote::weight).sum() + (own ? self.routers() : 0)) <= routers) {
+        if (2 * (votes.values().stream().mapToInt(Vote::weight).sum() + (own ? ownBacking.routers() : 0)) <= routers) {
             ownTerm = 0;
             return false;
         }
-        // Between two checks this close together no other router can have been the leader, since a vote binds for longer.
-        // Otherwise this is a new term of office.
+        // Between two checks this close together no other router can have been the leader, since a vote binds for
+        // longer. Otherwise this is a new term of office.
         if (ownTerm == 0 || now - lastInOfficeAt > leaseMicros / 2 || term > ownTerm) {
             ownTerm = term + 1;
             term = ownTerm;
@@ -151,7 +157,7 @@
                         .filter(v -> v.term >= ownTerm)
                         .mapToInt(Vote::weight)
                         .sum()
-                + (own && self.term() >= ownTerm ? self.routers() : 0);
+                + (own && ownBacking.term() >= ownTerm ? ownBacking.routers() : 0);
         return 2 * knowing > routers;
     }
 
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -32,9 +32,9 @@
     public record Compare(long digest, boolean replyExpected) implements Body {}
 
     /**
-     * The answer to a differing digest in a fleet of cells: the digests of the parts of the sender's membership table, split
-     * by the hashes of the router names. The receiver sends its records of the parts that differ, and if a reply is
-     * expected, its own digests too.
+     * The answer to a differing digest in a fleet of cells: the digests of the parts of the sender's membership table,
+     * split by the hashes of the router names. The receiver sends its records of the parts that differ, and if a reply
+     * is expected, its own digests too.
      */
     public record Sums(List<Long> partDigests, boolean replyExpected) implements Body {}
 
@@ -42,7 +42,8 @@
     public record News() implements Body {}
 
     /**
-     * A router's demand on a limit. {@code leaseAsk} is the number of the ask whose grant the router uses now, 0 for none.
+     * A router's demand on a limit. {@code leaseAsk} is the number of the ask whose grant the router uses now, 0 for
+     * none.
      */
     public record Demand(long limit, long leaseAsk, double demand, double inUse) {}
 
@@ -60,18 +61,20 @@
     /** The answer to an ask, identified by the ask's number. A lease counts from the time the ask was sent. */
     public record Grant(long ask, long term, List<GrantedShare> shares) implements Body {}
 
-    /** The requests that a router has in flight at a member, and how often the member recently answered from its cache. */
+    /**
+     * The requests that a router has in flight at a member, and how often the member recently answered from its cache.
+     */
     public record Use(long member, int underWay, double hits) {}
 
     /**
-     * A router's report about the drain plan: the stamps of the newest plan it holds and of the one it applies, whether it
-     * remembers what was agreed (a restarted process does not), and the highest term that it knows.
+     * A router's report about the drain plan: the stamps of the newest plan it holds and of the one it applies, whether
+     * it remembers what was agreed (a restarted process does not), and the highest term that it knows.
      */
     public record PlanReport(long term, long held, long applied, boolean seasoned, List<Use> uses) implements Body {}
 
     /**
-     * The answer to a plan report, identified by the report's number and valid for that process only. {@code office} is set
-     * if the sender is the leader and so knows which plan is in force.
+     * The answer to a plan report, identified by the report's number and valid for that process only. {@code office} is
+     * set if the sender is the leader and so knows which plan is in force.
      */
     public record PlanGrant(long report, long instance, long term, boolean office, long held, long inForce)
             implements Body {}
@@ -81,11 +84,11 @@
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Piece p
-                    && p.stamp == stamp
-                    && p.index == index
-                    && p.count == count
-                    && Arrays.equals(p.bytes, bytes);
+            return other instanceof Piece piece
+                    && piece.stamp == stamp
+                    && piece.index == index
+                    && piece.count == count
+                    && Arrays.equals(piece.bytes, bytes);
         }
 
         @Override
@@ -98,29 +101,30 @@
     public record DrainAsk(DrainCommand command) implements Body {}
 
     /**
-     * A cell's demand on a limit, for the number of routers in its lease table. {@code leaseAsk} is the number of the ask
-     * whose grant the cell uses now, 0 for none; {@code inUse} is the most that its table must count for its routers.
+     * A cell's demand on a limit, for the number of routers in its lease table. {@code leaseAsk} is the number of the
+     * ask whose grant the cell uses now, 0 for none; {@code inUse} is the most that its table must count for its
+     * routers.
      */
     public record CellDemand(long limit, long leaseAsk, int routers, double demand, double inUse) {}
 
     /**
-     * A cell's report from its grantor to the router that it considers the grantor of the upper level. Vote, last seen and
-     * term are as in an {@link Ask}. {@code boundRouters} is the number of routers that stay bound to the sender for at
+     * A cell's report from its grantor to the router that it considers the grantor of the upper level. Vote, last seen
+     * and term are as in an {@link Ask}. {@code backing} is the number of routers that stay bound to the sender for at
      * least one more lease, {@code knownTerm} a term that all of them know.
      */
     public record CellAsk(
             boolean vote,
             long lastSeen,
             long term,
-            int boundRouters,
+            int backing,
             long knownTerm,
             List<CellDemand> demands,
             List<FailureReport> failureReports)
             implements Body {}
 
     /**
-     * Asks for the routers of the sender's cell. The depth is that of the sender's cell; hops counts how often the request
-     * has been forwarded.
+     * Asks for the routers of the sender's cell. The depth is that of the sender's cell; hops counts how often the
+     * request has been forwarded.
      */
     public record Join(String root, int depth, int hops) implements Body {}
 
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -23,8 +23,8 @@
 import pumicemoor.fleet.verdicts.Ejection;
 
 /**
- * Encodes and decodes packets and makes every check that needs no state. It must never allocate memory for what a packet
- * only claims to contain: a count is trusted only as far as there are bytes for it.
+ * Encodes and decodes packets and makes every check that needs no state. It must never allocate memory for what a
+ * packet only claims to contain: a count is trusted only as far as there are bytes for it.
  */
 public final class PacketCodec {
 
@@ -158,10 +158,10 @@
                     .putLong(ask.lastSeen())
                     .putLong(ask.term())
                     .put((byte) ask.demands().size());
-            ask.demands().forEach(d -> out.putLong(d.limit())
-                    .putLong(d.leaseAsk())
-                    .putFloat((float) d.demand())
-                    .putFloat((float) d.inUse()));
+            ask.demands().forEach(demand -> out.putLong(demand.limit())
+                    .putLong(demand.leaseAsk())
+                    .putFloat((float) demand.demand())
+                    .putFloat((float) demand.inUse()));
             out.put((byte) ask.failureReports().size());
             ask.failureReports().forEach(f -> write(out, f));
         } else if (body instanceof Packet.Grant grant) {
@@ -208,14 +208,14 @@
                     .put((byte) (ask.vote() ? 1 : 0))
                     .putLong(ask.lastSeen())
                     .putLong(ask.term())
-                    .putInt(ask.boundRouters())
+                    .putInt(ask.backing())
                     .putLong(ask.knownTerm())
                     .put((byte) ask.demands().size());
-            ask.demands().forEach(d -> out.putLong(d.limit())
-                    .putLong(d.leaseAsk())
-                    .putInt(d.routers())
-                    .putDouble(d.demand())
-                    .putDouble(d.inUse()));
+            ask.demands().forEach(demand -> out.putLong(demand.limit())
+                    .putLong(demand.leaseAsk())
+                    .putInt(demand.routers())
+                    .putDouble(demand.demand())
+                    .putDouble(demand.inUse()));
             out.put((byte) ask.failureReports().size());
             ask.failureReports().forEach(report -> {
                 write(out, report);
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -24,17 +24,20 @@
 import pumicemoor.fleet.Packet.Sums;
 
 /**
- * Detects which routers of the fleet are alive. Owns the table of router records, this router's incarnation, the probe in
- * progress and the running suspicion timeouts. A record is replaced only by a newer one, so old, duplicated or reordered
- * packets have no effect. It must never send packets itself; it passes them to its outlet.
+ * Detects which routers of the fleet are alive. Owns the table of router records, this router's incarnation, the probe
+ * in progress and the running suspicion timeouts. A record is replaced only by a newer one, so old, duplicated or
+ * reordered packets have no effect. It must never send packets itself; it passes them to its outlet.
  */
 public final class Membership {
 
-    private static final double SUSPICION_PERIODS_PER_BIT = 2; // for each bit of the number of routers, until a suspect is declared dead
+    // Time until a suspect is declared dead, for each bit of the number of routers.
+    private static final double SUSPICION_PERIODS_PER_BIT = 2;
     private static final int MIN_SUSPICION_PERIODS = 4;
-    private static final int COMPARE_INTERVAL_PERIODS = 8; // between comparisons of the whole table with another router's
-    private static final int MAX_RECORD_ANSWERS_PER_PERIOD = 4; // answers with the records of the whole table or of the parts that differ
-    private static final int MAX_DIGEST_ANSWERS_PER_PERIOD = 8; // answers with the digests of the parts
+    // Interval at which the whole table is compared with another router's.
+    private static final int COMPARE_INTERVAL_PERIODS = 8;
+    // Answers that contain the records of the whole table or of the parts that differ.
+    private static final int MAX_RECORD_ANSWERS_PER_PERIOD = 4;
+    private static final int MAX_DIGEST_ANSWERS_PER_PERIOD = 8; // answers that contain the digests of the parts
     private static final int MEAN_ROUTERS_PER_PART = 8;
     /** The largest number of parts that a membership table is split into for comparison; a power of two. */
     public static final int MAX_DIGEST_PARTS = 64;
@@ -94,7 +97,8 @@
     private int leftCount; // the number of peers that left in good order
     private long peersDigest;
     private final List<String> probeOrder = new ArrayList<>(); // the routers to probe next, the last one first
-    private final Map<Long, PendingRelay> pendingRelays = new HashMap<>(); // pings sent on behalf of other routers, by packet number
+    // Pings sent on behalf of other routers, by packet number.
+    private final Map<Long, PendingRelay> pendingRelays = new HashMap<>();
     private long incarnation;
     private long now;
     private long nextPeriodAt;
@@ -104,18 +108,22 @@
     private int recordAnswers;
     private int digestAnswers;
     private String probeTarget; // the router whose answer is awaited; null for none
-    private final Set<Long> probeNumbers = new HashSet<>(); // of the ping and of the relay requests for the current target
+    // The numbers of the ping and of the relay requests for the current target.
+    private final Set<Long> probeNumbers = new HashSet<>();
     private boolean leaving;
 
-    /** Starts at this time (Unix microseconds), which also distinguishes this process from earlier ones of the same name. */
+    /**
+     * Starts at this time (Unix microseconds), which also distinguishes this process from earlier ones of the same
+     * name.
+     */
     public Membership(Setup setup, long time, long seed, Outlet outlet) {
         this(setup, time, seed, 0, false, outlet);
     }
 
     /**
-     * The same for a process that already has an instance number, 0 for none. With {@code compareInParts}, routers whose
-     * tables differ exchange only the parts that differ, at the cost of one more message; it must be the same for all
-     * routers of a cluster.
+     * The same for a process that already has an instance number, 0 for none. With {@code compareInParts}, routers
+     * whose tables differ exchange only the parts that differ, at the cost of one more message; it must be the same for
+     * all routers of a cluster.
      */
     public Membership(Setup setup, long time, long seed, long givenInstance, boolean compareInParts, Outlet outlet) {
         this.compareInParts = compareInParts;
@@ -129,8 +137,8 @@
     }
 
     /**
-     * The highest incarnation accepted at this time. Incarnations begin at the start time in Unix milliseconds, so this is
-     * one day ahead of the clock.
+     * The highest incarnation accepted at this time. Incarnations begin at the start time in Unix milliseconds, so this
+     * is one day ahead of the clock.
      */
     public static long lastIncarnation(long time) {
         return time / 1_000 + MAX_INCARNATION_LEAD_MILLIS;
@@ -201,7 +209,10 @@
         return List.of(digests);
     }
 
-    /** The part that a name belongs to. Names of a split cell share the first bits of their hashes, so the hash is mixed again. */
+    /**
+     * The part that a name belongs to. Names of a split cell share the first bits of their hashes, so the hash is mixed
+     * again.
+     */
     private static int partOf(String name, int parts) {
         return (int) Hashes.mix(Hashes.of(name)) & parts - 1;
     }
@@ -327,8 +338,8 @@
         peers.values().stream()
                 .filter(p -> p.entry.status() == RouterStatus.DEAD)
                 .forEach(p -> absentAddresses.add(p.entry.address()));
-        absentAddresses.removeIf(a -> a.equals(setup.address())
-                || living().stream().anyMatch(n -> n.address().equals(a)));
+        absentAddresses.removeIf(address -> address.equals(setup.address())
+                || living().stream().anyMatch(n -> n.address().equals(address)));
         randomLiving(1, "").forEach(n -> outlet.send(n.address(), new Compare(digest(), true)));
         if (isolated) {
             absentAddresses.forEach(a -> outlet.send(a, new Compare(digest(), true)));
@@ -354,7 +365,8 @@
         if (sender == null) {
             return false; // the table is full
         }
-        boolean otherInstance = sender.entry.instance() != from.instance(); // a successor or a predecessor of the known process
+        // True for a successor or a predecessor of the known process.
+        boolean otherInstance = sender.entry.instance() != from.instance();
         if ((otherInstance || sender.entry.status() != RouterStatus.ALIVE) && now - sender.remindedAt > setup.period() / 2) {
             sender.remindedAt = now; // a router can refute an entry only if it knows of it
             outlet.gossip(sender.entry);
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -18,17 +18,17 @@
 import pumicemoor.fleet.drains.Plan;
 
 /**
- * A rolling maintenance in the virtual network, with an operator who takes a member down when any router says that it is
- * out, and brings it back some time later; it checks at every step what drains promise.
+ * A rolling maintenance in a {@link VirtualFleet}. A simulated operator takes a member down once any router shows that
+ * it is out, and brings it back some time later. The guarantees of drains are checked at every step.
  */
 final class DrainRun {
 
     static final long MILLI = VirtualFleet.MILLI;
     static final long SECOND = VirtualFleet.SECOND;
-    static final long LONGEST = 2 * SECOND; // an attempt
-    static final long WARM = SECOND;
+    static final long LONGEST_ATTEMPT = 2 * SECOND;
+    static final long WARM_UP = SECOND;
 
-    /** The physical side: since when a member is out for work, under which fence. */
+    /** The work on a member that is physically down: since when, and under which fence. */
     private record Work(long since, long fence) {}
 
     final VirtualFleet fleet;
@@ -36,58 +36,59 @@
     final int mostOut;
     final int leastServing;
     final Map<Long, Work> down = new LinkedHashMap<>();
-    final Map<Long, Long> worked = new LinkedHashMap<>(); // members done, by their fence
+    // Members whose work is done, with the fence of the drain.
+    final Map<Long, Long> finishedWork = new LinkedHashMap<>();
     final Set<Long> fencesSeen = new HashSet<>();
     final Set<Long> everOut = new HashSet<>();
     final Random random;
-    long work = 500 * MILLI;
-    boolean operatorThere = true;
-    int mostEverOut;
+    long workMicros = 500 * MILLI;
+    boolean operatorPresent = true;
+    int maxOutAtOnce;
 
-    DrainRun(int routers, int caches, int mostOut, int leastServing, long gone, long seed) {
+    DrainRun(int routers, int caches, int mostOut, int leastServing, long goneAfter, long seed) {
         this.caches = caches;
         this.mostOut = mostOut;
         this.leastServing = leastServing;
         this.random = new Random(seed);
         fleet = new VirtualFleet(routers, routers, caches, LimitMeasure.PER_SECOND, 1_000, seed);
-        fleet.drains = Optional.of(new DrainTimes(200 * MILLI, LONGEST, gone, 60 * SECOND, WARM, WARM));
+        fleet.drains = Optional.of(new DrainTimes(200 * MILLI, LONGEST_ATTEMPT, goneAfter, 60 * SECOND, WARM_UP, WARM_UP));
         fleet.startAll();
     }
 
-    static long box(int i) {
+    static long cacheId(int i) {
         return 1_000L + i;
     }
 
-    /** Asks a router for the maintenance of these; its answer. */
-    String request(Router r, long id, int from, int to) {
+    /** Requests the maintenance of the caches from (inclusive) to (exclusive) at a router and returns its answer. */
+    String request(Router router, long id, int from, int to) {
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("drain", "request");
         fields.put("id", Long.toHexString(id));
         fields.put(
                 "members",
-                VirtualFleet.upTo(to).skip(from).mapToObj(i -> "box-" + i).collect(Collectors.joining(",")));
+                VirtualFleet.range(to).skip(from).mapToObj(i -> "box-" + i).collect(Collectors.joining(",")));
         fields.put("max-at-once", Integer.toString(mostOut));
         fields.put("min-serving", Integer.toString(leastServing));
-        return r.fleet.handleCommand(fleet.now, fields);
+        return router.fleet.handleCommand(fleet.now, fields);
     }
 
     void run(long time) {
         fleet.run(time, this::step);
     }
 
-    /** Until nothing is left to be done, at most so long; how long it took. */
-    long runToEnd(long longest) {
+    /** Runs until the maintenance has ended, and fails after the given time. Returns how long it took. */
+    long runToEnd(long timeout) {
         long from = fleet.now;
-        while (fleet.now - from < longest && !ended()) {
+        while (fleet.now - from < timeout && !ended()) {
             run(SECOND);
         }
         assertTrue(
                 ended(),
-                () -> "not ended after " + longest / SECOND + " s: "
+                () -> "not ended after " + timeout / SECOND + " s: "
                         + fleet.routers.stream()
-                                .map(r ->
-                                        r.running + " " + r.fleet.rows("drains").orElseThrow()
-                                                + r.fleet.rows("drain-requests").orElseThrow())
+                                .map(router ->
+                                        router.running + " " + router.fleet.rows("drains").orElseThrow()
+                                                + router.fleet.rows("drain-requests").orElseThrow())
                                 .toList());
         return fleet.now - from;
     }
@@ -97,83 +98,84 @@
                 && everOut.size() > 0
                 && fleet.routers.stream()
                         .filter(r -> r.running)
-                        .allMatch(r -> r.fleet.plan().orElseThrow().requests().isEmpty()
-                                && !r.fleet.plan().orElseThrow().closed().isEmpty());
+                        .allMatch(router -> router.fleet.plan().orElseThrow().requests().isEmpty()
+                                && !router.fleet.plan().orElseThrow().closed().isEmpty());
     }
 
     private void step() {
-        for (Router r : fleet.routers) {
-            if (fleet.acts(r) && random.nextInt(4) == 0) {
-                r.ask(box(random.nextInt(caches)), (long) (random.nextDouble() * LONGEST));
+        for (Router router : fleet.routers) {
+            if (fleet.isActive(router) && random.nextInt(4) == 0) {
+                router.startAttempt(cacheId(random.nextInt(caches)), (long) (random.nextDouble() * LONGEST_ATTEMPT));
             }
         }
         check();
-        if (operatorThere) {
+        if (operatorPresent) {
             operate();
         }
     }
 
-    /** What holds at every instant. */
+    /** Checks the invariants that hold at every instant. */
     private void check() {
-        for (Router r : fleet.routers) {
-            Plan plan = r.fleet.plan().orElseThrow();
-            assertTrue(plan.out() <= mostOut, () -> r.name + ": " + plan);
-            boolean knew = plan.stamp() > 0; // a process started anew that has reached nobody promises nothing
+        for (Router router : fleet.routers) {
+            Plan plan = router.fleet.plan().orElseThrow();
+            assertTrue(plan.out() <= mostOut, () -> router.name + ": " + plan);
+            // A restarted process that has reached no other router guarantees nothing.
+            boolean hasPlan = plan.stamp() > 0;
             down.keySet()
-                    .forEach(m -> assertTrue(
-                            !r.running || !knew || r.open(m) == 0,
-                            () -> r.name + " has " + r.open(m) + " under way at " + m + ", which is out; " + plan + " "
-                                    + r.fleet.rows("members") + r.fleet.fields()));
+                    .forEach(member -> assertTrue(
+                            !router.running || !hasPlan || router.attemptsInFlight(member) == 0,
+                            () -> router.name + " has " + router.attemptsInFlight(member) + " attempts in flight at " + member + ", which is out; " + plan + " "
+                                    + router.fleet.rows("members") + router.fleet.fields()));
         }
-        mostEverOut = Math.max(mostEverOut, down.size());
-        assertTrue(down.size() <= mostOut, () -> "out at once: " + down);
-        assertTrue(caches - down.size() >= leastServing, () -> "too few serve: " + down);
+        maxOutAtOnce = Math.max(maxOutAtOnce, down.size());
+        assertTrue(down.size() <= mostOut, () -> "members down at once: " + down);
+        assertTrue(caches - down.size() >= leastServing, () -> "too few members serve while these are down: " + down);
     }
 
     private void operate() {
-        for (Router r : fleet.routers) {
-            if (!fleet.acts(r)) {
+        for (Router router : fleet.routers) {
+            if (!fleet.isActive(router)) {
                 continue;
             }
-            for (DrainOrder o : r.fleet.plan().orElseThrow().orders()) {
-                if (o.phase() == Phase.OUT && fencesSeen.add(o.fence() * 31 + o.member())) {
-                    assertTrue(!down.containsKey(o.member()), "a member goes out twice");
-                    down.put(o.member(), new Work(fleet.now, o.fence()));
-                    everOut.add(o.member());
+            for (DrainOrder order : router.fleet.plan().orElseThrow().orders()) {
+                if (order.phase() == Phase.OUT && fencesSeen.add(order.fence() * 31 + order.member())) {
+                    assertTrue(!down.containsKey(order.member()), "a member goes out twice");
+                    down.put(order.member(), new Work(fleet.now, order.fence()));
+                    everOut.add(order.member());
                     check();
                 }
             }
         }
-        List<Router> there = fleet.routers.stream().filter(fleet::acts).toList();
-        down.forEach((m, w) -> {
-            if (fleet.now - w.since() >= work) {
-                worked.put(m, w.fence()); // it runs again; now the routers are to be told
+        List<Router> active = fleet.routers.stream().filter(fleet::isActive).toList();
+        down.forEach((member, started) -> {
+            if (fleet.now - started.since() >= workMicros) {
+                finishedWork.put(member, started.fence()); // the member runs again; next the routers are notified
             }
         });
-        down.keySet().removeAll(worked.keySet());
-        for (Map.Entry<Long, Long> w : List.copyOf(worked.entrySet())) {
-            if (there.isEmpty() || random.nextInt(3) > 0) {
+        down.keySet().removeAll(finishedWork.keySet());
+        for (Map.Entry<Long, Long> entry : List.copyOf(finishedWork.entrySet())) {
+            if (active.isEmpty() || random.nextInt(3) > 0) {
                 continue;
             }
-            Router r = there.get(random.nextInt(there.size()));
-            Plan plan = r.fleet.plan().orElseThrow();
-            // the operator goes by what is shown: all is told once the member is no longer out under that fence
-            if (plan.stamp() > w.getValue()
-                    && plan.of(w.getKey()).map(o -> o.fence() > w.getValue()).orElse(true)) {
-                worked.remove(w.getKey());
+            Router router = active.get(random.nextInt(active.size()));
+            Plan plan = router.fleet.plan().orElseThrow();
+            // The operator relies on what is shown: all is reported once the member is no longer out under that fence.
+            if (plan.stamp() > entry.getValue()
+                    && plan.of(entry.getKey()).map(o -> o.fence() > entry.getValue()).orElse(true)) {
+                finishedWork.remove(entry.getKey());
             } else {
-                String said = r.fleet.handleCommand(
+                String answer = router.fleet.handleCommand(
                         fleet.now,
                         Map.of(
                                 "drain",
                                 "done",
                                 "id",
-                                Long.toHexString(w.getValue()),
+                                Long.toHexString(entry.getValue()),
                                 "members",
-                                "box-" + (w.getKey() - 1_000),
+                                "box-" + (entry.getKey() - 1_000),
                                 "fence",
-                                Long.toString(w.getValue())));
-                assertTrue(said.startsWith("waits") || said.startsWith("refused: members"), said);
+                                Long.toString(entry.getValue())));
+                assertTrue(answer.startsWith("waits") || answer.startsWith("refused: members"), answer);
             }
         }
     }
--- a/src/test/java/pumicemoor/fleet/DrainSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/DrainSchedulesTest.java
@@ -16,91 +16,92 @@
 import pumicemoor.fleet.VirtualFleet.Router;
 
 /**
- * Maintenance under random schedules of deaths, restarts, pauses, splits, loss and reordering: never more out than may be,
- * nothing under way at a member that is out, and all are back in the end.
+ * Rolling maintenance under random schedules of deaths, restarts, pauses, partitions, packet loss and reordering: never
+ * more members out than allowed, no request in flight at a member that is out, and all members back in the end.
  */
 class DrainSchedulesTest {
 
     @Test
-    void aTierIsDoneInOrderWithAllLinksUp() {
+    void aWholeTierIsMaintainedWithAllLinksUp() {
         DrainRun run = new DrainRun(5, 10, 2, 7, 60 * SECOND, 1);
         run.run(10 * SECOND);
         assertTrue(run.request(run.fleet.routers.get(3), 7, 0, 10).startsWith("waits"));
         run.runToEnd(120 * SECOND);
         assertEquals(10, run.everOut.size());
-        assertEquals(2, run.mostEverOut, "the budget is there to be used");
+        assertEquals(2, run.maxOutAtOnce, "as many members as allowed are out at once");
     }
 
     @Property(tries = 60, seed = "811")
-    void smallFleetsKeepTheBudget(@ForAll long seed, @ForAll @IntRange(min = 3, max = 7) int n) {
-        play(seed, n, 8, 25);
+    void smallFleetsStayWithinTheDrainLimits(@ForAll long seed, @ForAll @IntRange(min = 3, max = 7) int routerCount) {
+        play(seed, routerCount, 8, 25);
     }
 
     @Property(tries = 1, seed = "812")
-    void aHundredRoutersKeepTheBudget(@ForAll long seed) {
+    void aHundredRoutersStayWithinTheDrainLimits(@ForAll long seed) {
         play(seed, 100, 12, 8);
     }
 
-    private static void play(long seed, int n, int caches, int changes) {
+    private static void play(long seed, int routerCount, int caches, int changeCount) {
         Random random = new Random(seed);
-        int most = 1 + random.nextInt(3);
-        DrainRun run = new DrainRun(n, caches, most, caches - most - random.nextInt(2), 600 * SECOND, seed);
+        int mostOut = 1 + random.nextInt(3);
+        DrainRun run = new DrainRun(routerCount, caches, mostOut, caches - mostOut - random.nextInt(2), 600 * SECOND, seed);
         VirtualFleet fleet = run.fleet;
         run.run(8 * SECOND);
-        fleet.loss = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
-        fleet.doubled = random.nextInt(3) == 0 ? 0.3 : 0;
-        fleet.mostDelay = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
-        run.request(fleet.routers.get(random.nextInt(n)), 1, 0, caches);
-        for (int i = 0; i < changes; i++) {
+        fleet.lossRate = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
+        fleet.duplicateRate = random.nextInt(3) == 0 ? 0.3 : 0;
+        fleet.maxDelayMicros = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
+        run.request(fleet.routers.get(random.nextInt(routerCount)), 1, 0, caches);
+        for (int i = 0; i < changeCount; i++) {
             run.run((long) (random.nextDouble() * 3 * SECOND));
-            change(run, random, n);
+            change(run, random, routerCount);
         }
         fleet.cut = (a, b) -> false;
-        fleet.loss = 0;
-        fleet.mostDelay = 5 * MILLI;
-        for (Router r : fleet.routers) {
-            r.pausedUntil = Math.min(r.pausedUntil, fleet.now);
-            if (!r.running) {
-                fleet.start(r);
+        fleet.lossRate = 0;
+        fleet.maxDelayMicros = 5 * MILLI;
+        for (Router router : fleet.routers) {
+            router.pausedUntil = Math.min(router.pausedUntil, fleet.now);
+            if (!router.running) {
+                fleet.start(router);
             }
         }
         run.run(10 * SECOND);
-        run.request(fleet.routers.get(0), 99, 0, caches); // in case that the first was lost with its router
+        run.request(fleet.routers.get(0), 99, 0, caches); // in case the first request was lost with its router
         run.runToEnd(400 * SECOND);
         assertEquals(caches, run.everOut.size(), () -> "seed " + seed);
     }
 
-    private static void change(DrainRun run, Random random, int n) {
+    private static void change(DrainRun run, Random random, int routerCount) {
         VirtualFleet fleet = run.fleet;
         List<Router> routers = fleet.routers;
-        Router one = routers.get(random.nextInt(n));
-        long dead = routers.stream()
+        Router picked = routers.get(random.nextInt(routerCount));
+        long unavailable = routers.stream()
                 .filter(r -> !r.running || fleet.now - r.startedAt < 10 * SECOND)
                 .count();
         switch (random.nextInt(8)) {
             case 0, 1 -> {
-                if (one.running && 2 * (dead + 1) < n) { // a minority, those that have not learned again included
-                    fleet.kill(one);
+                // Kills only a minority, counting those that have not yet learned the plan again.
+                if (picked.running && 2 * (unavailable + 1) < routerCount) {
+                    fleet.kill(picked);
                 }
             }
             case 2 -> {
-                if (!one.running) {
-                    fleet.start(one);
+                if (!picked.running) {
+                    fleet.start(picked);
                 }
             }
-            case 3 -> fleet.pause(one, (long) (random.nextDouble() * 9 * SECOND));
+            case 3 -> fleet.pause(picked, (long) (random.nextDouble() * 9 * SECOND));
             case 4 -> {
                 List<Router> side = new ArrayList<>(routers);
                 side.removeIf(r -> random.nextBoolean());
                 fleet.cut = (a, b) -> side.contains(a) != side.contains(b);
             }
             case 5 -> {
-                Router other = routers.get(random.nextInt(n));
+                Router other = routers.get(random.nextInt(routerCount));
                 BiPredicate<Router, Router> before = fleet.cut;
-                fleet.cut = (a, b) -> before.test(a, b) || a == one && b == other;
+                fleet.cut = (a, b) -> before.test(a, b) || a == picked && b == other;
             }
             case 6 -> fleet.cut = (a, b) -> false;
-            default -> run.request(one, random.nextInt(3), random.nextInt(4), run.caches);
+            default -> run.request(picked, random.nextInt(3), random.nextInt(4), run.caches);
         }
     }
 }
--- a/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
@@ -19,79 +19,79 @@
 import pumicemoor.fleet.VirtualFleet.Router;
 
 /**
- * Random schedules of deaths, restarts, pauses, splits, one-way cuts, loss, doubling and reordering: the stated bounds
- * hold at every instant, and all agree after the last change.
+ * Random schedules of deaths, restarts, pauses, partitions, one-way cuts, and lost, duplicated and reordered packets:
+ * the stated bounds hold at every instant, and all routers agree on the membership after the last change.
  */
 class FleetSchedulesTest {
 
     private static final double LIMIT = 1_000;
 
     @Property(tries = 150, seed = "4711")
-    void smallFleetsKeepTheirBounds(@ForAll long seed, @ForAll @IntRange(min = 3, max = 9) int n) {
-        play(seed, n, 30, LimitMeasure.PER_SECOND);
+    void smallFleetsStayWithinTheirBounds(@ForAll long seed, @ForAll @IntRange(min = 3, max = 9) int routerCount) {
+        play(seed, routerCount, 30, LimitMeasure.PER_SECOND);
     }
 
     @Property(tries = 60, seed = "4712")
-    void partsThatAreWholeAddUpToo(@ForAll long seed, @ForAll @IntRange(min = 3, max = 9) int n) {
-        play(seed, n, 30, LimitMeasure.IN_FLIGHT);
+    void wholeNumberSharesStayWithinTheLimit(@ForAll long seed, @ForAll @IntRange(min = 3, max = 9) int routerCount) {
+        play(seed, routerCount, 30, LimitMeasure.IN_FLIGHT);
     }
 
     @Property(tries = 2, seed = "4713")
-    void aHundredKeepTheirBounds(@ForAll long seed) {
+    void aHundredRoutersStayWithinTheirBounds(@ForAll long seed) {
         play(seed, 100, 12, LimitMeasure.PER_SECOND);
     }
 
-    private static void play(long seed, int n, int changes, LimitMeasure measure) {
+    private static void play(long seed, int routerCount, int changeCount, LimitMeasure measure) {
         Random random = new Random(seed);
-        VirtualFleet fleet = new VirtualFleet(n, n, 10, measure, LIMIT, seed);
-        fleet.loss = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
-        fleet.doubled = random.nextInt(3) == 0 ? 0.3 : 0;
-        fleet.mostDelay = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
+        VirtualFleet fleet = new VirtualFleet(routerCount, routerCount, 10, measure, LIMIT, seed);
+        fleet.lossRate = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
+        fleet.duplicateRate = random.nextInt(3) == 0 ? 0.3 : 0;
+        fleet.maxDelayMicros = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
         Map<Router, Long> restarted = new HashMap<>();
-        Runnable watch = () -> {
-            // a process that was just restarted may not yet be in its grantor's book as its old one was
-            long fresh = restarted.values().stream()
+        Runnable checkBounds = () -> {
+            // A process that was just restarted may not yet be in the lease table of its grantor as its predecessor was.
+            long recentRestarts = restarted.values().stream()
                     .filter(at -> fleet.now - at < 2 * TIMES.shrink())
                     .count();
-            double bound = LIMIT + fresh * LIMIT / n;
-            assertTrue(fleet.spent() <= bound * (1 + 1e-9), () -> "the fleet spends " + fleet.spent() + " of " + LIMIT);
-            assertTrue(fleet.outAnywhere().size() <= 2, () -> "out " + fleet.outAnywhere());
+            double bound = LIMIT + recentRestarts * LIMIT / routerCount;
+            assertTrue(fleet.totalLimitShares() <= bound * (1 + 1e-9), () -> "the routers together may use " + fleet.totalLimitShares() + " of " + LIMIT);
+            assertTrue(fleet.ejectedAnywhere().size() <= 2, () -> "ejected: " + fleet.ejectedAnywhere());
             fleet.routers.stream()
                     .filter(r -> r.running)
-                    .forEach(r -> assertTrue(r.part() > 0, r.name + " is at zero"));
+                    .forEach(r -> assertTrue(r.limitShare() > 0, r.name + " has a limit share of zero"));
         };
         fleet.startAll();
-        for (int i = 0; i < changes; i++) {
-            fleet.run((long) (random.nextDouble() * 2 * SECOND), watch);
+        for (int i = 0; i < changeCount; i++) {
+            fleet.run((long) (random.nextDouble() * 2 * SECOND), checkBounds);
             change(fleet, random, restarted);
         }
         fleet.cut = (a, b) -> false;
-        for (Router r : fleet.routers) {
-            r.pausedUntil = Math.min(r.pausedUntil, fleet.now);
-            if (!r.running) {
-                restarted.put(r, fleet.now);
-                fleet.start(r);
+        for (Router router : fleet.routers) {
+            router.pausedUntil = Math.min(router.pausedUntil, fleet.now);
+            if (!router.running) {
+                restarted.put(router, fleet.now);
+                fleet.start(router);
             }
         }
-        fleet.loss = 0;
-        fleet.mostDelay = 5 * MILLI;
-        fleet.run(45 * SECOND, watch);
-        assertTrue(fleet.agreed(), () -> "seed " + seed + ": they do not agree");
-        assertTrue(fleet.spent() > 0.85 * LIMIT, () -> "seed " + seed + ": spends only " + fleet.spent());
+        fleet.lossRate = 0;
+        fleet.maxDelayMicros = 5 * MILLI;
+        fleet.run(45 * SECOND, checkBounds);
+        assertTrue(fleet.membershipAgrees(), () -> "seed " + seed + ": the routers do not agree on the membership");
+        assertTrue(fleet.totalLimitShares() > 0.85 * LIMIT, () -> "seed " + seed + ": the routers together may use only " + fleet.totalLimitShares());
     }
 
     private static void change(VirtualFleet fleet, Random random, Map<Router, Long> restarted) {
         List<Router> routers = fleet.routers;
-        Router one = routers.get(random.nextInt(routers.size()));
+        Router picked = routers.get(random.nextInt(routers.size()));
         switch (random.nextInt(9)) {
-            case 0 -> fleet.kill(one);
+            case 0 -> fleet.kill(picked);
             case 1 -> {
-                if (!one.running) {
-                    restarted.put(one, fleet.now);
-                    fleet.start(one);
+                if (!picked.running) {
+                    restarted.put(picked, fleet.now);
+                    fleet.start(picked);
                 }
             }
-            case 2 -> fleet.pause(one, (long) (random.nextDouble() * 8 * SECOND));
+            case 2 -> fleet.pause(picked, (long) (random.nextDouble() * 8 * SECOND));
             case 3 -> {
                 List<Router> side = new ArrayList<>(routers);
                 side.removeIf(r -> random.nextBoolean());
@@ -100,43 +100,46 @@
             case 4 -> {
                 Router other = routers.get(random.nextInt(routers.size()));
                 BiPredicate<Router, Router> before = fleet.cut;
-                fleet.cut = (a, b) -> before.test(a, b) || a == one && b == other;
+                fleet.cut = (a, b) -> before.test(a, b) || a == picked && b == other;
             }
             case 5 -> fleet.cut = (a, b) -> false;
-            case 6, 7 -> one.wanted = random.nextInt(3) == 0 ? 0 : random.nextDouble() * LIMIT;
+            case 6, 7 -> picked.demand = random.nextInt(3) == 0 ? 0 : random.nextDouble() * LIMIT;
             default -> {
-                for (Router r : routers) {
-                    if (fleet.acts(r) && random.nextInt(3) > 0) {
-                        fleet.judge(r, 1_000 + random.nextInt(5), random.nextInt(4) > 0);
+                for (Router router : routers) {
+                    if (fleet.isActive(router) && random.nextInt(3) > 0) {
+                        fleet.reportHealth(router, 1_000 + random.nextInt(5), random.nextInt(4) > 0);
                     }
                 }
             }
         }
     }
 
-    /** In the virtual network a verdict is everywhere within its bound though 30 % of packets are lost. */
+    /**
+     * In the virtual network an ejection reaches every router within the stated bound although 30 % of the packets are
+     * lost.
+     */
     @Property(tries = 30, seed = "4714")
-    void verdictsSpreadWithinTheBoundUnderLoss(@ForAll long seed, @ForAll @IntRange(min = 3, max = 60) int n) {
-        VirtualFleet fleet = new VirtualFleet(n, n, 10, LimitMeasure.PER_SECOND, LIMIT, seed);
+    void ejectionsSpreadWithinTheBoundUnderLoss(@ForAll long seed, @ForAll @IntRange(min = 3, max = 60) int routerCount) {
+        VirtualFleet fleet = new VirtualFleet(routerCount, routerCount, 10, LimitMeasure.PER_SECOND, LIMIT, seed);
         fleet.startAll();
         fleet.run(15 * SECOND, () -> {});
-        fleet.loss = 0.3;
+        fleet.lossRate = 0.3;
         fleet.run(3 * SECOND, () -> {});
-        long[] given = {Long.MAX_VALUE};
-        fleet.routers.subList(0, 2).forEach(r -> fleet.judge(r, 1_003, true));
+        long[] ejectedAt = {Long.MAX_VALUE};
+        fleet.routers.subList(0, 2).forEach(r -> fleet.reportHealth(r, 1_003, true));
         for (int i = 0; i < 20; i++) {
             fleet.run(SECOND, () -> {
-                boolean known = fleet.routers.stream().anyMatch(r -> r.heardOut.containsKey(1_003L));
-                given[0] = known ? Math.min(given[0], fleet.now) : given[0];
+                boolean known = fleet.routers.stream().anyMatch(r -> r.firstEjectedAt.containsKey(1_003L));
+                ejectedAt[0] = known ? Math.min(ejectedAt[0], fleet.now) : ejectedAt[0];
             });
-            fleet.routers.subList(0, 2).forEach(r -> fleet.judge(r, 1_003, true));
+            fleet.routers.subList(0, 2).forEach(r -> fleet.reportHealth(r, 1_003, true));
         }
-        long last = fleet.routers.stream()
-                .mapToLong(r -> r.heardOut.getOrDefault(1_003L, Long.MAX_VALUE))
+        long lastEjectedAt = fleet.routers.stream()
+                .mapToLong(r -> r.firstEjectedAt.getOrDefault(1_003L, Long.MAX_VALUE))
                 .max()
                 .orElse(0);
         assertTrue(
-                last - given[0] <= Bounds.spread(n) * PERIOD,
-                () -> n + " routers, " + (last - given[0]) / MILLI + " ms to spread");
+                lastEjectedAt - ejectedAt[0] <= Bounds.spread(routerCount) * PERIOD,
+                () -> routerCount + " routers, " + (lastEjectedAt - ejectedAt[0]) / MILLI + " ms until the ejection reached all");
     }
 }
--- a/src/test/java/pumicemoor/fleet/FleetTables.java
+++ b/src/test/java/pumicemoor/fleet/FleetTables.java
@@ -6,13 +6,14 @@
 import pumicemoor.RouterApi.LimitMeasure;
 
 /**
- * Prints the tables of docs/fleet-design.md, in virtual time; run by hand:
+ * Prints the tables of docs/fleet-design.md, measured in virtual time. Run by hand:
  * mvn -q test-compile exec:java -Dexec.mainClass=pumicemoor.fleet.FleetTables -Dexec.classpathScope=test
  */
 final class FleetTables {
 
     private static final double LIMIT = 1_000;
-    private static final int HEARTBEAT = 60; // bytes of a plain heartbeat: name, address, count, headers left out
+    // The size of a plain heartbeat: name, address and count, without packet headers.
+    private static final int HEARTBEAT_BYTES = 60;
 
     private FleetTables() {}
 
@@ -23,62 +24,65 @@
         int[] sizes = args.length == 0
                 ? new int[] {3, 30, 100, 500}
                 : java.util.Arrays.stream(args).mapToInt(Integer::parseInt).toArray();
-        for (int n : sizes) {
-            System.out.println(row(n));
+        for (int routerCount : sizes) {
+            System.out.println(row(routerCount));
         }
     }
 
-    private static String row(int n) {
-        VirtualFleet fleet = new VirtualFleet(n, n, 20, LimitMeasure.PER_SECOND, LIMIT, 3);
-        int wanting = Math.max(1, n / 10);
-        fleet.routers.subList(0, wanting).forEach(r -> r.wanted = 2 * LIMIT / wanting);
+    private static String row(int routerCount) {
+        VirtualFleet fleet = new VirtualFleet(routerCount, routerCount, 20, LimitMeasure.PER_SECOND, LIMIT, 3);
+        int demandingRouters = Math.max(1, routerCount / 10);
+        fleet.routers.subList(0, demandingRouters).forEach(r -> r.demand = 2 * LIMIT / demandingRouters);
         fleet.startAll();
         fleet.run(15 * SECOND, () -> {});
-        long bytes = fleet.bytes;
+        long bytesBefore = fleet.bytesSent;
         fleet.run(10 * SECOND, () -> {});
-        long rate = (fleet.bytes - bytes) / 10 / n;
-        double used = fleet.routers.subList(0, wanting).stream()
-                .mapToDouble(VirtualFleet.Router::part)
+        long bytesPerSecond = (fleet.bytesSent - bytesBefore) / 10 / routerCount;
+        double sharesInUse = fleet.routers.subList(0, demandingRouters).stream()
+                .mapToDouble(VirtualFleet.Router::limitShare)
                 .sum();
-        long calm = spread(fleet, 1_001);
-        fleet.loss = 0.3;
-        long lossy = spread(fleet, 1_002);
-        fleet.loss = 0;
-        fleet.cut = (a, b) -> fleet.routers.indexOf(a) < n / 3 != fleet.routers.indexOf(b) < n / 3;
-        double[] most = {0};
-        fleet.run(12 * SECOND, () -> most[0] = Math.max(most[0], fleet.spent()));
+        long spreadWithoutLossMillis = spreadMillis(fleet, 1_001);
+        fleet.lossRate = 0.3;
+        long spreadWithLossMillis = spreadMillis(fleet, 1_002);
+        fleet.lossRate = 0;
+        fleet.cut = (a, b) -> fleet.routers.indexOf(a) < routerCount / 3 != fleet.routers.indexOf(b) < routerCount / 3;
+        double[] maxTotal = {0};
+        fleet.run(12 * SECOND, () -> maxTotal[0] = Math.max(maxTotal[0], fleet.totalLimitShares()));
         return String.format(
                 java.util.Locale.ROOT,
                 "| %d | %d | %d | %d; %d | %d | %.1f | %.0f | %.0f |",
-                n,
-                rate,
-                (n - 1) * HEARTBEAT * SECOND / PERIOD,
-                calm,
-                lossy,
-                Bounds.spread(n) * PERIOD / 1_000,
-                most[0],
-                LIMIT * wanting / n,
-                used);
+                routerCount,
+                bytesPerSecond,
+                (routerCount - 1) * HEARTBEAT_BYTES * SECOND / PERIOD,
+                spreadWithoutLossMillis,
+                spreadWithLossMillis,
+                Bounds.spread(routerCount) * PERIOD / 1_000,
+                maxTotal[0],
+                LIMIT * demandingRouters / routerCount,
+                sharesInUse);
     }
 
-    /** From when the first router knows a verdict until the last does. */
-    private static long spread(VirtualFleet fleet, long member) {
-        long[] first = {Long.MAX_VALUE};
+    /**
+     * The milliseconds from when the first router knows an ejection until the last one does; -1 if some router never
+     * does.
+     */
+    private static long spreadMillis(VirtualFleet fleet, long member) {
+        long[] firstEjectedAt = {Long.MAX_VALUE};
         for (int i = 0; i < 8; i++) {
-            fleet.routers.subList(0, 2).forEach(r -> fleet.judge(r, member, true));
+            fleet.routers.subList(0, 2).forEach(r -> fleet.reportHealth(r, member, true));
             fleet.run(
                     SECOND,
-                    () -> first[0] = Math.min(
-                            first[0],
+                    () -> firstEjectedAt[0] = Math.min(
+                            firstEjectedAt[0],
                             fleet.routers.stream()
-                                    .mapToLong(r -> r.heardOut.getOrDefault(member, Long.MAX_VALUE))
+                                    .mapToLong(r -> r.firstEjectedAt.getOrDefault(member, Long.MAX_VALUE))
                                     .min()
                                     .orElseThrow()));
         }
-        long last = fleet.routers.stream()
-                .mapToLong(r -> r.heardOut.getOrDefault(member, Long.MAX_VALUE))
+        long lastEjectedAt = fleet.routers.stream()
+                .mapToLong(r -> r.firstEjectedAt.getOrDefault(member, Long.MAX_VALUE))
                 .max()
                 .orElseThrow();
-        return last == Long.MAX_VALUE ? -1 : (last - first[0]) / 1_000;
+        return lastEjectedAt == Long.MAX_VALUE ? -1 : (lastEjectedAt - firstEjectedAt[0]) / 1_000;
     }
 }
--- a/src/test/java/pumicemoor/fleet/FleetTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetTest.java
@@ -12,125 +12,125 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pumicemoor.RouterApi.LimitMeasure;
 
-/** Fleets of several sizes, case by case. */
+/** Membership, limit shares and ejections of fleets of several sizes, case by case. */
 class FleetTest {
 
     private static final double LIMIT = 1_000;
 
     @ParameterizedTest
     @ValueSource(ints = {3, 30, 100})
-    void allFindEachOtherAndTheLimitIsShared(int n) {
-        VirtualFleet fleet = new VirtualFleet(n, n, 10, LimitMeasure.PER_SECOND, LIMIT, 7);
+    void allRoutersFindEachOtherAndShareTheLimit(int routerCount) {
+        VirtualFleet fleet = new VirtualFleet(routerCount, routerCount, 10, LimitMeasure.PER_SECOND, LIMIT, 7);
         fleet.startAll();
-        fleet.run(10 * SECOND, () -> assertTrue(fleet.spent() <= LIMIT * (1 + 1e-9), () -> "spends " + fleet.spent()));
-        assertTrue(fleet.agreed());
-        assertTrue(fleet.spent() > 0.95 * LIMIT, () -> "spends only " + fleet.spent());
+        fleet.run(10 * SECOND, () -> assertTrue(fleet.totalLimitShares() <= LIMIT * (1 + 1e-9), () -> "the routers together may use " + fleet.totalLimitShares()));
+        assertTrue(fleet.membershipAgrees());
+        assertTrue(fleet.totalLimitShares() > 0.95 * LIMIT, () -> "the routers together may use only " + fleet.totalLimitShares());
     }
 
     @Test
-    void sharesMoveToWhereDemandIs() {
+    void limitSharesFollowDemand() {
         VirtualFleet fleet = new VirtualFleet(8, 8, 10, LimitMeasure.PER_SECOND, LIMIT, 7);
-        fleet.routers.get(3).wanted = 600;
+        fleet.routers.get(3).demand = 600;
         fleet.startAll();
-        fleet.run(10 * SECOND, () -> assertTrue(fleet.spent() <= LIMIT * (1 + 1e-9)));
+        fleet.run(10 * SECOND, () -> assertTrue(fleet.totalLimitShares() <= LIMIT * (1 + 1e-9)));
         assertTrue(
-                fleet.routers.get(3).part() > 600,
-                () -> "has " + fleet.routers.get(3).part());
-        fleet.routers.get(3).wanted = 0;
-        fleet.routers.get(5).wanted = 900;
-        fleet.run(10 * SECOND, () -> assertTrue(fleet.spent() <= LIMIT * (1 + 1e-9)));
+                fleet.routers.get(3).limitShare() > 600,
+                () -> "share: " + fleet.routers.get(3).limitShare());
+        fleet.routers.get(3).demand = 0;
+        fleet.routers.get(5).demand = 900;
+        fleet.run(10 * SECOND, () -> assertTrue(fleet.totalLimitShares() <= LIMIT * (1 + 1e-9)));
         assertTrue(
-                fleet.routers.get(5).part() > 800,
-                () -> "has " + fleet.routers.get(5).part());
+                fleet.routers.get(5).limitShare() > 800,
+                () -> "share: " + fleet.routers.get(5).limitShare());
     }
 
     @Test
-    void inASplitEachSideStaysWithinItsPartAndNobodyIsAtZero() {
+    void inAPartitionEachSideStaysWithinItsPartAndNoRouterIsAtZero() {
         VirtualFleet fleet = new VirtualFleet(8, 8, 10, LimitMeasure.PER_SECOND, LIMIT, 11);
-        fleet.routers.forEach(r -> r.wanted = r.name.hashCode() % 2 == 0 ? 500 : 1);
+        fleet.routers.forEach(r -> r.demand = r.name.hashCode() % 2 == 0 ? 500 : 1);
         fleet.startAll();
         fleet.run(8 * SECOND, () -> {});
         fleet.cut = (a, b) -> (fleet.routers.indexOf(a) < 3) != (fleet.routers.indexOf(b) < 3);
         fleet.run(20 * SECOND, () -> {
-            assertTrue(fleet.spent() <= LIMIT * (1 + 1e-9), () -> "spends " + fleet.spent());
-            fleet.routers.forEach(r -> assertTrue(r.part() > 0, r.name));
+            assertTrue(fleet.totalLimitShares() <= LIMIT * (1 + 1e-9), () -> "the routers together may use " + fleet.totalLimitShares());
+            fleet.routers.forEach(r -> assertTrue(r.limitShare() > 0, r.name));
         });
-        double small = fleet.routers.subList(0, 3).stream()
-                .mapToDouble(VirtualFleet.Router::part)
+        double minorityShares = fleet.routers.subList(0, 3).stream()
+                .mapToDouble(VirtualFleet.Router::limitShare)
                 .sum();
-        assertTrue(small <= LIMIT * 3 / 8 * (1 + 1e-9) && small > LIMIT * 3 / 8 * 0.9, () -> "small side " + small);
+        assertTrue(minorityShares <= LIMIT * 3 / 8 * (1 + 1e-9) && minorityShares > LIMIT * 3 / 8 * 0.9, () -> "shares of the minority: " + minorityShares);
         fleet.cut = (a, b) -> false;
-        fleet.run(20 * SECOND, () -> assertTrue(fleet.spent() <= LIMIT * (1 + 1e-9)));
-        assertTrue(fleet.agreed());
-        assertTrue(fleet.spent() > 0.95 * LIMIT, () -> "spends only " + fleet.spent());
+        fleet.run(20 * SECOND, () -> assertTrue(fleet.totalLimitShares() <= LIMIT * (1 + 1e-9)));
+        assertTrue(fleet.membershipAgrees());
+        assertTrue(fleet.totalLimitShares() > 0.95 * LIMIT, () -> "the routers together may use only " + fleet.totalLimitShares());
     }
 
     @Test
-    void whoIsCutOffAloneFallsBackToTheEvenPart() {
+    void anIsolatedRouterFallsBackToTheEvenShare() {
         VirtualFleet fleet = new VirtualFleet(5, 5, 4, LimitMeasure.PER_SECOND, LIMIT, 3);
-        fleet.routers.get(4).wanted = 900;
+        fleet.routers.get(4).demand = 900;
         fleet.startAll();
         fleet.run(8 * SECOND, () -> {});
-        assertTrue(fleet.routers.get(4).part() > 700);
+        assertTrue(fleet.routers.get(4).limitShare() > 700);
         fleet.cut = (a, b) -> a == fleet.routers.get(4) || b == fleet.routers.get(4);
         fleet.run(TIMES.lease() + TIMES.shrink(), () -> {});
         fleet.run(
-                60 * SECOND, () -> assertEquals(LIMIT / 5, fleet.routers.get(4).part(), LIMIT / 5 * 0.001));
+                60 * SECOND, () -> assertEquals(LIMIT / 5, fleet.routers.get(4).limitShare(), LIMIT / 5 * 0.001));
     }
 
     @Test
-    void aVerdictNeedsTwoWitnessesAndReachesAllWithinItsBound() {
+    void anEjectionNeedsTwoWitnessesAndReachesAllRoutersWithinItsBound() {
         VirtualFleet fleet = new VirtualFleet(30, 30, 10, LimitMeasure.PER_SECOND, LIMIT, 5);
         fleet.startAll();
         fleet.run(12 * SECOND, () -> {});
-        fleet.judge(fleet.routers.get(2), 1_003, true);
+        fleet.reportHealth(fleet.routers.get(2), 1_003, true);
         fleet.run(2 * SECOND, () -> {});
-        assertTrue(fleet.outAnywhere().isEmpty(), "one accuser is not enough");
-        long at = fleet.now;
-        fleet.judge(fleet.routers.get(2), 1_003, true);
-        fleet.judge(fleet.routers.get(9), 1_003, true);
+        assertTrue(fleet.ejectedAnywhere().isEmpty(), "one reporting router is not enough");
+        long reportedAt = fleet.now;
+        fleet.reportHealth(fleet.routers.get(2), 1_003, true);
+        fleet.reportHealth(fleet.routers.get(9), 1_003, true);
         fleet.run(Bounds.spread(30) * PERIOD, () -> {});
-        fleet.routers.forEach(r -> assertTrue(r.heardOut.containsKey(1_003L), r.name));
+        fleet.routers.forEach(r -> assertTrue(r.firstEjectedAt.containsKey(1_003L), r.name));
         assertTrue(fleet.routers.stream()
-                                .mapToLong(r -> r.heardOut.get(1_003L))
+                                .mapToLong(r -> r.firstEjectedAt.get(1_003L))
                                 .max()
                                 .orElseThrow()
-                        - at
+                        - reportedAt
                 <= Bounds.spread(30) * PERIOD);
-        fleet.judge(fleet.routers.get(2), 1_003, false);
-        fleet.judge(fleet.routers.get(9), 1_003, false);
+        fleet.reportHealth(fleet.routers.get(2), 1_003, false);
+        fleet.reportHealth(fleet.routers.get(9), 1_003, false);
         fleet.run(Bounds.spread(30) * PERIOD, () -> {});
-        assertTrue(fleet.outAnywhere().isEmpty(), "the evidence has ended");
+        assertTrue(fleet.ejectedAnywhere().isEmpty(), "the failure reports have ended");
     }
 
     @Test
-    void noMoreThanTheShareOfATierIsOut() {
+    void noMoreThanTheAllowedShareOfATierIsEjected() {
         VirtualFleet fleet = new VirtualFleet(9, 9, 10, LimitMeasure.PER_SECOND, LIMIT, 5);
         fleet.startAll();
         fleet.run(12 * SECOND, () -> {});
         for (int i = 0; i < 40; i++) {
             int round = i;
             for (int m = 0; m < 6; m++) {
-                fleet.judge(fleet.routers.get((round + m) % 9), 1_000 + m, true);
+                fleet.reportHealth(fleet.routers.get((round + m) % 9), 1_000 + m, true);
             }
             fleet.run(
-                    500 * MILLI, () -> assertTrue(fleet.outAnywhere().size() <= 2, () -> "out " + fleet.outAnywhere()));
+                    500 * MILLI, () -> assertTrue(fleet.ejectedAnywhere().size() <= 2, () -> "ejected: " + fleet.ejectedAnywhere()));
         }
-        assertEquals(2, fleet.outAnywhere().size(), "two of ten may be out, and six are accused");
+        assertEquals(2, fleet.ejectedAnywhere().size(), "two of ten may be ejected, and six are reported");
     }
 
     @Test
-    void theSecondOfANameStandsAside() {
+    void theSecondRouterOfANameStandsAside() {
         VirtualFleet fleet = new VirtualFleet(5, 5, 4, LimitMeasure.PER_SECOND, LIMIT, 3);
         fleet.routers.subList(0, 4).forEach(fleet::start);
         fleet.run(5 * SECOND, () -> {});
         fleet.start(fleet.routers.get(4), "router-1", fleet.routers.get(4).address);
         fleet.run(10 * SECOND, () -> {});
-        assertTrue(fleet.routers.get(4).notices.stream().anyMatch(n -> n.text().contains("stands aside")));
-        assertTrue(fleet.routers.get(1).notices.stream().noneMatch(n -> n.text().contains("stands aside")));
+        assertTrue(fleet.routers.get(4).logEvents.stream().anyMatch(event -> event.text().contains("stands aside")));
+        assertTrue(fleet.routers.get(1).logEvents.stream().noneMatch(event -> event.text().contains("stands aside")));
         assertTrue(fleet.routers.get(0).fleet.rows("members").orElseThrow().stream()
-                .anyMatch(m -> m.get("name").equals("router-1")
-                        && m.get("address").equals(fleet.routers.get(1).address)
-                        && m.get("standing").equals("alive")));
+                .anyMatch(row -> row.get("name").equals("router-1")
+                        && row.get("address").equals(fleet.routers.get(1).address)
+                        && row.get("standing").equals("alive")));
     }
 }
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -18,8 +18,8 @@
 import pumicemoor.RouterApi.Role;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.FleetSetup.Scope;
-import pumicemoor.fleet.Packet.Part;
-import pumicemoor.fleet.Packet.Want;
+import pumicemoor.fleet.Packet.GrantedShare;
+import pumicemoor.fleet.Packet.Demand;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
@@ -29,139 +29,139 @@
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
 import pumicemoor.fleet.verdicts.Ejection;
 
-/** What a packet may hold comes back as it was; anything else is counted and changes nothing. */
+/** Encoded packets decode to equal packets; anything else is rejected, counted and changes no state. */
 class PacketCodecTest {
 
     private static final long NOW = 1_790_000_000_000_000L;
-    private static final long LAST = Membership.lastIncarnation(NOW);
+    private static final long LAST_INCARNATION = Membership.lastIncarnation(NOW);
     private static final RouterRecord FROM =
             new RouterRecord("router-1", "127.0.0.1:7001", 9, 1_790_000_000_000L, RouterStatus.ALIVE);
     private final PacketCodec codec = new PacketCodec("west");
 
-    private static Packet random(Random r) {
+    private static Packet randomPacket(Random random) {
         Packet.Body body =
-                switch (r.nextInt(15)) {
+                switch (random.nextInt(15)) {
                     case 0 -> new Packet.Ping();
-                    case 1 -> new Packet.Ack(r.nextLong());
-                    case 2 -> new Packet.Relay("127.0.0.1:" + (1 + r.nextInt(65_535)));
-                    case 3 -> new Packet.Compare(r.nextLong(), r.nextBoolean());
+                    case 1 -> new Packet.Ack(random.nextLong());
+                    case 2 -> new Packet.Relay("127.0.0.1:" + (1 + random.nextInt(65_535)));
+                    case 3 -> new Packet.Compare(random.nextLong(), random.nextBoolean());
                     case 4 -> new Packet.News();
                     case 5 -> {
-                        List<Want> wants = new ArrayList<>();
-                        for (int i = r.nextInt(PacketCodec.WANTS + 1); i > 0; i--) {
-                            wants.add(new Want(r.nextLong(), r.nextLong(), r.nextInt(1_000), r.nextInt(50)));
+                        List<Demand> demands = new ArrayList<>();
+                        for (int i = random.nextInt(PacketCodec.MAX_DEMANDS + 1); i > 0; i--) {
+                            demands.add(new Demand(random.nextLong(), random.nextLong(), random.nextInt(1_000), random.nextInt(50)));
                         }
-                        List<FailureReport> accusations = new ArrayList<>();
-                        for (int i = r.nextInt(PacketCodec.ACCUSATIONS + 1); i > 0; i--) {
-                            accusations.add(new FailureReport(
-                                    r.nextLong(), r.nextLong(), Cause.values()[r.nextInt(2)], r.nextInt(100), 0.5));
+                        List<FailureReport> failureReports = new ArrayList<>();
+                        for (int i = random.nextInt(PacketCodec.MAX_FAILURE_REPORTS + 1); i > 0; i--) {
+                            failureReports.add(new FailureReport(
+                                    random.nextLong(), random.nextLong(), Cause.values()[random.nextInt(2)], random.nextInt(100), 0.5));
                         }
-                        yield new Packet.Ask(r.nextBoolean(), r.nextLong(), r.nextLong(), wants, accusations);
+                        yield new Packet.Ask(random.nextBoolean(), random.nextLong(), random.nextLong(), demands, failureReports);
                     }
                     case 6 ->
                         new Packet.PlanReport(
-                                r.nextInt(900),
+                                random.nextInt(900),
                                 700,
-                                r.nextInt(700),
-                                r.nextBoolean(),
-                                r.longs(r.nextInt(20))
-                                        .mapToObj(m -> new Packet.Use(m, r.nextInt(90), r.nextInt(90)))
+                                random.nextInt(700),
+                                random.nextBoolean(),
+                                random.longs(random.nextInt(20))
+                                        .mapToObj(m -> new Packet.Use(m, random.nextInt(90), random.nextInt(90)))
                                         .toList());
                     case 7 ->
                         new Packet.PlanGrant(
-                                r.nextLong(), r.nextLong(), r.nextInt(900), r.nextBoolean(), r.nextInt(99), 5);
+                                random.nextLong(), random.nextLong(), random.nextInt(900), random.nextBoolean(), random.nextInt(99), 5);
                     case 8 -> {
-                        byte[] piece = new byte[r.nextInt(300)];
-                        r.nextBytes(piece);
-                        yield new Packet.Piece(r.nextInt(99), r.nextInt(9), 9, piece);
+                        byte[] fragment = new byte[random.nextInt(300)];
+                        random.nextBytes(fragment);
+                        yield new Packet.Piece(random.nextInt(99), random.nextInt(9), 9, fragment);
                     }
                     case 9 ->
                         new Packet.DrainAsk(new DrainCommand(
-                                DrainCommand.Kind.values()[r.nextInt(3)],
-                                r.nextLong(),
-                                1 + r.nextInt(50),
-                                r.nextInt(99),
-                                r.nextInt(99),
-                                r.longs(1 + r.nextInt(40)).boxed().toList()));
+                                DrainCommand.Kind.values()[random.nextInt(3)],
+                                random.nextLong(),
+                                1 + random.nextInt(50),
+                                random.nextInt(99),
+                                random.nextInt(99),
+                                random.longs(1 + random.nextInt(40)).boxed().toList()));
                     case 10 -> {
-                        List<Packet.CellWant> wants = new ArrayList<>();
-                        for (int i = r.nextInt(PacketCodec.CELL_WANTS + 1); i > 0; i--) {
-                            wants.add(new Packet.CellWant(
-                                    r.nextLong(),
-                                    r.nextLong(),
-                                    r.nextInt(512),
-                                    r.nextDouble() * 1e9,
-                                    r.nextDouble() * 1e9));
+                        List<Packet.CellDemand> demands = new ArrayList<>();
+                        for (int i = random.nextInt(PacketCodec.MAX_CELL_DEMANDS + 1); i > 0; i--) {
+                            demands.add(new Packet.CellDemand(
+                                    random.nextLong(),
+                                    random.nextLong(),
+                                    random.nextInt(512),
+                                    random.nextDouble() * 1e9,
+                                    random.nextDouble() * 1e9));
                         }
-                        List<FailureReport> accusations = new ArrayList<>();
-                        for (int i = r.nextInt(PacketCodec.ACCUSATIONS + 1); i > 0; i--) {
-                            accusations.add(new FailureReport(
-                                    r.nextLong(),
-                                    r.nextLong(),
-                                    Cause.values()[r.nextInt(2)],
-                                    r.nextInt(100),
+                        List<FailureReport> failureReports = new ArrayList<>();
+                        for (int i = random.nextInt(PacketCodec.MAX_FAILURE_REPORTS + 1); i > 0; i--) {
+                            failureReports.add(new FailureReport(
+                                    random.nextLong(),
+                                    random.nextLong(),
+                                    Cause.values()[random.nextInt(2)],
+                                    random.nextInt(100),
                                     0.5,
-                                    r.nextInt(500)));
+                                    random.nextInt(500)));
                         }
                         yield new Packet.CellAsk(
-                                r.nextBoolean(),
-                                r.nextLong(),
-                                r.nextInt(900),
-                                r.nextInt(512),
-                                r.nextInt(900),
-                                wants,
-                                accusations);
+                                random.nextBoolean(),
+                                random.nextLong(),
+                                random.nextInt(900),
+                                random.nextInt(512),
+                                random.nextInt(900),
+                                demands,
+                                failureReports);
                     }
                     case 11 ->
                         new Packet.Join(
-                                "zone-" + r.nextInt(130),
-                                r.nextInt(PacketCodec.MOST_DEPTH + 1),
-                                r.nextInt(PacketCodec.MOST_HOPS + 1));
+                                "zone-" + random.nextInt(130),
+                                random.nextInt(PacketCodec.MOST_DEPTH + 1),
+                                random.nextInt(PacketCodec.MOST_HOPS + 1));
                     case 12 ->
                         new Packet.Place(
-                                r.nextInt(9_999),
-                                r.nextInt(PacketCodec.MOST_DEPTH + 2) - 1,
-                                addresses(r),
-                                addresses(r));
+                                random.nextInt(9_999),
+                                random.nextInt(PacketCodec.MOST_DEPTH + 2) - 1,
+                                addresses(random),
+                                addresses(random));
                     case 13 ->
-                        new Packet.Sums(r.longs(1L << r.nextInt(7)).boxed().toList(), r.nextBoolean());
+                        new Packet.Sums(random.longs(1L << random.nextInt(7)).boxed().toList(), random.nextBoolean());
                     default ->
-                        new Packet.Grant(r.nextLong(), r.nextLong(), List.of(new Part(r.nextLong(), r.nextInt(500))));
+                        new Packet.Grant(random.nextLong(), random.nextLong(), List.of(new GrantedShare(random.nextLong(), random.nextInt(500))));
                 };
         List<RouterRecord> routers = new ArrayList<>();
-        for (int i = r.nextInt(4); i > 0; i--) {
+        for (int i = random.nextInt(4); i > 0; i--) {
             routers.add(new RouterRecord(
-                    "r" + r.nextInt(99),
-                    "127.0.0.1:" + (1 + r.nextInt(65_535)),
-                    1 + r.nextInt(99),
-                    1 + r.nextInt(99),
-                    RouterStatus.values()[r.nextInt(4)]));
+                    "r" + random.nextInt(99),
+                    "127.0.0.1:" + (1 + random.nextInt(65_535)),
+                    1 + random.nextInt(99),
+                    1 + random.nextInt(99),
+                    RouterStatus.values()[random.nextInt(4)]));
         }
-        List<Ejection> verdicts = r.nextBoolean()
+        List<Ejection> ejections = random.nextBoolean()
                 ? List.of()
                 : List.of(new Ejection(
-                        r.nextLong(),
-                        r.nextLong(),
-                        1 + r.nextInt(999),
-                        r.nextBoolean(),
-                        r.nextInt(9_999),
-                        r.nextInt(99),
+                        random.nextLong(),
+                        random.nextLong(),
+                        1 + random.nextInt(999),
+                        random.nextBoolean(),
+                        random.nextInt(9_999),
+                        random.nextInt(99),
                         Cause.SILENT,
                         3,
                         0.25,
                         "router-7"));
-        return new Packet(FROM, 1 + r.nextInt(9_999), body, routers, verdicts);
+        return new Packet(FROM, 1 + random.nextInt(9_999), body, routers, ejections);
     }
 
-    private static List<String> addresses(Random r) {
-        return r.ints(r.nextInt(PacketCodec.PLACES + 1), 1, 65_536)
+    private static List<String> addresses(Random random) {
+        return random.ints(random.nextInt(PacketCodec.PLACES + 1), 1, 65_536)
                 .mapToObj(port -> "127.0.0.1:" + port)
                 .toList();
     }
 
-    /** What no router of cells can mean: too deep, too often passed on, more routers than there are. */
+    /** Values that no router of a fleet with cells can send: too deep, forwarded too often, too many routers. */
     @Test
-    void whatCellsCantMeanIsNotRead() {
+    void impossibleCellValuesAreRejected() {
         for (Packet.Body body : List.of(
                 new Packet.Join("zone-a", PacketCodec.MOST_DEPTH + 1, 0),
                 new Packet.Join("zone-a", 0, PacketCodec.MOST_HOPS + 1),
@@ -169,7 +169,7 @@
                 new Packet.Place(-1, 0, List.of(), List.of()),
                 new Packet.Sums(List.of(), true),
                 new Packet.Sums(List.of(1L, 2L, 3L), true),
-                new Packet.Sums(java.util.Collections.nCopies(2 * Membership.MOST_PARTS, 1L), true),
+                new Packet.Sums(java.util.Collections.nCopies(2 * Membership.MAX_DIGEST_PARTS, 1L), true),
                 new Packet.Place(
                         1, 0, java.util.Collections.nCopies(PacketCodec.PLACES + 1, "127.0.0.1:7000"), List.of()),
                 new Packet.CellAsk(true, 1, 1, -1, 1, List.of(), List.of()),
@@ -179,40 +179,40 @@
                         1,
                         1,
                         1,
-                        List.of(new Packet.CellWant(1, 0, PacketCodec.MOST_ROUTERS + 1, 1, 1)),
+                        List.of(new Packet.CellDemand(1, 0, PacketCodec.MAX_ROUTERS + 1, 1, 1)),
                         List.of()),
                 new Packet.CellAsk(
-                        true, 1, 1, 1, 1, List.of(new Packet.CellWant(1, 0, 1, Double.NaN, 1)), List.of()))) {
+                        true, 1, 1, 1, 1, List.of(new Packet.CellDemand(1, 0, 1, Double.NaN, 1)), List.of()))) {
             byte[] bytes = codec.write(new Packet(FROM, 1, body, List.of(), List.of()));
-            assertThrows(BadPacketException.class, () -> codec.read(bytes, LAST), body.toString());
+            assertThrows(BadPacketException.class, () -> codec.read(bytes, LAST_INCARNATION), body.toString());
         }
     }
 
     @Property(tries = 500, seed = "81")
-    void whatIsWrittenIsRead(@ForAll long seed) throws BadPacketException {
-        Packet packet = random(new Random(seed));
+    void encodedPacketsDecodeToEqualPackets(@ForAll long seed) throws BadPacketException {
+        Packet packet = randomPacket(new Random(seed));
         byte[] bytes = codec.write(packet);
         assertTrue(bytes.length <= PacketCodec.LONGEST);
-        assertEquals(packet, codec.read(bytes, LAST));
-        assertArrayEquals(bytes, codec.write(codec.read(bytes, LAST)));
+        assertEquals(packet, codec.read(bytes, LAST_INCARNATION));
+        assertArrayEquals(bytes, codec.write(codec.read(bytes, LAST_INCARNATION)));
     }
 
     @Property(tries = 500, seed = "82")
-    void whatIsCutOrFollowedByMoreIsNotRead(@ForAll long seed) {
-        Random r = new Random(seed);
-        byte[] bytes = codec.write(random(r));
-        assertThrows(BadPacketException.class, () -> codec.read(Arrays.copyOf(bytes, r.nextInt(bytes.length)), LAST));
-        assertThrows(BadPacketException.class, () -> codec.read(Arrays.copyOf(bytes, bytes.length + 1), LAST));
+    void truncatedOrOverlongPacketsAreRejected(@ForAll long seed) {
+        Random random = new Random(seed);
+        byte[] bytes = codec.write(randomPacket(random));
+        assertThrows(BadPacketException.class, () -> codec.read(Arrays.copyOf(bytes, random.nextInt(bytes.length)), LAST_INCARNATION));
+        assertThrows(BadPacketException.class, () -> codec.read(Arrays.copyOf(bytes, bytes.length + 1), LAST_INCARNATION));
     }
 
     @Property(tries = 300, seed = "83")
-    void noiseNeverChangesAFleetAndNeverEndsIt(@ForAll long seed) {
-        Random r = new Random(seed);
+    void randomBytesNeverChangeOrCrashAFleet(@ForAll long seed) {
+        Random random = new Random(seed);
         Fleet fleet = fleet();
         String before = fleet.rows("members").toString() + fleet.rows("limits") + fleet.rows("verdicts");
         for (int i = 0; i < 20; i++) {
-            byte[] noise = new byte[r.nextInt(1_400)];
-            r.nextBytes(noise);
+            byte[] noise = new byte[random.nextInt(1_400)];
+            random.nextBytes(noise);
             fleet.receive(NOW + 1, noise);
         }
         assertEquals(before, fleet.rows("members").toString() + fleet.rows("limits") + fleet.rows("verdicts"));
@@ -228,7 +228,7 @@
                         4,
                         new LeaseTimes(3_000_000, 300_000),
                         List.of(new LimitRule("origin", Scope.ORIGIN, "", LimitMeasure.PER_SECOND, 100)),
-                        Optional.of(VirtualFleet.VERDICTS)),
+                        Optional.of(VirtualFleet.EJECTION_RULES)),
                 NOW,
                 5);
         fleet.updateMembers(NOW, Map.of(99L, new Fleet.Listed("origin", Role.ORIGIN, 0)));
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void anotherClustersPacketsAreCountedAndChangeNothing() {
+    void packetsOfAnotherClusterAreCountedAndChangeNothing() {
         Fleet fleet = fleet();
         String before = members(fleet);
         fleet.receive(NOW, new PacketCodec("east").write(new Packet(FROM, 1, new Packet.Ping(), List.of(), List.of())));
@@ -253,21 +253,21 @@
     void anImpossibleIncarnationIsCountedAndChangesNothing() {
         Fleet fleet = fleet();
         String before = members(fleet);
-        for (long incarnation : new long[] {0, -1, Long.MAX_VALUE, LAST + 1}) {
-            RouterRecord odd = new RouterRecord("router-2", "127.0.0.1:7002", 9, incarnation, RouterStatus.ALIVE);
-            fleet.receive(NOW, codec.write(new Packet(odd, 1, new Packet.Ping(), List.of(), List.of())));
-            fleet.receive(NOW, codec.write(new Packet(FROM, 1, new Packet.Ping(), List.of(odd), List.of())));
+        for (long incarnation : new long[] {0, -1, Long.MAX_VALUE, LAST_INCARNATION + 1}) {
+            RouterRecord impossible = new RouterRecord("router-2", "127.0.0.1:7002", 9, incarnation, RouterStatus.ALIVE);
+            fleet.receive(NOW, codec.write(new Packet(impossible, 1, new Packet.Ping(), List.of(), List.of())));
+            fleet.receive(NOW, codec.write(new Packet(FROM, 1, new Packet.Ping(), List.of(impossible), List.of())));
         }
         assertEquals(before, members(fleet));
         assertEquals("8", fleet.fields().get("fleet-dropped-impossible"));
     }
 
     @Test
-    void aCountThatThePacketDoesNotHoldIsNotBelieved() {
+    void countsBeyondThePacketAreRejected() {
         byte[] bytes = codec.write(new Packet(FROM, 1, new Packet.News(), List.of(), List.of()));
-        bytes[bytes.length - 2] = (byte) 255; // 255 routers, and no byte of them
-        assertThrows(BadPacketException.class, () -> codec.read(bytes, LAST));
-        assertThrows(BadPacketException.class, () -> codec.read(new byte[1_000_000], LAST));
+        bytes[bytes.length - 2] = (byte) 255; // claims 255 router records but contains none
+        assertThrows(BadPacketException.class, () -> codec.read(bytes, LAST_INCARNATION));
+        assertThrows(BadPacketException.class, () -> codec.read(new byte[1_000_000], LAST_INCARNATION));
     }
 
     @Test
@@ -288,26 +288,26 @@
     }
 
     @Test
-    void oldNewsComingAgainDoesNoHarm() {
+    void repeatedOldRecordsChangeNothing() {
         Fleet fleet = fleet();
-        List<byte[]> all = new ArrayList<>();
-        for (RouterStatus s : new RouterStatus[] {RouterStatus.ALIVE, RouterStatus.SUSPECT, RouterStatus.DEAD}) {
-            all.add(codec.write(new Packet(
+        List<byte[]> packets = new ArrayList<>();
+        for (RouterStatus status : new RouterStatus[] {RouterStatus.ALIVE, RouterStatus.SUSPECT, RouterStatus.DEAD}) {
+            packets.add(codec.write(new Packet(
                     FROM,
                     1,
                     new Packet.News(),
-                    List.of(new RouterRecord("router-3", "127.0.0.1:7003", 1, 7, s)),
+                    List.of(new RouterRecord("router-3", "127.0.0.1:7003", 1, 7, status)),
                     List.of())));
         }
-        all.add(codec.write(new Packet(
+        packets.add(codec.write(new Packet(
                 FROM,
                 1,
                 new Packet.News(),
                 List.of(new RouterRecord("router-3", "127.0.0.1:7003", 1, 8, RouterStatus.ALIVE)),
                 List.of())));
-        all.forEach(b -> fleet.receive(NOW, b));
+        packets.forEach(b -> fleet.receive(NOW, b));
         for (int i = 0; i < 100; i++) {
-            fleet.receive(NOW, all.get(new Random(i).nextInt(all.size())));
+            fleet.receive(NOW, packets.get(new Random(i).nextInt(packets.size())));
         }
         assertTrue(
                 members(fleet).contains("name=router-3, address=127.0.0.1:7003, standing=alive, incarnation=8"),
@@ -315,9 +315,9 @@
     }
 
     @Test
-    void aLeaseLargerThanTheLimitIsNotTaken() {
+    void aLeaseLargerThanTheLimitIsRejected() {
         Fleet fleet = fleet();
-        // router-x comes before this one in the cluster's order, so that it is asked
+        // Finds a router that ranks before this one, so that this one asks it for leases.
         String grantor = "router-1";
         for (int i = 1; !fleet.fields().get("fleet-grantor").equals(grantor); i++) {
             grantor = "router-" + i;
@@ -333,24 +333,24 @@
         fleet.takePackets();
         fleet.advance(NOW + 700_000);
         long[] limitAndAsk = new long[2];
-        for (Datagram d : fleet.takePackets()) {
+        for (Datagram datagram : fleet.takePackets()) {
             try {
-                Packet p = codec.read(d.bytes(), LAST);
-                if (p.body() instanceof Packet.Ask a) {
-                    limitAndAsk = new long[] {a.wants().get(0).limit(), p.number()};
+                Packet packet = codec.read(datagram.bytes(), LAST_INCARNATION);
+                if (packet.body() instanceof Packet.Ask ask) {
+                    limitAndAsk = new long[] {ask.demands().get(0).limit(), packet.number()};
                 }
             } catch (BadPacketException e) {
                 throw new AssertionError(e);
             }
         }
-        assertTrue(limitAndAsk[1] > 0, "it asks");
+        assertTrue(limitAndAsk[1] > 0, "the router asks its grantor for a lease");
         RouterRecord from = new RouterRecord(grantor, "127.0.0.1:7001", 9, 5, RouterStatus.ALIVE);
         fleet.receive(
                 NOW + 700_001,
                 codec.write(new Packet(
                         from,
                         2,
-                        new Packet.Grant(limitAndAsk[1], 1, List.of(new Part(limitAndAsk[0], 101))),
+                        new Packet.Grant(limitAndAsk[1], 1, List.of(new GrantedShare(limitAndAsk[0], 101))),
                         List.of(),
                         List.of())));
         assertEquals("1", fleet.fields().get("fleet-dropped-oversized-lease"));
@@ -360,25 +360,25 @@
                 codec.write(new Packet(
                         from,
                         3,
-                        new Packet.Grant(limitAndAsk[1], 1, List.of(new Part(limitAndAsk[0], 30))),
+                        new Packet.Grant(limitAndAsk[1], 1, List.of(new GrantedShare(limitAndAsk[0], 30))),
                         List.of(),
                         List.of())));
         assertEquals("leased", fleet.rows("limits").orElseThrow().get(0).get("state"));
     }
 
-    /** The longest name, and bodies as full as they get: they leave room for themselves at least. */
+    /** With the longest name and address, the largest bodies still fit into a packet. */
     @Test
-    void theFullestBodiesFitAPacket() {
+    void theLargestBodiesFitIntoAPacket() {
         RouterRecord longest =
                 new RouterRecord("r".repeat(PacketCodec.LONGEST_NAME), "127.255.255.255:65535", 1, 1, RouterStatus.ALIVE);
-        Random r = new Random(4);
+        Random random = new Random(4);
         for (Packet.Body body : List.of(
                 new Packet.PlanReport(
                         1,
                         1,
                         1,
                         true,
-                        r.longs(60).mapToObj(m -> new Packet.Use(m, 1, 1)).toList()),
+                        random.longs(60).mapToObj(m -> new Packet.Use(m, 1, 1)).toList()),
                 new Packet.Piece(1, 0, 1, new byte[900]),
                 new Packet.DrainAsk(new DrainCommand(
                         DrainCommand.Kind.REQUEST,
@@ -386,9 +386,9 @@
                         1,
                         1,
                         0,
-                        r.longs(120).boxed().toList())),
-                new Packet.Sums(r.longs(Membership.MOST_PARTS).boxed().toList(), true))) {
-            assertTrue(codec.room(longest, body) >= 0, body.getClass()::getSimpleName);
+                        random.longs(120).boxed().toList())),
+                new Packet.Sums(random.longs(Membership.MAX_DIGEST_PARTS).boxed().toList(), true))) {
+            assertTrue(codec.bytesForGossip(longest, body) >= 0, body.getClass()::getSimpleName);
             assertTrue(codec.write(new Packet(longest, 1, body, List.of(), List.of())).length <= PacketCodec.LONGEST);
         }
     }
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -28,37 +28,40 @@
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.verdicts.EjectionPolicy;
 
-/** A fleet in one process and in virtual time, over a network that loses, delays, doubles, reorders and splits. */
+/**
+ * A simulated fleet in one process and in virtual time (microseconds), over a network that loses, delays, duplicates
+ * and reorders packets and can be partitioned.
+ */
 final class VirtualFleet {
 
     static final long MILLI = 1_000;
     static final long SECOND = 1_000_000;
     static final long PERIOD = 200 * MILLI;
     static final LeaseTimes TIMES = new LeaseTimes(3 * SECOND, 300 * MILLI);
-    static final EjectionPolicy.Rules VERDICTS = new EjectionPolicy.Rules(0.2, 2, 4 * SECOND, 2 * SECOND);
+    static final EjectionPolicy.Rules EJECTION_RULES = new EjectionPolicy.Rules(0.2, 2, 4 * SECOND, 2 * SECOND);
     static final long ORIGIN = 99;
 
-    /** A router and what its decisions were last told. */
+    /** A router and the state that its routing decisions last received. */
     final class Router {
         final String name;
         final String address;
         Fleet fleet;
         boolean running;
         long pausedUntil;
-        long nextAt;
-        List<LimitShare> allowances = List.of();
-        List<EjectedMember> out = List.of();
-        final Map<Long, Long> heardOut = new LinkedHashMap<>(); // when each member was first told out
-        final List<LogEvent> notices = new ArrayList<>();
-        final List<byte[]> waiting = new ArrayList<>(); // packets that came while it was paused
-        double wanted;
+        long nextAdvanceAt;
+        List<LimitShare> limitShares = List.of();
+        List<EjectedMember> ejected = List.of();
+        final Map<Long, Long> firstEjectedAt = new LinkedHashMap<>(); // when each member was first reported as ejected
+        final List<LogEvent> logEvents = new ArrayList<>();
+        final List<byte[]> queuedPackets = new ArrayList<>(); // packets that arrived while it was paused
+        double demand;
         long startedAt;
         Drains.View view = new Drains.View(false, Set.of(), Map.of());
-        final Map<Long, List<Long>> underWay = new LinkedHashMap<>(); // when attempts at a member end
+        final Map<Long, List<Long>> attemptEnds = new LinkedHashMap<>(); // end times of the attempts at each member
         final Drains.Usage usage = new Drains.Usage() {
             @Override
             public int underWay(long member) {
-                return open(member);
+                return attemptsInFlight(member);
             }
 
             @Override
@@ -67,29 +70,31 @@
             }
         };
 
-        /** Attempts under way at a member; those of a process that is no more count for nobody. */
-        int open(long member) {
-            List<Long> ends = underWay.getOrDefault(member, List.of());
+        /** The attempts in flight at a member. Attempts of a process that no longer runs are not counted. */
+        int attemptsInFlight(long member) {
+            List<Long> ends = attemptEnds.getOrDefault(member, List.of());
             return running ? (int) ends.stream().filter(e -> e > now).count() : 0;
         }
 
-        /** Begins an attempt at a member if it may, as the program does: first what is due, then the request. */
-        boolean ask(long member, long lasts) {
-            if (!acts(this)) {
+        /**
+         * Starts an attempt at a member if that is allowed. Like the program, it runs due timers before the request.
+         */
+        boolean startAttempt(long member, long durationMicros) {
+            if (!isActive(this)) {
                 return false;
             }
-            if (nextAt <= now) {
+            if (nextAdvanceAt <= now) {
                 fleet.advance(now);
-                fetch(this);
+                collectOutput(this);
             }
             boolean knowsNothing =
-                    fleet.plan().orElseThrow().stamp() == 0; // and has reached nobody: nothing is promised
+                    fleet.plan().orElseThrow().stamp() == 0; // it has reached no other router, so nothing is guaranteed
             if (!view.settled() || view.alone().contains(member) || knowsNothing) {
                 return false;
             }
-            List<Long> ends = underWay.computeIfAbsent(member, m -> new ArrayList<>());
+            List<Long> ends = attemptEnds.computeIfAbsent(member, m -> new ArrayList<>());
             ends.removeIf(e -> e <= now);
-            ends.add(now + lasts);
+            ends.add(now + durationMicros);
             return true;
         }
 
@@ -98,44 +103,44 @@
             address = "127.0.0.1:" + (10_000 + number);
         }
 
-        /** What it may spend of the origin's limit now. */
-        double part() {
+        /** The share of the origin's limit that this router may use now. */
+        double limitShare() {
             if (!running) {
                 return 0;
             }
-            return allowances.stream()
+            return limitShares.stream()
                     .filter(a -> a.member() == ORIGIN)
                     .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.amountAfterExpiry())
                     .sum();
         }
     }
 
-    private record Flying(long at, long order, Router to, byte[] bytes) implements Comparable<Flying> {
+    private record PacketInFlight(long arrivesAt, long sequence, Router to, byte[] bytes) implements Comparable<PacketInFlight> {
         @Override
-        public int compareTo(Flying o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(PacketInFlight other) {
+            return arrivesAt != other.arrivesAt ? Long.compare(arrivesAt, other.arrivesAt) : Long.compare(sequence, other.sequence);
         }
     }
 
     final List<Router> routers = new ArrayList<>();
     final Random random;
     private final Map<String, Router> byAddress = new LinkedHashMap<>();
-    private final PriorityQueue<Flying> flying = new PriorityQueue<>();
+    private final PriorityQueue<PacketInFlight> inFlight = new PriorityQueue<>();
     private final Map<Long, Fleet.Listed> members = new LinkedHashMap<>();
     private final double limit;
     private final LimitMeasure measure;
     private final int size;
     Optional<DrainTimes> drains = Optional.empty();
     long now = 1_790_000_000L * SECOND;
-    double loss;
-    double doubled;
-    long leastDelay = 500;
-    long mostDelay = 2 * MILLI;
+    double lossRate;
+    double duplicateRate;
+    long minDelayMicros = 500;
+    long maxDelayMicros = 2 * MILLI;
     BiPredicate<Router, Router> cut = (a, b) -> false;
-    BiConsumer<Router, Datagram> sends = (from, packet) -> {}; // is shown each packet as it leaves
-    long packets;
-    long bytes;
-    private long order;
+    BiConsumer<Router, Datagram> sendObserver = (from, packet) -> {}; // called with each packet when it is sent
+    long packetsSent;
+    long bytesSent;
+    private long nextSequence;
 
     VirtualFleet(int routers, int size, int caches, LimitMeasure measure, double limit, long seed) {
         this.random = new Random(seed);
@@ -147,9 +152,9 @@
             members.put(1_000L + i, new Fleet.Listed("box-" + i, Role.CACHE, 0));
         }
         for (int i = 0; i < routers; i++) {
-            Router r = new Router(i);
-            this.routers.add(r);
-            byAddress.put(r.address, r);
+            Router router = new Router(i);
+            this.routers.add(router);
+            byAddress.put(router.address, router);
         }
     }
 
@@ -157,171 +162,171 @@
         routers.forEach(this::start);
     }
 
-    void start(Router r) {
-        start(r, r.name, r.address);
+    void start(Router router) {
+        start(router, router.name, router.address);
     }
 
-    void start(Router r, String name, String address) {
+    void start(Router router, String name, String address) {
         List<String> seeds = routers.stream().limit(3).map(x -> x.address).toList();
-        r.fleet = new Fleet(
+        router.fleet = new Fleet(
                 new FleetSetup(
                         "test",
                         new Membership.Setup(name, address, seeds, PERIOD, 3, 2, 600 * SECOND, 2_000),
                         size,
                         TIMES,
                         List.of(new LimitRule("origin", FleetSetup.Scope.ORIGIN, "", measure, limit)),
-                        Optional.of(VERDICTS),
+                        Optional.of(EJECTION_RULES),
                         drains),
                 now,
                 random.nextLong(),
-                r.usage);
-        r.running = true;
-        r.startedAt = now;
-        r.underWay.clear();
-        r.view = new Drains.View(false, Set.of(), Map.of());
-        r.pausedUntil = 0;
-        r.waiting.clear();
-        r.heardOut.clear();
-        r.out = List.of();
-        r.allowances = List.of();
-        r.fleet.updateMembers(now, members);
-        fetch(r);
-        r.nextAt = r.fleet.nextDue();
+                router.usage);
+        router.running = true;
+        router.startedAt = now;
+        router.attemptEnds.clear();
+        router.view = new Drains.View(false, Set.of(), Map.of());
+        router.pausedUntil = 0;
+        router.queuedPackets.clear();
+        router.firstEjectedAt.clear();
+        router.ejected = List.of();
+        router.limitShares = List.of();
+        router.fleet.updateMembers(now, members);
+        collectOutput(router);
+        router.nextAdvanceAt = router.fleet.nextDue();
     }
 
-    void kill(Router r) {
-        r.running = false;
+    void kill(Router router) {
+        router.running = false;
     }
 
-    void pause(Router r, long time) {
-        r.pausedUntil = now + time;
+    void pause(Router router, long time) {
+        router.pausedUntil = now + time;
     }
 
-    boolean acts(Router r) {
-        return r.running && now >= r.pausedUntil;
+    boolean isActive(Router router) {
+        return router.running && now >= router.pausedUntil;
     }
 
-    void judge(Router r, long member, boolean failing) {
-        r.fleet.reportHealth(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
-        fetch(r);
+    void reportHealth(Router router, long member, boolean failing) {
+        router.fleet.reportHealth(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
+        collectOutput(router);
     }
 
-    /** Lives on, calling back after each step in which something happened. */
-    void run(long time, Runnable watch) {
+    /** Runs for this time (microseconds) and calls back after each step in which something happened. */
+    void run(long time, Runnable afterStep) {
         long end = now + time;
-        long began = packets;
+        long sentBefore = packetsSent;
         while (true) {
-            if (packets - began > 2_000L * routers.size() * (1 + time / SECOND)) {
-                throw new AssertionError("a storm of packets: " + packets + " "
+            if (packetsSent - sentBefore > 2_000L * routers.size() * (1 + time / SECOND)) {
+                throw new AssertionError("too many packets: " + packetsSent + " "
                         + routers.stream().map(r -> r.fleet.fields()).toList());
             }
-            long next = flying.isEmpty() ? Long.MAX_VALUE : flying.peek().at();
-            for (Router r : routers) {
-                if (r.running) {
-                    next = Math.min(next, Math.max(r.nextAt, r.pausedUntil));
+            long next = inFlight.isEmpty() ? Long.MAX_VALUE : inFlight.peek().arrivesAt();
+            for (Router router : routers) {
+                if (router.running) {
+                    next = Math.min(next, Math.max(router.nextAdvanceAt, router.pausedUntil));
                 }
             }
             if (next > end) {
                 now = end;
-                watch.run();
+                afterStep.run();
                 return;
             }
             now = Math.max(now, next);
-            while (!flying.isEmpty() && flying.peek().at() <= now) {
-                Flying f = flying.poll();
-                if (f.to().running && now < f.to().pausedUntil) {
-                    f.to().waiting.add(f.bytes());
-                } else if (f.to().running) {
-                    f.to().fleet.receive(now, f.bytes());
-                    fetch(f.to());
+            while (!inFlight.isEmpty() && inFlight.peek().arrivesAt() <= now) {
+                PacketInFlight packet = inFlight.poll();
+                if (packet.to().running && now < packet.to().pausedUntil) {
+                    packet.to().queuedPackets.add(packet.bytes());
+                } else if (packet.to().running) {
+                    packet.to().fleet.receive(now, packet.bytes());
+                    collectOutput(packet.to());
                 }
             }
-            for (Router r : routers) {
-                if (acts(r) && (!r.waiting.isEmpty() || r.nextAt <= now)) {
-                    if (r.pausedUntil > 0 && random.nextBoolean()) {
-                        r.fleet.advance(now); // after a pause timers may come before or after what waits
+            for (Router router : routers) {
+                if (isActive(router) && (!router.queuedPackets.isEmpty() || router.nextAdvanceAt <= now)) {
+                    if (router.pausedUntil > 0 && random.nextBoolean()) {
+                        router.fleet.advance(now); // after a pause, timers may run before or after the queued packets
                     }
-                    r.waiting.forEach(b -> r.fleet.receive(now, b));
-                    r.waiting.clear();
-                    r.fleet.advance(now);
-                    fetch(r);
+                    router.queuedPackets.forEach(b -> router.fleet.receive(now, b));
+                    router.queuedPackets.clear();
+                    router.fleet.advance(now);
+                    collectOutput(router);
                 }
             }
-            watch.run();
+            afterStep.run();
         }
     }
 
-    private void fetch(Router r) {
-        r.fleet.takeDrainView().ifPresent(v -> r.view = v);
-        r.fleet.reportDemand(new LimitDemand(ORIGIN, measure, r.wanted, 0));
-        for (Datagram d : r.fleet.takePackets()) {
-            send(r, d);
+    private void collectOutput(Router router) {
+        router.fleet.takeDrainView().ifPresent(v -> router.view = v);
+        router.fleet.reportDemand(new LimitDemand(ORIGIN, measure, router.demand, 0));
+        for (Datagram datagram : router.fleet.takePackets()) {
+            send(router, datagram);
         }
-        for (Event e : r.fleet.takeEvents()) {
-            if (e instanceof LimitSharesUpdate a) {
-                r.allowances = a.shares();
-            } else if (e instanceof EjectionsUpdate v) {
-                r.out = v.ejected();
-                v.ejected().forEach(o -> r.heardOut.putIfAbsent(o.member(), now));
+        for (Event event : router.fleet.takeEvents()) {
+            if (event instanceof LimitSharesUpdate update) {
+                router.limitShares = update.shares();
+            } else if (event instanceof EjectionsUpdate update) {
+                router.ejected = update.ejected();
+                update.ejected().forEach(o -> router.firstEjectedAt.putIfAbsent(o.member(), now));
             }
         }
-        r.notices.addAll(r.fleet.takeLogEvents());
-        r.nextAt = Math.max(now + 1, r.fleet.nextDue());
+        router.logEvents.addAll(router.fleet.takeLogEvents());
+        router.nextAdvanceAt = Math.max(now + 1, router.fleet.nextDue());
     }
 
-    private void send(Router from, Datagram d) {
-        sends.accept(from, d);
-        packets++;
-        bytes += d.bytes().length;
-        Router to = byAddress.get(d.address());
-        if (to == null || cut.test(from, to) || random.nextDouble() < loss) {
+    private void send(Router from, Datagram datagram) {
+        sendObserver.accept(from, datagram);
+        packetsSent++;
+        bytesSent += datagram.bytes().length;
+        Router to = byAddress.get(datagram.address());
+        if (to == null || cut.test(from, to) || random.nextDouble() < lossRate) {
             return;
         }
-        for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-            long delay = leastDelay + (long) (random.nextDouble() * (mostDelay - leastDelay));
-            flying.add(new Flying(now + delay, order++, to, d.bytes()));
+        for (int copies = random.nextDouble() < duplicateRate ? 2 : 1; copies > 0; copies--) {
+            long delay = minDelayMicros + (long) (random.nextDouble() * (maxDelayMicros - minDelayMicros));
+            inFlight.add(new PacketInFlight(now + delay, nextSequence++, to, datagram.bytes()));
         }
     }
 
-    /** The sum of what all may spend now. */
-    double spent() {
-        return routers.stream().mapToDouble(Router::part).sum();
+    /** The sum of the limit shares that all routers may use now. */
+    double totalLimitShares() {
+        return routers.stream().mapToDouble(Router::limitShare).sum();
     }
 
-    /** The members that any running router keeps out now. */
-    Set<Long> outAnywhere() {
-        Set<Long> out = new HashSet<>();
+    /** The members that at least one running router treats as ejected now. */
+    Set<Long> ejectedAnywhere() {
+        Set<Long> ejected = new HashSet<>();
         routers.stream()
                 .filter(r -> r.running)
-                .forEach(r -> r.out.stream().filter(o -> now < o.until()).forEach(o -> out.add(o.member())));
-        return out;
+                .forEach(r -> r.ejected.stream().filter(o -> now < o.until()).forEach(o -> ejected.add(o.member())));
+        return ejected;
     }
 
-    /** Lists the members anew, at every router that runs. */
-    void list(long member, boolean ready, long started) {
-        Fleet.Listed m = members.get(member);
-        members.put(member, new Fleet.Listed(m.name(), m.role(), started, ready));
-        routers.stream().filter(this::acts).forEach(r -> {
-            r.fleet.updateMembers(now, members);
-            fetch(r);
+    /** Changes the list entry of a member at every active router. */
+    void updateMember(long member, boolean ready, long started) {
+        Fleet.Listed before = members.get(member);
+        members.put(member, new Fleet.Listed(before.name(), before.role(), started, ready));
+        routers.stream().filter(this::isActive).forEach(router -> {
+            router.fleet.updateMembers(now, members);
+            collectOutput(router);
         });
     }
 
-    /** Whether all that run believe the same of all that run. */
-    boolean agreed() {
+    /** Whether every running router considers exactly the running routers alive. */
+    boolean membershipAgrees() {
         List<Router> running = routers.stream().filter(r -> r.running).toList();
         Set<String> names = new HashSet<>();
         running.forEach(r -> names.add(r.name));
-        return running.stream().allMatch(r -> {
+        return running.stream().allMatch(router -> {
             Set<String> living = new HashSet<>();
-            r.fleet.rows("members").orElseThrow().stream()
+            router.fleet.rows("members").orElseThrow().stream()
                     .filter(m -> m.get("standing").equals("alive"))
                     .forEach(m -> living.add((String) m.get("name")));
             return living.equals(names);
         });
     }
 
-    static IntStream upTo(int n) {
-        return IntStream.range(0, n);
+    static IntStream range(int end) {
+        return IntStream.range(0, end);
     }
 }
--- a/src/test/java/pumicemoor/fleet/membership/ComparedInPartsTest.java
+++ b/src/test/java/pumicemoor/fleet/membership/ComparedInPartsTest.java
@@ -22,56 +22,59 @@
 import pumicemoor.fleet.Packet.News;
 import pumicemoor.fleet.Packet.Sums;
 
-/** Two tables of routers that are compared in parts: what is told, and what both know afterwards. */
+/**
+ * Comparison of two membership tables in parts: only the parts that differ are sent, and both tables are equal
+ * afterwards.
+ */
 class ComparedInPartsTest {
 
     private static final long SECOND = 1_000_000;
     private static final long PERIOD = 200_000;
 
-    /** One router with its table, whose packets wait for the test to deliver them. */
-    private static final class One implements Membership.Outlet {
+    /** A router with its membership table. Its packets are queued until the test delivers them. */
+    private static final class TestRouter implements Membership.Outlet {
         final Membership membership;
-        final Deque<Packet> sent = new ArrayDeque<>();
+        final Deque<Packet> outbox = new ArrayDeque<>();
         final Map<String, Integer> dropped = new HashMap<>();
-        int told;
+        int recordsSent;
         long number;
 
-        One(String name, int address, boolean inParts) {
+        TestRouter(String name, int address, boolean compareInParts) {
             membership = new Membership(
                     new Membership.Setup(name, address(address), List.of(), PERIOD, 3, 2, 600 * SECOND, 4_000),
                     SECOND,
                     address,
                     1_000 + address,
-                    inParts,
+                    compareInParts,
                     this);
         }
 
         @Override
         public long send(String address, Body body) {
-            sent.add(new Packet(membership.self(), ++number, body, List.of(), List.of()));
+            outbox.add(new Packet(membership.self(), ++number, body, List.of(), List.of()));
             return number;
         }
 
         @Override
-        public void sendAll(String address, Predicate<RouterRecord> which) {
-            List<RouterRecord> all = membership.table().stream().filter(which).toList();
-            told += all.size();
-            sent.add(new Packet(membership.self(), ++number, new News(), all, List.of()));
+        public void sendAll(String address, Predicate<RouterRecord> filter) {
+            List<RouterRecord> all = membership.allRouters().stream().filter(filter).toList();
+            recordsSent += all.size();
+            outbox.add(new Packet(membership.self(), ++number, new News(), all, List.of()));
         }
 
         @Override
-        public void spread(RouterRecord news) {}
+        public void gossip(RouterRecord router) {}
 
         @Override
-        public void changed(RouterRecord news, RouterStatus before, String cause) {}
+        public void statusChanged(RouterRecord router, RouterStatus before, String cause) {}
 
         @Override
-        public void dropped(String what) {
-            dropped.merge(what, 1, Integer::sum);
+        public void dropped(String counter) {
+            dropped.merge(counter, 1, Integer::sum);
         }
 
-        void knows(RouterRecord... news) {
-            membership.heard(SECOND, new Packet(news[0], 1, new News(), List.of(news), List.of()));
+        void learn(RouterRecord... records) {
+            membership.receive(SECOND, new Packet(records[0], 1, new News(), List.of(records), List.of()));
         }
     }
 
@@ -79,98 +82,98 @@
         return "127.0." + (number >> 8) + "." + (number & 255) + ":7000";
     }
 
-    private static RouterRecord router(int number, int incarnation, RouterStatus standing) {
-        return new RouterRecord("router-" + number, address(number), 5_000 + number, incarnation, standing);
+    private static RouterRecord router(int number, int incarnation, RouterStatus status) {
+        return new RouterRecord("router-" + number, address(number), 5_000 + number, incarnation, status);
     }
 
-    /** One compares with the other until nobody has anything to say. */
-    private static void exchange(One from, One to) {
+    /** Starts a comparison and delivers packets until neither router has any left to send. */
+    private static void exchange(TestRouter from, TestRouter to) {
         from.send("", new Compare(from.membership.digest(), true));
-        while (!from.sent.isEmpty() || !to.sent.isEmpty()) {
-            while (!from.sent.isEmpty()) {
-                to.membership.heard(SECOND, from.sent.poll());
+        while (!from.outbox.isEmpty() || !to.outbox.isEmpty()) {
+            while (!from.outbox.isEmpty()) {
+                to.membership.receive(SECOND, from.outbox.poll());
             }
-            while (!to.sent.isEmpty()) {
-                from.membership.heard(SECOND, to.sent.poll());
+            while (!to.outbox.isEmpty()) {
+                from.membership.receive(SECOND, to.outbox.poll());
             }
         }
     }
 
-    private static List<One> pair(int common, boolean inParts) {
-        One a = new One("a", 60_001, inParts);
-        One b = new One("b", 60_002, inParts);
-        RouterRecord[] all = new RouterRecord[common];
-        for (int i = 0; i < common; i++) {
+    private static List<TestRouter> pair(int commonRouters, boolean compareInParts) {
+        TestRouter first = new TestRouter("a", 60_001, compareInParts);
+        TestRouter second = new TestRouter("b", 60_002, compareInParts);
+        RouterRecord[] all = new RouterRecord[commonRouters];
+        for (int i = 0; i < commonRouters; i++) {
             all[i] = router(i, 1, RouterStatus.ALIVE);
         }
-        for (One one : List.of(a, b)) {
-            if (common > 0) {
-                one.knows(all);
+        for (TestRouter router : List.of(first, second)) {
+            if (commonRouters > 0) {
+                router.learn(all);
             }
         }
-        a.knows(b.membership.self());
-        b.knows(a.membership.self());
-        a.sent.clear();
-        b.sent.clear();
-        return List.of(a, b);
+        first.learn(second.membership.self());
+        second.learn(first.membership.self());
+        first.outbox.clear();
+        second.outbox.clear();
+        return List.of(first, second);
     }
 
-    private static void assertSame(One a, One b) {
-        assertEquals(a.membership.digest(), b.membership.digest());
-        assertEquals(Map.of(), a.dropped);
-        assertEquals(Map.of(), b.dropped);
+    private static void assertSame(TestRouter first, TestRouter second) {
+        assertEquals(first.membership.digest(), second.membership.digest());
+        assertEquals(Map.of(), first.dropped);
+        assertEquals(Map.of(), second.dropped);
     }
 
     @Test
-    void oneDifferenceOfFiveHundredTellsOnePartEachWay() {
-        List<One> pair = pair(500, true);
-        pair.get(0).knows(router(7, 2, RouterStatus.DEAD));
+    void oneDifferenceInFiveHundredSendsOnePartEachWay() {
+        List<TestRouter> pair = pair(500, true);
+        pair.get(0).learn(router(7, 2, RouterStatus.DEAD));
         exchange(pair.get(0), pair.get(1));
         assertSame(pair.get(0), pair.get(1));
-        int told = pair.get(0).told + pair.get(1).told;
-        assertTrue(told >= 2 && told <= 40, () -> "told " + told + " of 2 x 502");
+        int sent = pair.get(0).recordsSent + pair.get(1).recordsSent;
+        assertTrue(sent >= 2 && sent <= 40, () -> "sent " + sent + " of 2 x 502");
     }
 
     @Test
-    void equalTablesAreNotTold() {
-        List<One> pair = pair(500, true);
+    void equalTablesAreNotSent() {
+        List<TestRouter> pair = pair(500, true);
         exchange(pair.get(0), pair.get(1));
-        assertEquals(0, pair.get(0).told + pair.get(1).told);
-        assertEquals(1, pair.get(0).number, "the digest alone was sent");
+        assertEquals(0, pair.get(0).recordsSent + pair.get(1).recordsSent);
+        assertEquals(1, pair.get(0).number, "only the digest was sent");
     }
 
     @Test
-    void whoIsFreshIsToldAll() {
-        One fresh = new One("fresh", 60_003, true);
-        One old = pair(300, true).get(0);
+    void aNewRouterReceivesTheWholeTable() {
+        TestRouter fresh = new TestRouter("fresh", 60_003, true);
+        TestRouter old = pair(300, true).get(0);
         exchange(fresh, old);
         assertSame(fresh, old);
-        assertEquals(303, fresh.membership.table().size());
+        assertEquals(303, fresh.membership.allRouters().size());
     }
 
     @Test
-    void aFlatFleetTellsAllAsBefore() {
-        List<One> pair = pair(100, false);
-        pair.get(0).knows(router(7, 2, RouterStatus.DEAD));
+    void aFlatFleetSendsTheWholeTable() {
+        List<TestRouter> pair = pair(100, false);
+        pair.get(0).learn(router(7, 2, RouterStatus.DEAD));
         exchange(pair.get(0), pair.get(1));
         assertSame(pair.get(0), pair.get(1));
-        assertTrue(pair.get(1).told >= 102, () -> "told " + pair.get(1).told);
-        One flat = pair.get(0);
-        flat.membership.heard(
+        assertTrue(pair.get(1).recordsSent >= 102, () -> "sent " + pair.get(1).recordsSent);
+        TestRouter flat = pair.get(0);
+        flat.membership.receive(
                 SECOND,
                 new Packet(pair.get(1).membership.self(), 9_999, new Sums(List.of(1L), true), List.of(), List.of()));
-        assertTrue(flat.sent.isEmpty(), "it does not speak of parts");
+        assertTrue(flat.outbox.isEmpty(), "a flat fleet does not compare in parts");
     }
 
     @Test
-    void answersAreBoundedInAPeriod() {
-        List<One> pair = pair(200, true);
-        One b = pair.get(1);
+    void answersPerPeriodAreLimited() {
+        List<TestRouter> pair = pair(200, true);
+        TestRouter second = pair.get(1);
         for (int i = 0; i < 50; i++) {
-            b.membership.heard(
+            second.membership.receive(
                     SECOND,
                     new Packet(pair.get(0).membership.self(), 100 + i, new Compare(1, true), List.of(), List.of()));
-            b.membership.heard(
+            second.membership.receive(
                     SECOND,
                     new Packet(
                             pair.get(0).membership.self(),
@@ -179,29 +182,29 @@
                             List.of(),
                             List.of()));
         }
-        assertEquals(12, b.sent.size(), "eight digests in parts and four times all");
-        assertEquals(88, b.dropped.get("compare-limited"));
+        assertEquals(12, second.outbox.size(), "eight answers with digests and four with records");
+        assertEquals(88, second.dropped.get("compare-limited"));
     }
 
-    /** Whatever each knows that the other doesn't, both know all of it after one exchange, whoever begins. */
+    /** Whatever only one of the two routers knows, both know it after one exchange, whichever of them starts. */
     @Property(tries = 150, seed = "6101", shrinking = ShrinkingMode.OFF)
-    void bothKnowAllAfterwards(@ForAll long seed, @ForAll @IntRange(max = 400) int common) {
+    void bothTablesAreEqualAfterwards(@ForAll long seed, @ForAll @IntRange(max = 400) int commonRouters) {
         Random random = new Random(seed);
-        List<One> pair = pair(common, true);
+        List<TestRouter> pair = pair(commonRouters, true);
         List<RouterRecord> newer = new ArrayList<>();
         for (int i = random.nextInt(60); i >= 0; i--) {
-            RouterRecord news = router(
-                    random.nextInt(common + 40),
+            RouterRecord update = router(
+                    random.nextInt(commonRouters + 40),
                     1 + random.nextInt(4),
                     RouterStatus.values()[random.nextInt(RouterStatus.values().length)]);
-            pair.get(random.nextInt(2)).knows(router(0, 1, RouterStatus.ALIVE), news);
-            newer.add(news);
+            pair.get(random.nextInt(2)).learn(router(0, 1, RouterStatus.ALIVE), update);
+            newer.add(update);
         }
-        pair.forEach(one -> one.sent.clear());
+        pair.forEach(router -> router.outbox.clear());
         exchange(pair.get(seed % 2 == 0 ? 0 : 1), pair.get(seed % 2 == 0 ? 1 : 0));
         assertSame(pair.get(0), pair.get(1));
         Map<String, RouterRecord> known = new HashMap<>();
-        pair.get(0).membership.table().forEach(n -> known.put(n.name(), n));
+        pair.get(0).membership.allRouters().forEach(n -> known.put(n.name(), n));
         newer.forEach(
                 n -> assertTrue(!n.overrides(known.get(n.name())), () -> n + " is newer than " + known.get(n.name())));
     }
