--- a/src/main/java/pumicemoor/hierarchy/FillOrder.java
+++ b/src/main/java/pumicemoor/hierarchy/FillOrder.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * An order of all units in which each stands before everything it fills from, kept up as links come and go.
- * A link that would close a loop is refused and leaves everything as it was. It owns the links and the order;
- * it must never know why a link is wanted.
+ * An online topological order of all units: each unit precedes every unit that it fills from, while links are added
+ * and removed. A link that would close a loop is refused and changes nothing. Owns the links and the order; it must
+ * not know why a link is requested.
  *
- * <p>After Pearce and Kelly (2006): a link that agrees with the order costs a comparison; otherwise only the
- * units that stand between its two ends are looked at and put right. Taking a link away changes no order.
+ * <p>After Pearce and Kelly (2006): adding a link that agrees with the order costs one comparison; otherwise only
+ * units between the positions of its two ends are visited and reordered. Removing a link does not change the order.
  */
 final class FillOrder {
 
@@ -19,135 +19,138 @@
 
     private final Map<String, Integer> numbers = new HashMap<>();
     private String[] names = new String[16];
-    private int[] place = new int[16]; // of a unit in the order
-    private int[][] above = new int[16][]; // what it fills from
-    private int[][] below = new int[16][]; // what fills from it
-    private int[] aboveCount = new int[16];
-    private int[] belowCount = new int[16];
-    private boolean[] seen = new boolean[16];
-    private int size; // numbers given out so far
-    private int[] free = new int[16]; // numbers of units that have left
-    private int freeCount;
-    private int nextPlace; // places need no density, only their order counts
-    private int[] found = new int[16]; // of the search that is under way
+    private int[] position = new int[16]; // by unit number
+    private int[][] parents = new int[16][]; // by unit number; unit numbers that it fills from
+    private int[][] children = new int[16][]; // by unit number; unit numbers that fill from it
+    private int[] parentCounts = new int[16];
+    private int[] childCounts = new int[16];
+    private boolean[] visited = new boolean[16];
+    private int size; // unit numbers assigned so far
+    private int[] freeNumbers = new int[16]; // numbers of removed units, for reuse
+    private int freeNumberCount;
+    private int nextPosition; // positions may have gaps; only their order matters
+    private int[] found = new int[16]; // units visited by the current search
     private int foundCount;
     private int[] stack = new int[16];
-    private long looked;
+    private long unitsVisited;
 
-    /** Takes the link unless it closes a loop; false changes nothing. A link twice is one link. */
+    /** Adds the link unless it closes a loop; returns false, with nothing changed, if it does. Adding a link again is a no-op. */
     boolean add(String unit, String parent) {
         if (unit.equals(parent)) {
             return false;
         }
-        int u = number(unit);
-        int p = number(parent);
-        if (contains(above[u], aboveCount[u], p)) {
+        int unitNumber = numberOf(unit);
+        int parentNumber = numberOf(parent);
+        if (contains(parents[unitNumber], parentCounts[unitNumber], parentNumber)) {
             return true;
         }
-        if (place[u] > place[p] && !reorder(u, p)) {
+        if (position[unitNumber] > position[parentNumber] && !reorder(unitNumber, parentNumber)) {
             return false;
         }
-        above[u] = with(above[u], aboveCount[u]++, p);
-        below[p] = with(below[p], belowCount[p]++, u);
+        parents[unitNumber] = append(parents[unitNumber], parentCounts[unitNumber]++, parentNumber);
+        children[parentNumber] = append(children[parentNumber], childCounts[parentNumber]++, unitNumber);
         return true;
     }
 
-    /** Takes a link away; one that is not there is no matter. */
+    /** Removes the link if it exists. */
     void remove(String unit, String parent) {
-        Integer u = numbers.get(unit);
-        Integer p = numbers.get(parent);
-        if (u != null && p != null && contains(above[u], aboveCount[u], p)) {
-            without(above[u], aboveCount[u]--, p);
-            without(below[p], belowCount[p]--, u);
-            forgetIfAlone(u);
-            forgetIfAlone(p);
+        Integer unitNumber = numbers.get(unit);
+        Integer parentNumber = numbers.get(parent);
+        if (unitNumber != null && parentNumber != null && contains(parents[unitNumber], parentCounts[unitNumber], parentNumber)) {
+            removeValue(parents[unitNumber], parentCounts[unitNumber]--, parentNumber);
+            removeValue(children[parentNumber], childCounts[parentNumber]--, unitNumber);
+            removeIfUnlinked(unitNumber);
+            removeIfUnlinked(parentNumber);
         }
     }
 
     boolean contains(String unit, String parent) {
-        Integer u = numbers.get(unit);
-        Integer p = numbers.get(parent);
-        return u != null && p != null && contains(above[u], aboveCount[u], p);
+        Integer unitNumber = numbers.get(unit);
+        Integer parentNumber = numbers.get(parent);
+        return unitNumber != null && parentNumber != null && contains(parents[unitNumber], parentCounts[unitNumber], parentNumber);
     }
 
-    /** The units that have a link to this one. */
-    List<String> below(String parent) {
-        Integer p = numbers.get(parent);
-        return p == null
+    /** Returns the names of the units that fill from this one, sorted. */
+    List<String> childrenOf(String parent) {
+        Integer parentNumber = numbers.get(parent);
+        return parentNumber == null
                 ? List.of()
-                : Arrays.stream(below[p], 0, belowCount[p])
-                        .mapToObj(n -> names[n])
+                : Arrays.stream(children[parentNumber], 0, childCounts[parentNumber])
+                        .mapToObj(unitNumber -> names[unitNumber])
                         .sorted()
                         .toList();
     }
 
-    /** How many units the searches have looked at since the start; shows what an insertion costs. */
-    long looked() {
-        return looked;
+    /** Returns the number of units that searches have visited since the start, a measure of the cost of adding links. */
+    long unitsVisited() {
+        return unitsVisited;
     }
 
     int links() {
-        return Arrays.stream(aboveCount).sum();
+        return Arrays.stream(parentCounts).sum();
     }
 
-    /** How many units have a link. */
+    /** Returns the number of units that have at least one link. */
     int units() {
         return numbers.size();
     }
 
-    /** Puts p behind u where nothing that p fills from, directly or not, is u. */
-    private boolean reorder(int u, int p) {
-        int from = place[p];
-        int to = place[u];
+    /** Moves the parent behind the unit in the order; returns false if the parent fills from the unit, directly or not. */
+    private boolean reorder(int unitNumber, int parentNumber) {
+        int from = position[parentNumber];
+        int to = position[unitNumber];
         foundCount = 0;
-        boolean loop = !search(p, above, aboveCount, from, to, u);
-        int ahead = foundCount; // these must move behind
+        boolean loop = !search(parentNumber, parents, parentCounts, from, to, unitNumber);
+        int parentSideCount = foundCount; // the first units of found, which must move back
         if (!loop) {
-            search(u, below, belowCount, from, to, -1);
+            search(unitNumber, children, childCounts, from, to, -1);
         }
         for (int i = 0; i < foundCount; i++) {
-            seen[found[i]] = false;
+            visited[found[i]] = false;
         }
         if (loop) {
             return false;
         }
-        // each half keeps its own order; together they share out the places they have
-        long[] front = byPlace(ahead, foundCount);
-        long[] behind = byPlace(0, ahead);
-        int[] places = new int[foundCount];
+        // each side keeps its relative order; together they are assigned the positions that they already occupy
+        long[] childSide = sortedByPosition(parentSideCount, foundCount);
+        long[] parentSide = sortedByPosition(0, parentSideCount);
+        int[] positions = new int[foundCount];
         for (int i = 0; i < foundCount; i++) {
-            places[i] = place[found[i]];
+            positions[i] = position[found[i]];
         }
-        Arrays.sort(places);
+        Arrays.sort(positions);
         int next = 0;
-        for (long f : front) {
-            place[(int) f] = places[next++];
+        for (long movedUnit : childSide) {
+            position[(int) movedUnit] = positions[next++];
         }
-        for (long b : behind) {
-            place[(int) b] = places[next++];
+        for (long movedUnit : parentSide) {
+            position[(int) movedUnit] = positions[next++];
         }
         return true;
     }
 
-    /** Collects what is reached from a unit within these places; false as soon as that is the target. */
+    /**
+     * Adds to {@code found} the units that are reachable from the start at positions within the range; returns false
+     * as soon as the target is reached. A target of -1 is never reached.
+     */
     private boolean search(int start, int[][] next, int[] count, int from, int to, int target) {
         int depth = 0;
         stack = push(stack, depth++, start);
-        seen[start] = true;
+        visited[start] = true;
         while (depth > 0) {
-            int at = stack[--depth];
-            found = push(found, foundCount++, at);
-            looked++;
-            for (int i = 0; i < count[at]; i++) {
-                int reached = next[at][i];
+            int current = stack[--depth];
+            found = push(found, foundCount++, current);
+            unitsVisited++;
+            for (int i = 0; i < count[current]; i++) {
+                int reached = next[current][i];
                 if (reached == target) {
-                    while (depth > 0) { // so that the caller clears their marks too
+                    while (depth > 0) { // record the rest, so that the caller clears their visited marks
                         found = push(found, foundCount++, stack[--depth]);
                     }
                     return false;
                 }
-                if (!seen[reached] && place[reached] >= from && place[reached] <= to) {
-                    seen[reached] = true;
+                if (!visited[reached] && position[reached] >= from && position[reached] <= to) {
+                    visited[reached] = true;
                     stack = push(stack, depth++, reached);
                 }
             }
@@ -155,62 +158,62 @@
         return true;
     }
 
-    private long[] byPlace(int from, int to) {
+    private long[] sortedByPosition(int from, int to) {
         long[] sorted = new long[to - from];
         for (int i = from; i < to; i++) {
-            sorted[i - from] = (long) place[found[i]] << Integer.SIZE | found[i];
+            sorted[i - from] = (long) position[found[i]] << Integer.SIZE | found[i];
         }
         Arrays.sort(sorted);
         return sorted;
     }
 
-    private int number(String name) {
+    private int numberOf(String name) {
         Integer known = numbers.get(name);
         if (known != null) {
             return known;
         }
-        int number = freeCount > 0 ? free[--freeCount] : size++;
+        int number = freeNumberCount > 0 ? freeNumbers[--freeNumberCount] : size++;
         if (number == names.length) {
             names = Arrays.copyOf(names, 2 * number);
-            place = Arrays.copyOf(place, 2 * number);
-            above = Arrays.copyOf(above, 2 * number);
-            below = Arrays.copyOf(below, 2 * number);
-            aboveCount = Arrays.copyOf(aboveCount, 2 * number);
-            belowCount = Arrays.copyOf(belowCount, 2 * number);
-            seen = Arrays.copyOf(seen, 2 * number);
+            position = Arrays.copyOf(position, 2 * number);
+            parents = Arrays.copyOf(parents, 2 * number);
+            children = Arrays.copyOf(children, 2 * number);
+            parentCounts = Arrays.copyOf(parentCounts, 2 * number);
+            childCounts = Arrays.copyOf(childCounts, 2 * number);
+            visited = Arrays.copyOf(visited, 2 * number);
         }
         names[number] = name;
-        place[number] = nextPlace++;
-        above[number] = NONE;
-        below[number] = NONE;
+        position[number] = nextPosition++;
+        parents[number] = NONE;
+        children[number] = NONE;
         numbers.put(name, number);
         return number;
     }
 
-    /** A unit without links leaves, and its number is free for another. */
-    private void forgetIfAlone(int n) {
-        if (aboveCount[n] == 0 && belowCount[n] == 0) {
-            numbers.remove(names[n]);
-            names[n] = null;
-            above[n] = NONE;
-            below[n] = NONE;
-            free = push(free, freeCount++, n);
+    /** Removes a unit that has no links, so that its number can be reused. */
+    private void removeIfUnlinked(int unitNumber) {
+        if (parentCounts[unitNumber] == 0 && childCounts[unitNumber] == 0) {
+            numbers.remove(names[unitNumber]);
+            names[unitNumber] = null;
+            parents[unitNumber] = NONE;
+            children[unitNumber] = NONE;
+            freeNumbers = push(freeNumbers, freeNumberCount++, unitNumber);
         }
     }
 
-    private static int[] push(int[] list, int at, int value) {
-        int[] room = at < list.length ? list : Arrays.copyOf(list, 2 * at);
-        room[at] = value;
-        return room;
+    private static int[] push(int[] list, int index, int value) {
+        int[] grown = index < list.length ? list : Arrays.copyOf(list, 2 * index);
+        grown[index] = value;
+        return grown;
     }
 
-    private static int[] with(int[] list, int count, int value) {
-        int[] room = count < list.length ? list : Arrays.copyOf(list, Math.max(2, 2 * count));
-        room[count] = value;
-        return room;
+    private static int[] append(int[] list, int count, int value) {
+        int[] grown = count < list.length ? list : Arrays.copyOf(list, Math.max(2, 2 * count));
+        grown[count] = value;
+        return grown;
     }
 
-    private static void without(int[] list, int count, int value) {
+    private static void removeValue(int[] list, int count, int value) {
         for (int i = 0; i < count; i++) {
             if (list[i] == value) {
                 list[i] = list[count - 1];
@@ -219,10 +222,10 @@
         }
     }
 
-    private static void replace(int[] list, int count, int value, int by) {
+    private static void replaceValue(int[] list, int count, int value, int replacement) {
         for (int i = 0; i < count; i++) {
             if (list[i] == value) {
-                list[i] = by;
+                list[i] = replacement;
             }
         }
     }
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -17,35 +17,42 @@
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.Topology.Unit;
 import pumicemoor.hierarchy.TopologyValidator.Violation;
-import pumicemoor.hierarchy.Timeline.Branch;
+import pumicemoor.hierarchy.Timeline.UnitState;
 import pumicemoor.hierarchy.Timeline.Count;
 
 /**
- * The hierarchy as one router knows it: takes whole shapes and pieces of them, in any order, and tells what
- * each member may be filled from. It owns the news, the timeline that they make, and how far that may be
- * followed: never past what is known for certain, and nothing at all once that is too old, so that the
- * ordinary path decides. It must never pick the source of a request, nor read a clock; all is Unix microseconds.
+ * The hierarchy as one router knows it: accepts whole topologies or single updates in any order, and determines the
+ * sources that each member may be filled from. Owns the updates, the timeline computed from them, and the time up to
+ * which the timeline may be followed: never past the time for which all updates are known to have arrived. Once that
+ * time is too long ago it offers no sources at all, so that the ordinary path decides. It must not choose the source
+ * of a request or read a clock. All times are Unix microseconds.
  */
 public final class Hierarchy {
 
-    /** Pieces held at most until those before them have come. */
-    static final int MOST_EARLY = 1_000;
-    /** Pieces of one whole shape at most. */
-    static final int MOST_TOGETHER = TopologyValidator.MOST_UNITS;
+    /** The largest number of updates that are kept until the missing updates before them have arrived. */
+    static final int MAX_EARLY_UPDATES = 1_000;
+    /** The largest number of updates in one whole topology. */
+    static final int MAX_UPDATES_PER_TOPOLOGY = TopologyValidator.MAX_UNITS;
 
-    /** Where news of the shape comes from: whole from the operator's file, or by pieces from the coordinator. */
+    /** The source of the topology: the operator's file, as a whole, or the coordinator, as single updates. */
     public enum UpdateSource {
         FILE,
         FEED
     }
 
     /**
-     * What a router is set to: the unit that stands for the caches of its location, where news comes from, and
-     * how long a member that has started is cold.
+     * The configuration of a router.
+     *
+     * @param depot the unit that represents the caches of the router's location
+     * @param news where the topology comes from
+     * @param coldTime how long a member that has started is in slow start, in microseconds
      */
     public record Setup(String depot, UpdateSource news, MigrationTiming timing, long coldTime) {}
 
-    /** How a change goes on, from "nothing known for certain" to "all is as wanted". */
+    /**
+     * The progress of a topology change. HELD: a link waits because it would close a loop. WAITING_FOR_NEWS: an update
+     * is missing. TOO_OLD: no recent confirmation that all updates have arrived.
+     */
     public enum Stage {
         AS_WANTED,
         MOVING,
@@ -54,14 +61,14 @@
         TOO_OLD
     }
 
-    /** All that can be seen of it; shares are of one, counts since the start. */
+    /** The state for monitoring. Shares are from 0 to 1; counts are since the start of the router. */
     public record Snapshot(
             long version,
             Stage stage,
             double shareMoved,
             int unitsMoving,
             int linksHeld,
-            long pieces,
+            long updates,
             long piecesTwice,
             long piecesLate,
             long piecesEarly,
@@ -75,7 +82,7 @@
             long timesTooOld,
             String lastRefusal) {
 
-        /** By name, as status prints them. */
+        /** Returns the values by name, as the status page prints them. */
         public Map<String, String> fields() {
             Map<String, String> fields = new LinkedHashMap<>();
             fields.put("version", Long.toString(version));
@@ -83,7 +90,7 @@
             fields.put("share-moved", String.format(Locale.ROOT, "%.3f", shareMoved));
             fields.put("units-moving", Integer.toString(unitsMoving));
             fields.put("links-held", Integer.toString(linksHeld));
-            fields.put("pieces", Long.toString(pieces));
+            fields.put("pieces", Long.toString(updates));
             fields.put("pieces-twice", Long.toString(piecesTwice));
             fields.put("pieces-late", Long.toString(piecesLate));
             fields.put("pieces-early", Long.toString(piecesEarly));
@@ -105,317 +112,338 @@
     private final Setup setup;
     private final Consumer<LogEvent> log;
     private final Timeline timeline;
-    private final TreeMap<String, Unit> wanted;
+    private final TreeMap<String, Unit> target;
     private final TreeMap<Long, TopologyUpdate> early = new TreeMap<>();
-    private final List<TopologyUpdate> together = new ArrayList<>(); // of a whole shape that has not all come
-    private final Map<String, Long> started = new HashMap<>();
+    private final List<TopologyUpdate> partialTopology = new ArrayList<>(); // updates of a whole topology that is incomplete
+    private final Map<String, Long> startTimes = new HashMap<>();
     private final boolean skipsAllowed;
     private long version;
-    private long number; // of the last piece taken
-    private long certain; // all pieces announced until then have come
-    private long silentUntil; // a change that this router can't know may be under way
+    private long number; // of the last update applied
+    private long certainUntil; // all updates announced until then have arrived
+    private long suspendedUntil; // until then a change that this router does not know of may be in progress
     private boolean tooOld;
     private boolean changed = true;
-    private long twice, earlyCount, refused, shapesTaken, shapesRefused, timesTooOld;
+    private long duplicates;
+    private long earlyCount;
+    private long updatesRefused;
+    private long topologiesAccepted;
+    private long topologiesRefused;
+    private long timesTooOld;
     private String lastRefusal = "";
 
     /**
-     * Begins with a shape that is wholly in use everywhere; number is that of the last piece in it. Refuses a
-     * shape with problems: see ShapeCheck.
+     * Creates a hierarchy whose topology is fully in use at all routers.
+     *
+     * @param number the number of the last update that the topology contains
+     * @throws IllegalArgumentException if the topology has a loop; for all other violations see
+     *     {@link TopologyValidator}
      */
     public Hierarchy(Topology first, long number, long now, Setup setup, Consumer<LogEvent> log) {
         this.setup = setup;
         this.log = log;
         this.version = first.version();
         this.number = number;
-        this.certain = now;
+        this.certainUntil = now;
         this.skipsAllowed = first.skipsAllowed();
-        this.wanted = new TreeMap<>(first.units());
-        this.timeline = new Timeline(first, now, setup.timing(), this::told);
+        this.target = new TreeMap<>(first.units());
+        this.timeline = new Timeline(first, now, setup.timing(), this::linkChanged);
     }
 
     /**
-     * Begins with a shape and, while some router may still follow it, the one before. Without that a change may
-     * be under way that this router cannot know: it stays silent until any such change is over.
+     * Creates a hierarchy from a topology and, while some router may still follow it, the previous one. Without the
+     * previous topology a change may be in progress that this router does not know of, so it offers no sources until
+     * any such change must be over.
      */
     public static Hierarchy start(
-            Topology shape, Optional<Topology> before, long number, long now, Setup setup, Consumer<LogEvent> log) {
+            Topology topology, Optional<Topology> before, long number, long now, Setup setup, Consumer<LogEvent> log) {
         if (before.isPresent()) {
-            Hierarchy h = new Hierarchy(before.get(), number, Math.min(now, shape.announced()), setup, log);
-            pieces(before.get().units(), shape, h.number + 1).forEach(h::apply);
-            h.number = number;
-            h.version = shape.version();
-            h.advance(now);
-            return h;
+            Hierarchy hierarchy = new Hierarchy(before.get(), number, Math.min(now, topology.announced()), setup, log);
+            updatesBetween(before.get().units(), topology, hierarchy.number + 1).forEach(hierarchy::apply);
+            hierarchy.number = number;
+            hierarchy.version = topology.version();
+            hierarchy.advance(now);
+            return hierarchy;
         }
-        Hierarchy h = new Hierarchy(shape, number, now, setup, log);
-        long hubs = shape.units().values().stream()
-                .filter(u -> u.kind() == Kind.HUB)
+        Hierarchy hierarchy = new Hierarchy(topology, number, now, setup, log);
+        long hubs = topology.units().values().stream()
+                .filter(unit -> unit.kind() == Kind.HUB)
                 .count();
         MigrationTiming timing = setup.timing();
-        h.silentUntil = shape.announced() == 0
+        hierarchy.suspendedUntil = topology.announced() == 0
                 ? 0
-                : shape.announced() + timing.lead() + (hubs + 1) * (timing.move() + timing.gap());
-        return h;
+                : topology.announced() + timing.lead() + (hubs + 1) * (timing.move() + timing.gap());
+        return hierarchy;
     }
 
-    /** Which units and members there are must be the same at all routers, so starts only steer shares. */
+    /**
+     * Sets when members started. Only shares depend on it, since routers may differ in it but must agree on the links.
+     */
     public void members(Map<String, Long> startedByName) {
-        if (!started.equals(startedByName)) {
-            started.clear();
-            started.putAll(startedByName);
+        if (!startTimes.equals(startedByName)) {
+            startTimes.clear();
+            startTimes.putAll(startedByName);
             changed = true;
         }
     }
 
-    /** A whole shape, as the operator's file gives it; the problems where it is refused, and then nothing changes. */
-    public List<Violation> take(long now, Topology shape, Set<String> members) {
+    /**
+     * Replaces the topology by one from the operator's file.
+     *
+     * @return the violations because of which the topology was refused, with nothing changed; empty if it was accepted
+     */
+    public List<Violation> take(long now, Topology topology, Set<String> members) {
         advance(now);
-        List<Violation> problems = new ArrayList<>(TopologyValidator.problems(shape, members));
+        List<Violation> problems = new ArrayList<>(TopologyValidator.problems(topology, members));
         if (setup.news() != UpdateSource.FILE) {
-            problems.add(new Violation(TopologyValidator.ViolationKind.NO_WAY, "", "the shape comes from the coordinator here"));
+            problems.add(new Violation(TopologyValidator.ViolationKind.NOT_APPLICABLE, "", "this router receives the topology from the coordinator, not from the file"));
         }
-        if (shape.version() <= version && !shape.units().equals(wanted)) {
+        if (topology.version() <= version && !topology.units().equals(target)) {
             problems.add(new Violation(
-                    TopologyValidator.ViolationKind.NO_WAY,
+                    TopologyValidator.ViolationKind.NOT_APPLICABLE,
                     "",
-                    "version " + shape.version() + " is not above version " + version + ", which is in force"));
+                    "version " + topology.version() + " is not above version " + version + ", which is in force"));
         }
         if (!problems.isEmpty()) {
-            refuseShape(shape.version(), problems.get(0).text());
+            rejectTopology(topology.version(), problems.get(0).text());
             return List.copyOf(problems);
         }
-        List<TopologyUpdate> pieces = pieces(wanted, shape, number + 1);
-        pieces.forEach(this::apply);
-        version = shape.version();
-        shapesTaken++;
+        List<TopologyUpdate> updates = updatesBetween(target, topology, number + 1);
+        updates.forEach(this::apply);
+        version = topology.version();
+        topologiesAccepted++;
         advance(now);
         return List.of();
     }
 
-    /** The pieces that lead from some units to a whole shape, children of removed units first by name. */
-    public static List<TopologyUpdate> pieces(Map<String, Unit> from, Topology to, long firstNumber) {
+    /**
+     * Returns the updates that lead from these units to the topology: first the new and changed units, then the removed
+     * ones, so that children of a removed unit come before it.
+     */
+    public static List<TopologyUpdate> updatesBetween(Map<String, Unit> from, Topology to, long firstNumber) {
         List<Unit> changed = to.units().values().stream()
-                .filter(u -> !u.equals(from.get(u.name())))
+                .filter(unit -> !unit.equals(from.get(unit.name())))
                 .toList();
-        List<Unit> gone = from.values().stream()
-                .filter(u -> !to.units().containsKey(u.name()))
+        List<Unit> removed = from.values().stream()
+                .filter(unit -> !to.units().containsKey(unit.name()))
                 .toList();
-        int count = changed.size() + gone.size();
-        List<TopologyUpdate> pieces = new ArrayList<>(count);
-        for (Unit u : changed) {
-            pieces.add(new TopologyUpdate(
-                    firstNumber + pieces.size(),
+        int count = changed.size() + removed.size();
+        List<TopologyUpdate> updates = new ArrayList<>(count);
+        for (Unit unit : changed) {
+            updates.add(new TopologyUpdate(
+                    firstNumber + updates.size(),
                     to.announced(),
                     to.version(),
                     count,
-                    u.name(),
-                    u.kind(),
-                    u.parents(),
+                    unit.name(),
+                    unit.kind(),
+                    unit.parents(),
                     false));
         }
-        for (Unit u : gone) {
-            pieces.add(new TopologyUpdate(
-                    firstNumber + pieces.size(),
+        for (Unit unit : removed) {
+            updates.add(new TopologyUpdate(
+                    firstNumber + updates.size(),
                     to.announced(),
                     to.version(),
                     count,
-                    u.name(),
-                    u.kind(),
+                    unit.name(),
+                    unit.kind(),
                     Map.of(),
                     true));
         }
-        return pieces;
+        return updates;
     }
 
-    /** One piece from the coordinator. Twice is no matter; behind a gap it waits for those before it. */
-    public void take(long now, TopologyUpdate piece) {
+    /**
+     * Accepts an update from the coordinator. A duplicate is ignored; an update after a gap in the numbers waits for the
+     * missing ones.
+     */
+    public void take(long now, TopologyUpdate update) {
         advance(now);
-        if (piece.number() <= number || early.containsKey(piece.number())) {
-            twice++;
-        } else if (piece.number() > number + 1) {
+        if (update.number() <= number || early.containsKey(update.number())) {
+            duplicates++;
+        } else if (update.number() > number + 1) {
             earlyCount++;
-            early.put(piece.number(), piece);
-            if (early.size() > MOST_EARLY) {
-                early.pollLastEntry(); // it will be told again, as what is missing must be
+            early.put(update.number(), update);
+            if (early.size() > MAX_EARLY_UPDATES) {
+                early.pollLastEntry(); // it will be sent again, as the missing updates must be
             }
         } else {
-            inTurn(piece);
+            applyInOrder(update);
             while (!early.isEmpty() && early.firstKey() == number + 1) {
-                inTurn(early.pollFirstEntry().getValue());
+                applyInOrder(early.pollFirstEntry().getValue());
             }
         }
         advance(now);
     }
 
-    /** The coordinator says that no piece past this number was announced until then. */
+    /** Accepts the coordinator's confirmation that no update after this number was announced until {@code asOf}. */
     public void certain(long now, long asOf, long lastNumber) {
         if (number >= lastNumber) {
-            certain = Math.max(certain, Math.min(now, asOf));
+            certainUntil = Math.max(certainUntil, Math.min(now, asOf));
         }
         advance(now);
     }
 
-    private void inTurn(TopologyUpdate piece) {
-        number = piece.number();
-        if (!together.isEmpty()
-                && (piece.version() != together.get(0).version()
-                        || piece.pieces() != together.get(0).pieces())) {
-            refuseShape(
-                    together.get(0).version(),
-                    "piece " + piece.number() + " belongs to another shape, and " + together.size() + " of "
-                            + together.get(0).pieces() + " had come");
-            together.clear();
+    private void applyInOrder(TopologyUpdate update) {
+        number = update.number();
+        if (!partialTopology.isEmpty()
+                && (update.version() != partialTopology.get(0).version()
+                        || update.pieces() != partialTopology.get(0).pieces())) {
+            rejectTopology(
+                    partialTopology.get(0).version(),
+                    "piece " + update.number() + " belongs to another topology, but only " + partialTopology.size() + " of "
+                            + partialTopology.get(0).pieces() + " pieces of this one have arrived");
+            partialTopology.clear();
         }
-        if (piece.pieces() <= 0) {
-            loose(piece);
-        } else if (piece.pieces() > MOST_TOGETHER) {
-            refuseShape(piece.version(), "it has " + piece.pieces() + " pieces, over " + MOST_TOGETHER);
+        if (update.pieces() <= 0) {
+            applyIndependent(update);
+        } else if (update.pieces() > MAX_UPDATES_PER_TOPOLOGY) {
+            rejectTopology(update.version(), "it has " + update.pieces() + " pieces; the limit is " + MAX_UPDATES_PER_TOPOLOGY);
         } else {
-            together.add(piece);
-            if (together.size() == piece.pieces()) {
-                whole(List.copyOf(together));
-                together.clear();
+            partialTopology.add(update);
+            if (partialTopology.size() == update.pieces()) {
+                applyTopology(List.copyOf(partialTopology));
+                partialTopology.clear();
             }
         }
     }
 
-    /** A piece by itself: it may close a loop for a while, but its own form must be right. */
-    private void loose(TopologyUpdate piece) {
-        String problem = problem(piece);
-        if (problem == null) {
-            apply(piece);
-            version = Math.max(version, piece.version());
+    /** Applies an independent update. It may close a loop for a while, but must be valid by itself. */
+    private void applyIndependent(TopologyUpdate update) {
+        String violation = findViolation(update);
+        if (violation == null) {
+            apply(update);
+            version = Math.max(version, update.version());
         } else {
-            refused++;
-            lastRefusal = "piece " + piece.number() + ": " + problem;
+            updatesRefused++;
+            lastRefusal = "piece " + update.number() + ": " + violation;
             log.accept(new LogEvent(
-                    "a piece of the hierarchy is refused: " + problem,
-                    Map.of("piece", piece.number(), "unit", piece.unit())));
+                    "refused an update of the hierarchy: " + violation,
+                    Map.of("piece", update.number(), "unit", update.unit())));
         }
     }
 
-    private String problem(TopologyUpdate piece) {
-        Unit known = wanted.get(piece.unit());
-        if (piece.removed()) {
-            return known == null ? "there is no unit '" + piece.unit() + "'" : null;
+    private String findViolation(TopologyUpdate update) {
+        Unit known = target.get(update.unit());
+        if (update.removed()) {
+            return known == null ? "there is no unit '" + update.unit() + "'" : null;
         }
-        if (known != null && known.kind() != piece.kind()) {
-            return "'" + piece.unit() + "' is a " + known.kind() + " and can't become another";
+        if (known != null && known.kind() != update.kind()) {
+            return "'" + update.unit() + "' is a " + known.kind() + " and can't change its kind";
         }
-        if (known == null && wanted.size() >= TopologyValidator.MOST_UNITS) {
-            return "there are " + wanted.size() + " units already";
+        if (known == null && target.size() >= TopologyValidator.MAX_UNITS) {
+            return "the topology already has " + target.size() + " units, the maximum";
         }
-        if (piece.kind() == Kind.ORIGIN || piece.parents().isEmpty()) {
-            return "'" + piece.unit() + "' fills from nobody, or is an origin";
+        if (update.kind() == Kind.ORIGIN || update.parents().isEmpty()) {
+            return "'" + update.unit() + "' has no parents or is an origin";
         }
-        for (Map.Entry<String, Double> parent : piece.parents().entrySet()) {
-            Unit above = wanted.get(parent.getKey());
+        for (Map.Entry<String, Double> parent : update.parents().entrySet()) {
+            Unit parentUnit = target.get(parent.getKey());
             if (!(parent.getValue() > 0 && parent.getValue() <= TopologyValidator.MOST_WEIGHT)
-                    || parent.getKey().equals(piece.unit())
-                    || above != null && (above.kind() == Kind.DEPOT || above.kind().level < piece.kind().level)) {
-                return "'" + piece.unit() + "' may not fill from '" + parent.getKey() + "' with the weight "
+                    || parent.getKey().equals(update.unit())
+                    || parentUnit != null && (parentUnit.kind() == Kind.DEPOT || parentUnit.kind().level < update.kind().level)) {
+                return "'" + update.unit() + "' may not fill from '" + parent.getKey() + "' with the weight "
                         + parent.getValue();
             }
         }
         return null;
     }
 
-    /** All pieces of a whole shape: taken together at one moment, or not at all. */
-    private void whole(List<TopologyUpdate> pieces) {
-        Map<String, Unit> result = new TreeMap<>(wanted);
+    /** Applies all updates of a whole topology at the same moment, or none of them. */
+    private void applyTopology(List<TopologyUpdate> updates) {
+        Map<String, Unit> result = new TreeMap<>(target);
         long announced = 0;
-        for (TopologyUpdate p : pieces) {
-            announced = Math.max(announced, p.announced());
-            if (p.removed()) {
-                result.remove(p.unit());
+        for (TopologyUpdate update : updates) {
+            announced = Math.max(announced, update.announced());
+            if (update.removed()) {
+                result.remove(update.unit());
             } else {
-                result.put(p.unit(), p.toUnit());
+                result.put(update.unit(), update.toUnit());
             }
         }
-        long version = pieces.get(0).version();
+        long version = updates.get(0).version();
         List<Violation> problems = TopologyValidator.problems(new Topology(version, announced, skipsAllowed, result), Set.of());
         if (!problems.isEmpty()) {
-            refuseShape(version, problems.get(0).text());
+            rejectTopology(version, problems.get(0).text());
             return;
         }
-        for (TopologyUpdate p : pieces) {
-            apply(new TopologyUpdate(p.number(), announced, version, p.pieces(), p.unit(), p.kind(), p.parents(), p.removed()));
+        for (TopologyUpdate update : updates) {
+            apply(new TopologyUpdate(update.number(), announced, version, update.pieces(), update.unit(), update.kind(), update.parents(), update.removed()));
         }
         this.version = Math.max(this.version, version);
-        shapesTaken++;
+        topologiesAccepted++;
     }
 
-    private void apply(TopologyUpdate piece) {
-        number = Math.max(number, piece.number());
-        if (piece.removed()) {
-            wanted.remove(piece.unit());
+    private void apply(TopologyUpdate update) {
+        number = Math.max(number, update.number());
+        if (update.removed()) {
+            target.remove(update.unit());
         } else {
-            wanted.put(piece.unit(), piece.toUnit());
+            target.put(update.unit(), update.toUnit());
         }
-        timeline.take(piece);
+        timeline.add(update);
         changed = true;
     }
 
-    private void refuseShape(long refusedVersion, String why) {
-        shapesRefused++;
-        lastRefusal = "version " + refusedVersion + ": " + why;
+    private void rejectTopology(long refusedVersion, String reason) {
+        topologiesRefused++;
+        lastRefusal = "version " + refusedVersion + ": " + reason;
         log.accept(new LogEvent(
-                "a hierarchy is refused, the old one stays in force: " + why,
+                "refused a hierarchy; the old one stays in force: " + reason,
                 Map.of("version", refusedVersion, "in-force", version)));
     }
 
     // ---- time -----------------------------------------------------------------------------------------
 
-    /** Lives through what has become due, as far as all news until then is certain to have come. */
+    /** Processes what is due by now, but not past the time up to which all updates are known to have arrived. */
     public void advance(long now) {
         if (setup.news() == UpdateSource.FILE) {
-            certain = Math.max(certain, now);
+            certainUntil = Math.max(certainUntil, now);
         }
-        timeline.advance(Math.min(now, certain + setup.timing().lead()));
-        boolean old = now < silentUntil
-                || now - certain > setup.timing().lead() + setup.timing().gap() / 2; // half is for clocks
-        if (old != tooOld) {
-            tooOld = old;
+        timeline.advance(Math.min(now, certainUntil + setup.timing().lead()));
+        boolean stale = now < suspendedUntil
+                || now - certainUntil > setup.timing().lead() + setup.timing().gap() / 2; // the other half of the gap allows for clock skew
+        if (stale != tooOld) {
+            tooOld = stale;
             changed = true;
-            timesTooOld += old ? 1 : 0;
+            timesTooOld += stale ? 1 : 0;
             log.accept(new LogEvent(
-                    old
-                            ? "the hierarchy's news is too old: the ordinary path decides"
-                            : "the hierarchy's news is certain again",
+                    stale
+                            ? "the last confirmed hierarchy update is too old: the ordinary path decides"
+                            : "the hierarchy updates are confirmed again",
                     Map.of("version", version)));
         }
     }
 
-    /** When advance wants to be called next; Long.MAX_VALUE for never. */
+    /** Returns when {@link #advance} must be called next, or Long.MAX_VALUE if it need not be. */
     public long nextDue() {
-        long next = Math.min(timeline.nextChange(), tooOld && silentUntil > certain ? silentUntil : Long.MAX_VALUE);
+        long next = Math.min(timeline.nextChange(), tooOld && suspendedUntil > certainUntil ? suspendedUntil : Long.MAX_VALUE);
         if (setup.news() == UpdateSource.FILE) {
             return next;
         }
-        long old = tooOld
+        long staleAt = tooOld
                 ? Long.MAX_VALUE
-                : certain + setup.timing().lead() + setup.timing().gap() / 2 + 1;
-        return next <= certain + setup.timing().lead() ? Math.min(next, old) : old;
+                : certainUntil + setup.timing().lead() + setup.timing().gap() / 2 + 1;
+        return next <= certainUntil + setup.timing().lead() ? Math.min(next, staleAt) : staleAt;
     }
 
-    private void told(Timeline.Change change) {
+    private void linkChanged(Timeline.Change change) {
         changed = true;
-        if (change.what() == Timeline.Change.What.HELD) {
+        if (change.type() == Timeline.Change.Type.BLOCKED) {
             log.accept(new LogEvent(
                     "a link of the hierarchy would close a loop and is held back",
                     Map.of("unit", change.link().unit(), "parent", change.link().parent(), "version", version)));
         }
     }
 
-    // ---- what follows ---------------------------------------------------------------------------------
+    // ---- results ---------------------------------------------------------------------------------
 
-    /** Whether the sources may have changed since they were last asked for. */
+    /** Returns whether the sources may have changed since the last call of {@link #sources}. */
     public boolean changed() {
         return changed;
     }
 
-    /** What each member may be filled from now; none while the news is too old. */
+    /** Returns the sources that each member may be filled from now; none while the updates are too old. */
     public FillSourcesUpdate sources(ToLongFunction<String> memberId) {
         changed = false;
         Map<Long, FillSources> lists = new HashMap<>();
@@ -423,72 +451,72 @@
             Map<String, List<Long>> seeds = new HashMap<>();
             timeline.seeds().forEach(l -> seeds.computeIfAbsent(l.unit(), k -> new ArrayList<>())
                     .add(memberId.applyAsLong(l.parent())));
-            for (Branch b : timeline.all()) {
-                boolean own = b.kind != Kind.DEPOT;
-                if ((own || b.name.equals(setup.depot())) && !b.current.isEmpty()) {
+            for (UnitState state : timeline.unitStates()) {
+                boolean isMember = state.kind != Kind.DEPOT;
+                if ((isMember || state.name.equals(setup.depot())) && !state.current.isEmpty()) {
                     lists.put(
-                            own ? memberId.applyAsLong(b.name) : FillSourcesUpdate.LOCATION,
+                            isMember ? memberId.applyAsLong(state.name) : FillSourcesUpdate.LOCATION,
                             new FillSources(
-                                    list(b, b.current, memberId),
-                                    list(b, b.before, memberId),
-                                    list(b, b.earlier, memberId),
-                                    b.flipped,
-                                    seeds.getOrDefault(b.name, List.of())));
+                                    fillSources(state, state.current, memberId),
+                                    fillSources(state, state.previous, memberId),
+                                    fillSources(state, state.earlier, memberId),
+                                    state.reverting,
+                                    seeds.getOrDefault(state.name, List.of())));
                 }
             }
         }
         return new FillSourcesUpdate(version, lists);
     }
 
-    private List<FillSource> list(Branch branch, Map<String, Double> parents, ToLongFunction<String> memberId) {
+    private List<FillSource> fillSources(UnitState state, Map<String, Double> parents, ToLongFunction<String> memberId) {
         List<FillSource> sources = new ArrayList<>();
         parents.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(e -> {
-            long start = started.getOrDefault(e.getKey(), 0L);
-            boolean fresh = start > 0 && branch.moving() && branch.until - start < setup.coldTime()
-                    || start > branch.from && branch.moving();
-            long opens = fresh ? Math.max(branch.from, start) : branch.from;
-            long full = fresh
-                    ? Math.max(branch.until, start + Math.max(setup.timing().move(), setup.coldTime()))
-                    : branch.until;
+            long startTime = startTimes.getOrDefault(e.getKey(), 0L);
+            boolean restarted = startTime > 0 && state.moving() && state.moveEnd - startTime < setup.coldTime()
+                    || startTime > state.moveStart && state.moving();
+            long rampStart = restarted ? Math.max(state.moveStart, startTime) : state.moveStart;
+            long rampEnd = restarted
+                    ? Math.max(state.moveEnd, startTime + Math.max(setup.timing().move(), setup.coldTime()))
+                    : state.moveEnd;
             sources.add(new FillSource(
                     memberId.applyAsLong(e.getKey()),
                     e.getValue(),
-                    start > branch.from ? 0 : branch.startShare,
-                    opens,
-                    full));
+                    startTime > state.moveStart ? 0 : state.startShare,
+                    rampStart,
+                    rampEnd));
         });
         return sources;
     }
 
-    /** The share of this location's objects that has moved, by the timeline. */
+    /** Returns the state for monitoring; the share moved is that of this location's objects. */
     public Snapshot snapshot() {
-        Branch mine = timeline.find(setup.depot());
+        UnitState local = timeline.unit(setup.depot());
         int moving = 0;
-        for (Branch b : timeline.all()) {
-            moving += b.moving() ? 1 : 0;
+        for (UnitState state : timeline.unitStates()) {
+            moving += state.moving() ? 1 : 0;
         }
         Stage stage = tooOld
                 ? Stage.TOO_OLD
-                : !early.isEmpty() || !together.isEmpty()
+                : !early.isEmpty() || !partialTopology.isEmpty()
                         ? Stage.WAITING_FOR_NEWS
-                        : timeline.held() > 0 ? Stage.HELD : timeline.quiet() ? Stage.AS_WANTED : Stage.MOVING;
+                        : timeline.blockedLinks() > 0 ? Stage.HELD : timeline.complete() ? Stage.AS_WANTED : Stage.MOVING;
         return new Snapshot(
                 version,
                 stage,
-                mine == null ? 1 : timeline.share(mine),
+                local == null ? 1 : timeline.share(local),
                 moving,
-                timeline.held(),
+                timeline.blockedLinks(),
                 timeline.count(Count.PIECES),
-                twice,
+                duplicates,
                 timeline.count(Count.LATE),
                 earlyCount,
-                refused,
+                updatesRefused,
                 timeline.count(Count.HELD),
                 timeline.count(Count.MOVES),
                 timeline.count(Count.BACK),
                 timeline.count(Count.SEEDS),
-                shapesTaken,
-                shapesRefused,
+                topologiesAccepted,
+                topologiesRefused,
                 timesTooOld,
                 lastRefusal);
     }
@@ -497,8 +525,8 @@
         return timeline;
     }
 
-    /** The shape that is wanted, whether or not the timeline has got there. */
+    /** Returns the target topology, whether or not the timeline has reached it. */
     public Map<String, Unit> wanted() {
-        return Map.copyOf(wanted);
+        return Map.copyOf(target);
     }
 }
--- a/src/main/java/pumicemoor/hierarchy/LogEvent.java
+++ b/src/main/java/pumicemoor/hierarchy/LogEvent.java
@@ -2,5 +2,5 @@
 
 import java.util.Map;
 
-/** Something that operators should read in the log: a text, and its figures by name. */
+/** A log entry for operators: a message and its named values. */
 public record LogEvent(String text, Map<String, Object> fields) {}
--- a/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -8,12 +8,21 @@
 import pumicemoor.hierarchy.Timeline.Change;
 
 /**
- * What will happen when one shape follows another, found by playing the same timeline that routers follow. It
- * owns nothing that lasts; it must never be a second way to compute a change.
+ * The steps by which one topology replaces another, computed by running the same timeline that routers follow. It
+ * keeps no state beyond the result, and must not compute a change in any other way than through the timeline.
  */
 public record MigrationPlan(List<Step> steps, List<Violation> problems, boolean arrives) {
 
-    /** A step: so long after the announcement (microseconds) these links begin, leave, and end. */
+    /**
+     * The changes at one moment.
+     *
+     * @param after microseconds since the announcement
+     * @param begin links that come into use
+     * @param leave links whose objects begin to move to other parents
+     * @param end links that are out of use
+     * @param held links that are blocked because they would close a loop
+     * @param seeds links over which a new parent may fill from a previous one
+     */
     public record Step(
             long after,
             List<String> begin,
@@ -22,51 +31,51 @@
             List<String> held,
             List<String> seeds) {}
 
-    /** A plan can be followed when nothing is wrong with the new shape and the change comes to its end. */
+    /** Returns whether the new topology is valid and the change completes. */
     public boolean usable() {
         return problems.isEmpty() && arrives;
     }
 
-    /** Plays the change; the old shape must be one without problems. */
+    /** Computes the migration from one topology to the next. The old topology must be valid. */
     public static MigrationPlan between(Topology old, Topology next, MigrationTiming timing) {
-        List<Violation> problems = new ArrayList<>(TopologyValidator.problems(next, Set.of()));
+        List<Violation> violations = new ArrayList<>(TopologyValidator.problems(next, Set.of()));
         next.units().values().stream()
                 .filter(u -> old.units().containsKey(u.name())
                         && old.units().get(u.name()).kind() != u.kind()
                         && u.kind() != Kind.ORIGIN)
-                .forEach(u -> problems.add(new Violation(
+                .forEach(u -> violations.add(new Violation(
                         TopologyValidator.ViolationKind.DOWNWARD,
                         u.name(),
                         "'" + u.name()
                                 + "' is a " + old.units().get(u.name()).kind() + " and can't become a " + u.kind()
                                 + " while it runs")));
-        if (!problems.isEmpty()) {
-            return new MigrationPlan(List.of(), List.copyOf(problems), false);
+        if (!violations.isEmpty()) {
+            return new MigrationPlan(List.of(), List.copyOf(violations), false);
         }
         List<Change> changes = new ArrayList<>();
         Timeline timeline = new Timeline(old, 0, timing, changes::add);
-        for (TopologyUpdate p : Hierarchy.pieces(old.units(), next, 1)) {
-            timeline.take(
-                    new TopologyUpdate(p.number(), 0, p.version(), p.pieces(), p.unit(), p.kind(), p.parents(), p.removed()));
+        for (TopologyUpdate update : Hierarchy.updatesBetween(old.units(), next, 1)) {
+            timeline.add(
+                    new TopologyUpdate(update.number(), 0, update.version(), update.pieces(), update.unit(), update.kind(), update.parents(), update.removed()));
         }
         for (long at = timeline.nextChange(); at < Long.MAX_VALUE; at = timeline.nextChange()) {
             timeline.advance(at);
         }
         List<Step> steps = new ArrayList<>();
-        for (int i = 0; i < changes.size(); ) {
-            long at = changes.get(i).at();
-            int end = i;
+        for (int start = 0; start < changes.size(); ) {
+            long at = changes.get(start).at();
+            int end = start;
             while (end < changes.size() && changes.get(end).at() == at) {
                 end++;
             }
-            List<Change> now = changes.subList(i, end);
+            List<Change> simultaneous = changes.subList(start, end);
             Step step = new Step(
                     at,
-                    links(now, Change.What.IN_USE),
-                    links(now, Change.What.LEAVING),
-                    links(now, Change.What.OUT_OF_USE),
-                    links(now, Change.What.HELD),
-                    links(now, Change.What.SEED));
+                    linksOf(simultaneous, Change.Type.IN_USE),
+                    linksOf(simultaneous, Change.Type.LEAVING),
+                    linksOf(simultaneous, Change.Type.OUT_OF_USE),
+                    linksOf(simultaneous, Change.Type.BLOCKED),
+                    linksOf(simultaneous, Change.Type.SEED));
             if (step.begin().size()
                             + step.leave().size()
                             + step.end().size()
@@ -74,14 +83,14 @@
                     > 0) {
                 steps.add(step);
             }
-            i = end;
+            start = end;
         }
-        return new MigrationPlan(List.copyOf(steps), List.of(), timeline.quiet());
+        return new MigrationPlan(List.copyOf(steps), List.of(), timeline.complete());
     }
 
-    private static List<String> links(List<Change> changes, Change.What what) {
+    private static List<String> linksOf(List<Change> changes, Change.Type type) {
         return changes.stream()
-                .filter(c -> c.what() == what)
+                .filter(c -> c.type() == type)
                 .map(c -> c.link().toString())
                 .toList();
     }
--- a/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
@@ -1,18 +1,20 @@
 package pumicemoor.hierarchy;
 
 /**
- * The times of a change, in microseconds; every router must be given the same. Lead: from the announcement of a
- * piece until it acts, so that all have it by then. Move: from the first until the last object goes to a new
- * parent. Gap: how long a link that is out of use still counts, so that what another router started over it has
- * ended; it covers the longest fill and the skew of clocks. Remember: how long after a move a new parent may still
- * fill from the one before it.
+ * The durations of a topology change, in microseconds. Every router must be configured with the same values.
+ *
+ * @param lead from the announcement of an update until it takes effect, so that all routers have received it by then
+ * @param move from the moment the first object moves to a new parent until the last one does
+ * @param gap how long a link that is out of use still counts in the loop check, so that fills which another router
+ *     started over it have ended; it covers the longest fill and the clock skew between routers
+ * @param remember how long after a migration a new parent may still fill from the previous one
  */
 public record MigrationTiming(long lead, long move, long gap, long remember) {
 
     public MigrationTiming {
         if (lead < 0 || move < 0 || gap <= 0 || remember < 0) {
             throw new IllegalArgumentException(
-                    "times of a change: lead " + lead + ", move " + move + ", gap " + gap + ", remember " + remember);
+                    "a topology change needs a positive gap and no negative durations: lead " + lead + ", move " + move + ", gap " + gap + ", remember " + remember);
         }
     }
 }
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -18,18 +18,20 @@
 import pumicemoor.hierarchy.Topology.Unit;
 
 /**
- * Which links are in use at each moment of a change. It owns the pieces that are to come, the links and their
- * order. It is a function of the shape it began with and the pieces alone, whenever they were heard: routers
- * that have reached the same moment with the same pieces have the same links. It must never read a clock.
+ * Computes which links are in use at each moment of a topology change. Owns the pending updates, the links and their
+ * topological order. Its state is a function of the initial topology and the updates alone, regardless of when they
+ * were received: routers that have reached the same moment with the same updates have the same links. It must not
+ * read a clock.
  *
- * <p>What keeps it safe: a link enters only if it closes no loop with any link that is in use or was within the
- * gap. So all links that were in use anywhere from a moment less the gap until that moment are free of loops
- * together, and routers may differ by up to the gap. What gets it there: a unit whose new parents are all in
- * place can always follow, since nothing above it comes back to it; so a change works down from the origin.
+ * <p>Safety: a link is added only if it closes no loop with any link that is in use or was in use within the gap
+ * (see {@link MigrationTiming}). All links that were in use at any router during the gap that ends at a given moment
+ * are therefore free of loops together, and routers may differ by up to the gap. Progress: a unit whose new parents
+ * are all in place can always follow, since nothing upstream of it leads back to it; so a change proceeds downstream
+ * from the origin.
  */
 final class Timeline {
 
-    /** What is counted. */
+    /** The events that are counted. */
     enum Count {
         PIECES,
         LATE,
@@ -40,115 +42,115 @@
         SEEDS_LEFT_OUT
     }
 
-    /** Tells of one change of the links, for logs and plans. */
-    record Change(long at, What what, Link link) {
-        enum What {
+    /** One change of a link, reported for logs and migration plans. */
+    record Change(long at, Type type, Link link) {
+        enum Type {
             IN_USE,
             LEAVING,
             OUT_OF_USE,
-            FREE,
-            HELD,
+            REMOVED,
+            BLOCKED,
             SEED
         }
     }
 
-    /** What a unit fills from now and until its move is over, and how far the move has come. */
-    static final class Branch {
+    /** The current and previous parents of a unit, and the progress of its migration. */
+    static final class UnitState {
         final String name;
         Kind kind;
-        Map<String, Double> wanted = Map.of();
+        Map<String, Double> target = Map.of();
         Map<String, Double> current = Map.of();
-        Map<String, Double> before = Map.of();
-        Map<String, Double> earlier = Map.of(); // the same, remembered when the move is over
-        Set<String> held = Set.of(); // wanted parents that would close a loop
-        TopologyUpdate next; // waits for the end of the move
-        long from = Long.MIN_VALUE; // when the move began
-        long until = Long.MIN_VALUE; // when it ends
-        double startShare; // share of the objects at the new parents when the move began
-        boolean flipped; // the move goes back: the objects that had moved last return first
+        Map<String, Double> previous = Map.of(); // parents that the current migration moves away from
+        Map<String, Double> earlier = Map.of(); // the previous parents, kept after the migration
+        Set<String> blocked = Set.of(); // target parents that would close a loop or can't be filled from yet
+        TopologyUpdate deferredUpdate; // applied after the end of the current migration
+        long moveStart = Long.MIN_VALUE; // when the migration began
+        long moveEnd = Long.MIN_VALUE; // when it ends
+        double startShare; // share of the objects at the new parents when the migration began
+        boolean reverting; // a rollback: the objects that moved last return first
         boolean removed;
-        boolean waits; // for seeds that run the other way
+        boolean awaitsSeedEnd; // waits for seed links in the opposite direction to end
 
-        Branch(String name) {
+        UnitState(String name) {
             this.name = name;
         }
 
         boolean moving() {
-            return !before.isEmpty();
+            return !previous.isEmpty();
         }
     }
 
     private record Timer(long at, Link link) {}
 
-    private record Coming(long at, TopologyUpdate piece) {}
+    private record PendingUpdate(long at, TopologyUpdate update) {}
 
     private final MigrationTiming timing;
     private final Consumer<Change> changes;
     private final FillOrder order = new FillOrder();
-    private final TreeMap<String, Branch> branches = new TreeMap<>();
-    private final Map<Link, Long> seeds = new TreeMap<>(); // a new parent fills from the one before, until
-    private final Map<Link, Long> lingering = new HashMap<>(); // out of use, still in the order, until
-    private final PriorityQueue<Timer> freeing = new PriorityQueue<>(
+    private final TreeMap<String, UnitState> units = new TreeMap<>();
+    private final Map<Link, Long> seeds = new TreeMap<>(); // a new parent may fill from a previous one until this time
+    private final Map<Link, Long> lingering = new HashMap<>(); // out of use, but kept in the order until this time
+    private final PriorityQueue<Timer> linkRemovals = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : a.link().compareTo(b.link()));
     private final PriorityQueue<Timer> moveEnds = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : a.link().compareTo(b.link()));
     private final PriorityQueue<Timer> seedEnds = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : a.link().compareTo(b.link()));
-    private final Queue<Coming> coming = new ArrayDeque<>();
-    private final TreeSet<String> unmet = new TreeSet<>(); // units with held links or a piece that waits
+    private final Queue<PendingUpdate> pendingUpdates = new ArrayDeque<>();
+    private final TreeSet<String> unsettled = new TreeSet<>(); // units with blocked links or a deferred update
     private final long[] counts = new long[Count.values().length];
     private long now;
-    private long lastAt = Long.MIN_VALUE; // when the last piece acts
+    private long lastEffectiveAt = Long.MIN_VALUE; // when the last update takes effect
 
-    /** Begins with a shape wholly in use. */
-    Timeline(Topology shape, long start, MigrationTiming timing, Consumer<Change> changes) {
+    /** Creates a timeline in which all links of the topology are in use. */
+    Timeline(Topology topology, long start, MigrationTiming timing, Consumer<Change> changes) {
         this.timing = timing;
         this.changes = changes;
         this.now = start;
-        for (Unit unit : shape.units().values()) {
-            Branch branch = branch(unit.name());
-            branch.kind = unit.kind();
-            branch.wanted = unit.parents();
-            branch.current = unit.parents();
+        for (Unit unit : topology.units().values()) {
+            UnitState state = stateOf(unit.name());
+            state.kind = unit.kind();
+            state.target = unit.parents();
+            state.current = unit.parents();
             unit.parents().keySet().forEach(p -> {
                 if (!order.add(unit.name(), p)) {
-                    throw new IllegalArgumentException("the first shape has a loop at " + new Link(unit.name(), p));
+                    throw new IllegalArgumentException("the initial topology has a loop at " + new Link(unit.name(), p));
                 }
             });
         }
     }
 
-    /** Takes a piece, each after the one before it; it acts the lead after its announcement. */
-    void take(TopologyUpdate piece) {
-        long at = Math.max(lastAt, piece.announced() + timing.lead());
+    /** Adds the next update in sequence. It takes effect the lead time after its announcement. */
+    void add(TopologyUpdate update) {
+        long at = Math.max(lastEffectiveAt, update.announced() + timing.lead());
         if (at < now) {
             counts[Count.LATE.ordinal()]++;
             at = now;
         }
-        lastAt = at;
-        coming.add(new Coming(at, piece));
+        lastEffectiveAt = at;
+        pendingUpdates.add(new PendingUpdate(at, update));
         counts[Count.PIECES.ordinal()]++;
     }
 
-    /** Lives through all that happens until then. */
+    /** Processes everything that is due up to and including the given time. */
     void advance(long until) {
         for (long at = nextChange(); at <= until; at = nextChange()) {
             now = Math.max(now, at);
-            step();
+            processDue();
         }
         now = Math.max(now, until);
     }
 
-    /** When something happens next; Long.MAX_VALUE for never. */
+    /** Returns when the next change is due, or Long.MAX_VALUE if none is. */
     long nextChange() {
         long at = Long.MAX_VALUE;
-        while (!freeing.isEmpty()
-                && !Long.valueOf(freeing.peek().at())
-                        .equals(lingering.get(freeing.peek().link()))) {
-            freeing.poll(); // the link came back into use
+        while (!linkRemovals.isEmpty()
+                && !Long.valueOf(linkRemovals.peek().at())
+                        .equals(lingering.get(linkRemovals.peek().link()))) {
+            linkRemovals.poll(); // the link is in use again
         }
-        if (!freeing.isEmpty()) {
-            at = freeing.peek().at();
+        if (!linkRemovals.isEmpty()) {
+            at = linkRemovals.peek().at();
         }
         if (!moveEnds.isEmpty()) {
             at = Math.min(at, moveEnds.peek().at());
@@ -156,20 +158,20 @@
         if (!seedEnds.isEmpty()) {
             at = Math.min(at, seedEnds.peek().at());
         }
-        return coming.isEmpty() ? at : Math.min(at, coming.peek().at());
+        return pendingUpdates.isEmpty() ? at : Math.min(at, pendingUpdates.peek().at());
     }
 
-    private void step() {
-        while (!freeing.isEmpty() && freeing.peek().at() <= now) {
-            Timer timer = freeing.poll();
+    private void processDue() {
+        while (!linkRemovals.isEmpty() && linkRemovals.peek().at() <= now) {
+            Timer timer = linkRemovals.poll();
             if (Long.valueOf(timer.at()).equals(lingering.get(timer.link()))) {
                 lingering.remove(timer.link());
                 order.remove(timer.link().unit(), timer.link().parent());
-                tell(Change.What.FREE, timer.link());
+                notifyChange(Change.Type.REMOVED, timer.link());
             }
         }
         while (!moveEnds.isEmpty() && moveEnds.peek().at() <= now) {
-            endMove(branches.get(moveEnds.poll().link().unit()));
+            endMove(units.get(moveEnds.poll().link().unit()));
         }
         while (!seedEnds.isEmpty() && seedEnds.peek().at() <= now) {
             Link link = seedEnds.poll().link();
@@ -177,190 +179,196 @@
                 endSeed(link);
             }
         }
-        List<String> touched = new ArrayList<>(unmet);
-        while (!coming.isEmpty() && coming.peek().at() <= now) {
-            TopologyUpdate piece = coming.poll().piece();
-            Branch branch = branch(piece.unit());
-            branch.next = piece;
-            touched.add(piece.unit());
-            if (piece.removed()) {
-                touched.addAll(order.below(piece.unit())); // they must leave it first
+        List<String> touched = new ArrayList<>(unsettled);
+        while (!pendingUpdates.isEmpty() && pendingUpdates.peek().at() <= now) {
+            TopologyUpdate update = pendingUpdates.poll().update();
+            UnitState state = stateOf(update.unit());
+            state.deferredUpdate = update;
+            touched.add(update.unit());
+            if (update.removed()) {
+                touched.addAll(order.childrenOf(update.unit())); // its children must move away from it first
             }
         }
-        settle(new LinkedHashSet<>(touched));
+        settleUnits(new LinkedHashSet<>(touched));
     }
 
-    /** Does for these units what can be done now; the order is that of news, then of names. */
-    private void settle(Set<String> touched) {
+    /** Makes all changes to these units that are possible now, in the order of updates, then of names. */
+    private void settleUnits(Set<String> touched) {
         for (String name : touched) {
-            adopt(branch(name));
+            adoptUpdate(stateOf(name));
         }
-        boolean more = true;
-        while (more) { // who was let in may be what another waits for
-            more = false;
+        boolean changed = true;
+        while (changed) { // a unit that has got its parents may be what another waits for
+            changed = false;
             for (String name : touched) {
-                Branch branch = branch(name);
-                Map<String, Double> had = branch.current;
-                enter(branch);
-                more |= !branch.current.equals(had);
+                UnitState state = stateOf(name);
+                Map<String, Double> currentBefore = state.current;
+                addTargetParents(state);
+                changed |= !state.current.equals(currentBefore);
             }
         }
         for (String name : touched) {
-            Branch branch = branch(name);
-            if (branch.held.isEmpty() && branch.next == null && !branch.waits) {
-                unmet.remove(name);
+            UnitState state = stateOf(name);
+            if (state.blocked.isEmpty() && state.deferredUpdate == null && !state.awaitsSeedEnd) {
+                unsettled.remove(name);
             } else {
-                unmet.add(name);
+                unsettled.add(name);
             }
-            forgetIfGone(branch);
+            removeIfGone(state);
         }
-        if (touched.stream().map(branches::get).anyMatch(b -> b != null && !b.held.isEmpty())) {
-            List.copyOf(seeds.keySet()).forEach(this::endSeed); // a help only; it must hold nobody up
+        if (touched.stream().map(units::get).anyMatch(b -> b != null && !b.blocked.isEmpty())) {
+            List.copyOf(seeds.keySet()).forEach(this::endSeed); // seed links are only an optimization and must not block a unit
         }
     }
 
-    /** Takes over the piece that waits for a unit, unless its move must be over first. */
-    private void adopt(Branch branch) {
-        TopologyUpdate piece = branch.next;
-        if (piece == null) {
+    /** Adopts the deferred update of a unit, unless its current migration must end first. */
+    private void adoptUpdate(UnitState state) {
+        TopologyUpdate update = state.deferredUpdate;
+        if (update == null) {
             return;
         }
-        Map<String, Double> wanted = piece.removed() ? Map.of() : piece.parents();
-        boolean back = branch.moving() && wanted.equals(branch.before);
-        if (branch.moving() && !back && !wanted.equals(branch.wanted) || piece.removed() && followed(branch.name)) {
+        Map<String, Double> target = update.removed() ? Map.of() : update.parents();
+        boolean rollback = state.moving() && target.equals(state.previous);
+        if (state.moving() && !rollback && !target.equals(state.target) || update.removed() && hasChildren(state.name)) {
             return;
         }
-        if (back && waitsForSeeds(branch.before, branch.current)) {
+        if (rollback && waitsForSeeds(state.previous, state.current)) {
             return;
         }
-        branch.next = null;
-        branch.kind = piece.kind();
-        branch.removed = piece.removed();
-        branch.wanted = wanted;
-        if (back) {
+        state.deferredUpdate = null;
+        state.kind = update.kind();
+        state.removed = update.removed();
+        state.target = target;
+        if (rollback) {
             counts[Count.BACK.ordinal()]++;
-            branch.startShare = 1 - share(branch);
-            branch.flipped = !branch.flipped;
-            begin(branch, branch.before, branch.current);
-        } else if (piece.removed() && !branch.current.isEmpty()) {
-            branch.startShare = 0;
-            begin(branch, Map.of(), branch.current);
+            state.startShare = 1 - share(state);
+            state.reverting = !state.reverting;
+            startMove(state, state.previous, state.current);
+        } else if (update.removed() && !state.current.isEmpty()) {
+            state.startShare = 0;
+            startMove(state, Map.of(), state.current);
         }
     }
 
-    /** Whether others may still fill from a unit that is to go; what it only holds from before does not keep it. */
-    private boolean followed(String unit) {
+    /**
+     * Returns whether other units may still fill from a unit that is to be removed. If only seed links lead to it, they
+     * are ended, so that they do not keep it longer than the gap.
+     */
+    private boolean hasChildren(String unit) {
         List<Link> links =
-                order.below(unit).stream().map(b -> new Link(b, unit)).toList();
+                order.childrenOf(unit).stream().map(b -> new Link(b, unit)).toList();
         if (seeds.keySet().containsAll(links)) {
             links.forEach(this::endSeed);
         }
         return !links.isEmpty();
     }
 
-    /** Lets those wanted parents in that close no loop; what is new is taken over by a move. */
-    private void enter(Branch branch) {
-        branch.waits = false;
-        if (branch.moving()) {
+    /** Adds the links to those target parents that close no loop, and starts a migration if the parents change. */
+    private void addTargetParents(UnitState state) {
+        state.awaitsSeedEnd = false;
+        if (state.moving()) {
             return;
         }
         Map<String, Double> entering = new TreeMap<>();
-        Set<String> held = new TreeSet<>();
-        for (String parent : new TreeSet<>(branch.wanted.keySet())) {
-            Branch above = branches.get(parent);
-            if (above == null
-                    || above.removed
-                    || above.next != null && above.next.removed()
-                    || above.kind != Kind.ORIGIN && above.current.isEmpty()) {
-                held.add(parent); // not there yet, without a way of its own yet, or about to go
-            } else if (order.add(branch.name, parent)) {
-                entering.put(parent, branch.wanted.get(parent));
+        Set<String> blocked = new TreeSet<>();
+        for (String parent : new TreeSet<>(state.target.keySet())) {
+            UnitState parentState = units.get(parent);
+            if (parentState == null
+                    || parentState.removed
+                    || parentState.deferredUpdate != null && parentState.deferredUpdate.removed()
+                    || parentState.kind != Kind.ORIGIN && parentState.current.isEmpty()) {
+                blocked.add(parent); // missing, without a fill path of its own yet, or about to be removed
+            } else if (order.add(state.name, parent)) {
+                entering.put(parent, state.target.get(parent));
             } else {
-                held.add(parent);
-                if (!branch.held.contains(parent)) {
+                blocked.add(parent);
+                if (!state.blocked.contains(parent)) {
                     counts[Count.HELD.ordinal()]++;
-                    tell(Change.What.HELD, new Link(branch.name, parent));
+                    notifyChange(Change.Type.BLOCKED, new Link(state.name, parent));
                 }
             }
         }
-        branch.held = held;
-        if (!entering.isEmpty() && !entering.equals(branch.current)) { // else what was is kept
-            if (!branch.current.isEmpty() && waitsForSeeds(entering, branch.current)) {
-                branch.waits = true;
-                entering.keySet().forEach(parent -> release(new Link(branch.name, parent)));
+        state.blocked = blocked;
+        if (!entering.isEmpty() && !entering.equals(state.current)) { // otherwise the current parents stay
+            if (!state.current.isEmpty() && waitsForSeeds(entering, state.current)) {
+                state.awaitsSeedEnd = true;
+                entering.keySet().forEach(parent -> removeUnused(new Link(state.name, parent)));
                 return;
             }
-            branch.startShare = 0;
-            begin(branch, entering, branch.current);
+            state.startShare = 0;
+            startMove(state, entering, state.current);
         }
     }
 
-    /** Begins a move of a unit's objects from some parents to others. */
-    private void begin(Branch branch, Map<String, Double> to, Map<String, Double> from) {
-        branch.current = Map.copyOf(to);
-        branch.before = Map.copyOf(from);
-        branch.from = now;
-        branch.until = now + Math.round(timing.move() * (1 - branch.startShare));
-        to.keySet().stream().sorted().forEach(p -> use(branch, p));
+    /** Starts the migration of a unit's objects from some parents to others. */
+    private void startMove(UnitState state, Map<String, Double> to, Map<String, Double> from) {
+        state.current = Map.copyOf(to);
+        state.previous = Map.copyOf(from);
+        state.moveStart = now;
+        state.moveEnd = now + Math.round(timing.move() * (1 - state.startShare));
+        to.keySet().stream().sorted().forEach(p -> markInUse(state, p));
         if (from.isEmpty()) {
-            return; // its first parents: there is nothing to move
+            return; // the unit had no parents: there is nothing to migrate
         }
         counts[Count.MOVES.ordinal()]++;
-        moveEnds.add(new Timer(branch.until, new Link(branch.name, "")));
+        moveEnds.add(new Timer(state.moveEnd, new Link(state.name, "")));
         from.keySet().stream()
                 .filter(p -> !to.containsKey(p))
                 .sorted()
-                .forEach(p -> tell(Change.What.LEAVING, new Link(branch.name, p)));
-        branch.earlier = branch.before;
-        seedsFor(to, from).forEach(l -> seed(l, branch.until + timing.remember()));
+                .forEach(p -> notifyChange(Change.Type.LEAVING, new Link(state.name, p)));
+        state.earlier = state.previous;
+        seedsFor(to, from).forEach(l -> addSeed(l, state.moveEnd + timing.remember()));
     }
 
-    private void use(Branch branch, String parent) {
-        Link link = new Link(branch.name, parent);
+    private void markInUse(UnitState state, String parent) {
+        Link link = new Link(state.name, parent);
         lingering.remove(link);
-        seeds.remove(link); // it is a link in its own right now
-        if (!branch.before.containsKey(parent)) {
-            tell(Change.What.IN_USE, link);
+        seeds.remove(link); // it is a regular link now
+        if (!state.previous.containsKey(parent)) {
+            notifyChange(Change.Type.IN_USE, link);
         }
     }
 
-    /** The links by which new parents would fill from those before, which held the objects. */
+    /** Returns the links over which new parents could fill from the previous ones, which hold the objects. */
     private List<Link> seedsFor(Map<String, Double> to, Map<String, Double> from) {
         List<Link> links = new ArrayList<>();
-        for (String fresh : new TreeSet<>(to.keySet())) {
-            for (String old : new TreeSet<>(from.keySet())) {
-                Branch above = branches.get(fresh);
-                Branch below = branches.get(old);
-                if (!fresh.equals(old)
-                        && !(from.containsKey(fresh) && to.containsKey(old))
-                        && above != null
-                        && below != null
-                        && above.kind == Kind.HUB
-                        && below.kind == Kind.HUB
-                        && !inUse(above, old)) {
-                    links.add(new Link(fresh, old));
+        for (String newParent : new TreeSet<>(to.keySet())) {
+            for (String previousParent : new TreeSet<>(from.keySet())) {
+                UnitState newState = units.get(newParent);
+                UnitState previousState = units.get(previousParent);
+                if (!newParent.equals(previousParent)
+                        && !(from.containsKey(newParent) && to.containsKey(previousParent))
+                        && newState != null
+                        && previousState != null
+                        && newState.kind == Kind.HUB
+                        && previousState.kind == Kind.HUB
+                        && !inUse(newState, previousParent)) {
+                    links.add(new Link(newParent, previousParent));
                 }
             }
         }
         return links;
     }
 
-    /** Whether seeds from an earlier move run the other way; they are ended, and a gap later there is room. */
+    /**
+     * Returns whether seed links of an earlier migration run in the opposite direction. They are ended, and no longer
+     * conflict once the gap has passed.
+     */
     private boolean waitsForSeeds(Map<String, Double> to, Map<String, Double> from) {
-        boolean waits = false;
+        boolean mustWait = false;
         for (Link link : seedsFor(to, from)) {
-            Link other = new Link(link.parent(), link.unit());
-            if (seeds.containsKey(other)) {
-                endSeed(other);
-                waits = true;
-            } else if (lingering.containsKey(other) && !inUse(branches.get(other.unit()), other.parent())) {
-                waits = true;
+            Link opposite = new Link(link.parent(), link.unit());
+            if (seeds.containsKey(opposite)) {
+                endSeed(opposite);
+                mustWait = true;
+            } else if (lingering.containsKey(opposite) && !inUse(units.get(opposite.unit()), opposite.parent())) {
+                mustWait = true;
             }
         }
-        return waits;
+        return mustWait;
     }
 
-    private void seed(Link link, long until) {
+    private void addSeed(Link link, long until) {
         boolean known = seeds.containsKey(link);
         if (known || order.add(link.unit(), link.parent())) {
             lingering.remove(link);
@@ -368,23 +376,23 @@
             seedEnds.add(new Timer(until, link));
             if (!known) {
                 counts[Count.SEEDS.ordinal()]++;
-                tell(Change.What.SEED, link);
+                notifyChange(Change.Type.SEED, link);
             }
         } else {
             counts[Count.SEEDS_LEFT_OUT.ordinal()]++;
         }
     }
 
-    private void endMove(Branch branch) {
-        if (branch != null && branch.moving() && branch.until <= now) {
-            Map<String, Double> left = branch.before;
-            branch.before = Map.of();
-            branch.flipped = false;
-            left.keySet().stream()
-                    .filter(p -> !inUse(branch, p))
+    private void endMove(UnitState state) {
+        if (state != null && state.moving() && state.moveEnd <= now) {
+            Map<String, Double> previous = state.previous;
+            state.previous = Map.of();
+            state.reverting = false;
+            previous.keySet().stream()
+                    .filter(p -> !inUse(state, p))
                     .sorted()
-                    .forEach(p -> linger(new Link(branch.name, p)));
-            unmet.add(branch.name); // a piece may have waited for this
+                    .forEach(p -> linger(new Link(state.name, p)));
+            unsettled.add(state.name); // an update may have been deferred until now
         }
     }
 
@@ -394,100 +402,100 @@
         }
     }
 
-    /** A link that was let into the order and is not used after all. */
-    private void release(Link link) {
-        if (!inUse(branch(link.unit()), link.parent()) && !seeds.containsKey(link) && !lingering.containsKey(link)) {
+    /** Removes a link that was added to the order but is not used after all. */
+    private void removeUnused(Link link) {
+        if (!inUse(stateOf(link.unit()), link.parent()) && !seeds.containsKey(link) && !lingering.containsKey(link)) {
             order.remove(link.unit(), link.parent());
         }
     }
 
-    /** Out of use here, but others may still follow it. */
+    /** Takes a link out of use but keeps it in the order for the gap, since other routers may still use it. */
     private void linger(Link link) {
         lingering.put(link, now + timing.gap());
-        freeing.add(new Timer(now + timing.gap(), link));
-        tell(Change.What.OUT_OF_USE, link);
+        linkRemovals.add(new Timer(now + timing.gap(), link));
+        notifyChange(Change.Type.OUT_OF_USE, link);
     }
 
-    private void forgetIfGone(Branch branch) {
-        if (branch.removed && !branch.moving() && branch.next == null) {
-            branches.remove(branch.name);
-            unmet.remove(branch.name);
+    private void removeIfGone(UnitState state) {
+        if (state.removed && !state.moving() && state.deferredUpdate == null) {
+            units.remove(state.name);
+            unsettled.remove(state.name);
         }
     }
 
-    private static boolean inUse(Branch branch, String parent) {
-        return branch.current.containsKey(parent) || branch.before.containsKey(parent);
+    private static boolean inUse(UnitState state, String parent) {
+        return state.current.containsKey(parent) || state.previous.containsKey(parent);
     }
 
-    private void tell(Change.What what, Link link) {
-        changes.accept(new Change(now, what, link));
+    private void notifyChange(Change.Type type, Link link) {
+        changes.accept(new Change(now, type, link));
     }
 
-    // ---- what is seen from outside --------------------------------------------------------------------
+    // ---- queries --------------------------------------------------------------------
 
-    private Branch branch(String name) {
-        return branches.computeIfAbsent(name, Branch::new);
+    private UnitState stateOf(String name) {
+        return units.computeIfAbsent(name, UnitState::new);
     }
 
-    Branch find(String name) {
-        return branches.get(name);
+    UnitState unit(String name) {
+        return units.get(name);
     }
 
-    Iterable<Branch> all() {
-        return branches.values();
+    Iterable<UnitState> unitStates() {
+        return units.values();
     }
 
-    /** The links over which a new parent may fill from the one before it. */
+    /** Returns the links over which a new parent may fill from a previous one. */
     Set<Link> seeds() {
         return seeds.keySet();
     }
 
-    /** The share of a unit's objects that has moved by now. */
-    double share(Branch branch) {
-        if (!branch.moving()) {
+    /** Returns the share of a unit's objects that has moved to the new parents by now, from 0 to 1. */
+    double share(UnitState state) {
+        if (!state.moving()) {
             return 1;
         }
-        double left = timing.move() == 0 ? 0 : (branch.until - now) / (double) timing.move();
-        return Math.max(0, Math.min(1, 1 - left));
+        double remaining = timing.move() == 0 ? 0 : (state.moveEnd - now) / (double) timing.move();
+        return Math.max(0, Math.min(1, 1 - remaining));
     }
 
-    /** Every link that a fill may travel over now. */
+    /** Returns every link that a fill may use now. */
     Set<Link> linksInUse() {
         Set<Link> links = new HashSet<>(seeds.keySet());
-        for (Branch b : branches.values()) {
-            b.current.keySet().forEach(p -> links.add(new Link(b.name, p)));
-            b.before.keySet().forEach(p -> links.add(new Link(b.name, p)));
+        for (UnitState state : units.values()) {
+            state.current.keySet().forEach(p -> links.add(new Link(state.name, p)));
+            state.previous.keySet().forEach(p -> links.add(new Link(state.name, p)));
         }
         return links;
     }
 
-    /** Whether nothing is left to be done: all that was wanted is in use, nothing else is. */
-    boolean quiet() {
-        return coming.isEmpty() && unmet.isEmpty() && moveEnds.isEmpty() && lingering.isEmpty();
+    /** Returns whether the change is complete: all target links are in use and no others are. */
+    boolean complete() {
+        return pendingUpdates.isEmpty() && unsettled.isEmpty() && moveEnds.isEmpty() && lingering.isEmpty();
     }
 
-    /** How many links the order holds: those in use and those that linger. */
+    /** Returns the number of links in the order: those in use and those kept for the gap. */
     int linksInOrder() {
         return order.links();
     }
 
-    /** Everything of a unit, for tests that fail. */
+    /** Returns the full state of a unit, for the messages of failing tests. */
     String describe(String unit) {
-        Branch b = branches.get(unit);
-        return b == null
+        UnitState state = units.get(unit);
+        return state == null
                 ? unit + " is not there"
-                : unit + " wants " + b.wanted + " has " + b.current + " leaves "
-                        + b.before + " until " + b.until + " held " + b.held + " next " + b.next + " removed "
-                        + b.removed
-                        + " waits " + b.waits + "; below " + order.below(unit) + "; now " + now + ", seeds " + seeds
-                        + ", lingering " + lingering + ", unmet " + unmet;
+                : unit + " target " + state.target + " current " + state.current + " previous "
+                        + state.previous + " moving until " + state.moveEnd + " blocked " + state.blocked + " deferred " + state.deferredUpdate + " removed "
+                        + state.removed
+                        + " awaits seed end " + state.awaitsSeedEnd + "; children " + order.childrenOf(unit) + "; now " + now + ", seeds " + seeds
+                        + ", lingering " + lingering + ", unsettled " + unsettled;
     }
 
-    int held() {
-        return (int) unmet.stream()
-                .map(branches::get)
+    int blockedLinks() {
+        return (int) unsettled.stream()
+                .map(units::get)
                 .filter(b -> b != null)
-                .mapToInt(b -> b.held.size())
+                .mapToInt(b -> b.blocked.size())
                 .sum();
     }
 
--- a/src/main/java/pumicemoor/hierarchy/Topology.java
+++ b/src/main/java/pumicemoor/hierarchy/Topology.java
@@ -4,19 +4,22 @@
 import java.util.TreeMap;
 
 /**
- * A whole hierarchy: which unit may fill from which others, with weights. A plain value; it must never know
- * members' addresses or what is in force. Announced is Unix microseconds.
+ * A complete hierarchy: which unit may fill from which others, with weights. An immutable value that knows neither
+ * members' addresses nor which topology is in force.
+ *
+ * @param announced when the topology was announced, in Unix microseconds
+ * @param skipsAllowed whether a unit may fill from a level more than one above its own although there are hubs
  */
 public record Topology(long version, long announced, boolean skipsAllowed, Map<String, Unit> units) {
 
-    /** The levels, from the clients up. A depot stands for all its caches that are no units of their own. */
+    /** The kinds of units, from the clients up. A depot stands for all its caches that are not units themselves. */
     public enum Kind {
         DEPOT(0),
         CACHE(0),
         HUB(1),
         ORIGIN(2);
 
-        /** A unit may fill from its own level or one above, never from below. */
+        /** A unit may fill from units of its own level or of a higher one, never of a lower one. */
         public final int level;
 
         Kind(int level) {
@@ -24,14 +27,14 @@
         }
     }
 
-    /** One unit and its parents by name, each with the weight of its share of the objects. */
+    /** A unit and its parents by name, each with the weight that determines its share of the objects. */
     public record Unit(String name, Kind kind, Map<String, Double> parents) {
         public Unit {
             parents = Map.copyOf(parents);
         }
     }
 
-    /** A unit that fills from another. */
+    /** A directed link: {@code unit} fills from {@code parent}. */
     public record Link(String unit, String parent) implements Comparable<Link> {
         @Override
         public int compareTo(Link other) {
@@ -49,7 +52,7 @@
         units = java.util.Collections.unmodifiableMap(new TreeMap<>(units));
     }
 
-    /** How many links there are. */
+    /** Returns the number of links. */
     public int links() {
         return units.values().stream().mapToInt(u -> u.parents().size()).sum();
     }
--- a/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
@@ -5,9 +5,13 @@
 import pumicemoor.hierarchy.Topology.Unit;
 
 /**
- * One piece of news: from its number on, a unit has these parents, or is no more. Numbers count from 1 without
- * a gap; of several pieces for one unit the highest number holds. The count of a whole shape is that of its
- * pieces when they are to be taken together or not at all, else 0. Announced is Unix microseconds.
+ * A change of one unit: as of this update the unit has these parents, or is removed.
+ *
+ * @param number the sequence number; updates are numbered from 1 without gaps, and of several updates for one unit
+ *     the one with the highest number applies
+ * @param announced when the update was announced, in Unix microseconds
+ * @param pieces the number of updates of the whole topology that this one belongs to, which are applied together or
+ *     not at all; 0 if the update is independent
  */
 public record TopologyUpdate(
         long number,
--- a/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
@@ -12,19 +12,21 @@
 import pumicemoor.hierarchy.Topology.Unit;
 
 /**
- * What is wrong with a whole shape, found before anything of it is taken over. It only reads; it must never
- * repair a shape.
+ * Validates a complete topology before any of it is applied. It only reads; it must not repair a topology.
  */
 public final class TopologyValidator {
 
-    /** The largest weight of a parent. */
+    /** The largest weight that a parent may have. */
     public static final double MOST_WEIGHT = 1_000_000;
-    /** The most units that a shape may have. */
-    public static final int MOST_UNITS = 100_000;
+    /** The largest number of units in a topology. */
+    public static final int MAX_UNITS = 100_000;
 
-    private static final int MOST_PROBLEMS = 20;
+    private static final int MAX_VIOLATIONS = 20;
 
-    /** The kinds of trouble. */
+    /**
+     * The kinds of violations. {@link #NOT_APPLICABLE} covers a unit from which no path leads to the origin as well as
+     * a topology that the router may not apply because of its source or its version.
+     */
     public enum ViolationKind {
         NO_ORIGIN,
         TOO_LARGE,
@@ -35,11 +37,11 @@
         LEVEL_SKIPPED,
         WEIGHT,
         LOOP,
-        NO_WAY
+        NOT_APPLICABLE
     }
 
-    /** One trouble at one unit, in words. */
-    public record Violation(ViolationKind trouble, String unit, String text) {
+    /** A violation at one unit, or in the whole topology if the unit is empty, with its message. */
+    public record Violation(ViolationKind kind, String unit, String text) {
         @Override
         public String toString() {
             return text;
@@ -48,68 +50,71 @@
 
     private TopologyValidator() {}
 
-    /** All problems, the first twenty at most. Members empty: they are not known yet and not looked at. */
-    public static List<Violation> problems(Topology shape, Set<String> members) {
-        List<Violation> problems = new ArrayList<>();
-        Map<String, Unit> units = shape.units();
-        if (units.size() > MOST_UNITS) {
-            return List.of(new Violation(ViolationKind.TOO_LARGE, "", "more than " + MOST_UNITS + " units"));
+    /**
+     * Returns the violations, at most the first 20. If {@code members} is empty, the members are not known yet and
+     * the units are not compared with them.
+     */
+    public static List<Violation> problems(Topology topology, Set<String> members) {
+        List<Violation> violations = new ArrayList<>();
+        Map<String, Unit> units = topology.units();
+        if (units.size() > MAX_UNITS) {
+            return List.of(new Violation(ViolationKind.TOO_LARGE, "", "more than " + MAX_UNITS + " units"));
         }
-        if (units.values().stream().filter(u -> u.kind() == Kind.ORIGIN).count() != 1) {
-            problems.add(new Violation(ViolationKind.NO_ORIGIN, "", "a shape has one origin"));
+        if (units.values().stream().filter(unit -> unit.kind() == Kind.ORIGIN).count() != 1) {
+            violations.add(new Violation(ViolationKind.NO_ORIGIN, "", "a topology must have exactly one origin"));
         }
-        boolean hubs = units.values().stream().anyMatch(u -> u.kind() == Kind.HUB);
+        boolean hasHubs = units.values().stream().anyMatch(unit -> unit.kind() == Kind.HUB);
         for (Unit unit : units.values()) {
-            unitProblems(shape, unit, members, hubs, problems);
+            validateUnit(topology, unit, members, hasHubs, violations);
         }
-        if (problems.isEmpty()) {
-            loop(units)
-                    .ifPresent(path -> problems.add(
+        if (violations.isEmpty()) {
+            findLoop(units)
+                    .ifPresent(path -> violations.add(
                             new Violation(ViolationKind.LOOP, path.get(0), "a loop: " + String.join(" <- ", path))));
-            Set<String> reached = withWay(units);
+            Set<String> reached = unitsReachingOrigin(units);
             units.keySet().stream()
-                    .filter(u -> !reached.contains(u))
-                    .forEach(u -> problems.add(new Violation(ViolationKind.NO_WAY, u, "'" + u + "' has no way to the origin")));
+                    .filter(unit -> !reached.contains(unit))
+                    .forEach(unit -> violations.add(new Violation(ViolationKind.NOT_APPLICABLE, unit, "'" + unit + "' has no way to the origin")));
         }
-        return problems.size() > MOST_PROBLEMS
-                ? List.copyOf(problems.subList(0, MOST_PROBLEMS))
-                : List.copyOf(problems);
+        return violations.size() > MAX_VIOLATIONS
+                ? List.copyOf(violations.subList(0, MAX_VIOLATIONS))
+                : List.copyOf(violations);
     }
 
-    private static void unitProblems(
-            Topology shape, Unit unit, Set<String> members, boolean hubs, List<Violation> problems) {
+    private static void validateUnit(
+            Topology topology, Unit unit, Set<String> members, boolean hasHubs, List<Violation> violations) {
         String name = "'" + unit.name() + "'";
         if (unit.kind() != Kind.DEPOT && !members.isEmpty() && !members.contains(unit.name())) {
-            problems.add(new Violation(ViolationKind.UNKNOWN_MEMBER, unit.name(), name + " is no member that is listed"));
+            violations.add(new Violation(ViolationKind.UNKNOWN_MEMBER, unit.name(), name + " is no member that is listed"));
         }
         if (unit.kind() != Kind.ORIGIN && unit.parents().isEmpty()) {
-            problems.add(new Violation(ViolationKind.ORPHAN, unit.name(), name + " fills from nobody"));
+            violations.add(new Violation(ViolationKind.ORPHAN, unit.name(), name + " has no parents: it fills from nobody"));
         }
         unit.parents().forEach((parentName, weight) -> {
-            Unit parent = shape.units().get(parentName);
+            Unit parent = topology.units().get(parentName);
             if (!(weight > 0 && weight <= MOST_WEIGHT)) {
-                problems.add(new Violation(
+                violations.add(new Violation(
                         ViolationKind.WEIGHT,
                         unit.name(),
-                        name + " gives '" + parentName + "' the weight " + weight + ": over 0, at most "
+                        name + " gives '" + parentName + "' the weight " + weight + ": a weight must be greater than 0 and at most "
                                 + (long) MOST_WEIGHT));
             }
             if (parent == null) {
-                problems.add(new Violation(
+                violations.add(new Violation(
                         ViolationKind.UNKNOWN_UNIT,
                         unit.name(),
-                        name + " fills from '" + parentName + "', which the shape does not have"));
+                        name + " fills from '" + parentName + "', which is not a unit of the topology"));
             } else if (parent.kind() == Kind.DEPOT
                     || parent.kind().level < unit.kind().level
                     || unit.kind() == Kind.ORIGIN
                     || unit.kind() == Kind.DEPOT && parent.kind() == Kind.CACHE) {
-                problems.add(new Violation(
+                violations.add(new Violation(
                         ViolationKind.DOWNWARD,
                         unit.name(),
                         name + " may not fill from '" + parentName + "': a "
                                 + parent.kind().name().toLowerCase(java.util.Locale.ROOT) + " is not above it"));
-            } else if (hubs && !shape.skipsAllowed() && parent.kind().level > unit.kind().level + 1) {
-                problems.add(new Violation(
+            } else if (hasHubs && !topology.skipsAllowed() && parent.kind().level > unit.kind().level + 1) {
+                violations.add(new Violation(
                         ViolationKind.LEVEL_SKIPPED,
                         unit.name(),
                         name + " fills from '" + parentName + "' past the hubs; allow-skips permits that"));
@@ -117,33 +122,33 @@
         });
     }
 
-    /** A loop as its units in order, the first again at the end. */
-    static java.util.Optional<List<String>> loop(Map<String, Unit> units) {
-        Map<String, Integer> state = new HashMap<>(); // 1 on the way, 2 done
+    /** Finds a loop and returns its units in order, with the first one repeated at the end. */
+    static java.util.Optional<List<String>> findLoop(Map<String, Unit> units) {
+        Map<String, Integer> visitState = new HashMap<>(); // 1: on the current path, 2: done
         for (String start : units.keySet()) {
             Deque<String> path = new ArrayDeque<>();
             Deque<java.util.Iterator<String>> open = new ArrayDeque<>();
-            if (state.containsKey(start)) {
+            if (visitState.containsKey(start)) {
                 continue;
             }
             path.addLast(start);
-            state.put(start, 1);
+            visitState.put(start, 1);
             open.addLast(sorted(units, start));
             while (!open.isEmpty()) {
                 if (!open.peekLast().hasNext()) {
                     open.removeLast();
-                    state.put(path.removeLast(), 2);
+                    visitState.put(path.removeLast(), 2);
                     continue;
                 }
                 String next = open.peekLast().next();
-                if (Integer.valueOf(1).equals(state.get(next))) {
+                if (Integer.valueOf(1).equals(visitState.get(next))) {
                     List<String> loop = new ArrayList<>(path);
                     loop = new ArrayList<>(loop.subList(loop.indexOf(next), loop.size()));
                     loop.add(next);
                     return java.util.Optional.of(loop);
                 }
-                if (units.containsKey(next) && !state.containsKey(next)) {
-                    state.put(next, 1);
+                if (units.containsKey(next) && !visitState.containsKey(next)) {
+                    visitState.put(next, 1);
                     path.addLast(next);
                     open.addLast(sorted(units, next));
                 }
@@ -156,18 +161,18 @@
         return units.get(unit).parents().keySet().stream().sorted().iterator();
     }
 
-    private static Set<String> withWay(Map<String, Unit> units) {
+    private static Set<String> unitsReachingOrigin(Map<String, Unit> units) {
         Map<String, List<String>> children = new HashMap<>();
         units.values()
-                .forEach(u -> u.parents().keySet().forEach(p -> children.computeIfAbsent(p, k -> new ArrayList<>())
-                        .add(u.name())));
+                .forEach(unit -> unit.parents().keySet().forEach(p -> children.computeIfAbsent(p, k -> new ArrayList<>())
+                        .add(unit.name())));
         Set<String> reached = new HashSet<>();
         Deque<String> open = new ArrayDeque<>();
-        units.values().stream().filter(u -> u.kind() == Kind.ORIGIN).forEach(u -> open.add(u.name()));
+        units.values().stream().filter(unit -> unit.kind() == Kind.ORIGIN).forEach(unit -> open.add(unit.name()));
         while (!open.isEmpty()) {
-            String at = open.poll();
-            if (reached.add(at)) {
-                open.addAll(children.getOrDefault(at, List.of()));
+            String current = open.poll();
+            if (reached.add(current)) {
+                open.addAll(children.getOrDefault(current, List.of()));
             }
         }
         return reached;
--- a/src/test/java/pumicemoor/hierarchy/FillOrderBenchmark.java
+++ b/src/test/java/pumicemoor/hierarchy/FillOrderBenchmark.java
@@ -24,8 +24,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * One link that comes and goes in a hierarchy of so many links: the order kept up as links arrive, beside a plain
- * walk up from the parent each time. Links are of units that each fill from two of the units above them.
+ * Adds and removes one link in a hierarchy with the given number of links: the online topological order compared with
+ * a search from the parent upstream each time. Each unit fills from two of the units above it.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -38,12 +38,12 @@
     @Param({"10", "1000", "100000"})
     int links;
 
-    /** Most units at the bottom, as depots and caches are; or all in one deep order, as no operator has them. */
+    /** A tree has most units at the bottom, as depots and caches are; deep is one deep order, as in no real deployment. */
     @Param({"tree", "deep"})
     String form;
 
     private FillOrder order;
-    private Map<String, Set<String>> plain;
+    private Map<String, Set<String>> linksByUnit;
     private List<String[]> probes;
     private int next;
 
@@ -51,19 +51,19 @@
     public void build() {
         Random random = new Random(7);
         int units = Math.max(4, links / 2);
-        List<String[]> all = new ArrayList<>();
-        for (int i = 1; i < units; i++) {
-            int reach = form.equals("tree") ? Math.max(1, (int) Math.sqrt(i)) : i;
-            for (int p = 0; p < 2; p++) {
-                all.add(new String[] {"u" + i, "u" + random.nextInt(reach)});
+        List<String[]> allLinks = new ArrayList<>();
+        for (int unit = 1; unit < units; unit++) {
+            int parentRange = form.equals("tree") ? Math.max(1, (int) Math.sqrt(unit)) : unit;
+            for (int i = 0; i < 2; i++) {
+                allLinks.add(new String[] {"u" + unit, "u" + random.nextInt(parentRange)});
             }
         }
-        Collections.shuffle(all, random);
+        Collections.shuffle(allLinks, random);
         order = new FillOrder();
-        plain = new HashMap<>();
-        for (String[] l : all) {
-            order.add(l[0], l[1]);
-            plain.computeIfAbsent(l[0], k -> new HashSet<>()).add(l[1]);
+        linksByUnit = new HashMap<>();
+        for (String[] link : allLinks) {
+            order.add(link[0], link[1]);
+            linksByUnit.computeIfAbsent(link[0], k -> new HashSet<>()).add(link[1]);
         }
         probes = new ArrayList<>();
         for (int i = 0; i < 1_024; i++) {
@@ -71,7 +71,7 @@
             String[] probe = {
                 "u" + child, "u" + random.nextInt(form.equals("tree") ? Math.max(1, (int) Math.sqrt(child)) : child)
             };
-            if (!plain.getOrDefault(probe[0], Set.of()).contains(probe[1])) {
+            if (!linksByUnit.getOrDefault(probe[0], Set.of()).contains(probe[1])) {
                 probes.add(probe);
             }
         }
@@ -86,29 +86,29 @@
     }
 
     @Benchmark
-    public boolean keptOrder() {
-        String[] p = probe();
-        boolean taken = order.add(p[0], p[1]);
-        order.remove(p[0], p[1]);
-        return taken;
+    public boolean onlineOrder() {
+        String[] probe = probe();
+        boolean added = order.add(probe[0], probe[1]);
+        order.remove(probe[0], probe[1]);
+        return added;
     }
 
     @Benchmark
-    public boolean plainWalk() {
-        String[] p = probe();
+    public boolean searchFromParent() {
+        String[] probe = probe();
         Set<String> seen = new HashSet<>();
-        ArrayDeque<String> open = new ArrayDeque<>(List.of(p[1]));
+        ArrayDeque<String> open = new ArrayDeque<>(List.of(probe[1]));
         boolean loop = false;
         while (!open.isEmpty() && !loop) {
-            String at = open.poll();
-            loop = at.equals(p[0]);
-            if (seen.add(at)) {
-                open.addAll(plain.getOrDefault(at, Set.of()));
+            String current = open.poll();
+            loop = current.equals(probe[0]);
+            if (seen.add(current)) {
+                open.addAll(linksByUnit.getOrDefault(current, Set.of()));
             }
         }
         if (!loop) {
-            plain.computeIfAbsent(p[0], k -> new HashSet<>()).add(p[1]);
-            plain.get(p[0]).remove(p[1]);
+            linksByUnit.computeIfAbsent(probe[0], k -> new HashSet<>()).add(probe[1]);
+            linksByUnit.get(probe[0]).remove(probe[1]);
         }
         return !loop;
     }
--- a/src/test/java/pumicemoor/hierarchy/FillOrderTest.java
+++ b/src/test/java/pumicemoor/hierarchy/FillOrderTest.java
@@ -17,7 +17,7 @@
 
 class FillOrderTest {
 
-    /** Links come and go at random; each answer is that of a plain walk over the links that are there. */
+    /** Random additions and removals; each result must match a plain search over the links present. */
     @Property(seed = "20261201")
     void refusesExactlyTheLinksThatCloseALoop(
             @ForAll @Size(max = 120) List<@IntRange(max = 12 * 12 * 4 - 1) Integer> steps) {
@@ -29,15 +29,15 @@
                 order.remove(link.unit(), link.parent());
                 links.remove(link);
             } else {
-                List<Link> with = new ArrayList<>(links);
-                with.add(link);
-                assertEquals(!Shapes.hasLoop(with), order.add(link.unit(), link.parent()), link.toString());
-                if (!Shapes.hasLoop(with)) {
+                List<Link> withLink = new ArrayList<>(links);
+                withLink.add(link);
+                assertEquals(!Topologies.hasLoop(withLink), order.add(link.unit(), link.parent()), link.toString());
+                if (!Topologies.hasLoop(withLink)) {
                     links.add(link);
                 }
             }
-            for (Link there : links) {
-                assertTrue(order.contains(there.unit(), there.parent()));
+            for (Link present : links) {
+                assertTrue(order.contains(present.unit(), present.parent()));
             }
         }
         links.forEach(l -> order.remove(l.unit(), l.parent()));
@@ -45,14 +45,14 @@
     }
 
     @Test
-    void aLinkThatAgreesWithTheOrderIsNotSearchedFor() {
+    void addingALinkThatAgreesWithTheOrderVisitsNoUnits() {
         FillOrder order = new FillOrder();
         for (int i = 0; i < 1_000; i++) {
             order.add("u" + i, "u" + (i + 1));
         }
-        long before = order.looked();
+        long before = order.unitsVisited();
         assertTrue(order.add("u3", "u900"));
-        assertEquals(before, order.looked(), "a comparison is enough");
+        assertEquals(before, order.unitsVisited(), "a comparison is enough");
         assertFalse(order.add("u900", "u3"));
     }
 }
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -22,8 +22,9 @@
 import pumicemoor.hierarchy.Topology.Unit;
 
 /**
- * Five routers that hear the same pieces at different times, out of order, twice, or not for a while. At every
- * moment the links that any of them follows are free of loops together, and in the end all follow the last shape.
+ * Five routers receive the same updates at different times, out of order, twice, or after a long delay. At every
+ * moment the links in use at all of them must be free of loops together, and in the end all must follow the last
+ * topology.
  */
 class ManyRoutersTest {
 
@@ -33,35 +34,35 @@
     private static final int HUBS = 5;
     private static final long STEP = SECOND / 2;
 
-    private record Told(long at, Runnable what) {}
+    private record Delivery(long at, Runnable action) {}
 
-    /** A random day; what it checks at each moment is the same for all days. */
-    private static final class Day {
+    /** A simulated run with random updates and delays, and the invariants that hold at every moment of it. */
+    private static final class Run {
         final Random random;
-        final boolean wholeOnly;
+        final boolean wholeTopologiesOnly;
         final List<Hierarchy> routers = new ArrayList<>();
-        final List<List<Told>> inbox = new ArrayList<>();
+        final List<List<Delivery>> inbox = new ArrayList<>();
         final long[] skew = new long[ROUTERS];
         final Map<String, Unit> target = new TreeMap<>();
-        final Set<String> alwaysThere = new HashSet<>();
+        final Set<String> depots = new HashSet<>();
         long number;
         long version = 1;
 
-        Day(long seed, boolean wholeOnly) {
+        Run(long seed, boolean wholeTopologiesOnly) {
             random = new Random(seed);
-            this.wholeOnly = wholeOnly;
-            Topology first = randomShape(1, 0);
-            target.putAll(first.units());
-            first.units().keySet().stream().filter(n -> n.startsWith("d")).forEach(alwaysThere::add);
+            this.wholeTopologiesOnly = wholeTopologiesOnly;
+            Topology initial = randomTopology(1, 0);
+            target.putAll(initial.units());
+            initial.units().keySet().stream().filter(n -> n.startsWith("d")).forEach(depots::add);
             for (int i = 0; i < ROUTERS; i++) {
                 skew[i] = random.nextInt((int) (SECOND / 2));
-                routers.add(new Hierarchy(first, 0, 0, new Setup("d0", UpdateSource.FEED, TIMING, 0), t -> {}));
+                routers.add(new Hierarchy(initial, 0, 0, new Setup("d0", UpdateSource.FEED, TIMING, 0), t -> {}));
                 inbox.add(new ArrayList<>());
             }
         }
 
-        /** Hubs in a random order, each filling from some behind it, so that two shapes often disagree. */
-        Topology randomShape(long version, long announced) {
+        /** Hubs in a random order, each filling from some later ones, so that two topologies often conflict. */
+        Topology randomTopology(long version, long announced) {
             List<String> order = new ArrayList<>();
             for (int i = 0; i < HUBS; i++) {
                 if (random.nextInt(6) > 0) {
@@ -71,27 +72,27 @@
             java.util.Collections.shuffle(order, random);
             List<String> lines = new ArrayList<>();
             for (int i = 0; i < order.size(); i++) {
-                int at = i;
-                String above = order.subList(at + 1, order.size()).stream()
-                        .filter(h -> random.nextInt(3) == 0)
+                int index = i;
+                String parents = order.subList(index + 1, order.size()).stream()
+                        .filter(hub -> random.nextInt(3) == 0)
                         .collect(Collectors.joining(","));
-                lines.add(order.get(i) + ":" + (above.isEmpty() ? "o" : above));
+                lines.add(order.get(i) + ":" + (parents.isEmpty() ? "o" : parents));
             }
             for (int d = 0; d < 2; d++) {
-                String hubs = order.stream().filter(h -> random.nextInt(3) == 0).collect(Collectors.joining(","));
+                String hubs = order.stream().filter(hub -> random.nextInt(3) == 0).collect(Collectors.joining(","));
                 lines.add("d" + d + ":" + (hubs.isEmpty() ? "o" : hubs));
             }
-            return Shapes.shape(version, announced, lines.toArray(String[]::new));
+            return Topologies.topology(version, announced, lines.toArray(String[]::new));
         }
 
         void announce(long now) {
-            List<TopologyUpdate> pieces = new ArrayList<>();
-            if (wholeOnly || random.nextInt(3) == 0) {
-                Topology next = randomShape(++version, now);
-                pieces.addAll(Hierarchy.pieces(target, next, number + 1));
+            List<TopologyUpdate> updates = new ArrayList<>();
+            if (wholeTopologiesOnly || random.nextInt(3) == 0) {
+                Topology next = randomTopology(++version, now);
+                updates.addAll(Hierarchy.updatesBetween(target, next, number + 1));
                 target.clear();
                 target.putAll(next.units());
-            } else { // one unit by itself, with no care for the others
+            } else { // an independent update of one unit, regardless of the others
                 String unit = random.nextInt(4) == 0 ? "d" + random.nextInt(2) : "h" + random.nextInt(HUBS);
                 boolean removed = unit.startsWith("h") && target.containsKey(unit) && random.nextInt(8) == 0;
                 Map<String, Double> parents = new HashMap<>();
@@ -104,126 +105,126 @@
                 if (!removed && parents.isEmpty()) {
                     parents.put("o", 1.0);
                 }
-                pieces.add(new TopologyUpdate(number + 1, now, ++version, 0, unit, Shapes.kind(unit), parents, removed));
+                updates.add(new TopologyUpdate(number + 1, now, ++version, 0, unit, Topologies.kind(unit), parents, removed));
                 if (removed) {
                     target.remove(unit);
                 } else {
-                    target.put(unit, new Unit(unit, Shapes.kind(unit), parents));
+                    target.put(unit, new Unit(unit, Topologies.kind(unit), parents));
                 }
             }
-            number += pieces.size();
-            for (int r = 0; r < ROUTERS; r++) {
-                for (TopologyUpdate p : pieces) {
-                    tell(r, now, p);
+            number += updates.size();
+            for (int router = 0; router < ROUTERS; router++) {
+                for (TopologyUpdate update : updates) {
+                    deliverLater(router, now, update);
                     if (random.nextInt(5) == 0) {
-                        tell(r, now, p);
+                        deliverLater(router, now, update);
                     }
                 }
             }
         }
 
-        void tell(int r, long now, TopologyUpdate piece) {
+        void deliverLater(int router, long now, TopologyUpdate update) {
             long delay = random.nextInt(10) == 0 ? random.nextInt((int) (20 * SECOND)) : random.nextInt((int) SECOND);
-            inbox.get(r).add(new Told(now + delay, () -> routers.get(r).take(clock(r, now + delay), piece)));
+            inbox.get(router).add(new Delivery(now + delay, () -> routers.get(router).take(localTime(router, now + delay), update)));
         }
 
         void heartbeat(long now) {
             long last = number;
-            for (int r = 0; r < ROUTERS; r++) {
-                int router = r;
+            for (int index = 0; index < ROUTERS; index++) {
+                int router = index;
                 if (random.nextInt(4) > 0) {
                     long delay = random.nextInt((int) (2 * SECOND));
-                    inbox.get(r).add(new Told(now + delay, () -> routers.get(router)
-                            .certain(clock(router, now + delay), now, last)));
+                    inbox.get(index).add(new Delivery(now + delay, () -> routers.get(router)
+                            .certain(localTime(router, now + delay), now, last)));
                 }
             }
         }
 
-        long clock(int r, long now) {
-            return now + skew[r];
+        long localTime(int router, long now) {
+            return now + skew[router];
         }
 
         void deliver(long now) {
-            for (int r = 0; r < ROUTERS; r++) {
-                List<Told> due = inbox.get(r).stream()
+            for (int router = 0; router < ROUTERS; router++) {
+                List<Delivery> due = inbox.get(router).stream()
                         .filter(t -> t.at() <= now)
                         .sorted((a, b) -> Long.compare(a.at(), b.at()))
                         .toList();
-                inbox.get(r).removeAll(due);
-                due.forEach(t -> t.what().run());
-                routers.get(r).advance(clock(r, now));
+                inbox.get(router).removeAll(due);
+                due.forEach(t -> t.action().run());
+                routers.get(router).advance(localTime(router, now));
             }
         }
 
         void check(long now) {
             Set<Link> union = new HashSet<>();
-            for (Hierarchy h : routers) {
-                boolean silent = h.snapshot().stage() == Hierarchy.Stage.TOO_OLD;
-                assertEquals(silent, h.sources(String::hashCode).lists().isEmpty() && silent);
-                Set<Link> links = h.timeline().linksInUse();
-                if (!silent) {
+            for (Hierarchy hierarchy : routers) {
+                boolean noSources = hierarchy.snapshot().stage() == Hierarchy.Stage.TOO_OLD;
+                assertEquals(noSources, hierarchy.sources(String::hashCode).lists().isEmpty() && noSources);
+                Set<Link> links = hierarchy.timeline().linksInUse();
+                if (!noSources) {
                     union.addAll(links);
                 }
-                if (wholeOnly) {
-                    alwaysThere.forEach(d -> assertTrue(Shapes.reaches(links, d, "o"), d + " at " + now));
+                if (wholeTopologiesOnly) {
+                    depots.forEach(d -> assertTrue(Topologies.reaches(links, d, "o"), d + " at " + now));
                 }
             }
-            assertFalse(Shapes.hasLoop(union), () -> "a loop at " + now + ": " + union);
+            assertFalse(Topologies.hasLoop(union), () -> "a loop at " + now + ": " + union);
         }
     }
 
-    private static void play(long seed, boolean wholeOnly) {
-        Day day = new Day(seed, wholeOnly);
+    private static void simulate(long seed, boolean wholeTopologiesOnly) {
+        Run run = new Run(seed, wholeTopologiesOnly);
         long now = 0;
-        long quiet = 40 * SECOND;
-        for (; now < quiet; now += STEP) {
-            if (day.random.nextInt(6) == 0) {
-                day.announce(now);
+        long updatesEnd = 40 * SECOND;
+        for (; now < updatesEnd; now += STEP) {
+            if (run.random.nextInt(6) == 0) {
+                run.announce(now);
             }
-            day.heartbeat(now);
-            day.deliver(now);
-            day.check(now);
+            run.heartbeat(now);
+            run.deliver(now);
+            run.check(now);
         }
         long end = now + 40 * SECOND + (HUBS + 2) * 3 * (TIMING.move() + 2 * TIMING.gap() + TIMING.remember());
         for (; now < end; now += 4 * STEP) {
-            day.heartbeat(now);
-            day.deliver(now);
-            day.check(now);
+            run.heartbeat(now);
+            run.deliver(now);
+            run.check(now);
         }
-        Set<Link> first = day.routers.get(0).timeline().linksInUse();
-        Set<Link> wanted = day.target.values().stream()
-                .flatMap(u -> u.parents().keySet().stream().map(p -> new Link(u.name(), p)))
+        Set<Link> finalLinks = run.routers.get(0).timeline().linksInUse();
+        Set<Link> targetLinks = run.target.values().stream()
+                .flatMap(u -> u.parents().keySet().stream().map(parent -> new Link(u.name(), parent)))
                 .collect(Collectors.toSet());
-        for (Hierarchy h : day.routers) {
-            assertEquals(first, h.timeline().linksInUse(), "all follow the same links in the end");
-            assertEquals(day.target, h.wanted());
-            assertEquals(first.size(), h.timeline().linksInOrder(), "no link is left behind in the order");
+        for (Hierarchy hierarchy : run.routers) {
+            assertEquals(finalLinks, hierarchy.timeline().linksInUse(), "all routers end with the same links");
+            assertEquals(run.target, hierarchy.wanted());
+            assertEquals(finalLinks.size(), hierarchy.timeline().linksInOrder(), "the order contains no stale links");
         }
-        boolean allThere = wanted.stream().allMatch(l -> day.target.containsKey(l.parent()));
-        if (!Shapes.hasLoop(wanted) && allThere) {
+        boolean allParentsExist = targetLinks.stream().allMatch(l -> run.target.containsKey(l.parent()));
+        if (!Topologies.hasLoop(targetLinks) && allParentsExist) {
             assertEquals(
-                    wanted,
-                    first,
-                    () -> "the last shape is reached; "
-                            + first.stream()
-                                    .map(l -> day.routers.get(0).timeline().describe(l.unit()))
+                    targetLinks,
+                    finalLinks,
+                    () -> "the last topology is reached; "
+                            + finalLinks.stream()
+                                    .map(l -> run.routers.get(0).timeline().describe(l.unit()))
                                     .toList());
         }
     }
 
     @Property(seed = "20261201")
-    void loosePiecesNeverMakeALoopBetweenRouters(@ForAll long seed) {
-        play(seed, false);
+    void independentUpdatesNeverCreateALoopAcrossRouters(@ForAll long seed) {
+        simulate(seed, false);
     }
 
     @Property(seed = "20261201")
-    void wholeShapesNeverMakeALoopNorCutADepotOff(@ForAll long seed) {
-        play(seed, true);
+    void wholeTopologiesNeverCreateALoopNorCutOffADepot(@ForAll long seed) {
+        simulate(seed, true);
     }
 
-    /** Found by ten thousand days: a hub that was told anew had children before it had a way of its own. */
+    /** Found in 10,000 random runs: a hub that was added again had children before it had a fill path of its own. */
     @Example
-    void aHubThatComesBackHasAWayBeforeAnyoneFillsThroughIt() {
-        play(-19076687409169L, true);
+    void aHubThatReturnsHasAFillPathBeforeAnyUnitFillsThroughIt() {
+        simulate(-19076687409169L, true);
     }
 }
--- a/src/test/java/pumicemoor/hierarchy/Shapes.java
+++ b/src/test/java/pumicemoor/hierarchy/Topologies.java
@@ -11,13 +11,13 @@
 import pumicemoor.hierarchy.Topology.Link;
 import pumicemoor.hierarchy.Topology.Unit;
 
-/** Shapes for tests from short texts, and a plain walk for loops that shares nothing with what is tested. */
-final class Shapes {
+/** Builds topologies from short texts for tests, and detects loops independently of the code under test. */
+final class Topologies {
 
-    private Shapes() {}
+    private Topologies() {}
 
-    /** From lines like "d0:h1,h2"; d is a depot, c a cache, h a hub, o the origin. */
-    static Topology shape(long version, long announced, String... lines) {
+    /** Builds a topology from lines like "d0:h1,h2": d is a depot, c a cache, h a hub, o the origin. */
+    static Topology topology(long version, long announced, String... lines) {
         Map<String, Unit> units = new TreeMap<>();
         units.put("o", new Unit("o", Kind.ORIGIN, Map.of()));
         for (String line : lines) {
@@ -44,26 +44,26 @@
     }
 
     static boolean hasLoop(Collection<Link> links) {
-        Map<String, Set<String>> above = new HashMap<>();
-        links.forEach(l -> above.computeIfAbsent(l.unit(), k -> new HashSet<>()).add(l.parent()));
-        // takes away who fills from nobody that is left, until all are gone or only loops are
-        while (!above.isEmpty()) {
-            List<String> free = above.entrySet().stream()
-                    .filter(e -> e.getValue().stream().noneMatch(above::containsKey))
+        Map<String, Set<String>> parentsOf = new HashMap<>();
+        links.forEach(l -> parentsOf.computeIfAbsent(l.unit(), k -> new HashSet<>()).add(l.parent()));
+        // removes the units without a remaining parent until none are left or only loops are
+        while (!parentsOf.isEmpty()) {
+            List<String> resolved = parentsOf.entrySet().stream()
+                    .filter(e -> e.getValue().stream().noneMatch(parentsOf::containsKey))
                     .map(Map.Entry::getKey)
                     .toList();
-            if (free.isEmpty()) {
+            if (resolved.isEmpty()) {
                 return true;
             }
-            free.forEach(above::remove);
+            resolved.forEach(parentsOf::remove);
         }
         return false;
     }
 
     static boolean reaches(Collection<Link> links, String from, String to) {
         Set<String> seen = new HashSet<>(Set.of(from));
-        for (int before = 0; before < seen.size(); ) {
-            before = seen.size();
+        for (int previousSize = 0; previousSize < seen.size(); ) {
+            previousSize = seen.size();
             links.stream()
                     .filter(l -> seen.contains(l.unit()))
                     .map(Link::parent)
