--- a/src/main/java/pumicemoor/fleet/drains/DrainCommand.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainCommand.java
@@ -3,13 +3,16 @@
 import java.util.List;
 
 /**
- * What an operator tells the fleet through one of its routers: to take members out, that the work on one is done, or to
- * leave alone those that are not out yet. The id is new with each command, so that a repeat is known as one; the fence is
- * that of the phase which the command is about, 0 where it is about none.
+ * An operator's command, given to the fleet through one of its routers.
+ *
+ * @param id unique for each command, so that a repeated command is recognized
+ * @param mostOut how many members may be out at the same time
+ * @param leastServing how many members of each kind must keep serving
+ * @param fence the fence of the phase that the command refers to; 0 if it refers to none
  */
 public record DrainCommand(Kind kind, long id, int mostOut, int leastServing, long fence, List<Long> members) {
 
-    /** What is wanted. */
+    /** REQUEST drains members, DONE ends the work on one member, CANCEL removes the members that are not out yet. */
     public enum Kind {
         REQUEST,
         DONE,
--- a/src/main/java/pumicemoor/fleet/drains/DrainConditions.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainConditions.java
@@ -1,29 +1,32 @@
 package pumicemoor.fleet.drains;
 
-/** What the keeper knows beside the plan, asked member by member. */
+/** What the leader knows about members and routers apart from the plan. */
 interface DrainConditions {
 
-    /** How many of a tier serve now, whatever the plan says of them: listed, ready, and nothing held against them. */
-    int serving(MemberKind tier);
+    /** Returns how many members of a tier serve now, whatever their phase: they are listed, ready and not failing. */
+    int servingCount(MemberKind tier);
 
-    /** Whether this member is among those. */
-    boolean serves(long member);
+    /** Returns whether the member is among those counted by {@link #servingCount}. */
+    boolean isServing(long member);
 
-    /** Whether the member can still be taken out: it is listed, or known as a router. */
-    boolean known(long member);
+    /** Returns whether the member can still be drained: it is listed, or known as a router. */
+    boolean isKnown(long member);
 
-    /** Whether the fleet leaves the member alone as failing, so that it is out as it is. */
-    boolean failing(long member);
+    /** Returns whether the fleet has ejected the member as failing, so that it is out of use already. */
+    boolean isFailing(long member);
 
-    /** How much of what is asked for the member answers from what it holds. */
-    double heat(long member);
+    /** Returns how often the member recently answered from its own copies, summed over the routers. */
+    double recentHits(long member);
 
-    /** Whether every router that may still send is sure to know of the order's phase; null if so, else who is not. */
-    String notTold(DrainOrder order);
+    /**
+     * Returns a router that may still send requests but is not known to have the order's phase, or null if there is
+     * none.
+     */
+    String routerUnawareOf(DrainOrder order);
 
-    /** Whether nobody uses a member that drains, and nobody can any more; null if so, else who may. */
-    String stillUsed(DrainOrder order);
+    /** Returns a router that may still use the draining member, or null if no router does or can any more. */
+    String routerStillUsing(DrainOrder order);
 
-    /** Whether a member that came back is warm. */
-    boolean warm(DrainOrder order);
+    /** Returns whether a member that has returned is warm. */
+    boolean isWarm(DrainOrder order);
 }
--- a/src/main/java/pumicemoor/fleet/drains/DrainRequest.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainRequest.java
@@ -1,4 +1,10 @@
 package pumicemoor.fleet.drains;
 
-/** What an operator asked for: how many may be out at once, how many of each tier must serve. */
+/**
+ * An open drain request of an operator.
+ *
+ * @param slot the bit of this request in the masks of drain orders
+ * @param mostOut how many members may be out at the same time
+ * @param leastServing how many members of each tier must keep serving
+ */
 public record DrainRequest(long id, int slot, int mostOut, int leastServing) {}
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -19,243 +19,252 @@
 import pumicemoor.fleet.limits.LeaseTimes;
 
 /**
- * One router's part in drains: it goes by the plan in force, tells the keeper what it holds and has under way, passes on
- * operators' commands, and writes the plan while it is the keeper itself. It owns the commands that are not taken yet and
- * until when this router is in touch with a keeper. What is to be sent goes to its outlet.
+ * One router's part in coordinated drains: it acts on the plan in force, reports to the leader which plans it holds
+ * and which requests it has in flight, forwards operators' commands, and writes the plan while it is the leader
+ * itself. Owns the commands that no plan in force contains yet and the time until which this router is in contact
+ * with a leader. Packets to be sent go to its outlet.
  */
 public final class Drains {
 
-    /** The most that may be out at once; what is under way at each of them fits a report. */
+    /** The largest number of members that may be out at once; the usage of each of them fits in one report. */
     public static final int MOST_OUT = 50;
 
-    /** The most members of one request; a command fits a packet. */
-    public static final int MOST_MEMBERS = 120;
+    /** The largest number of members in one request; a command fits in one packet. */
+    public static final int MAX_MEMBERS_PER_REQUEST = 120;
 
-    private static final int REMEMBERED = 8; // reports whose answer may come
-    private static final int MOST_COMMANDS = 64; // not taken yet
-    private static final long COMMAND_LIFE = 60_000_000; // microseconds that one is asked for again
-    private static final int USES = 60; // members in a report
-    private static final int ROUNDS = 4; // of writing at one sitting, where this router is a majority alone
-    private static final String PIECE_DROPPED = "plan-piece";
+    private static final int MAX_UNANSWERED_REPORTS = 8; // reports whose answer may still arrive
+    private static final int MAX_PENDING_COMMANDS = 64; // commands that are in no plan in force yet
+    private static final long COMMAND_TTL_MICROS = 60_000_000; // for this long a command is sent with each report
+    private static final int MAX_USES_PER_REPORT = 60;
+    private static final int MAX_ROUNDS_PER_CALL = 4; // plans written in one call, if this router alone is a majority
+    private static final String DROPPED_PIECE_REASON = "plan-piece";
 
-    /** Where packets, terms and lines go. */
+    /** Receives packets to be sent, terms and log entries. */
     public interface Outlet {
 
-        /** A packet for an address; the number it was sent under is given back. */
+        /** Sends a packet to an address and returns its number. */
         long send(String address, Body body);
 
-        /** A term that was heard of. */
+        /** Reports a term that was received from another router. */
         void term(long term);
 
         void dropped(String what);
 
-        /** What a person wants to know. */
-        void changed(String text, Map<String, Object> figures);
+        /** Logs a change for operators. */
+        void changed(String text, Map<String, Object> values);
     }
 
-    /** What the decisions go by: members that nothing is sent to, and when those that came back did. */
+    /**
+     * The state of drains that routing decisions use: whether the plan in force is known, or this process has waited
+     * for it as long as it may; the members that no requests are sent to; and when members returned from a drain, in
+     * Unix microseconds.
+     */
     public record View(boolean settled, Set<Long> alone, Map<Long, Long> returned) {}
 
-    /** What this router does with a member, asked when it is to be told. */
+    /** This router's use of a member, queried for each report. */
     public interface Usage {
 
-        /** How many attempts are under way that ask the member or name it as a source. */
+        /** Returns how many attempts in flight go to the member or name it as a source. */
         int underWay(long member);
 
-        /** How often lately it answered from what it holds. */
+        /** Returns how often the member recently answered from its own copies. */
         double hits(long member);
     }
 
-    private record Pending(DrainCommand command, long since) {}
+    private record PendingCommand(DrainCommand command, long since) {}
 
     private final DrainTimes times;
-    private final LeaseTimes leases;
-    private final String self;
+    private final LeaseTimes leaseTimes;
+    private final String localName;
     private final long instance;
     private final long startedAt;
     private final Outlet outlet;
-    private final PlanStore book = new PlanStore();
-    private final PlanLeader keeper = new PlanLeader(book);
-    private final RouterAcknowledgements audience;
-    private final Map<Long, Pending> pending = new LinkedHashMap<>();
-    private final Map<Long, Long> sentAt = new TreeMap<>(); // of reports, by their numbers
-    private final Map<Long, String> causes = new HashMap<>(); // of steps being written, by member
-    private final Map<Long, Long> returned = new TreeMap<>();
+    private final PlanStore planStore = new PlanStore();
+    private final PlanLeader leader = new PlanLeader(planStore);
+    private final RouterAcknowledgements acknowledgements;
+    private final Map<Long, PendingCommand> pendingCommands = new LinkedHashMap<>();
+    private final Map<Long, Long> reportSentAt = new TreeMap<>(); // by the number of the report
+    private final Map<Long, String> stepCauses = new HashMap<>(); // by member, for the plan being written
+    private final Map<Long, Long> returnedAt = new TreeMap<>();
     private final Usage usage;
-    private Plan logged = Plan.NONE;
+    private Plan lastLoggedPlan = Plan.NONE;
     private View lastView;
-    private long toldStamp; // of the plan that the decisions go by
-    private long touchUntil;
-    private boolean touched; // since the start
-    private boolean cutOff; // when the decisions were last told
-    private int nextUse;
+    private long viewStamp; // stamp of the plan that the last view is based on
+    private long leaderContactUntil;
+    private boolean hadLeaderContact; // since the start of the process
+    private boolean viewCutOff; // whether contact was lost when the last view was taken
+    private int nextUsageIndex;
 
     public Drains(
             DrainTimes times,
-            LeaseTimes leases,
-            String self,
+            LeaseTimes leaseTimes,
+            String localName,
             long instance,
             long startedAt,
             Usage usage,
             Outlet outlet) {
         this.times = times;
-        this.leases = leases;
-        this.self = self;
+        this.leaseTimes = leaseTimes;
+        this.localName = localName;
         this.instance = instance;
         this.startedAt = startedAt;
         this.usage = usage;
         this.outlet = outlet;
-        this.audience = new RouterAcknowledgements(times, leases, self, keeper);
+        this.acknowledgements = new RouterAcknowledgements(times, leaseTimes, localName, leader);
     }
 
-    // ---- any router -----------------------------------------------------------------------------------
+    // ---- all routers -----------------------------------------------------------------------------------
 
-    /** The plan in force, as far as this router knows. */
+    /** Returns the newest plan that this router knows to be in force. */
     public Plan plan() {
-        return book.applied();
+        return planStore.applied();
     }
 
-    /** Whether a plan is held that is not known to be in force, so that the keeper waits to hear of it. */
+    /**
+     * Returns whether the next report should not be delayed: a plan is not known to be in force yet, a command waits,
+     * or there has been no contact with a leader since the start.
+     */
     public boolean inHaste() {
-        return book.held().stamp() > book.applied().stamp() || !pending.isEmpty() || !touched;
+        return planStore.newest().stamp() > planStore.applied().stamp() || !pendingCommands.isEmpty() || !hadLeaderContact;
     }
 
-    /** Tells the keeper, or who is taken for it, what is held here; the commands that it has not taken go along. */
+    /** Sends a report, and the commands that are in no plan yet, to the leader or the router that is taken for it. */
     public void report(long now, String address, long term) {
         long number =
-                outlet.send(address, new PlanReport(term, book.held().stamp(), toldStamp, book.seasoned(), someUses()));
-        sentAt.put(number, now);
-        if (sentAt.size() > REMEMBERED) {
-            sentAt.remove(sentAt.keySet().iterator().next());
+                outlet.send(address, new PlanReport(term, planStore.newest().stamp(), viewStamp, planStore.recovered(), reportedUsage()));
+        reportSentAt.put(number, now);
+        if (reportSentAt.size() > MAX_UNANSWERED_REPORTS) {
+            reportSentAt.remove(reportSentAt.keySet().iterator().next());
         }
-        forgetTaken(now);
-        pending.values().forEach(p -> outlet.send(address, new DrainAsk(p.command())));
+        removeTakenCommands(now);
+        pendingCommands.values().forEach(p -> outlet.send(address, new DrainAsk(p.command())));
     }
 
-    /** What is under way at members that drain; then, in turns, how much those that wait are in use. */
-    private List<Use> someUses() {
+    /** Returns the usage of draining members, and then, in rotation, of queued ones as far as the report has space. */
+    private List<Use> reportedUsage() {
         List<Use> uses = new ArrayList<>();
         List<DrainOrder> waiting = new ArrayList<>();
-        for (DrainOrder o : book.applied().orders()) {
-            if (o.phase() == Phase.DRAINING && uses.size() < USES) {
-                uses.add(new Use(o.member(), usage.underWay(o.member()), 0));
-            } else if (o.phase() == Phase.QUEUED) {
-                waiting.add(o);
+        for (DrainOrder order : planStore.applied().orders()) {
+            if (order.phase() == Phase.DRAINING && uses.size() < MAX_USES_PER_REPORT) {
+                uses.add(new Use(order.member(), usage.underWay(order.member()), 0));
+            } else if (order.phase() == Phase.QUEUED) {
+                waiting.add(order);
             }
         }
-        for (int i = 0; i < waiting.size() && uses.size() < USES; i++) {
-            long member = waiting.get(nextUse++ % waiting.size()).member();
+        for (int i = 0; i < waiting.size() && uses.size() < MAX_USES_PER_REPORT; i++) {
+            long member = waiting.get(nextUsageIndex++ % waiting.size()).member();
             uses.add(new Use(member, 0, usage.hits(member)));
         }
         return uses;
     }
 
-    private void forgetTaken(long now) {
-        pending.values().removeIf(p -> now - p.since() > COMMAND_LIFE || taken(p.command()));
+    private void removeTakenCommands(long now) {
+        pendingCommands.values().removeIf(p -> now - p.since() > COMMAND_TTL_MICROS || isTaken(p.command()));
     }
 
-    /** Whether the plan in force shows that a command was taken or has nothing left to do. */
-    private boolean taken(DrainCommand c) {
-        if (c.kind() == DrainCommand.Kind.REQUEST) {
-            return book.applied().knows(c.id());
+    /** Returns whether the plan in force contains the command or leaves nothing to do for it. */
+    private boolean isTaken(DrainCommand command) {
+        if (command.kind() == DrainCommand.Kind.REQUEST) {
+            return planStore.applied().containsRequest(command.id());
         }
-        return c.members().stream().allMatch(m -> book.applied()
+        return command.members().stream().allMatch(m -> planStore.applied()
                 .of(m)
-                .map(o -> c.kind() == DrainCommand.Kind.DONE
-                        ? o.fence() != c.fence()
-                        : !o.phase().waits() && o.phase() != Phase.DRAINING)
+                .map(o -> command.kind() == DrainCommand.Kind.DONE
+                        ? o.fence() != command.fence()
+                        : !o.phase().isWaiting() && o.phase() != Phase.DRAINING)
                 .orElse(true));
     }
 
-    /** An operator's command; false where there are too many that wait to be taken. */
-    public boolean command(long now, DrainCommand c) {
-        forgetTaken(now);
-        if (pending.size() >= MOST_COMMANDS) {
+    /** Accepts an operator's command; returns false if too many commands are pending. */
+    public boolean command(long now, DrainCommand command) {
+        removeTakenCommands(now);
+        if (pendingCommands.size() >= MAX_PENDING_COMMANDS) {
             return false;
         }
-        pending.putIfAbsent(c.id(), new Pending(c, now));
+        pendingCommands.putIfAbsent(command.id(), new PendingCommand(command, now));
         return true;
     }
 
-    /** The answer of whom this router reports to. */
-    public void answered(long now, String address, PlanGrant g) {
-        Long left = sentAt.get(g.report());
-        if (g.instance() != instance || left == null) {
+    /** Processes the answer to one of this router's reports. */
+    public void answered(long now, String address, PlanGrant grant) {
+        Long sentTime = reportSentAt.get(grant.report());
+        if (grant.instance() != instance || sentTime == null) {
             outlet.dropped("late-plan-grant");
             return;
         }
-        outlet.term(g.term());
-        if (g.office()) {
-            book.inForce(g.inForce());
-            if (book.applied().stamp() >= g.inForce()) {
-                touch(left + leases.lease());
+        outlet.term(grant.term());
+        if (grant.office()) {
+            planStore.confirmInForce(grant.inForce());
+            if (planStore.applied().stamp() >= grant.inForce()) {
+                extendLeaderContact(sentTime + leaseTimes.lease());
             }
-            follow();
-            logged = book.applied(); // its steps are logged where they are written
+            recordReturns();
+            lastLoggedPlan = planStore.applied(); // the leader logs its steps
         }
-        if (g.held() < book.held().stamp()) {
+        if (grant.held() < planStore.newest().stamp()) {
             sendPieces(address);
         }
     }
 
-    private void touch(long until) {
-        touchUntil = Math.max(touchUntil, until);
-        touched = true;
+    private void extendLeaderContact(long until) {
+        leaderContactUntil = Math.max(leaderContactUntil, until);
+        hadLeaderContact = true;
     }
 
-    /** Takes a piece of a plan; true where the plan is whole with it. */
-    public boolean take(Piece p) {
-        boolean whole = book.take(p.stamp(), p.index(), p.count(), p.bytes());
+    /** Accepts a piece of a plan; returns true if it completes a newer plan. */
+    public boolean take(Piece piece) {
+        boolean whole = planStore.addPiece(piece.stamp(), piece.index(), piece.count(), piece.bytes());
         if (whole) {
-            outlet.term(Plan.term(book.held().stamp()));
-        } else if (p.stamp() <= book.held().stamp()) {
-            outlet.dropped(PIECE_DROPPED);
+            outlet.term(Plan.termOf(planStore.newest().stamp()));
+        } else if (piece.stamp() <= planStore.newest().stamp()) {
+            outlet.dropped(DROPPED_PIECE_REASON);
         }
         return whole;
     }
 
     private void sendPieces(String address) {
-        List<byte[]> pieces = book.pieces();
+        List<byte[]> pieces = planStore.pieces();
         for (int i = 0; i < pieces.size(); i++) {
-            outlet.send(address, new Piece(book.held().stamp(), i, pieces.size(), pieces.get(i)));
+            outlet.send(address, new Piece(planStore.newest().stamp(), i, pieces.size(), pieces.get(i)));
         }
     }
 
-    private void follow() {
-        book.applied().orders().stream()
+    private void recordReturns() {
+        planStore.applied().orders().stream()
                 .filter(o -> o.phase() == Phase.RETURNING)
-                .forEach(o -> returned.merge(o.member(), o.since(), Math::max));
+                .forEach(o -> returnedAt.merge(o.member(), o.since(), Math::max));
     }
 
-    /** Whether this process knows what is in force, or has waited for that as long as it may. */
+    /** Returns whether this process knows the plan in force, or has waited for it as long as it may. */
     private boolean settled(long now) {
-        return touched || now >= startedAt + leases.lease() + leases.guard();
+        return hadLeaderContact || now >= startedAt + leaseTimes.lease() + leaseTimes.guard();
     }
 
-    /** Whether what the decisions go by may be another now; cheap, for it is asked at every input. */
+    /** Returns whether the view may have changed; a cheap check, since it is made at every input. */
     public boolean viewMayChange(long now) {
         return lastView == null
-                || book.applied().stamp() != toldStamp
+                || planStore.applied().stamp() != viewStamp
                 || !lastView.settled()
-                || cutOff != now >= touchUntil;
+                || viewCutOff != now >= leaderContactUntil;
     }
 
-    /** What the decisions are to go by from now on; null where that is as before. */
-    public View takeView(long now, FleetSnapshot world) {
-        world.targets().forEach((id, t) -> {
-            if (returned.getOrDefault(id, Long.MAX_VALUE) <= t.started()) {
-                returned.remove(id);
+    /** Returns the view for routing decisions from now on, or null if it has not changed. */
+    public View takeView(long now, FleetSnapshot snapshot) {
+        snapshot.targets().forEach((id, t) -> {
+            if (returnedAt.getOrDefault(id, Long.MAX_VALUE) <= t.started()) {
+                returnedAt.remove(id);
             }
         });
-        returned.keySet()
-                .removeIf(id -> !world.targets().containsKey(id)
-                        && book.applied().of(id).isEmpty());
-        toldStamp = book.applied().stamp();
-        cutOff = now >= touchUntil;
-        Set<Long> alone = new HashSet<>();
-        Plan plan = touched ? book.applied() : book.held(); // who has heard of no keeper yet goes by what there is
-        plan.orders().stream().filter(o -> leftAlone(o, now)).forEach(o -> alone.add(o.member()));
-        View view = new View(settled(now), alone, Map.copyOf(returned));
+        returnedAt.keySet()
+                .removeIf(id -> !snapshot.targets().containsKey(id)
+                        && planStore.applied().of(id).isEmpty());
+        viewStamp = planStore.applied().stamp();
+        viewCutOff = now >= leaderContactUntil;
+        Set<Long> avoided = new HashSet<>();
+        // without any contact with a leader, use the newest plan held
+        Plan plan = hadLeaderContact ? planStore.applied() : planStore.newest();
+        plan.orders().stream().filter(o -> isAvoided(o, now)).forEach(o -> avoided.add(o.member()));
+        View view = new View(settled(now), avoided, Map.copyOf(returnedAt));
         if (view.equals(lastView)) {
             return null;
         }
@@ -263,209 +272,212 @@
         return view;
     }
 
-    /** Nothing is sent to who drains or is out; nor to who is named, by a router that may not hear how that went on. */
-    private boolean leftAlone(DrainOrder o, long now) {
-        return o.phase() == Phase.DRAINING || o.phase() == Phase.OUT || o.phase() == Phase.NAMED && now >= touchUntil;
+    /**
+     * Returns whether no requests may be sent to the member: it is draining or out, or it is named and this router
+     * has lost contact with the leader, so that it may not learn of the next phase.
+     */
+    private boolean isAvoided(DrainOrder order, long now) {
+        return order.phase() == Phase.DRAINING || order.phase() == Phase.OUT || order.phase() == Phase.NAMED && now >= leaderContactUntil;
     }
 
     public long nextDue(long now) {
-        long settles = startedAt + leases.lease() + leases.guard();
-        return Math.min(touchUntil > now ? touchUntil : Long.MAX_VALUE, settled(now) ? Long.MAX_VALUE : settles);
-    }
-
-    // ---- the keeper -----------------------------------------------------------------------------------
-
-    /** A router's report, answered at once. */
-    public void reported(FleetSnapshot world, Peer from, long number, PlanReport r) {
-        outlet.term(r.term());
-        outlet.term(Plan.term(r.held()));
-        keeper.reported(
-                from.name(), new PlanLeader.Report(from.instance(), r.term(), r.held(), r.applied(), r.seasoned()));
-        audience.uses(from.name(), r.uses());
-        sit(world);
-        boolean office = world.term() > 0 && keeper.inForce() > 0;
-        if (office) {
-            audience.answered(from.name(), world.now());
+        long settles = startedAt + leaseTimes.lease() + leaseTimes.guard();
+        return Math.min(leaderContactUntil > now ? leaderContactUntil : Long.MAX_VALUE, settled(now) ? Long.MAX_VALUE : settles);
+    }
+
+    // ---- the leader -----------------------------------------------------------------------------------
+
+    /** Processes a router's report and answers it at once. */
+    public void reported(FleetSnapshot snapshot, Peer from, long number, PlanReport report) {
+        outlet.term(report.term());
+        outlet.term(Plan.termOf(report.held()));
+        leader.recordReport(
+                from.name(), new PlanLeader.Report(from.instance(), report.term(), report.held(), report.applied(), report.seasoned()));
+        acknowledgements.recordUsage(from.name(), report.uses());
+        sit(snapshot);
+        boolean isLeader = snapshot.term() > 0 && leader.inForce() > 0;
+        if (isLeader) {
+            acknowledgements.recordAnswer(from.name(), snapshot.now());
         }
         outlet.send(
                 from.address(),
                 new PlanGrant(
                         number,
                         from.instance(),
-                        world.term(),
-                        office,
-                        book.held().stamp(),
-                        keeper.inForce()));
-        if (r.held()
-                < book.held().stamp()) { // also out of office: a process just started is better off with an old plan
+                        snapshot.term(),
+                        isLeader,
+                        planStore.newest().stamp(),
+                        leader.inForce()));
+        // also if not the leader: a restarted process is better off with an old plan than with none
+        if (report.held() < planStore.newest().stamp()) {
             sendPieces(from.address());
         }
     }
 
-    /** A command that another router passed on. */
-    public void passedOn(FleetSnapshot world, DrainCommand c) {
-        if (world.term() > 0) {
-            command(world.now(), c);
-            sit(world);
+    /** Processes a command that another router forwarded. */
+    public void passedOn(FleetSnapshot snapshot, DrainCommand command) {
+        if (snapshot.term() > 0) {
+            command(snapshot.now(), command);
+            sit(snapshot);
         }
     }
 
-    /** Does what is to be done in office; out of it nothing. */
-    public void sit(FleetSnapshot world) {
-        audience.see(world, toldStamp, book.held());
-        audience.uses(self, someUses());
-        if (world.term() == 0) {
-            keeper.leaveOffice();
-            causes.clear();
+    /** Does the leader's work if this router is the leader, and resets the leader's state if it is not. */
+    public void sit(FleetSnapshot snapshot) {
+        acknowledgements.update(snapshot, viewStamp, planStore.newest());
+        acknowledgements.recordUsage(localName, reportedUsage());
+        if (snapshot.term() == 0) {
+            leader.stepDown();
+            stepCauses.clear();
             return;
         }
-        boolean patient = world.now() - world.officeSince() >= times.gone();
-        for (int i = 0; i < ROUNDS; i++) {
-            if (keeper.sit(world.term(), world.routers(), patient)) {
-                sendAll(world);
+        boolean readTimedOut = snapshot.now() - snapshot.officeSince() >= times.gone();
+        for (int i = 0; i < MAX_ROUNDS_PER_CALL; i++) {
+            if (leader.advance(snapshot.term(), snapshot.routers(), readTimedOut)) {
+                broadcastPlan(snapshot);
             }
-            if (keeper.inForce() > 0) {
-                touch(world.now() + leases.lease());
+            if (leader.inForce() > 0) {
+                extendLeaderContact(snapshot.now() + leaseTimes.lease());
             }
-            follow();
-            if (keeper.stage() != PlanLeader.Stage.SETTLED) {
+            recordReturns();
+            if (leader.stage() != PlanLeader.Stage.SETTLED) {
                 return;
             }
-            log(world);
-            if (!writeNext(world)) {
+            logSteps(snapshot);
+            if (!writeNext(snapshot)) {
                 return;
             }
-            sendAll(world);
+            broadcastPlan(snapshot);
         }
     }
 
-    private void sendAll(FleetSnapshot world) {
-        world.peers().stream().filter(p -> p.lives() && !p.name().equals(self)).forEach(p -> sendPieces(p.address()));
+    private void broadcastPlan(FleetSnapshot snapshot) {
+        snapshot.peers().stream().filter(p -> p.isAlive() && !p.name().equals(localName)).forEach(p -> sendPieces(p.address()));
     }
 
-    private boolean writeNext(FleetSnapshot world) {
-        long stamp = keeper.nextStamp();
-        Plan plan = book.held();
+    private boolean writeNext(FleetSnapshot snapshot) {
+        long stamp = leader.nextStamp();
+        Plan plan = planStore.newest();
         List<PlanTransitions.Step> steps = new ArrayList<>();
         Map<Long, MemberKind> tiers = new HashMap<>();
-        world.targets().forEach((id, t) -> tiers.put(id, t.tier()));
-        world.peers().forEach(p -> tiers.put(p.id(), MemberKind.ROUTER));
-        for (Pending p : pending.values()) {
-            PlanTransitions.Outcome told = PlanTransitions.told(plan, p.command(), tiers, stamp, world.now());
-            plan = told.plan();
-            steps.addAll(told.steps());
+        snapshot.targets().forEach((id, t) -> tiers.put(id, t.tier()));
+        snapshot.peers().forEach(p -> tiers.put(p.id(), MemberKind.ROUTER));
+        for (PendingCommand waiting : pendingCommands.values()) {
+            PlanTransitions.Outcome afterCommand = PlanTransitions.afterCommand(plan, waiting.command(), tiers, stamp, snapshot.now());
+            plan = afterCommand.plan();
+            steps.addAll(afterCommand.steps());
         }
-        PlanTransitions.Outcome next = PlanTransitions.after(plan, stamp, world.now(), world.majority(), audience);
+        PlanTransitions.Outcome next = PlanTransitions.next(plan, stamp, snapshot.now(), snapshot.majority(), acknowledgements);
         steps.addAll(next.steps());
-        if (next.plan() == book.held()) {
-            forgetTaken(world.now());
+        if (next.plan() == planStore.newest()) {
+            removeTakenCommands(snapshot.now());
             return false;
         }
-        steps.forEach(s -> causes.put(s.member(), s.cause()));
-        keeper.write(next.plan());
+        steps.forEach(s -> stepCauses.put(s.member(), s.cause()));
+        leader.write(next.plan());
         return true;
     }
 
-    /** A line for each step, once it is in force; one that an earlier keeper wrote has no other cause here. */
-    private void log(FleetSnapshot world) {
-        Plan plan = book.applied();
-        if (plan == logged) {
+    /** Logs each step once it is in force. The cause of a step that an earlier leader wrote is not known here. */
+    private void logSteps(FleetSnapshot snapshot) {
+        Plan plan = planStore.applied();
+        if (plan == lastLoggedPlan) {
             return;
         }
         Map<Long, DrainOrder> before = new HashMap<>();
-        logged.orders().forEach(o -> before.put(o.member(), o));
-        for (DrainOrder o : plan.orders()) {
-            DrainOrder was = before.remove(o.member());
-            if (was == null || was.phase() != o.phase()) {
-                line(world, o, was == null ? "none" : lower(was.phase()), lower(o.phase()));
+        lastLoggedPlan.orders().forEach(o -> before.put(o.member(), o));
+        for (DrainOrder order : plan.orders()) {
+            DrainOrder previous = before.remove(order.member());
+            if (previous == null || previous.phase() != order.phase()) {
+                logStep(snapshot, order, previous == null ? "none" : lowerCase(previous.phase()), lowerCase(order.phase()));
             }
         }
         before.values().stream()
                 .filter(o -> o.phase() != Phase.FINISHED)
-                .forEach(o -> line(world, o, lower(o.phase()), "finished"));
-        logged = plan;
-        causes.clear();
+                .forEach(o -> logStep(snapshot, o, lowerCase(o.phase()), "finished"));
+        lastLoggedPlan = plan;
+        stepCauses.clear();
     }
 
-    private void line(FleetSnapshot world, DrainOrder o, String from, String to) {
-        String cause = causes.getOrDefault(o.member(), "an earlier keeper wrote it");
+    private void logStep(FleetSnapshot snapshot, DrainOrder order, String from, String to) {
+        String cause = stepCauses.getOrDefault(order.member(), "an earlier keeper wrote it");
         outlet.changed(
-                "drain of " + name(world, o.member()) + ": " + to + ", " + cause,
+                "drain of " + memberName(snapshot, order.member()) + ": " + to + ", " + cause,
                 Map.of(
                         "member",
-                        name(world, o.member()),
+                        memberName(snapshot, order.member()),
                         "tier",
-                        lower(o.tier()),
+                        lowerCase(order.tier()),
                         "before",
                         from,
                         "phase",
                         to,
                         "fence",
-                        o.fence(),
+                        order.fence(),
                         "plan",
-                        book.applied().stamp(),
+                        planStore.applied().stamp(),
                         "out",
-                        book.applied().out(),
+                        planStore.applied().out(),
                         "cause",
                         cause));
     }
 
-    private static String lower(Enum<?> value) {
+    private static String lowerCase(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    private static String name(FleetSnapshot world, long member) {
-        FleetSnapshot.Target t = world.targets().get(member);
-        return t != null
-                ? t.name()
-                : world.peers().stream()
+    private static String memberName(FleetSnapshot snapshot, long member) {
+        FleetSnapshot.Target target = snapshot.targets().get(member);
+        return target != null
+                ? target.name()
+                : snapshot.peers().stream()
                         .filter(p -> p.id() == member)
-                        .map(Peer::asMember)
+                        .map(Peer::memberName)
                         .findFirst()
                         .orElse(Long.toString(member));
     }
 
-    // ---- what can be seen -----------------------------------------------------------------------------
+    // ---- monitoring -----------------------------------------------------------------------------
 
-    /** When a member came back that the decisions take for cold since; 0 for none. */
+    /** Returns since when routing decisions treat a returned member as cold, or 0 if they do not. */
     public long returned(long member) {
         return lastView == null ? 0 : lastView.returned().getOrDefault(member, 0L);
     }
 
-    /** Whether the decisions know whom to leave alone, or have waited for that as long as they may. */
+    /** Returns whether routing decisions know which members to avoid, or have waited for that as long as they may. */
     public boolean settled() {
         return lastView != null && lastView.settled();
     }
 
-    /** The plan in force, member by member; what holds one up is known to the keeper alone. */
-    public List<Map<String, Object>> rows(FleetSnapshot world, String keeperName) {
-        audience.see(world, toldStamp, book.held());
-        boolean office = world.term() > 0 && keeper.inForce() > 0;
+    /** Returns the plan in force, one row for each member. Only the leader knows what a member waits for. */
+    public List<Map<String, Object>> rows(FleetSnapshot snapshot, String leaderName) {
+        acknowledgements.update(snapshot, viewStamp, planStore.newest());
+        boolean isLeader = snapshot.term() > 0 && leader.inForce() > 0;
         List<Map<String, Object>> rows = new ArrayList<>();
-        for (DrainOrder o : book.applied().orders()) {
+        for (DrainOrder order : planStore.applied().orders()) {
             Map<String, Object> row = new LinkedHashMap<>();
-            row.put("member", name(world, o.member()));
-            row.put("tier", lower(o.tier()));
-            row.put("phase", lower(o.phase()));
-            row.put("for-ms", Math.max(0, world.now() - o.since()) / 1_000);
-            row.put("since-ms", o.since() / 1_000);
-            row.put("fence", o.fence());
-            row.put("confirmed", world.now() < touchUntil);
-            row.put("overdue", o.phase() == Phase.OUT && world.now() - o.since() > times.overdue());
+            row.put("member", memberName(snapshot, order.member()));
+            row.put("tier", lowerCase(order.tier()));
+            row.put("phase", lowerCase(order.phase()));
+            row.put("for-ms", Math.max(0, snapshot.now() - order.since()) / 1_000);
+            row.put("since-ms", order.since() / 1_000);
+            row.put("fence", order.fence());
+            row.put("confirmed", snapshot.now() < leaderContactUntil);
+            row.put("overdue", order.phase() == Phase.OUT && snapshot.now() - order.since() > times.overdue());
             row.put(
                     "held-up",
-                    office
-                            ? PlanTransitions.heldUp(book.applied(), o, world.now(), world.majority(), audience)
-                            : "(ask " + keeperName + ")");
+                    isLeader
+                            ? PlanTransitions.waitReason(planStore.applied(), order, snapshot.now(), snapshot.majority(), acknowledgements)
+                            : "(ask " + leaderName + ")");
             rows.add(row);
         }
         return rows;
     }
 
-    /** The requests that are open or were so lately, and this router's commands that nobody has taken. */
+    /** Returns the open and recently ended requests, and this router's commands that are in no plan yet. */
     public List<Map<String, Object>> requestRows() {
         List<Map<String, Object>> rows = new ArrayList<>();
-        Plan plan = book.applied();
+        Plan plan = planStore.applied();
         plan.requests()
                 .forEach(r -> rows.add(requestRow(
                         r.id(),
@@ -476,8 +488,8 @@
                                 .filter(o -> o.isFor(r) && o.phase() != Phase.FINISHED)
                                 .count())));
         plan.closed().forEach(id -> rows.add(requestRow(id, "ended", 0, 0, 0)));
-        pending.values().stream()
-                .filter(p -> !taken(p.command()))
+        pendingCommands.values().stream()
+                .filter(p -> !isTaken(p.command()))
                 .forEach(p -> rows.add(requestRow(
                         p.command().id(),
                         "not-taken",
@@ -487,27 +499,27 @@
         return rows;
     }
 
-    private static Map<String, Object> requestRow(long id, String state, int most, int least, long left) {
+    private static Map<String, Object> requestRow(long id, String state, int maxAtOnce, int minServing, long membersLeft) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("id", Long.toUnsignedString(id, 16));
         row.put("state", state);
-        row.put("max-at-once", most);
-        row.put("min-serving", least);
-        row.put("members-left", left);
+        row.put("max-at-once", maxAtOnce);
+        row.put("min-serving", minServing);
+        row.put("members-left", membersLeft);
         return row;
     }
 
-    /** The state in short, by name. */
+    /** Returns a summary of the state, by name. */
     public Map<String, String> fields(long now) {
         Map<String, String> fields = new LinkedHashMap<>();
-        fields.put("drain-plan", Long.toString(book.applied().stamp()));
-        fields.put("drain-out", Integer.toString(book.applied().out()));
+        fields.put("drain-plan", Long.toString(planStore.applied().stamp()));
+        fields.put("drain-out", Integer.toString(planStore.applied().out()));
         fields.put(
                 "drain-waiting",
-                Long.toString(book.applied().orders().stream()
-                        .filter(o -> o.phase().waits())
+                Long.toString(planStore.applied().orders().stream()
+                        .filter(o -> o.phase().isWaiting())
                         .count()));
-        fields.put("drain-in-touch", now < touchUntil ? "yes" : "no");
+        fields.put("drain-in-touch", now < leaderContactUntil ? "yes" : "no");
         return fields;
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
+++ b/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
@@ -6,8 +6,9 @@
 import pumicemoor.fleet.membership.RouterStatus;
 
 /**
- * What a router knows beside the plan at one moment: its term where it is the keeper (0 where it is not) and since when,
- * how many routers the fleet is taken for, the routers and the members one by one, and which of those fail.
+ * What a router knows at one moment apart from the plan: its term if it is the leader (else 0) and since when, the
+ * assumed number of routers in the fleet, the known routers including this one, the members that can be
+ * drained, by id, and the ids of those that are ejected as failing. Times are Unix microseconds.
  */
 public record FleetSnapshot(
         long now,
@@ -18,23 +19,23 @@
         Map<Long, Target> targets,
         Set<Long> failing) {
 
-    /** What stands before the name of a router among members. */
+    /** The prefix of a router's name where routers and other members share a name space. */
     public static final String ROUTERS = "router/";
 
-    /** A router as membership has it; this router is one of them. */
+    /** A router, with its status in the membership protocol and since when it has that status. */
     public record Peer(long id, String name, String address, long instance, RouterStatus standing, long since) {
 
-        /** Its name where it is one of the members to be taken out. */
-        String asMember() {
+        /** Returns the router's name as a member that can be drained. */
+        String memberName() {
             return ROUTERS + name;
         }
 
-        boolean lives() {
+        boolean isAlive() {
             return standing == RouterStatus.ALIVE || standing == RouterStatus.SUSPECT;
         }
     }
 
-    /** A member that may be taken out; ready where the list has it so. */
+    /** A member that can be drained; ready and started (Unix microseconds) are as in the list of members. */
     public record Target(String name, MemberKind tier, boolean ready, long started) {}
 
     int majority() {
--- a/src/main/java/pumicemoor/fleet/drains/MemberKind.java
+++ b/src/main/java/pumicemoor/fleet/drains/MemberKind.java
@@ -1,6 +1,9 @@
 package pumicemoor.fleet.drains;
 
-/** The kinds of members that can be taken out; a budget of members that must serve holds for each by itself. */
+/**
+ * The kinds of members that can be drained. The number of members that must keep serving counts for each kind
+ * separately.
+ */
 public enum MemberKind {
     CACHE,
     PARENT,
--- a/src/main/java/pumicemoor/fleet/drains/Phase.java
+++ b/src/main/java/pumicemoor/fleet/drains/Phase.java
@@ -1,9 +1,9 @@
 package pumicemoor.fleet.drains;
 
 /**
- * How far a member has come. NAMED: every router knows that it is to go out, and leaves it alone once it is cut off from
- * the keeper. DRAINING: nothing new is sent to it. OUT: nobody uses it, so that the work may begin. RETURNING: the work is
- * done and the member warms.
+ * The phase of a member's drain. NAMED: the routers are informed that the member is next, and a router that loses
+ * contact with the leader stops using it. DRAINING: no new requests are sent to it. OUT: no router uses it, so the
+ * work may begin. RETURNING: the work is done and the member warms up.
  */
 public enum Phase {
     QUEUED,
@@ -13,13 +13,13 @@
     RETURNING,
     FINISHED;
 
-    /** Whether the member counts as one that is out. */
-    public boolean takesAPlace() {
+    /** Returns whether the member counts against the number of members that may be out at the same time. */
+    public boolean countsAsOut() {
         return this == DRAINING || this == OUT || this == RETURNING;
     }
 
-    /** Whether the member is still to go out. */
-    public boolean waits() {
+    /** Returns whether the member's drain has not begun yet. */
+    public boolean isWaiting() {
         return this == QUEUED || this == NAMED;
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/Plan.java
+++ b/src/main/java/pumicemoor/fleet/drains/Plan.java
@@ -7,57 +7,60 @@
 import java.util.TreeMap;
 
 /**
- * Who is to be taken out, who is out, and under which budgets; the whole of it under one stamp: the term of the keeper who
- * wrote it, then its count. Of two plans the one with the higher stamp is the newer, whoever holds it. It must never change;
- * what follows from it is another plan.
+ * The drain plan: which members are to be drained, which are out, and within which limits. An immutable value; every
+ * change creates another plan. Of two plans the one with the higher stamp is newer, whichever router holds it.
+ *
+ * @param stamp the term of the leader that wrote the plan in the upper bits, then a count within the term
+ * @param requests the open requests
+ * @param closed the ids of the requests that ended last, oldest first
  */
 public record Plan(long stamp, List<DrainRequest> requests, List<DrainOrder> orders, List<Long> closed) {
 
-    /** Before anyone has asked for anything. */
+    /** The empty plan, before the first request. */
     public static final Plan NONE = new Plan(0, List.of(), List.of(), List.of());
 
-    /** Terms are below this, so that a stamp has room for one. */
+    /** Terms must be below this limit, so that they fit in a stamp. */
     public static final long MOST_TERM = 1L << 38;
 
-    static final int MOST_REQUESTS = 31; // open at once
-    static final int MOST_ORDERS = 256;
-    static final int MOST_CLOSED = 32;
-    private static final int TERM_SHIFT = 24;
+    static final int MAX_OPEN_REQUESTS = 31; // one bit each in DrainOrder.requests
+    static final int MAX_ORDERS = 256;
+    static final int MAX_CLOSED_REQUESTS = 32;
+    private static final int TERM_SHIFT_BITS = 24;
 
-    /** The first stamp of a term. */
-    static long first(long term) {
-        return term << TERM_SHIFT | 1;
+    /** Returns the first stamp of a term. */
+    static long firstStamp(long term) {
+        return term << TERM_SHIFT_BITS | 1;
     }
 
-    static long term(long stamp) {
-        return stamp >> TERM_SHIFT;
+    static long termOf(long stamp) {
+        return stamp >> TERM_SHIFT_BITS;
     }
 
-    /** The same under another stamp. */
-    Plan under(long other) {
-        return new Plan(other, requests, orders, closed);
+    /** Returns a copy with another stamp. */
+    Plan withStamp(long newStamp) {
+        return new Plan(newStamp, requests, orders, closed);
     }
 
-    /** The order for a member, where there is one. */
+    /** Returns the order for a member, if there is one. */
     public Optional<DrainOrder> of(long member) {
         return orders.stream().filter(o -> o.member() == member).findFirst();
     }
 
-    /** Whether this request was taken, and perhaps ended, before. */
-    public boolean knows(long request) {
+    /** Returns whether the request is open or ended recently, so that a repeat of it has no effect. */
+    public boolean containsRequest(long request) {
         return closed.contains(request) || requests.stream().anyMatch(r -> r.id() == request);
     }
 
-    /** The least that any open request allows to be out at once. */
+    /** Returns the lowest limit that any open request sets on the members that are out at the same time. */
     public int mostOut() {
         return requests.stream()
-                .filter(this::open)
+                .filter(this::isOpen)
                 .mapToInt(DrainRequest::mostOut)
                 .min()
                 .orElse(0);
     }
 
-    /** The most that any open request wants to serve in this tier. */
+    /** Returns the highest number of serving members that any open request requires in this tier. */
     public int leastServing(MemberKind tier) {
         return requests.stream()
                 .filter(r ->
@@ -67,76 +70,76 @@
                 .orElse(0);
     }
 
-    /** How many are out now. */
+    /** Returns how many members are out now. */
     public int out() {
-        return (int) orders.stream().filter(o -> o.phase().takesAPlace()).count();
+        return (int) orders.stream().filter(o -> o.phase().countsAsOut()).count();
     }
 
-    private boolean open(DrainRequest r) {
-        return orders.stream().anyMatch(o -> o.isFor(r) && o.phase() != Phase.FINISHED);
+    private boolean isOpen(DrainRequest request) {
+        return orders.stream().anyMatch(o -> o.isFor(request) && o.phase() != Phase.FINISHED);
     }
 
     /**
-     * With one more request; a member that is in the plan already is there for both. The same plan where the request was
-     * taken before or there is no room for it.
+     * Returns the plan with one more request. A member that is in the plan already belongs to both requests. Returns
+     * this plan if it contains the request already or has no capacity for it.
      */
-    Plan with(DrainCommand c, Map<Long, MemberKind> tiers, long next, long now) {
+    Plan withRequest(DrainCommand command, Map<Long, MemberKind> tiers, long newStamp, long now) {
         int slot = 0;
-        while (slot < MOST_REQUESTS && taken(slot)) {
+        while (slot < MAX_OPEN_REQUESTS && slotTaken(slot)) {
             slot++;
         }
-        Map<Long, DrainOrder> all = new TreeMap<>();
-        c.members().stream().filter(tiers::containsKey).forEach(m -> all.put(m, null));
-        long fresh = all.keySet().stream().filter(m -> of(m).isEmpty()).count();
-        if (knows(c.id()) || slot == MOST_REQUESTS || all.isEmpty() || orders.size() + fresh > MOST_ORDERS) {
+        Map<Long, DrainOrder> added = new TreeMap<>();
+        command.members().stream().filter(tiers::containsKey).forEach(m -> added.put(m, null));
+        long newMembers = added.keySet().stream().filter(m -> of(m).isEmpty()).count();
+        if (containsRequest(command.id()) || slot == MAX_OPEN_REQUESTS || added.isEmpty() || orders.size() + newMembers > MAX_ORDERS) {
             return this;
         }
         List<DrainOrder> merged = new ArrayList<>();
-        for (DrainOrder o : orders) {
-            boolean meant = all.containsKey(o.member());
-            all.remove(o.member());
+        for (DrainOrder order : orders) {
+            boolean requested = added.containsKey(order.member());
+            added.remove(order.member());
             merged.add(
-                    !meant
-                            ? o
-                            : o.phase() == Phase.FINISHED
-                                    ? new DrainOrder(o.member(), o.tier(), 1 << slot, Phase.QUEUED, next, now)
+                    !requested
+                            ? order
+                            : order.phase() == Phase.FINISHED
+                                    ? new DrainOrder(order.member(), order.tier(), 1 << slot, Phase.QUEUED, newStamp, now)
                                     : new DrainOrder(
-                                            o.member(),
-                                            o.tier(),
-                                            o.requests() | 1 << slot,
-                                            o.phase(),
-                                            o.fence(),
-                                            o.since()));
+                                            order.member(),
+                                            order.tier(),
+                                            order.requests() | 1 << slot,
+                                            order.phase(),
+                                            order.fence(),
+                                            order.since()));
         }
-        for (long m : all.keySet()) {
-            merged.add(new DrainOrder(m, tiers.get(m), 1 << slot, Phase.QUEUED, next, now));
+        for (long member : added.keySet()) {
+            merged.add(new DrainOrder(member, tiers.get(member), 1 << slot, Phase.QUEUED, newStamp, now));
         }
-        List<DrainRequest> more = new ArrayList<>(requests);
-        more.add(new DrainRequest(c.id(), slot, c.mostOut(), c.leastServing()));
-        return new Plan(next, List.copyOf(more), List.copyOf(merged), closed);
+        List<DrainRequest> allRequests = new ArrayList<>(requests);
+        allRequests.add(new DrainRequest(command.id(), slot, command.mostOut(), command.leastServing()));
+        return new Plan(newStamp, List.copyOf(allRequests), List.copyOf(merged), closed);
     }
 
-    private boolean taken(int slot) {
+    private boolean slotTaken(int slot) {
         return requests.stream().anyMatch(r -> r.slot() == slot);
     }
 
-    /** Without the requests that have come to their end, whose members go with them. */
-    Plan closedUp() {
-        List<DrainRequest> ended = requests.stream().filter(r -> !open(r)).toList();
+    /** Returns the plan without the requests that have ended, and without members that only those included. */
+    Plan withoutEndedRequests() {
+        List<DrainRequest> ended = requests.stream().filter(r -> !isOpen(r)).toList();
         if (ended.isEmpty()) {
             return this;
         }
-        int gone = ended.stream().mapToInt(r -> 1 << r.slot()).sum();
+        int endedSlots = ended.stream().mapToInt(r -> 1 << r.slot()).sum();
         List<DrainOrder> kept = orders.stream()
-                .map(o -> new DrainOrder(o.member(), o.tier(), o.requests() & ~gone, o.phase(), o.fence(), o.since()))
+                .map(o -> new DrainOrder(o.member(), o.tier(), o.requests() & ~endedSlots, o.phase(), o.fence(), o.since()))
                 .filter(o -> o.requests() != 0)
                 .toList();
-        List<Long> ids = new ArrayList<>(closed);
-        ended.forEach(r -> ids.add(r.id()));
+        List<Long> closedIds = new ArrayList<>(closed);
+        ended.forEach(r -> closedIds.add(r.id()));
         return new Plan(
                 stamp,
                 requests.stream().filter(r -> !ended.contains(r)).toList(),
                 kept,
-                List.copyOf(ids.subList(Math.max(0, ids.size() - MOST_CLOSED), ids.size())));
+                List.copyOf(closedIds.subList(Math.max(0, closedIds.size() - MAX_CLOSED_REQUESTS), closedIds.size())));
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
@@ -7,15 +7,18 @@
 import java.util.List;
 import java.util.Set;
 
-/** The bytes of a plan. It must never make room for what a plan only claims to hold, nor give back one that can't be. */
+/**
+ * Encodes and decodes drain plans. It must not allocate memory for counts that an encoded plan merely claims, nor
+ * return an invalid plan.
+ */
 final class PlanCodec {
 
-    static final int LONGEST = 24 + Plan.MOST_REQUESTS * 17 + Plan.MOST_ORDERS * 30 + Plan.MOST_CLOSED * 8;
+    static final int MAX_PLAN_BYTES = 24 + Plan.MAX_OPEN_REQUESTS * 17 + Plan.MAX_ORDERS * 30 + Plan.MAX_CLOSED_REQUESTS * 8;
 
     private PlanCodec() {}
 
     static byte[] write(Plan plan) {
-        ByteBuffer out = ByteBuffer.allocate(LONGEST);
+        ByteBuffer out = ByteBuffer.allocate(MAX_PLAN_BYTES);
         out.putLong(plan.stamp()).put((byte) plan.requests().size());
         plan.requests().forEach(r -> out.putLong(r.id())
                 .put((byte) r.slot())
@@ -35,41 +38,41 @@
         return bytes;
     }
 
-    /** Reads a plan whole; null where these bytes are none. */
+    /** Decodes a plan; returns null if the bytes are not exactly one valid plan. */
     static Plan read(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             long stamp = in.getLong();
             List<DrainRequest> requests = new ArrayList<>();
             Set<Integer> slots = new HashSet<>();
-            for (int left = count(in.get() & 0xff, Plan.MOST_REQUESTS); left > 0; left--) {
-                DrainRequest r = new DrainRequest(in.getLong(), in.get(), in.getInt(), in.getInt());
-                if (r.slot() < 0
-                        || r.slot() >= Plan.MOST_REQUESTS
-                        || !slots.add(r.slot())
-                        || r.mostOut() < 1
-                        || r.leastServing() < 0) {
+            for (int remaining = checkedCount(in.get() & 0xff, Plan.MAX_OPEN_REQUESTS); remaining > 0; remaining--) {
+                DrainRequest request = new DrainRequest(in.getLong(), in.get(), in.getInt(), in.getInt());
+                if (request.slot() < 0
+                        || request.slot() >= Plan.MAX_OPEN_REQUESTS
+                        || !slots.add(request.slot())
+                        || request.mostOut() < 1
+                        || request.leastServing() < 0) {
                     return null;
                 }
-                requests.add(r);
+                requests.add(request);
             }
             List<DrainOrder> orders = new ArrayList<>();
             Set<Long> members = new HashSet<>();
-            for (int left = count(in.getShort(), Plan.MOST_ORDERS); left > 0; left--) {
-                DrainOrder o = new DrainOrder(
+            for (int remaining = checkedCount(in.getShort(), Plan.MAX_ORDERS); remaining > 0; remaining--) {
+                DrainOrder order = new DrainOrder(
                         in.getLong(),
                         MemberKind.values()[in.get()],
                         in.getInt(),
                         Phase.values()[in.get()],
                         in.getLong(),
                         in.getLong());
-                if (!members.add(o.member()) || o.fence() > stamp || o.fence() < 1) {
+                if (!members.add(order.member()) || order.fence() > stamp || order.fence() < 1) {
                     return null;
                 }
-                orders.add(o);
+                orders.add(order);
             }
             List<Long> closed = new ArrayList<>();
-            for (int left = count(in.get(), Plan.MOST_CLOSED); left > 0; left--) {
+            for (int remaining = checkedCount(in.get(), Plan.MAX_CLOSED_REQUESTS); remaining > 0; remaining--) {
                 closed.add(in.getLong());
             }
             return stamp < 1 || in.hasRemaining()
@@ -80,8 +83,8 @@
         }
     }
 
-    private static int count(int claimed, int most) {
-        if (claimed < 0 || claimed > most) {
+    private static int checkedCount(int claimed, int max) {
+        if (claimed < 0 || claimed > max) {
             throw new BufferUnderflowException();
         }
         return claimed;
--- a/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
@@ -5,13 +5,14 @@
 import java.util.TreeMap;
 
 /**
- * The keeper's side of the plan. In office it first reads what enough routers hold, so that nothing that was ever in
- * force is missing; writes the newest of it under its own term; and holds a plan for in force once more than half of the
- * routers have it. Only then may the next be written. It owns the routers' reports; it must never decide what a plan says.
+ * The leader's part in the replication of the drain plan. A new leader first collects the plans of enough routers
+ * that no plan that was ever in force can be missing, and writes the newest of them again under its own term. A plan
+ * is in force once more than half of the routers hold it, and only then may the next one be written. Owns the
+ * routers' reports; it must not decide what a plan contains.
  */
 final class PlanLeader {
 
-    /** How far the keeper is: none of its office, reading, waiting for a majority, or done with that. */
+    /** The stage of a term: not the leader, reading reports, waiting for a majority, or the last plan is in force. */
     enum Stage {
         IDLE,
         READING,
@@ -19,29 +20,38 @@
         SETTLED
     }
 
-    /** What a router last told of the plans that it holds, and which term it knew when it told that. */
+    /**
+     * A router's last report.
+     *
+     * @param instance identifies the router's process
+     * @param term the term that the router knew when it reported
+     * @param held the stamp of the newest plan that it holds
+     * @param applied the stamp of the plan that it acts on
+     * @param seasoned whether its process has learned since its start which plan was in force; see
+     *     {@link PlanStore#recovered}
+     */
     record Report(long instance, long term, long held, long applied, boolean seasoned) {}
 
-    private final PlanStore book;
+    private final PlanStore planStore;
     private final Map<String, Report> reports = new TreeMap<>();
     private Stage stage = Stage.IDLE;
     private long term;
     private long inForce;
 
-    PlanLeader(PlanStore book) {
-        this.book = book;
+    PlanLeader(PlanStore planStore) {
+        this.planStore = planStore;
     }
 
     Stage stage() {
         return stage;
     }
 
-    /** Whether a majority may be told what is in force: not before all that was is known. */
-    boolean hasRead() {
+    /** Returns whether all plans that were in force are known, so that this leader may send a plan to the routers. */
+    boolean hasFinishedReading() {
         return stage == Stage.WRITING || stage == Stage.SETTLED;
     }
 
-    /** The stamp of the plan in force as this keeper knows it; 0 before one is. */
+    /** Returns the stamp of the plan that is in force in this term, or 0 before there is one. */
     long inForce() {
         return inForce;
     }
@@ -50,80 +60,87 @@
         return reports.get(router);
     }
 
-    /** A router told what it holds; what it told before counts no more. */
-    void reported(String router, Report report) {
+    /** Records a router's report, which replaces its previous one. */
+    void recordReport(String router, Report report) {
         reports.put(router, report);
     }
 
-    /** Keeps what these routers told, and forgets the others. */
-    void retain(Set<String> routers) {
+    /** Keeps the reports of these routers and discards the others. */
+    void retainReports(Set<String> routers) {
         reports.keySet().retainAll(routers);
     }
 
-    /** Out of office nothing is known of what others have written. */
-    void leaveOffice() {
+    /** Resets the state when this router is not the leader, since it can't know what other leaders have written. */
+    void stepDown() {
         stage = Stage.IDLE;
         term = 0;
         inForce = 0;
     }
 
     /**
-     * Goes on in this term among so many routers; true where there is a new plan to be told. Patient: it has waited so long
-     * for those who remember that a majority must have lost its memory, and what is left has to do.
+     * Advances the protocol in this term.
+     *
+     * @param routers the number of routers in the fleet
+     * @param readTimedOut whether the leader has waited so long for recovered routers that a majority must have lost
+     *     its plans, so that it continues with those that are left
+     * @return whether there is a new plan to send to the routers
      */
-    boolean sit(long office, int routers, boolean patient) {
-        if (office != term) {
-            term = office;
+    boolean advance(long currentTerm, int routers, boolean readTimedOut) {
+        if (currentTerm != term) {
+            term = currentTerm;
             stage = Stage.READING;
             inForce = 0;
         }
         boolean written = false;
-        if (stage == Stage.READING && read(routers, patient)) {
-            write(book.held().under(Plan.first(term)));
+        if (stage == Stage.READING && canFinishReading(routers, readTimedOut)) {
+            write(planStore.newest().withStamp(Plan.firstStamp(term)));
             written = true;
         }
-        if (stage == Stage.WRITING && 2 * holders() > routers) {
+        if (stage == Stage.WRITING && 2 * routersHoldingNewest() > routers) {
             stage = Stage.SETTLED;
-            inForce = book.held().stamp();
-            book.inForce(inForce);
+            inForce = planStore.newest().stamp();
+            planStore.confirmInForce(inForce);
         }
         return written;
     }
 
     /**
-     * What was in force was held by a majority. So many of the others as remember and have told what they hold since this
-     * term began, after the last keeper's time had ended, that one of them at least must know of it.
+     * A plan that was in force is held by a majority. Reading is finished once so many recovered routers have
+     * reported in this term, that is after the previous leader's lease ended, that at least one of them must hold
+     * that plan.
      */
-    private boolean read(int routers, boolean patient) {
-        long since = reports.values().stream().filter(r -> r.term() >= term).count();
-        long remember = reports.values().stream()
+    private boolean canFinishReading(int routers, boolean readTimedOut) {
+        long reportedThisTerm = reports.values().stream().filter(r -> r.term() >= term).count();
+        long recoveredRouters = reports.values().stream()
                         .filter(r -> r.term() >= term && r.seasoned())
                         .count()
-                + (book.seasoned() ? 1 : 0);
+                + (planStore.recovered() ? 1 : 0);
         int majority = routers / 2 + 1;
-        long newest = reports.values().stream()
+        long newestReported = reports.values().stream()
                 .filter(r -> r.term() >= term)
                 .mapToLong(Report::held)
                 .max()
                 .orElse(0);
-        return (remember >= routers - majority + 1 || since + 1 >= routers || patient)
-                && book.held().stamp() >= newest;
+        return (recoveredRouters >= routers - majority + 1 || reportedThisTerm + 1 >= routers || readTimedOut)
+                && planStore.newest().stamp() >= newestReported;
     }
 
-    private long holders() {
+    private long routersHoldingNewest() {
         return 1
                 + reports.values().stream()
-                        .filter(r -> r.held() == book.held().stamp())
+                        .filter(r -> r.held() == planStore.newest().stamp())
                         .count();
     }
 
-    /** Writes the next plan, whose stamp has to be nextStamp; only after the one before is in force. */
+    /**
+     * Writes the next plan, whose stamp must be {@link #nextStamp}. Call it only once the previous plan is in force.
+     */
     void write(Plan plan) {
-        book.hold(plan);
+        planStore.store(plan);
         stage = Stage.WRITING;
     }
 
     long nextStamp() {
-        return book.held().stamp() + 1;
+        return planStore.newest().stamp() + 1;
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/PlanStore.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanStore.java
@@ -5,91 +5,94 @@
 import java.util.List;
 
 /**
- * The plans that one router holds: the newest it was given, and the newest it knows to be in force, which alone is acted
- * on. It owns the pieces of a plan on its way. A plan gives way to one of a higher stamp alone. A process that has started
- * anew remembers nothing and does not count among those who do until a keeper has told it what is in force.
+ * The plans that one router holds: the newest it has received, and the newest it knows to be in force, which is the
+ * only one it acts on. Owns the pieces of a plan that is still incomplete. A plan is replaced only by one with a
+ * higher stamp.
+ *
+ * <p>Plans are not persisted. A restarted process has lost them, and counts as recovered only once a leader has
+ * reported to it which plan is in force and it holds that plan.
  */
 final class PlanStore {
 
-    static final int PIECE = 900; // bytes
+    static final int MAX_PIECE_BYTES = 900;
 
-    private Plan held = Plan.NONE;
+    private Plan newest = Plan.NONE;
     private Plan applied = Plan.NONE;
-    private boolean seasoned;
-    private long coming; // the stamp whose pieces are gathered
+    private boolean recovered;
+    private long assemblingStamp; // stamp of the plan whose pieces are being collected
     private byte[][] pieces = new byte[0][];
 
-    Plan held() {
-        return held;
+    Plan newest() {
+        return newest;
     }
 
     Plan applied() {
         return applied;
     }
 
-    /** Whether it remembers, as far as any router can, what was agreed. */
-    boolean seasoned() {
-        return seasoned;
+    /** Returns whether this process has learned since its start which plan was in force. */
+    boolean recovered() {
+        return recovered;
     }
 
-    /** Takes a whole plan; true where it is newer. */
-    boolean hold(Plan plan) {
-        if (plan.stamp() <= held.stamp()) {
+    /** Stores a complete plan; returns false if it is not newer than the one held. */
+    boolean store(Plan plan) {
+        if (plan.stamp() <= newest.stamp()) {
             return false;
         }
-        held = plan;
+        newest = plan;
         return true;
     }
 
-    /** Takes a piece of a plan; true where the plan is whole with it and newer. */
-    boolean take(long stamp, int index, int count, byte[] bytes) {
-        if (stamp <= held.stamp()
-                || stamp < coming
+    /** Adds a piece of a plan; returns true if it completes a plan that is newer than the one held. */
+    boolean addPiece(long stamp, int index, int count, byte[] bytes) {
+        if (stamp <= newest.stamp()
+                || stamp < assemblingStamp
                 || count < 1
-                || count > PlanCodec.LONGEST / PIECE + 1
+                || count > PlanCodec.MAX_PLAN_BYTES / MAX_PIECE_BYTES + 1
                 || index < 0
                 || index >= count
-                || bytes.length > PIECE) {
+                || bytes.length > MAX_PIECE_BYTES) {
             return false;
         }
-        if (stamp > coming || pieces.length != count) {
-            coming = stamp;
+        if (stamp > assemblingStamp || pieces.length != count) {
+            assemblingStamp = stamp;
             pieces = new byte[count][];
         }
         pieces[index] = bytes;
         if (Arrays.stream(pieces).anyMatch(p -> p == null)) {
             return false;
         }
-        java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
-        Arrays.stream(pieces).forEach(all::writeBytes);
+        java.io.ByteArrayOutputStream assembled = new java.io.ByteArrayOutputStream();
+        Arrays.stream(pieces).forEach(assembled::writeBytes);
         pieces = new byte[0][];
-        Plan plan = PlanCodec.read(all.toByteArray());
-        return plan != null && plan.stamp() == stamp && hold(plan);
+        Plan plan = PlanCodec.read(assembled.toByteArray());
+        return plan != null && plan.stamp() == stamp && store(plan);
     }
 
-    /** The held plan in pieces that each fit a packet. */
+    /** Returns the newest plan, encoded and split into pieces that each fit in a packet. */
     List<byte[]> pieces() {
-        byte[] all = PlanCodec.write(held);
-        List<byte[]> parts = new ArrayList<>();
-        for (int from = 0; from < all.length; from += PIECE) {
-            parts.add(Arrays.copyOfRange(all, from, Math.min(all.length, from + PIECE)));
+        byte[] encoded = PlanCodec.write(newest);
+        List<byte[]> split = new ArrayList<>();
+        for (int from = 0; from < encoded.length; from += MAX_PIECE_BYTES) {
+            split.add(Arrays.copyOfRange(encoded, from, Math.min(encoded.length, from + MAX_PIECE_BYTES)));
         }
-        return parts;
+        return split;
     }
 
     /**
-     * Hears from a keeper in office which plan is in force; from then on this router remembers where it holds it. True
-     * where another is applied now.
+     * Records the leader's report of the plan in force. If this router holds that plan or a newer one, it counts as
+     * recovered from then on. Returns whether the applied plan has changed.
      */
-    boolean inForce(long stamp) {
-        if (held.stamp() < stamp) {
-            return false; // it is still on its way
+    boolean confirmInForce(long stamp) {
+        if (newest.stamp() < stamp) {
+            return false; // the plan has not arrived yet
         }
-        seasoned = true;
-        if (held.stamp() > stamp || applied.stamp() >= stamp) {
-            return false; // what is newer is not yet known to be in force
+        recovered = true;
+        if (newest.stamp() > stamp || applied.stamp() >= stamp) {
+            return false; // a newer plan is not known to be in force yet
         }
-        applied = held;
+        applied = newest;
         return true;
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
@@ -10,151 +10,152 @@
 import pumicemoor.Hashes;
 
 /**
- * What follows next from a plan and what is known of members. It owns the order in which members go out and the budgets;
- * it must never remember anything itself.
+ * Computes the plan that follows from a plan, the known conditions and operators' commands. Defines the order in which
+ * members are drained and how many may be out. It must not keep any state between calls.
  */
 final class PlanTransitions {
 
-    /** A member's way from one phase to the next, and why. */
+    /** A member's transition from one phase to another, and its cause. */
     record Step(long member, MemberKind tier, Phase from, Phase to, String cause) {}
 
-    /** The plan that follows, and the steps that lead there; where there are none it is the plan itself. */
+    /** The next plan and the steps that lead to it; without steps, the plan is the unchanged one. */
     record Outcome(Plan plan, List<Step> steps) {}
 
-    private final DrainConditions evidence;
+    private final DrainConditions conditions;
     private final long stamp;
     private final long now;
-    private final int majority; // of routers, which have to live on
+    private final int majority; // number of routers that must keep running
     private final Map<Long, DrainOrder> orders = new LinkedHashMap<>();
     private final List<Step> steps = new ArrayList<>();
     private final Map<MemberKind, Integer> serving = new EnumMap<>(MemberKind.class);
     private final Plan plan;
 
-    private PlanTransitions(Plan plan, long stamp, long now, int majority, DrainConditions evidence) {
+    private PlanTransitions(Plan plan, long stamp, long now, int majority, DrainConditions conditions) {
         this.plan = plan;
         this.stamp = stamp;
         this.now = now;
         this.majority = majority;
-        this.evidence = evidence;
+        this.conditions = conditions;
         plan.orders().forEach(o -> orders.put(o.member(), o));
         for (MemberKind tier : MemberKind.values()) {
             serving.put(
                     tier,
-                    evidence.serving(tier)
+                    conditions.servingCount(tier)
                             - (int) plan.orders().stream()
                                     .filter(o ->
-                                            o.tier() == tier && o.phase().takesAPlace() && evidence.serves(o.member()))
+                                            o.tier() == tier && o.phase().countsAsOut() && conditions.isServing(o.member()))
                                     .count());
         }
     }
 
-    static Outcome after(Plan plan, long stamp, long now, int majority, DrainConditions evidence) {
-        PlanTransitions next = new PlanTransitions(plan, stamp, now, majority, evidence);
-        next.go();
-        if (next.steps.isEmpty()) {
+    static Outcome next(Plan plan, long stamp, long now, int majority, DrainConditions conditions) {
+        PlanTransitions transitions = new PlanTransitions(plan, stamp, now, majority, conditions);
+        transitions.run();
+        if (transitions.steps.isEmpty()) {
             return new Outcome(plan, List.of());
         }
         return new Outcome(
-                new Plan(stamp, plan.requests(), List.copyOf(next.orders.values()), plan.closed()).closedUp(),
-                next.steps);
+                new Plan(stamp, plan.requests(), List.copyOf(transitions.orders.values()), plan.closed()).withoutEndedRequests(),
+                transitions.steps);
     }
 
-    private void go() {
-        for (DrainOrder o : plan.orders()) {
-            if (o.phase() == Phase.RETURNING && evidence.warm(o)) {
-                to(o, Phase.FINISHED, "it is back and warm");
-            } else if (o.phase() == Phase.DRAINING && evidence.stillUsed(o) == null) {
-                to(o, Phase.OUT, "nobody uses it any more");
-            } else if (o.phase().waits() && !evidence.known(o.member())) {
-                to(o, Phase.FINISHED, "it is not listed any more");
+    private void run() {
+        for (DrainOrder order : plan.orders()) {
+            if (order.phase() == Phase.RETURNING && conditions.isWarm(order)) {
+                transition(order, Phase.FINISHED, "the member is back and warm");
+            } else if (order.phase() == Phase.DRAINING && conditions.routerStillUsing(order) == null) {
+                transition(order, Phase.OUT, "no router uses the member any more");
+            } else if (order.phase().isWaiting() && !conditions.isKnown(order.member())) {
+                transition(order, Phase.FINISHED, "the member is no longer listed");
             }
         }
-        // who came back a moment ago serves from the next plan on: places are counted as the plan before had them
+        // members that have just returned count as serving from the next plan on: the count out is that of the old plan
         int out = plan.out();
-        for (DrainOrder o : List.copyOf(orders.values())) {
-            if (o.phase() == Phase.NAMED && orders.get(o.member()) == o && held(o, out) == null) {
-                to(
-                        o,
+        for (DrainOrder order : List.copyOf(orders.values())) {
+            if (order.phase() == Phase.NAMED && orders.get(order.member()) == order && blockingReason(order, out) == null) {
+                transition(
+                        order,
                         Phase.DRAINING,
-                        evidence.failing(o.member()) ? "it is its turn, since it fails as it is" : "it is its turn");
+                        conditions.isFailing(order.member()) ? "it is the member's turn, as it is already failing" : "it is the member's turn");
                 out++;
-                serving.merge(o.tier(), evidence.serves(o.member()) ? -1 : 0, Integer::sum);
+                serving.merge(order.tier(), conditions.isServing(order.member()) ? -1 : 0, Integer::sum);
             }
         }
         for (MemberKind tier : MemberKind.values()) {
-            long ahead = plan.mostOut()
+            long freeSlots = plan.mostOut()
                     - orders.values().stream()
                             .filter(o -> o.tier() == tier && o.phase() == Phase.NAMED)
                             .count();
-            Optional<DrainOrder> next = first(tier);
-            for (; ahead > 0 && next.isPresent(); ahead--) {
-                to(next.get(), Phase.NAMED, "it comes next");
-                next = first(tier);
+            Optional<DrainOrder> next = nextQueued(tier);
+            for (; freeSlots > 0 && next.isPresent(); freeSlots--) {
+                transition(next.get(), Phase.NAMED, "the member is next in the queue");
+                next = nextQueued(tier);
             }
         }
     }
 
     /**
-     * The next to be named: who fails, since it is out as it is; then by request, the older first, so that nobody waits for
-     * ever; within one who holds least of what is asked for; a hash settles ties.
+     * Returns the next queued member to be named: failing members first, since they are out of use already; then by
+     * request, the oldest first, so that no request starves; within a request, the member with the fewest hits first;
+     * ties are broken by a hash.
      */
-    private Optional<DrainOrder> first(MemberKind tier) {
+    private Optional<DrainOrder> nextQueued(MemberKind tier) {
         return orders.values().stream()
                 .filter(o -> o.tier() == tier && o.phase() == Phase.QUEUED)
-                .min(Comparator.comparing((DrainOrder o) -> !evidence.failing(o.member()))
-                        .thenComparingInt(o -> age(o))
-                        .thenComparingDouble(o -> evidence.heat(o.member()))
+                .min(Comparator.comparing((DrainOrder o) -> !conditions.isFailing(o.member()))
+                        .thenComparingInt(o -> requestRank(o))
+                        .thenComparingDouble(o -> conditions.recentHits(o.member()))
                         .thenComparing(o -> Hashes.mix(o.member()), Long::compareUnsigned));
     }
 
-    private int age(DrainOrder o) {
+    private int requestRank(DrainOrder order) {
         for (int i = 0; i < plan.requests().size(); i++) {
-            if (o.isFor(plan.requests().get(i))) {
+            if (order.isFor(plan.requests().get(i))) {
                 return i;
             }
         }
         return plan.requests().size();
     }
 
-    /** What keeps a named member from going, with so many out already; null where nothing does. */
-    private String held(DrainOrder o, int out) {
-        int least = Math.max(plan.leastServing(o.tier()), o.tier() == MemberKind.ROUTER ? majority : 0);
-        int left = serving.get(o.tier()) - (evidence.serves(o.member()) ? 1 : 0);
+    /** Returns why a named member may not start draining while this many are out, or null if it may. */
+    private String blockingReason(DrainOrder order, int out) {
+        int minServing = Math.max(plan.leastServing(order.tier()), order.tier() == MemberKind.ROUTER ? majority : 0);
+        int servingAfter = serving.get(order.tier()) - (conditions.isServing(order.member()) ? 1 : 0);
         if (out >= plan.mostOut()) {
             return "as many are out as may be: " + out;
         }
-        if (left < least && evidence.serves(o.member())) {
-            return left + " of its tier would serve, " + least + " must";
+        if (servingAfter < minServing && conditions.isServing(order.member())) {
+            return servingAfter + " of its tier would serve, " + minServing + " must";
         }
-        String untold = evidence.notTold(o);
-        return untold == null ? null : "router " + untold + " has not been told";
+        String unawareRouter = conditions.routerUnawareOf(order);
+        return unawareRouter == null ? null : "router " + unawareRouter + " has not been told";
     }
 
-    /** What holds a member up, in words; empty for one that waits for nothing but its turn or the operator. */
-    static String heldUp(Plan plan, DrainOrder o, long now, int majority, DrainConditions evidence) {
-        PlanTransitions here = new PlanTransitions(plan, plan.stamp(), now, majority, evidence);
-        return switch (o.phase()) {
+    /** Returns what a member waits for, in words for operators; empty if nothing blocks it. */
+    static String waitReason(Plan plan, DrainOrder order, long now, int majority, DrainConditions conditions) {
+        PlanTransitions transitions = new PlanTransitions(plan, plan.stamp(), now, majority, conditions);
+        return switch (order.phase()) {
             case QUEUED -> "others come first";
-            case NAMED -> Optional.ofNullable(here.held(o, plan.out())).orElse("");
+            case NAMED -> Optional.ofNullable(transitions.blockingReason(order, plan.out())).orElse("");
             case DRAINING ->
-                Optional.ofNullable(evidence.stillUsed(o))
+                Optional.ofNullable(conditions.routerStillUsing(order))
                         .map(r -> "router " + r + " may still use it")
                         .orElse("");
             case OUT -> "the work: drain done";
-            case RETURNING -> evidence.warm(o) ? "" : "it is not back or not warm";
+            case RETURNING -> conditions.isWarm(order) ? "" : "it is not back or not warm";
             case FINISHED -> "";
         };
     }
 
-    private void to(DrainOrder o, Phase phase, String cause) {
-        orders.put(o.member(), o.in(phase, stamp, now));
-        steps.add(new Step(o.member(), o.tier(), o.phase(), phase, cause));
+    private void transition(DrainOrder order, Phase phase, String cause) {
+        orders.put(order.member(), order.withPhase(phase, stamp, now));
+        steps.add(new Step(order.member(), order.tier(), order.phase(), phase, cause));
     }
 
-    /** The plan after an operator's command; the plan itself where it changes nothing. */
-    static Outcome told(Plan plan, DrainCommand c, Map<Long, MemberKind> tiers, long stamp, long now) {
-        if (c.kind() == DrainCommand.Kind.REQUEST) {
-            Plan next = plan.with(c, tiers, stamp, now);
+    /** Returns the plan after an operator's command, or the same plan if the command changes nothing. */
+    static Outcome afterCommand(Plan plan, DrainCommand command, Map<Long, MemberKind> tiers, long stamp, long now) {
+        if (command.kind() == DrainCommand.Kind.REQUEST) {
+            Plan next = plan.withRequest(command, tiers, stamp, now);
             return new Outcome(
                     next,
                     next == plan
@@ -166,31 +167,31 @@
                                             o.tier(),
                                             Phase.FINISHED,
                                             Phase.QUEUED,
-                                            "an operator asked for it"))
+                                            "an operator requested it"))
                                     .toList());
         }
         List<Step> steps = new ArrayList<>();
         List<DrainOrder> orders = new ArrayList<>();
-        for (DrainOrder o : plan.orders()) {
-            Phase to = !c.members().contains(o.member())
+        for (DrainOrder order : plan.orders()) {
+            Phase to = !command.members().contains(order.member())
                     ? null
-                    : c.kind() == DrainCommand.Kind.DONE && o.phase() == Phase.OUT && o.fence() == c.fence()
+                    : command.kind() == DrainCommand.Kind.DONE && order.phase() == Phase.OUT && order.fence() == command.fence()
                             ? Phase.RETURNING
-                            : c.kind() == DrainCommand.Kind.CANCEL && (o.phase().waits() || o.phase() == Phase.DRAINING)
+                            : command.kind() == DrainCommand.Kind.CANCEL && (order.phase().isWaiting() || order.phase() == Phase.DRAINING)
                                     ? Phase.FINISHED
                                     : null;
-            orders.add(to == null ? o : o.in(to, stamp, now));
+            orders.add(to == null ? order : order.withPhase(to, stamp, now));
             if (to != null) {
                 steps.add(new Step(
-                        o.member(),
-                        o.tier(),
-                        o.phase(),
+                        order.member(),
+                        order.tier(),
+                        order.phase(),
                         to,
-                        to == Phase.RETURNING ? "the work is done" : "an operator called it off"));
+                        to == Phase.RETURNING ? "the work is done" : "an operator cancelled it"));
             }
         }
         return steps.isEmpty()
                 ? new Outcome(plan, List.of())
-                : new Outcome(new Plan(stamp, plan.requests(), List.copyOf(orders), plan.closed()).closedUp(), steps);
+                : new Outcome(new Plan(stamp, plan.requests(), List.copyOf(orders), plan.closed()).withoutEndedRequests(), steps);
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -12,164 +12,165 @@
 import pumicemoor.fleet.membership.RouterStatus;
 
 /**
- * Which routers know of a phase, and which may still use a member: the keeper's evidence. A router that does not answer
- * any more has left alone, a lease after its last answer, whatever it knows to be named. It owns when each was last
- * answered and what each has under way; it must never send.
+ * Tracks which routers have applied a plan and which may still use a member, for the leader's decisions. A router
+ * that has lost contact stops using the members that it knows to be named one lease after the report to which it last
+ * got an answer. Owns the time of the last answer to each router and the requests that each reported in flight; it
+ * must not send packets.
  */
 final class RouterAcknowledgements implements DrainConditions {
 
     private final DrainTimes times;
-    private final LeaseTimes leases;
-    private final String self;
-    private final PlanLeader keeper;
+    private final LeaseTimes leaseTimes;
+    private final String localName;
+    private final PlanLeader leader;
     private final Map<String, Long> answeredAt = new HashMap<>();
-    private final Map<String, Map<Long, Integer>> underWay = new HashMap<>(); // by router
-    private final Map<String, Map<Long, Double>> heat = new HashMap<>();
-    private final Map<String, Map<Long, Long>> stoppedAt = new HashMap<>(); // by router, then by fence and member
-    private long ownApplied;
-    private FleetSnapshot world;
+    private final Map<String, Map<Long, Integer>> inFlightByRouter = new HashMap<>(); // in-flight requests by member
+    private final Map<String, Map<Long, Double>> hitsByRouter = new HashMap<>(); // hits by member
+    private final Map<String, Map<Long, Long>> phaseAppliedAt = new HashMap<>(); // by router, then by order key
+    private long localAppliedStamp;
+    private FleetSnapshot snapshot;
 
-    RouterAcknowledgements(DrainTimes times, LeaseTimes leases, String self, PlanLeader keeper) {
+    RouterAcknowledgements(DrainTimes times, LeaseTimes leaseTimes, String localName, PlanLeader leader) {
         this.times = times;
-        this.leases = leases;
-        this.self = self;
-        this.keeper = keeper;
+        this.leaseTimes = leaseTimes;
+        this.localName = localName;
+        this.leader = leader;
     }
 
-    /** What is known now; of routers that are no more nothing is kept. */
-    void see(FleetSnapshot now, long applied, Plan plan) {
-        world = now;
-        ownApplied = applied;
+    /** Sets the current state, and discards what is kept for unknown routers and for members without an order. */
+    void update(FleetSnapshot newSnapshot, long appliedStamp, Plan plan) {
+        snapshot = newSnapshot;
+        localAppliedStamp = appliedStamp;
         Set<String> names = new HashSet<>();
-        now.peers().forEach(p -> names.add(p.name()));
-        List.of(answeredAt, underWay, heat, stoppedAt).forEach(m -> m.keySet().retainAll(names));
-        keeper.retain(names);
+        newSnapshot.peers().forEach(p -> names.add(p.name()));
+        List.of(answeredAt, inFlightByRouter, hitsByRouter, phaseAppliedAt).forEach(m -> m.keySet().retainAll(names));
+        leader.retainReports(names);
         Set<Long> members = new HashSet<>();
         Set<Long> fences = new HashSet<>();
         plan.orders().forEach(o -> {
             members.add(o.member());
-            fences.add(key(o));
+            fences.add(orderKey(o));
         });
-        heat.values().forEach(h -> h.keySet().retainAll(members));
-        stoppedAt.values().forEach(s -> s.keySet().retainAll(fences));
+        hitsByRouter.values().forEach(h -> h.keySet().retainAll(members));
+        phaseAppliedAt.values().forEach(s -> s.keySet().retainAll(fences));
     }
 
-    private static long key(DrainOrder o) {
-        return o.fence() * 31 + o.member();
+    private static long orderKey(DrainOrder order) {
+        return order.fence() * 31 + order.member();
     }
 
-    /** A router told what it has under way at members that drain, and how much those that wait answer from what they hold. */
-    void uses(String router, List<Use> uses) {
-        Map<Long, Integer> open = new HashMap<>();
-        Map<Long, Double> hits = heat.computeIfAbsent(router, r -> new HashMap<>());
+    /** Records a router's report of the requests in flight at draining members and of the hits at queued ones. */
+    void recordUsage(String router, List<Use> uses) {
+        Map<Long, Integer> inFlight = new HashMap<>();
+        Map<Long, Double> hits = hitsByRouter.computeIfAbsent(router, r -> new HashMap<>());
         uses.forEach(u -> {
-            open.put(u.member(), u.underWay());
+            inFlight.put(u.member(), u.underWay());
             hits.put(u.member(), u.hits());
         });
-        underWay.put(router, open);
+        inFlightByRouter.put(router, inFlight);
     }
 
-    /** This router's answer to that one left; it goes by it for a lease at most. */
-    void answered(String router, long now) {
+    /** Records that an answer was sent to a router, which may rely on it for one lease at most. */
+    void recordAnswer(String router, long now) {
         answeredAt.put(router, now);
     }
 
-    private boolean gone(Peer p) {
-        long dead = world.now() - p.since();
-        return p.standing() == RouterStatus.LEFT && dead > times.drain()
-                || p.standing() == RouterStatus.DEAD && dead > times.gone();
+    private boolean isGone(Peer peer) {
+        long statusAge = snapshot.now() - peer.since();
+        return peer.standing() == RouterStatus.LEFT && statusAge > times.drain()
+                || peer.standing() == RouterStatus.DEAD && statusAge > times.gone();
     }
 
-    /** When a router that was not answered since has left alone what was named to it, whoever was keeper then. */
-    private long aloneFrom(Peer p) {
-        return Math.max(answeredAt.getOrDefault(p.name(), 0L), world.officeSince()) + leases.lease() + leases.guard();
+    /** Returns from when a router avoids the members named to it if it gets no further answer, from any leader. */
+    private long avoidsNamedMembersFrom(Peer peer) {
+        return Math.max(answeredAt.getOrDefault(peer.name(), 0L), snapshot.officeSince()) + leaseTimes.lease() + leaseTimes.guard();
     }
 
-    /** The stamp that the router goes by, as it told; -1 where its present process has told nothing. */
-    private long applied(Peer p) {
-        if (p.name().equals(self)) {
-            return ownApplied;
+    /** Returns the stamp of the plan that the router acts on, or -1 if its current process has not reported. */
+    private long appliedStamp(Peer peer) {
+        if (peer.name().equals(localName)) {
+            return localAppliedStamp;
         }
-        PlanLeader.Report r = keeper.report(p.name());
-        return r == null || r.instance() != p.instance() ? -1 : r.applied();
+        PlanLeader.Report report = leader.report(peer.name());
+        return report == null || report.instance() != peer.instance() ? -1 : report.applied();
     }
 
     @Override
-    public String notTold(DrainOrder order) {
-        return world.peers().stream()
-                .filter(p -> !gone(p) && applied(p) < order.fence())
+    public String routerUnawareOf(DrainOrder order) {
+        return snapshot.peers().stream()
+                .filter(p -> !isGone(p) && appliedStamp(p) < order.fence())
                 .map(Peer::name)
                 .findFirst()
                 .orElse(null);
     }
 
     @Override
-    public String stillUsed(DrainOrder order) {
-        if (world.now() < order.since() + times.least()) {
+    public String routerStillUsing(DrainOrder order) {
+        if (snapshot.now() < order.since() + times.least()) {
             return "any router";
         }
         if (order.tier() == MemberKind.ROUTER) {
-            return null; // no router uses another
+            return null; // routers do not send requests to other routers
         }
-        return world.peers().stream()
-                .filter(p -> !gone(p) && uses(p, order))
+        return snapshot.peers().stream()
+                .filter(p -> !isGone(p) && mayUse(p, order))
                 .map(Peer::name)
                 .findFirst()
                 .orElse(null);
     }
 
-    private boolean uses(Peer p, DrainOrder order) {
-        if (applied(p) < order.fence()) {
-            return world.now() < aloneFrom(p) + times.drain();
+    private boolean mayUse(Peer peer, DrainOrder order) {
+        if (appliedStamp(peer) < order.fence()) {
+            return snapshot.now() < avoidsNamedMembersFrom(peer) + times.drain();
         }
-        long stopped =
-                stoppedAt.computeIfAbsent(p.name(), n -> new HashMap<>()).computeIfAbsent(key(order), k -> world.now());
-        return underWay.getOrDefault(p.name(), Map.of()).getOrDefault(order.member(), 0) > 0
-                && world.now() < stopped + times.drain();
+        long appliedAt =
+                phaseAppliedAt.computeIfAbsent(peer.name(), n -> new HashMap<>()).computeIfAbsent(orderKey(order), k -> snapshot.now());
+        return inFlightByRouter.getOrDefault(peer.name(), Map.of()).getOrDefault(order.member(), 0) > 0
+                && snapshot.now() < appliedAt + times.drain();
     }
 
     @Override
-    public int serving(MemberKind tier) {
+    public int servingCount(MemberKind tier) {
         return (int)
                 (tier == MemberKind.ROUTER
-                        ? world.peers().stream().filter(p -> serves(p.id())).count()
-                        : world.targets().entrySet().stream()
-                                .filter(t -> t.getValue().tier() == tier && serves(t.getKey()))
+                        ? snapshot.peers().stream().filter(p -> isServing(p.id())).count()
+                        : snapshot.targets().entrySet().stream()
+                                .filter(t -> t.getValue().tier() == tier && isServing(t.getKey()))
                                 .count());
     }
 
     @Override
-    public boolean serves(long member) {
-        Target t = world.targets().get(member);
-        return t != null
-                ? t.ready() && !failing(member)
-                : world.peers().stream().anyMatch(p -> p.id() == member && p.lives());
+    public boolean isServing(long member) {
+        Target target = snapshot.targets().get(member);
+        return target != null
+                ? target.ready() && !isFailing(member)
+                : snapshot.peers().stream().anyMatch(p -> p.id() == member && p.isAlive());
     }
 
     @Override
-    public boolean known(long member) {
-        return world.targets().containsKey(member) || world.peers().stream().anyMatch(p -> p.id() == member);
+    public boolean isKnown(long member) {
+        return snapshot.targets().containsKey(member) || snapshot.peers().stream().anyMatch(p -> p.id() == member);
     }
 
     @Override
-    public boolean failing(long member) {
-        return world.failing().contains(member);
+    public boolean isFailing(long member) {
+        return snapshot.failing().contains(member);
     }
 
     @Override
-    public double heat(long member) {
-        return heat.values().stream()
+    public double recentHits(long member) {
+        return hitsByRouter.values().stream()
                 .mapToDouble(h -> h.getOrDefault(member, 0.0))
                 .sum();
     }
 
     @Override
-    public boolean warm(DrainOrder order) {
-        if (order.tier() == MemberKind.ROUTER) { // it has come back once its process goes by the plan
-            return world.peers().stream()
-                    .anyMatch(p -> p.id() == order.member() && p.lives() && applied(p) >= order.fence());
+    public boolean isWarm(DrainOrder order) {
+        if (order.tier() == MemberKind.ROUTER) { // it has returned once its process acts on the plan
+            return snapshot.peers().stream()
+                    .anyMatch(p -> p.id() == order.member() && p.isAlive() && appliedStamp(p) >= order.fence());
         }
-        Target t = world.targets().get(order.member());
-        return t != null && t.ready() && world.now() >= Math.max(order.since(), t.started()) + times.warm(order.tier());
+        Target target = snapshot.targets().get(order.member());
+        return target != null && target.ready() && snapshot.now() >= Math.max(order.since(), target.started()) + times.warmTime(order.tier());
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/package-info.java
+++ b/src/main/java/pumicemoor/fleet/drains/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Decides in which order members are taken out for work, for the whole fleet: one plan, written by the keeper alone and
- * in force only once more than half of the routers hold it. It takes reports, the time and what is known of members, and
- * gives the next plan; it must never send, read a clock or pick a member for a request. The protocol, its bounds and the
- * sources they come from stand in docs/fleet-design.md.
+ * Decides in which order members are drained for maintenance, for the whole fleet: there is one drain plan, written by
+ * the leader alone and in force only once more than half of the routers hold it. Takes reports, the time and the known
+ * state of members, and computes the next plan. Must not send packets, read a clock or choose a member for a request.
+ * docs/fleet-design.md describes the protocol, its bounds and their sources.
  */
 package pumicemoor.fleet.drains;
--- a/src/main/java/pumicemoor/hierarchy/FillOrder.java
+++ b/src/main/java/pumicemoor/hierarchy/FillOrder.java
@@ -34,7 +34,7 @@
     private int[] stack = new int[16];
     private long unitsVisited;
 
-    /** Adds the link unless it closes a loop; returns false, with nothing changed, if it does. Adding a link again is a no-op. */
+    /** Adds the link, or returns false and changes nothing if it closes a loop. Adding a link again is a no-op. */
     boolean add(String unit, String parent) {
         if (unit.equals(parent)) {
             return false;
@@ -81,7 +81,9 @@
                         .toList();
     }
 
-    /** Returns the number of units that searches have visited since the start, a measure of the cost of adding links. */
+    /**
+     * Returns the number of units that searches have visited since the start, a measure of the cost of adding links.
+     */
     long unitsVisited() {
         return unitsVisited;
     }
@@ -95,7 +97,10 @@
         return numbers.size();
     }
 
-    /** Moves the parent behind the unit in the order; returns false if the parent fills from the unit, directly or not. */
+    /**
+     * Moves the parent behind the unit in the order; returns false if the parent fills from the unit, directly or
+     * not.
+     */
     private boolean reorder(int unitNumber, int parentNumber) {
         int from = position[parentNumber];
         int to = position[unitNumber];
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -41,11 +41,8 @@
     }
 
     /**
-     * The configuration of a router.
-     *
-     * @param depot the unit that represents the caches of the router's location
-     * @param news where the topology comes from
-     * @param coldTime how long a member that has started is in slow start, in microseconds
+     * The configuration of a router: the unit that represents the caches of its location, the source of the topology,
+     * the durations of a change, and how long a member that has started is in slow start, in microseconds.
      */
     public record Setup(String depot, UpdateSource news, MigrationTiming timing, long coldTime) {}
 
@@ -114,7 +111,7 @@
     private final Timeline timeline;
     private final TreeMap<String, Unit> target;
     private final TreeMap<Long, TopologyUpdate> early = new TreeMap<>();
-    private final List<TopologyUpdate> partialTopology = new ArrayList<>(); // updates of a whole topology that is incomplete
+    private final List<TopologyUpdate> partialTopology = new ArrayList<>(); // updates of an incomplete topology
     private final Map<String, Long> startTimes = new HashMap<>();
     private final boolean skipsAllowed;
     private long version;
@@ -254,8 +251,8 @@
     }
 
     /**
-     * Accepts an update from the coordinator. A duplicate is ignored; an update after a gap in the numbers waits for the
-     * missing ones.
+     * Accepts an update from the coordinator. A duplicate is ignored; an update after a gap in the numbers waits for
+     * the missing ones.
      */
     public void take(long now, TopologyUpdate update) {
         advance(now);
@@ -339,7 +336,7 @@
         }
         for (Map.Entry<String, Double> parent : update.parents().entrySet()) {
             Unit parentUnit = target.get(parent.getKey());
-            if (!(parent.getValue() > 0 && parent.getValue() <= TopologyValidator.MOST_WEIGHT)
+            if (!(parent.getValue() > 0 && parent.getValue() <= TopologyValidator.MAX_WEIGHT)
                     || parent.getKey().equals(update.unit())
                     || parentUnit != null && (parentUnit.kind() == Kind.DEPOT || parentUnit.kind().level < update.kind().level)) {
                 return "'" + update.unit() + "' may not fill from '" + parent.getKey() + "' with the weight "
@@ -401,8 +398,9 @@
             certainUntil = Math.max(certainUntil, now);
         }
         timeline.advance(Math.min(now, certainUntil + setup.timing().lead()));
-        boolean stale = now < suspendedUntil
-                || now - certainUntil > setup.timing().lead() + setup.timing().gap() / 2; // the other half of the gap allows for clock skew
+        // the other half of the gap allows for clock skew
+        boolean stale =
+                now < suspendedUntil || now - certainUntil > setup.timing().lead() + setup.timing().gap() / 2;
         if (stale != tooOld) {
             tooOld = stale;
             changed = true;
--- a/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -11,17 +11,12 @@
  * The steps by which one topology replaces another, computed by running the same timeline that routers follow. It
  * keeps no state beyond the result, and must not compute a change in any other way than through the timeline.
  */
-public record MigrationPlan(List<Step> steps, List<Violation> problems, boolean arrives) {
+public record MigrationPlan(List<Step> steps, List<Violation> problems, boolean completes) {
 
     /**
-     * The changes at one moment.
-     *
-     * @param after microseconds since the announcement
-     * @param begin links that come into use
-     * @param leave links whose objects begin to move to other parents
-     * @param end links that are out of use
-     * @param held links that are blocked because they would close a loop
-     * @param seeds links over which a new parent may fill from a previous one
+     * The changes at one moment, in microseconds since the announcement: links that come into use, links whose
+     * objects begin to move to other parents, links that are out of use, links that are blocked because they would
+     * close a loop, and links over which a new parent may fill from a previous one.
      */
     public record Step(
             long after,
@@ -33,7 +28,7 @@
 
     /** Returns whether the new topology is valid and the change completes. */
     public boolean usable() {
-        return problems.isEmpty() && arrives;
+        return problems.isEmpty() && completes;
     }
 
     /** Computes the migration from one topology to the next. The old topology must be valid. */
--- a/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
@@ -3,11 +3,11 @@
 /**
  * The durations of a topology change, in microseconds. Every router must be configured with the same values.
  *
- * @param lead from the announcement of an update until it takes effect, so that all routers have received it by then
- * @param move from the moment the first object moves to a new parent until the last one does
- * @param gap how long a link that is out of use still counts in the loop check, so that fills which another router
- *     started over it have ended; it covers the longest fill and the clock skew between routers
- * @param remember how long after a migration a new parent may still fill from the previous one
+ * <p>The lead is the time from the announcement of an update until it takes effect, so that all routers have received
+ * it by then. The move is the time from the first object that goes to a new parent to the last one. The gap is how
+ * long a link that is out of use still counts in the loop check, so that fills which another router started over it
+ * have ended; it covers the longest fill and the clock skew between routers. The last value is how long after a
+ * migration a new parent may still fill from the previous one.
  */
 public record MigrationTiming(long lead, long move, long gap, long remember) {
 
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -217,7 +217,8 @@
             removeIfGone(state);
         }
         if (touched.stream().map(units::get).anyMatch(b -> b != null && !b.blocked.isEmpty())) {
-            List.copyOf(seeds.keySet()).forEach(this::endSeed); // seed links are only an optimization and must not block a unit
+            // seed links are only an optimization and must not block a unit
+            List.copyOf(seeds.keySet()).forEach(this::endSeed);
         }
     }
 
--- a/src/main/java/pumicemoor/hierarchy/Topology.java
+++ b/src/main/java/pumicemoor/hierarchy/Topology.java
@@ -5,10 +5,8 @@
 
 /**
  * A complete hierarchy: which unit may fill from which others, with weights. An immutable value that knows neither
- * members' addresses nor which topology is in force.
- *
- * @param announced when the topology was announced, in Unix microseconds
- * @param skipsAllowed whether a unit may fill from a level more than one above its own although there are hubs
+ * members' addresses nor which topology is in force. The time of the announcement is in Unix microseconds. If skips are
+ * allowed, a unit may fill from a level more than one above its own although there are hubs.
  */
 public record Topology(long version, long announced, boolean skipsAllowed, Map<String, Unit> units) {
 
--- a/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
@@ -7,11 +7,9 @@
 /**
  * A change of one unit: as of this update the unit has these parents, or is removed.
  *
- * @param number the sequence number; updates are numbered from 1 without gaps, and of several updates for one unit
- *     the one with the highest number applies
- * @param announced when the update was announced, in Unix microseconds
- * @param pieces the number of updates of the whole topology that this one belongs to, which are applied together or
- *     not at all; 0 if the update is independent
+ * <p>Updates are numbered from 1 without gaps; of several updates for one unit the one with the highest number applies.
+ * The time of the announcement is in Unix microseconds. The number of pieces is the number of updates of the whole
+ * topology that this one belongs to, which are applied together or not at all; it is 0 if the update is independent.
  */
 public record TopologyUpdate(
         long number,
--- a/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
@@ -17,7 +17,7 @@
 public final class TopologyValidator {
 
     /** The largest weight that a parent may have. */
-    public static final double MOST_WEIGHT = 1_000_000;
+    public static final double MAX_WEIGHT = 1_000_000;
     /** The largest number of units in a topology. */
     public static final int MAX_UNITS = 100_000;
 
@@ -92,12 +92,12 @@
         }
         unit.parents().forEach((parentName, weight) -> {
             Unit parent = topology.units().get(parentName);
-            if (!(weight > 0 && weight <= MOST_WEIGHT)) {
+            if (!(weight > 0 && weight <= MAX_WEIGHT)) {
                 violations.add(new Violation(
                         ViolationKind.WEIGHT,
                         unit.name(),
                         name + " gives '" + parentName + "' the weight " + weight + ": a weight must be greater than 0 and at most "
-                                + (long) MOST_WEIGHT));
+                                + (long) MAX_WEIGHT));
             }
             if (parent == null) {
                 violations.add(new Violation(
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -17,13 +17,13 @@
 import pumicemoor.fleet.drains.FleetSnapshot.Target;
 import pumicemoor.fleet.limits.LeaseTimes;
 
-/** What one router goes by: plans in force alone, and the named left alone once it may not hear of what came of them. */
+/** What one router acts on: only plans in force; named members are avoided once it may miss their next phase. */
 class DrainsTest {
 
     private static final long LEASE = 1_000;
     private static final long GUARD = 100;
-    private static final long ME = 77; // this process
-    private static final String KEEPER = "127.0.0.1:9";
+    private static final long INSTANCE = 77; // of the process under test
+    private static final String LEADER = "127.0.0.1:9";
 
     private final List<Body> sent = new ArrayList<>();
     private final List<String> dropped = new ArrayList<>();
@@ -31,7 +31,7 @@
             new DrainTimes(10, 500, 9_000, 9_000, 50, 50),
             new LeaseTimes(LEASE, GUARD),
             "me",
-            ME,
+            INSTANCE,
             0,
             new Drains.Usage() {
                 @Override
@@ -53,7 +53,7 @@
 
                 @Override
                 public void term(long term) {
-                    // of no use here
+                    // not needed here
                 }
 
                 @Override
@@ -63,11 +63,11 @@
 
                 @Override
                 public void changed(String text, Map<String, Object> figures) {
-                    throw new AssertionError("only a keeper tells of steps");
+                    throw new AssertionError("only a leader logs steps");
                 }
             });
 
-    private static FleetSnapshot world(long now) {
+    private static FleetSnapshot snapshot(long now) {
         return new FleetSnapshot(
                 now,
                 0,
@@ -78,96 +78,96 @@
                 Set.of());
     }
 
-    private static Plan plan(long stamp, Phase one, Phase two) {
+    private static Plan plan(long stamp, Phase firstPhase, Phase secondPhase) {
         return new Plan(
                 stamp,
                 List.of(new DrainRequest(5, 0, 1, 1)),
-                List.of(new DrainOrder(1, MemberKind.CACHE, 1, one, stamp, 40), new DrainOrder(2, MemberKind.CACHE, 1, two, stamp, 40)),
+                List.of(new DrainOrder(1, MemberKind.CACHE, 1, firstPhase, stamp, 40), new DrainOrder(2, MemberKind.CACHE, 1, secondPhase, stamp, 40)),
                 List.of());
     }
 
-    private void give(Plan plan) {
-        PlanStore book = new PlanStore();
-        book.hold(plan);
-        List<byte[]> pieces = book.pieces();
+    private void deliver(Plan plan) {
+        PlanStore sender = new PlanStore();
+        sender.store(plan);
+        List<byte[]> pieces = sender.pieces();
         for (int i = 0; i < pieces.size(); i++) {
             drains.take(new Piece(plan.stamp(), i, pieces.size(), pieces.get(i)));
         }
     }
 
-    /** Reports at a time and is answered at another. */
-    private void answer(long asked, long at, long instance, boolean office, long inForce) {
-        drains.report(asked, KEEPER, 1);
-        long report =
-                sent.size() - (sent.get(sent.size() - 1) instanceof PlanReport ? 0 : 1); // a command may follow it
-        drains.answered(at, KEEPER, new PlanGrant(report, instance, 1, office, inForce, inForce));
+    /** Sends a report at one time and processes its answer at another. */
+    private void reportAndAnswer(long reportedAt, long answeredAt, long instance, boolean office, long inForce) {
+        drains.report(reportedAt, LEADER, 1);
+        // a command may follow the report
+        long report = sent.size() - (sent.get(sent.size() - 1) instanceof PlanReport ? 0 : 1);
+        drains.answered(answeredAt, LEADER, new PlanGrant(report, instance, 1, office, inForce, inForce));
     }
 
-    private Set<Long> alone(long now) {
-        Drains.View view = drains.takeView(now, world(now));
+    private Set<Long> avoidedMembers(long now) {
+        Drains.View view = drains.takeView(now, snapshot(now));
         return view == null ? null : view.alone();
     }
 
     @Test
-    void aPlanIsGoneByOnceItIsInForceAndTheNamedAreLeftAloneOutOfTouch() {
-        assertTrue(!drains.takeView(0, world(0)).settled(), "who is out is not known yet");
-        give(plan(11, Phase.NAMED, Phase.QUEUED));
-        answer(100, 110, ME, false, 11);
-        assertEquals(Set.of(1L), alone(110));
-        assertEquals(0, drains.plan().stamp(), "nobody in office said that it is in force");
-        answer(200, 210, ME + 1, true, 11);
-        assertEquals(List.of("late-plan-grant"), dropped, "that was for the process before");
-        answer(300, 310, ME, true, 11);
-        Drains.View view = drains.takeView(310, world(310));
+    void aPlanAppliesOnlyOnceInForceAndNamedMembersAreAvoidedWithoutLeaderContact() {
+        assertTrue(!drains.takeView(0, snapshot(0)).settled(), "it is not known yet which members are out");
+        deliver(plan(11, Phase.NAMED, Phase.QUEUED));
+        reportAndAnswer(100, 110, INSTANCE, false, 11);
+        assertEquals(Set.of(1L), avoidedMembers(110));
+        assertEquals(0, drains.plan().stamp(), "no leader has reported that the plan is in force");
+        reportAndAnswer(200, 210, INSTANCE + 1, true, 11);
+        assertEquals(List.of("late-plan-grant"), dropped, "the answer was for the previous process");
+        reportAndAnswer(300, 310, INSTANCE, true, 11);
+        Drains.View view = drains.takeView(310, snapshot(310));
         assertTrue(view.settled() && view.alone().isEmpty());
         assertEquals(11, drains.plan().stamp());
-        assertEquals(300 + LEASE, drains.nextDue(310), "the lease counts from when the report left");
-        assertNull(alone(1_299));
-        assertEquals(Set.of(1L), alone(1_300));
-        // back in touch, but behind: what was named may be out by now
-        answer(1_400, 1_410, ME, true, 12);
-        assertNull(alone(1_410));
-        give(plan(12, Phase.RETURNING, Phase.NAMED));
-        assertNull(alone(1_420), "it is not known to be in force here");
-        answer(1_500, 1_510, ME, true, 12);
-        view = drains.takeView(1_510, world(1_510));
+        assertEquals(300 + LEASE, drains.nextDue(310), "the lease counts from when the report was sent");
+        assertNull(avoidedMembers(1_299));
+        assertEquals(Set.of(1L), avoidedMembers(1_300));
+        // in contact again, but with an old plan: the named member may be out by now
+        reportAndAnswer(1_400, 1_410, INSTANCE, true, 12);
+        assertNull(avoidedMembers(1_410));
+        deliver(plan(12, Phase.RETURNING, Phase.NAMED));
+        assertNull(avoidedMembers(1_420), "the plan is not known to be in force");
+        reportAndAnswer(1_500, 1_510, INSTANCE, true, 12);
+        view = drains.takeView(1_510, snapshot(1_510));
         assertTrue(view.alone().isEmpty());
-        assertEquals(Map.of(1L, 40L), view.returned(), "it came back cold");
+        assertEquals(Map.of(1L, 40L), view.returned(), "the member returned cold");
     }
 
     @Test
-    void aProcessStartedAnewGoesByAnOldPlanRatherThanNone() {
-        assertNotNull(drains.takeView(0, world(0)));
-        give(plan(11, Phase.OUT, Phase.NAMED));
-        assertEquals(Set.of(1L, 2L), alone(10));
-        Drains.View view = drains.takeView(LEASE + GUARD, world(LEASE + GUARD));
-        assertTrue(view.settled() && view.alone().equals(Set.of(1L, 2L)), "it waited as long as it may");
-        assertTrue(!((PlanReport) last(LEASE + GUARD)).seasoned(), "but it does not remember");
+    void aRestartedProcessAppliesAnOldPlanRatherThanNone() {
+        assertNotNull(drains.takeView(0, snapshot(0)));
+        deliver(plan(11, Phase.OUT, Phase.NAMED));
+        assertEquals(Set.of(1L, 2L), avoidedMembers(10));
+        Drains.View view = drains.takeView(LEASE + GUARD, snapshot(LEASE + GUARD));
+        assertTrue(view.settled() && view.alone().equals(Set.of(1L, 2L)), "it has waited as long as it may");
+        assertTrue(!((PlanReport) sendReport(LEASE + GUARD)).seasoned(), "but it has not recovered");
     }
 
-    private Body last(long now) {
-        drains.report(now, KEEPER, 1);
+    private Body sendReport(long now) {
+        drains.report(now, LEADER, 1);
         return sent.get(sent.size() - 1);
     }
 
     @Test
-    void aReportTellsWhatTheDecisionsGoByAndACommandGoesAlongUntilItIsTaken() {
-        give(plan(11, Phase.DRAINING, Phase.QUEUED));
-        answer(100, 110, ME, true, 11);
-        assertEquals(0, ((PlanReport) last(120)).applied(), "the decisions have not been told");
-        drains.takeView(130, world(130));
-        PlanReport report = (PlanReport) last(140);
+    void aReportHasTheStampOfTheViewAndACommandIsSentUntilAPlanContainsIt() {
+        deliver(plan(11, Phase.DRAINING, Phase.QUEUED));
+        reportAndAnswer(100, 110, INSTANCE, true, 11);
+        assertEquals(0, ((PlanReport) sendReport(120)).applied(), "routing decisions have not received the plan yet");
+        drains.takeView(130, snapshot(130));
+        PlanReport report = (PlanReport) sendReport(140);
         assertEquals(11, report.applied());
         assertEquals(3, report.uses().get(0).underWay());
         assertEquals(2, report.uses().get(1).hits());
         drains.command(150, new DrainCommand(DrainCommand.Kind.CANCEL, 8, 0, 0, 0, List.of(2L)));
         int before = sent.size();
-        drains.report(160, KEEPER, 1);
+        drains.report(160, LEADER, 1);
         assertEquals(before + 2, sent.size());
-        give(plan(12, Phase.DRAINING, Phase.FINISHED));
-        answer(170, 180, ME, true, 12);
+        deliver(plan(12, Phase.DRAINING, Phase.FINISHED));
+        reportAndAnswer(170, 180, INSTANCE, true, 12);
         before = sent.size();
-        drains.report(190, KEEPER, 1);
-        assertEquals(before + 1, sent.size(), "it was taken");
+        drains.report(190, LEADER, 1);
+        assertEquals(before + 1, sent.size(), "a plan contains the command");
     }
 }
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -13,41 +13,44 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The protocol of the plan in the small: three routers, four members, one of them out at most; every interleaving of
- * elections, reports, lost and late answers, late pieces, deaths, restarts, cut-offs and an operator's doings, up to a
- * bound, from several moments of a maintenance. Offices follow each other, as VotesTest shows of the votes; time is left
- * out: a router that is out of touch may at any moment be known to be.
+ * Explores a small model of the drain plan's replication: three routers, four members, at most one of them out. It
+ * visits every interleaving of elections, reports, lost and delayed answers, delayed plans, crashes, restarts,
+ * partitions and operators' actions, up to a bound, from several stages of a maintenance. Terms do not overlap, which
+ * VotesTest checks for the votes. Time is not modelled: a router without contact to the leader may at any moment be
+ * known to be cut off.
  */
 class PlanModelTest {
 
     private static final int ROUTERS = 3;
     private static final int MEMBERS = 4;
-    private static final int MOST_STATES =
-            Integer.getInteger("model.states", 5_000); // of each exploration, the nearest first
-    private static final int LATE = 2; // packets that may be on their way
+    private static final int MAX_STATES =
+            Integer.getInteger("model.states", 5_000); // of each exploration, those with the fewest actions first
+    private static final int MAX_IN_FLIGHT = 2; // delayed packets at a time
 
-    /** A packet that comes late: an answer where plan is null, else a plan in pieces; in time where a lease has not passed. */
+    /**
+     * A delayed packet: an answer if the plan is null, else a whole plan. It is in time if no lease has passed since.
+     */
     private record Flying(int to, int instance, boolean office, long inForce, Plan plan, boolean intime) {}
 
     private static final class Router {
-        PlanStore book = new PlanStore();
-        PlanLeader keeper = new PlanLeader(book);
+        PlanStore planStore = new PlanStore();
+        PlanLeader leader = new PlanLeader(planStore);
         int instance = 1;
         long term;
         boolean alive = true;
-        boolean touched;
-        boolean inTouch;
-        boolean mayBeInTouch; // as far as a keeper can know
+        boolean hadLeaderContact;
+        boolean hasLeaderContact;
+        boolean mayHaveLeaderContact; // as far as a leader can know
     }
 
-    /** One state, reached by a list of actions. */
+    /** A state of the model, reached by a list of actions, and the conditions that its leader knows. */
     private static final class Model implements DrainConditions {
         final Router[] routers = new Router[ROUTERS];
-        final List<Flying> flying = new ArrayList<>();
-        final Map<Long, Long> out = new TreeMap<>(); // members that an operator works on, by the fence of their way out
-        final Set<Long> fences = new HashSet<>();
-        final Map<Long, Long> done = new TreeMap<>();
-        int keeper = -1;
+        final List<Flying> inFlight = new ArrayList<>();
+        final Map<Long, Long> outMembers = new TreeMap<>(); // members being worked on, with their fences
+        final Set<Long> seenFences = new HashSet<>();
+        final Map<Long, Long> doneCommands = new TreeMap<>();
+        int leaderIndex = -1;
         long term;
         boolean cancelled;
 
@@ -57,18 +60,18 @@
             }
         }
 
-        // ---- what the keeper knows --------------------------------------------------------------------
+        // ---- what the leader knows --------------------------------------------------------------------
 
         private long applied(int r) {
-            if (r == keeper) {
-                return routers[r].book.applied().stamp();
+            if (r == leaderIndex) {
+                return routers[r].planStore.applied().stamp();
             }
-            PlanLeader.Report report = routers[keeper].keeper.report("r" + r);
+            PlanLeader.Report report = routers[leaderIndex].leader.report("r" + r);
             return report == null || report.instance() != routers[r].instance ? -1 : report.applied();
         }
 
         @Override
-        public String notTold(DrainOrder order) {
+        public String routerUnawareOf(DrainOrder order) {
             for (int r = 0; r < ROUTERS; r++) {
                 if (routers[r].alive && applied(r) < order.fence()) {
                     return "r" + r;
@@ -78,11 +81,11 @@
         }
 
         @Override
-        public String stillUsed(DrainOrder order) {
+        public String routerStillUsing(DrainOrder order) {
             for (int r = 0; r < ROUTERS; r++) {
                 if (routers[r].alive
                         && applied(r) < order.fence()
-                        && (routers[r].mayBeInTouch || !routers[r].touched)) {
+                        && (routers[r].mayHaveLeaderContact || !routers[r].hadLeaderContact)) {
                     return "r" + r;
                 }
             }
@@ -90,341 +93,341 @@
         }
 
         @Override
-        public int serving(MemberKind tier) {
+        public int servingCount(MemberKind tier) {
             return MEMBERS;
         }
 
         @Override
-        public boolean serves(long member) {
+        public boolean isServing(long member) {
             return true;
         }
 
         @Override
-        public boolean known(long member) {
+        public boolean isKnown(long member) {
             return true;
         }
 
         @Override
-        public boolean failing(long member) {
+        public boolean isFailing(long member) {
             return false;
         }
 
         @Override
-        public double heat(long member) {
+        public double recentHits(long member) {
             return member;
         }
 
         @Override
-        public boolean warm(DrainOrder order) {
+        public boolean isWarm(DrainOrder order) {
             return true;
         }
 
-        // ---- what may happen --------------------------------------------------------------------------
+        // ---- actions --------------------------------------------------------------------------
 
         List<String> actions() {
             List<String> all = new ArrayList<>();
-            long weak = java.util.Arrays.stream(routers)
-                    .filter(r -> !r.alive || !r.book.seasoned())
+            long unrecovered = java.util.Arrays.stream(routers)
+                    .filter(r -> !r.alive || !r.planStore.recovered())
                     .count();
             for (int r = 0; r < ROUTERS; r++) {
-                Router x = routers[r];
-                if (!x.alive) {
+                Router router = routers[r];
+                if (!router.alive) {
                     all.add("start " + r);
                     continue;
                 }
-                if (keeper < 0) {
+                if (leaderIndex < 0) {
                     all.add("elect " + r);
-                } else if (r != keeper) {
+                } else if (r != leaderIndex) {
                     all.add("talk " + r);
                     all.add("lose " + r);
-                    if (flying.size() < LATE) {
+                    if (inFlight.size() < MAX_IN_FLIGHT) {
                         all.add("late " + r);
                     }
                 }
-                if (weak == 0) { // a minority at most is dead, or has not learned again
+                if (unrecovered == 0) { // at most a minority is dead or has not recovered
                     all.add("kill " + r);
                 }
-                if (x.mayBeInTouch && r != keeper) {
+                if (router.mayHaveLeaderContact && r != leaderIndex) {
                     all.add("cut " + r);
                 }
             }
-            if (keeper >= 0) {
+            if (leaderIndex >= 0) {
                 all.add("leave");
                 all.add("sit");
             }
-            for (int f = 0; f < flying.size(); f++) {
+            for (int f = 0; f < inFlight.size(); f++) {
                 all.add("arrive " + f);
             }
-            out.keySet().forEach(m -> all.add("done " + m));
+            outMembers.keySet().forEach(m -> all.add("done " + m));
             return all;
         }
 
         void act(String action) {
             String[] words = action.split(" ");
-            int n = words.length > 1 ? Integer.parseInt(words[1]) : 0;
+            int index = words.length > 1 ? Integer.parseInt(words[1]) : 0;
             switch (words[0]) {
                 case "elect" -> {
-                    keeper = n;
+                    leaderIndex = index;
                     term++;
-                    routers[n].term = term;
+                    routers[index].term = term;
                     for (Router r : routers) {
-                        r.mayBeInTouch = true; // whoever was keeper may just have answered it
+                        r.mayHaveLeaderContact = true; // the previous leader may just have answered it
                     }
-                    sit();
+                    runLeader();
                 }
-                case "leave" -> leave();
-                case "sit" -> sit();
+                case "leave" -> stepDownLeader();
+                case "sit" -> runLeader();
                 case "talk" -> {
-                    Flying answer = report(n);
-                    pieces(n).ifPresent(this::arrive);
+                    Flying answer = report(index);
+                    pieces(index).ifPresent(this::arrive);
                     arrive(answer);
-                    arrive(report(n));
+                    arrive(report(index));
                 }
-                case "lose" -> report(n);
+                case "lose" -> report(index);
                 case "late" -> {
-                    flying.add(report(n));
-                    if (flying.size() < LATE) {
-                        pieces(n).ifPresent(flying::add);
+                    inFlight.add(report(index));
+                    if (inFlight.size() < MAX_IN_FLIGHT) {
+                        pieces(index).ifPresent(inFlight::add);
                     }
                 }
-                case "arrive" -> arrive(flying.remove(n));
-                case "cut" -> { // a lease and the guard have passed since it was last answered
-                    routers[n].inTouch = false;
-                    routers[n].mayBeInTouch = false;
-                    flying.replaceAll(f ->
-                            f.to() != n ? f : new Flying(n, f.instance(), f.office(), f.inForce(), f.plan(), false));
+                case "arrive" -> arrive(inFlight.remove(index));
+                case "cut" -> { // a lease and the guard time have passed since its last answer
+                    routers[index].hasLeaderContact = false;
+                    routers[index].mayHaveLeaderContact = false;
+                    inFlight.replaceAll(f ->
+                            f.to() != index ? f : new Flying(index, f.instance(), f.office(), f.inForce(), f.plan(), false));
                 }
                 case "kill" -> {
-                    routers[n].alive = false;
-                    routers[n].inTouch = false;
-                    routers[n].mayBeInTouch = false;
-                    if (keeper == n) {
-                        leave();
+                    routers[index].alive = false;
+                    routers[index].hasLeaderContact = false;
+                    routers[index].mayHaveLeaderContact = false;
+                    if (leaderIndex == index) {
+                        stepDownLeader();
                     }
                 }
                 case "start" -> {
                     Router fresh = new Router();
-                    fresh.instance = routers[n].instance + 1;
-                    routers[n] = fresh;
+                    fresh.instance = routers[index].instance + 1;
+                    routers[index] = fresh;
                 }
                 case "done" -> {
-                    done.put((long) n, out.remove((long) n));
+                    doneCommands.put((long) index, outMembers.remove((long) index));
                 }
                 default -> throw new AssertionError(action);
             }
-            operator();
+            operatorActs();
         }
 
-        private void leave() {
-            routers[keeper].keeper.leaveOffice();
-            keeper = -1;
+        private void stepDownLeader() {
+            routers[leaderIndex].leader.stepDown();
+            leaderIndex = -1;
         }
 
-        /** A router's report comes to the keeper, which goes on and answers. */
+        /** Delivers a router's report to the leader, which proceeds and answers. */
         private Flying report(int r) {
-            Router x = routers[r];
-            routers[keeper].keeper.reported(
+            Router router = routers[r];
+            routers[leaderIndex].leader.recordReport(
                     "r" + r,
                     new PlanLeader.Report(
-                            x.instance,
-                            x.term,
-                            x.book.held().stamp(),
-                            x.book.applied().stamp(),
-                            x.book.seasoned()));
-            sit();
-            PlanLeader k = routers[keeper].keeper;
-            x.term = Math.max(x.term, term);
-            if (k.inForce() > 0) {
-                x.mayBeInTouch = true;
+                            router.instance,
+                            router.term,
+                            router.planStore.newest().stamp(),
+                            router.planStore.applied().stamp(),
+                            router.planStore.recovered()));
+            runLeader();
+            PlanLeader leader = routers[leaderIndex].leader;
+            router.term = Math.max(router.term, term);
+            if (leader.inForce() > 0) {
+                router.mayHaveLeaderContact = true;
             }
-            return new Flying(r, x.instance, k.inForce() > 0, k.inForce(), null, true);
+            return new Flying(r, router.instance, leader.inForce() > 0, leader.inForce(), null, true);
         }
 
         private java.util.Optional<Flying> pieces(int r) {
-            Plan held = routers[keeper].book.held();
-            return routers[keeper].keeper.hasRead()
-                            && held.stamp() > routers[r].book.held().stamp()
+            Plan held = routers[leaderIndex].planStore.newest();
+            return routers[leaderIndex].leader.hasFinishedReading()
+                            && held.stamp() > routers[r].planStore.newest().stamp()
                     ? java.util.Optional.of(new Flying(r, 0, false, 0, held, true))
                     : java.util.Optional.empty();
         }
 
-        private void arrive(Flying f) {
-            Router x = routers[f.to()];
-            if (!x.alive) {
+        private void arrive(Flying packet) {
+            Router router = routers[packet.to()];
+            if (!router.alive) {
                 return;
             }
-            if (f.plan() != null) {
-                x.book.hold(f.plan());
-            } else if (f.office() && f.instance() == x.instance) {
-                x.book.inForce(f.inForce());
-                if (x.book.applied().stamp() >= f.inForce() && f.intime()) {
-                    x.touched = true;
-                    x.inTouch = true;
+            if (packet.plan() != null) {
+                router.planStore.store(packet.plan());
+            } else if (packet.office() && packet.instance() == router.instance) {
+                router.planStore.confirmInForce(packet.inForce());
+                if (router.planStore.applied().stamp() >= packet.inForce() && packet.intime()) {
+                    router.hadLeaderContact = true;
+                    router.hasLeaderContact = true;
                 }
             }
         }
 
-        private void sit() {
-            PlanLeader k = routers[keeper].keeper;
+        private void runLeader() {
+            PlanLeader leader = routers[leaderIndex].leader;
             for (int i = 0; i < 4; i++) {
-                k.sit(term, ROUTERS, false);
-                if (k.inForce() > 0) {
-                    routers[keeper].touched = true;
-                    routers[keeper].inTouch = true;
-                    routers[keeper].mayBeInTouch = true;
+                leader.advance(term, ROUTERS, false);
+                if (leader.inForce() > 0) {
+                    routers[leaderIndex].hadLeaderContact = true;
+                    routers[leaderIndex].hasLeaderContact = true;
+                    routers[leaderIndex].mayHaveLeaderContact = true;
                 }
-                if (k.stage() != PlanLeader.Stage.SETTLED) {
+                if (leader.stage() != PlanLeader.Stage.SETTLED) {
                     return;
                 }
-                Plan held = routers[keeper].book.held();
+                Plan held = routers[leaderIndex].planStore.newest();
                 Plan next = held;
-                if (!held.knows(1)) {
+                if (!held.containsRequest(1)) {
                     Map<Long, MemberKind> tiers = new TreeMap<>();
                     for (long m = 0; m < MEMBERS; m++) {
                         tiers.put(m, MemberKind.CACHE);
                     }
-                    next = PlanTransitions.told(
+                    next = PlanTransitions.afterCommand(
                                     next,
                                     new DrainCommand(DrainCommand.Kind.REQUEST, 1, 1, 1, 0, List.of(0L, 1L, 2L, 3L)),
                                     tiers,
-                                    k.nextStamp(),
+                                    leader.nextStamp(),
                                     0)
                             .plan();
                 }
-                for (Map.Entry<Long, Long> d : done.entrySet()) {
-                    next = PlanTransitions.told(
+                for (Map.Entry<Long, Long> d : doneCommands.entrySet()) {
+                    next = PlanTransitions.afterCommand(
                                     next,
                                     new DrainCommand(
                                             DrainCommand.Kind.DONE, 9, 0, 0, d.getValue(), List.of(d.getKey())),
                                     Map.of(),
-                                    k.nextStamp(),
+                                    leader.nextStamp(),
                                     0)
                             .plan();
                 }
-                next = PlanTransitions.after(next, k.nextStamp(), 0, 2, this).plan();
+                next = PlanTransitions.next(next, leader.nextStamp(), 0, 2, this).plan();
                 if (next == held) {
                     return;
                 }
-                k.write(next);
+                leader.write(next);
             }
         }
 
-        /** The operator goes by what any router shows to be in force. */
-        private void operator() {
+        /** The operator acts on what any router shows to be in force. */
+        private void operatorActs() {
             for (Router r : routers) {
-                for (DrainOrder o : r.book.applied().orders()) {
-                    if (r.alive && o.phase() == Phase.OUT && fences.add(o.fence())) {
-                        assertTrue(out.put(o.member(), o.fence()) == null, "out twice");
+                for (DrainOrder o : r.planStore.applied().orders()) {
+                    if (r.alive && o.phase() == Phase.OUT && seenFences.add(o.fence())) {
+                        assertTrue(outMembers.put(o.member(), o.fence()) == null, "a member went out twice");
                     }
                 }
             }
         }
 
-        /** What must hold in every state. */
+        /** Checks the invariants of every state. */
         void check(List<String> path) {
-            assertTrue(out.size() <= 1, () -> "out at once " + out + " after " + path);
+            assertTrue(outMembers.size() <= 1, () -> "out at the same time: " + outMembers + " after " + path);
             for (Router r : routers) {
                 assertTrue(
-                        r.book.applied().out() <= 1, () -> "more than may be: " + r.book.applied() + " after " + path);
-                for (long m : out.keySet()) {
-                    Phase phase = r.book.applied().of(m).map(DrainOrder::phase).orElse(Phase.FINISHED);
-                    boolean alone = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !r.inTouch;
+                        r.planStore.applied().out() <= 1, () -> "more members out than allowed: " + r.planStore.applied() + " after " + path);
+                for (long m : outMembers.keySet()) {
+                    Phase phase = r.planStore.applied().of(m).map(DrainOrder::phase).orElse(Phase.FINISHED);
+                    boolean alone = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !r.hasLeaderContact;
                     assertTrue(
-                            !r.alive || !r.touched || alone,
-                            () -> "member " + m + " is out and used: " + r.book.applied() + " after " + path);
+                            !r.alive || !r.hadLeaderContact || alone,
+                            () -> "member " + m + " is out but still used: " + r.planStore.applied() + " after " + path);
                 }
             }
         }
 
         String digest() {
             StringBuilder all = new StringBuilder()
-                    .append(keeper)
+                    .append(leaderIndex)
                     .append(' ')
                     .append(term)
-                    .append(out)
-                    .append(done)
-                    .append(flying);
+                    .append(outMembers)
+                    .append(doneCommands)
+                    .append(inFlight);
             for (Router r : routers) {
                 all.append(r.alive)
-                        .append(r.touched)
-                        .append(r.inTouch)
-                        .append(r.mayBeInTouch)
+                        .append(r.hadLeaderContact)
+                        .append(r.hasLeaderContact)
+                        .append(r.mayHaveLeaderContact)
                         .append(r.instance)
                         .append(' ')
                         .append(r.term)
-                        .append(r.book.held())
-                        .append(r.book.applied().stamp())
-                        .append(r.book.seasoned())
-                        .append(r.keeper.stage())
-                        .append(r.keeper.inForce());
+                        .append(r.planStore.newest())
+                        .append(r.planStore.applied().stamp())
+                        .append(r.planStore.recovered())
+                        .append(r.leader.stage())
+                        .append(r.leader.inForce());
                 for (int i = 0; i < ROUTERS; i++) {
-                    all.append(r.keeper.report("r" + i));
+                    all.append(r.leader.report("r" + i));
                 }
             }
             return all.toString();
         }
     }
 
-    private static Model at(List<String> path) {
-        Model m = new Model();
-        path.forEach(m::act);
-        return m;
+    private static Model replay(List<String> path) {
+        Model model = new Model();
+        path.forEach(model::act);
+        return model;
     }
 
-    /** Every state that is reached from this moment, those with fewer actions first, up to the bound. */
+    /** Checks every state reachable after the start path, those with fewer actions first, up to the bound. */
     private static void explore(List<String> start, boolean reachesOut) {
         Set<Integer> seen = new HashSet<>();
         Deque<List<String>> next = new ArrayDeque<>(List.of(start));
         int states = 0;
-        int outs = 0;
-        while (!next.isEmpty() && states < MOST_STATES) {
+        int statesWithMemberOut = 0;
+        while (!next.isEmpty() && states < MAX_STATES) {
             List<String> path = next.poll();
-            Model m = at(path);
-            m.check(path);
+            Model model = replay(path);
+            model.check(path);
             states++;
-            outs += m.out.isEmpty() ? 0 : 1;
-            for (String action : m.actions()) {
+            statesWithMemberOut += model.outMembers.isEmpty() ? 0 : 1;
+            for (String action : model.actions()) {
                 List<String> longer = new ArrayList<>(path);
                 longer.add(action);
-                if (seen.add(at(longer).digest().hashCode())) {
+                if (seen.add(replay(longer).digest().hashCode())) {
                     next.add(longer);
                 }
             }
         }
-        assertTrue(states > 1_000, "there is something to explore");
-        assertTrue(!reachesOut || outs > 0, "some member went out on some path");
+        assertTrue(states > 1_000, "enough states were explored");
+        assertTrue(!reachesOut || statesWithMemberOut > 0, "some member went out on some path");
     }
 
-    private static final List<String> BEGUN = List.of("elect 0", "talk 1", "talk 2", "talk 1", "talk 2");
+    private static final List<String> FIRST_MEMBER_NAMED = List.of("elect 0", "talk 1", "talk 2", "talk 1", "talk 2");
 
     @Test
-    void fromTheStart() {
+    void invariantsHoldFromTheStart() {
         explore(List.of(), false);
     }
 
     @Test
-    void fromAMemberThatIsNamed() {
-        explore(BEGUN, true);
+    void invariantsHoldWhileAMemberIsNamed() {
+        explore(FIRST_MEMBER_NAMED, true);
     }
 
     @Test
-    void fromAMemberThatIsOut() {
-        List<String> path = new ArrayList<>(BEGUN);
-        for (int i = 0; i < 8 && at(path).out.isEmpty(); i++) {
+    void invariantsHoldWhileAMemberIsOut() {
+        List<String> path = new ArrayList<>(FIRST_MEMBER_NAMED);
+        for (int i = 0; i < 8 && replay(path).outMembers.isEmpty(); i++) {
             path.add("talk " + (1 + i % 2));
         }
-        assertTrue(!at(path).out.isEmpty(), "a member is out after " + path);
+        assertTrue(!replay(path).outMembers.isEmpty(), "a member is out after " + path);
         explore(path, true);
     }
 
     @Test
-    void afterTheWorkIsDoneUnderAnotherKeeper() {
-        List<String> path = new ArrayList<>(BEGUN);
-        for (int i = 0; i < 8 && at(path).out.isEmpty(); i++) {
+    void invariantsHoldAfterTheWorkIsDoneUnderAnotherLeader() {
+        List<String> path = new ArrayList<>(FIRST_MEMBER_NAMED);
+        for (int i = 0; i < 8 && replay(path).outMembers.isEmpty(); i++) {
             path.add("talk " + (1 + i % 2));
         }
         path.addAll(List.of(
-                "late 2", "leave", "done " + at(path).out.keySet().iterator().next(), "elect 1", "talk 0"));
+                "late 2", "leave", "done " + replay(path).outMembers.keySet().iterator().next(), "elect 1", "talk 0"));
         explore(path, false);
     }
 }
--- a/src/test/java/pumicemoor/hierarchy/FillOrderBenchmark.java
+++ b/src/test/java/pumicemoor/hierarchy/FillOrderBenchmark.java
@@ -38,7 +38,10 @@
     @Param({"10", "1000", "100000"})
     int links;
 
-    /** A tree has most units at the bottom, as depots and caches are; deep is one deep order, as in no real deployment. */
+    /**
+     * A tree has most units at the bottom, as depots and caches are; deep is one deep order, as in no real
+     * deployment.
+     */
     @Param({"tree", "deep"})
     String form;
 
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -234,11 +234,11 @@
     @Test
     void aRouterStartedDuringAChangeFollowsItOnlyIfItKnowsThePreviousTopology() {
         Topology before = Topologies.topology(1, 0, "d:h1", "h1:o", "h2:o");
-        Topology shape = Topologies.topology(2, T0, "d:h2", "h1:o", "h2:o");
+        Topology topology = Topologies.topology(2, T0, "d:h2", "h1:o", "h2:o");
         Setup setup = new Setup("d", UpdateSource.FILE, TIMING, 0);
-        Hierarchy withPrevious = Hierarchy.start(shape, Optional.of(before), 0, T0 + 7 * SECOND, setup, log::add);
+        Hierarchy withPrevious = Hierarchy.start(topology, Optional.of(before), 0, T0 + 7 * SECOND, setup, log::add);
         assertEquals(0.5, withPrevious.snapshot().shareMoved(), 0.001);
-        Hierarchy withoutPrevious = Hierarchy.start(shape, Optional.empty(), 0, T0 + 7 * SECOND, setup, log::add);
+        Hierarchy withoutPrevious = Hierarchy.start(topology, Optional.empty(), 0, T0 + 7 * SECOND, setup, log::add);
         withoutPrevious.advance(T0 + 7 * SECOND);
         assertTrue(withoutPrevious.sources(HierarchyTest::id).lists().isEmpty());
         long changeOver = T0 + TIMING.lead() + 3 * (TIMING.move() + TIMING.gap());
