--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -48,7 +48,7 @@
         /** Reports a term that was received from another router. */
         void term(long term);
 
-        void dropped(String what);
+        void dropped(String reason);
 
         /** Logs a change for operators. */
         void changed(String text, Map<String, Object> values);
@@ -250,8 +250,8 @@
 
     /** Returns the view for routing decisions from now on, or null if it has not changed. */
     public View takeView(long now, FleetSnapshot snapshot) {
-        snapshot.targets().forEach((id, t) -> {
-            if (returnedAt.getOrDefault(id, Long.MAX_VALUE) <= t.started()) {
+        snapshot.targets().forEach((id, target) -> {
+            if (returnedAt.getOrDefault(id, Long.MAX_VALUE) <= target.started()) {
                 returnedAt.remove(id);
             }
         });
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -47,9 +47,9 @@
         leader.retainReports(names);
         Set<Long> members = new HashSet<>();
         Set<Long> fences = new HashSet<>();
-        plan.orders().forEach(o -> {
-            members.add(o.member());
-            fences.add(orderKey(o));
+        plan.orders().forEach(order -> {
+            members.add(order.member());
+            fences.add(orderKey(order));
         });
         hitsByRouter.values().forEach(h -> h.keySet().retainAll(members));
         phaseAppliedAt.values().forEach(s -> s.keySet().retainAll(fences));
@@ -63,9 +63,9 @@
     void recordUsage(String router, List<Use> uses) {
         Map<Long, Integer> inFlight = new HashMap<>();
         Map<Long, Double> hits = hitsByRouter.computeIfAbsent(router, r -> new HashMap<>());
-        uses.forEach(u -> {
-            inFlight.put(u.member(), u.underWay());
-            hits.put(u.member(), u.hits());
+        uses.forEach(use -> {
+            inFlight.put(use.member(), use.underWay());
+            hits.put(use.member(), use.hits());
         });
         inFlightByRouter.put(router, inFlight);
     }
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -468,8 +468,8 @@
 
     private List<FillSource> fillSources(UnitState state, Map<String, Double> parents, ToLongFunction<String> memberId) {
         List<FillSource> sources = new ArrayList<>();
-        parents.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(e -> {
-            long startTime = startTimes.getOrDefault(e.getKey(), 0L);
+        parents.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(parent -> {
+            long startTime = startTimes.getOrDefault(parent.getKey(), 0L);
             boolean restarted = startTime > 0 && state.moving() && state.moveEnd - startTime < setup.coldTime()
                     || startTime > state.moveStart && state.moving();
             long rampStart = restarted ? Math.max(state.moveStart, startTime) : state.moveStart;
@@ -477,8 +477,8 @@
                     ? Math.max(state.moveEnd, startTime + Math.max(setup.timing().move(), setup.coldTime()))
                     : state.moveEnd;
             sources.add(new FillSource(
-                    memberId.applyAsLong(e.getKey()),
-                    e.getValue(),
+                    memberId.applyAsLong(parent.getKey()),
+                    parent.getValue(),
                     startTime > state.moveStart ? 0 : state.startShare,
                     rampStart,
                     rampEnd));
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -112,9 +112,9 @@
             state.kind = unit.kind();
             state.target = unit.parents();
             state.current = unit.parents();
-            unit.parents().keySet().forEach(p -> {
-                if (!order.add(unit.name(), p)) {
-                    throw new IllegalArgumentException("the initial topology has a loop at " + new Link(unit.name(), p));
+            unit.parents().keySet().forEach(parent -> {
+                if (!order.add(unit.name(), parent)) {
+                    throw new IllegalArgumentException("the initial topology has a loop at " + new Link(unit.name(), parent));
                 }
             });
         }
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -36,11 +36,11 @@
         String unawareRouter;
 
         Conditions() {
-            for (long m = 0; m < 10; m++) {
-                tiers.put(m, MemberKind.CACHE);
+            for (long member = 0; member < 10; member++) {
+                tiers.put(member, MemberKind.CACHE);
             }
-            for (long m = 20; m < 25; m++) {
-                tiers.put(m, MemberKind.ROUTER);
+            for (long member = 20; member < 25; member++) {
+                tiers.put(member, MemberKind.ROUTER);
             }
         }
 
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -20,8 +20,8 @@
 /** What one router acts on: only plans in force; named members are avoided once it may miss their next phase. */
 class DrainsTest {
 
-    private static final long LEASE = 1_000;
-    private static final long GUARD = 100;
+    private static final long LEASE_MICROS = 1_000;
+    private static final long GUARD_MICROS = 100;
     private static final long INSTANCE = 77; // of the process under test
     private static final String LEADER = "127.0.0.1:9";
 
@@ -29,7 +29,7 @@
     private final List<String> dropped = new ArrayList<>();
     private final Drains drains = new Drains(
             new DrainTimes(10, 500, 9_000, 9_000, 50, 50),
-            new LeaseTimes(LEASE, GUARD),
+            new LeaseTimes(LEASE_MICROS, GUARD_MICROS),
             "me",
             INSTANCE,
             0,
@@ -121,7 +121,7 @@
         Drains.View view = drains.takeView(310, snapshot(310));
         assertTrue(view.settled() && view.alone().isEmpty());
         assertEquals(11, drains.plan().stamp());
-        assertEquals(300 + LEASE, drains.nextDue(310), "the lease counts from when the report was sent");
+        assertEquals(300 + LEASE_MICROS, drains.nextDue(310), "the lease counts from when the report was sent");
         assertNull(avoidedMembers(1_299));
         assertEquals(Set.of(1L), avoidedMembers(1_300));
         // in contact again, but with an old plan: the named member may be out by now
@@ -140,9 +140,9 @@
         assertNotNull(drains.takeView(0, snapshot(0)));
         deliver(plan(11, Phase.OUT, Phase.NAMED));
         assertEquals(Set.of(1L, 2L), avoidedMembers(10));
-        Drains.View view = drains.takeView(LEASE + GUARD, snapshot(LEASE + GUARD));
+        Drains.View view = drains.takeView(LEASE_MICROS + GUARD_MICROS, snapshot(LEASE_MICROS + GUARD_MICROS));
         assertTrue(view.settled() && view.alone().equals(Set.of(1L, 2L)), "it has waited as long as it may");
-        assertTrue(!((PlanReport) sendReport(LEASE + GUARD)).seasoned(), "but it has not recovered");
+        assertTrue(!((PlanReport) sendReport(LEASE_MICROS + GUARD_MICROS)).seasoned(), "but it has not recovered");
     }
 
     private Body sendReport(long now) {
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -170,8 +170,8 @@
                     leaderIndex = index;
                     term++;
                     routers[index].term = term;
-                    for (Router r : routers) {
-                        r.mayHaveLeaderContact = true; // the previous leader may just have answered it
+                    for (Router router : routers) {
+                        router.mayHaveLeaderContact = true; // the previous leader may just have answered it
                     }
                     runLeader();
                 }
@@ -283,8 +283,8 @@
                 Plan next = held;
                 if (!held.containsRequest(1)) {
                     Map<Long, MemberKind> tiers = new TreeMap<>();
-                    for (long m = 0; m < MEMBERS; m++) {
-                        tiers.put(m, MemberKind.CACHE);
+                    for (long member = 0; member < MEMBERS; member++) {
+                        tiers.put(member, MemberKind.CACHE);
                     }
                     next = PlanTransitions.afterCommand(
                                     next,
@@ -294,11 +294,11 @@
                                     0)
                             .plan();
                 }
-                for (Map.Entry<Long, Long> d : doneCommands.entrySet()) {
+                for (Map.Entry<Long, Long> done : doneCommands.entrySet()) {
                     next = PlanTransitions.afterCommand(
                                     next,
                                     new DrainCommand(
-                                            DrainCommand.Kind.DONE, 9, 0, 0, d.getValue(), List.of(d.getKey())),
+                                            DrainCommand.Kind.DONE, 9, 0, 0, done.getValue(), List.of(done.getKey())),
                                     Map.of(),
                                     leader.nextStamp(),
                                     0)
@@ -314,10 +314,10 @@
 
         /** The operator acts on what any router shows to be in force. */
         private void operatorActs() {
-            for (Router r : routers) {
-                for (DrainOrder o : r.planStore.applied().orders()) {
-                    if (r.alive && o.phase() == Phase.OUT && seenFences.add(o.fence())) {
-                        assertTrue(outMembers.put(o.member(), o.fence()) == null, "a member went out twice");
+            for (Router router : routers) {
+                for (DrainOrder order : router.planStore.applied().orders()) {
+                    if (router.alive && order.phase() == Phase.OUT && seenFences.add(order.fence())) {
+                        assertTrue(outMembers.put(order.member(), order.fence()) == null, "a member went out twice");
                     }
                 }
             }
@@ -326,15 +326,15 @@
         /** Checks the invariants of every state. */
         void check(List<String> path) {
             assertTrue(outMembers.size() <= 1, () -> "out at the same time: " + outMembers + " after " + path);
-            for (Router r : routers) {
+            for (Router router : routers) {
                 assertTrue(
-                        r.planStore.applied().out() <= 1, () -> "more members out than allowed: " + r.planStore.applied() + " after " + path);
-                for (long m : outMembers.keySet()) {
-                    Phase phase = r.planStore.applied().of(m).map(DrainOrder::phase).orElse(Phase.FINISHED);
-                    boolean alone = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !r.hasLeaderContact;
+                        router.planStore.applied().out() <= 1, () -> "more members out than allowed: " + router.planStore.applied() + " after " + path);
+                for (long member : outMembers.keySet()) {
+                    Phase phase = router.planStore.applied().of(member).map(DrainOrder::phase).orElse(Phase.FINISHED);
+                    boolean alone = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !router.hasLeaderContact;
                     assertTrue(
-                            !r.alive || !r.hadLeaderContact || alone,
-                            () -> "member " + m + " is out but still used: " + r.planStore.applied() + " after " + path);
+                            !router.alive || !router.hadLeaderContact || alone,
+                            () -> "member " + member + " is out but still used: " + router.planStore.applied() + " after " + path);
                 }
             }
         }
@@ -347,21 +347,21 @@
                     .append(outMembers)
                     .append(doneCommands)
                     .append(inFlight);
-            for (Router r : routers) {
-                all.append(r.alive)
-                        .append(r.hadLeaderContact)
-                        .append(r.hasLeaderContact)
-                        .append(r.mayHaveLeaderContact)
-                        .append(r.instance)
+            for (Router router : routers) {
+                all.append(router.alive)
+                        .append(router.hadLeaderContact)
+                        .append(router.hasLeaderContact)
+                        .append(router.mayHaveLeaderContact)
+                        .append(router.instance)
                         .append(' ')
-                        .append(r.term)
-                        .append(r.planStore.newest())
-                        .append(r.planStore.applied().stamp())
-                        .append(r.planStore.recovered())
-                        .append(r.leader.stage())
-                        .append(r.leader.inForce());
+                        .append(router.term)
+                        .append(router.planStore.newest())
+                        .append(router.planStore.applied().stamp())
+                        .append(router.planStore.recovered())
+                        .append(router.leader.stage())
+                        .append(router.leader.inForce());
                 for (int i = 0; i < ROUTERS; i++) {
-                    all.append(r.leader.report("r" + i));
+                    all.append(router.leader.report("r" + i));
                 }
             }
             return all.toString();
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -23,14 +23,14 @@
 /** The hierarchy of one router, driven by updates and time. The id of a member is the hash of its name. */
 class HierarchyTest {
 
-    private static final long SECOND = 1_000_000;
-    private static final MigrationTiming TIMING = new MigrationTiming(2 * SECOND, 10 * SECOND, 3 * SECOND, 20 * SECOND);
-    private static final long T0 = 1_000 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final MigrationTiming TIMING = new MigrationTiming(2 * SECOND_MICROS, 10 * SECOND_MICROS, 3 * SECOND_MICROS, 20 * SECOND_MICROS);
+    private static final long START_MICROS = 1_000 * SECOND_MICROS;
 
     private final List<LogEvent> log = new ArrayList<>();
 
     private Hierarchy hierarchy(UpdateSource news, String... lines) {
-        return new Hierarchy(Topologies.topology(1, 0, lines), 0, T0, new Setup("d", news, TIMING, 5 * SECOND), log::add);
+        return new Hierarchy(Topologies.topology(1, 0, lines), 0, START_MICROS, new Setup("d", news, TIMING, 5 * SECOND_MICROS), log::add);
     }
 
     private static long id(String name) {
@@ -55,23 +55,23 @@
     @Test
     void aNewTopologyTakesEffectAfterTheLeadAndMovesObjectsByARisingShare() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
-        assertEquals(List.of(), hierarchy.take(T0, Topologies.topology(2, T0, "d:h2", "h1:o", "h2:o"), Set.of("h1", "h2", "o")));
-        assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, T0 + 2 * SECOND - 1)));
-        FillSources moving = localSources(hierarchy, T0 + 2 * SECOND);
+        assertEquals(List.of(), hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of("h1", "h2", "o")));
+        assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, START_MICROS + 2 * SECOND_MICROS - 1)));
+        FillSources moving = localSources(hierarchy, START_MICROS + 2 * SECOND_MICROS);
         assertEquals(Set.of(id("h2")), currentMembers(moving));
         assertEquals(id("h1"), moving.previous().get(0).member());
-        assertEquals(T0 + 2 * SECOND, moving.current().get(0).rampStart());
-        assertEquals(T0 + 12 * SECOND, moving.current().get(0).rampEnd());
+        assertEquals(START_MICROS + 2 * SECOND_MICROS, moving.current().get(0).rampStart());
+        assertEquals(START_MICROS + 12 * SECOND_MICROS, moving.current().get(0).rampEnd());
         assertEquals(
                 List.of(id("h1")),
                 hierarchy.sources(HierarchyTest::id).lists().get(id("h2")).seeds());
-        hierarchy.advance(T0 + 7 * SECOND);
+        hierarchy.advance(START_MICROS + 7 * SECOND_MICROS);
         assertEquals(0.5, hierarchy.snapshot().shareMoved(), 0.001);
         assertEquals(Stage.MOVING, hierarchy.snapshot().stage());
-        assertEquals(List.of(), localSources(hierarchy, T0 + 12 * SECOND).previous());
+        assertEquals(List.of(), localSources(hierarchy, START_MICROS + 12 * SECOND_MICROS).previous());
         assertEquals(
-                id("h1"), localSources(hierarchy, T0 + 13 * SECOND).earlier().get(0).member(), "the previous parent is remembered for the objects it holds");
-        hierarchy.advance(T0 + 60 * SECOND);
+                id("h1"), localSources(hierarchy, START_MICROS + 13 * SECOND_MICROS).earlier().get(0).member(), "the previous parent is remembered for the objects it holds");
+        hierarchy.advance(START_MICROS + 60 * SECOND_MICROS);
         assertEquals(Stage.AS_WANTED, hierarchy.snapshot().stage());
         assertEquals(
                 List.of(), hierarchy.sources(HierarchyTest::id).lists().get(id("h2")).seeds());
@@ -80,8 +80,8 @@
     @Test
     void aLinkThatWouldCloseALoopIsBlockedUntilTheOppositeLinkIsGone() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:h2", "h2:o");
-        hierarchy.take(T0, Topologies.topology(2, T0, "d:h1", "h1:o", "h2:h1"), Set.of());
-        hierarchy.advance(T0 + 3 * SECOND);
+        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:o", "h2:h1"), Set.of());
+        hierarchy.advance(START_MICROS + 3 * SECOND_MICROS);
         assertEquals(Stage.HELD, hierarchy.snapshot().stage());
         assertEquals(1, hierarchy.snapshot().linksHeld());
         assertTrue(
@@ -91,9 +91,9 @@
                                 && "h1".equals(l.fields().get("parent"))),
                 log.toString());
         assertTrue(hierarchy.timeline().linksInUse().contains(new Topology.Link("h2", "o")), "fills continue over the old link");
-        hierarchy.advance(T0 + 14 * SECOND);
+        hierarchy.advance(START_MICROS + 14 * SECOND_MICROS);
         assertFalse(hierarchy.timeline().linksInUse().contains(new Topology.Link("h2", "h1")), "other routers may still use h1 <- h2");
-        hierarchy.advance(T0 + 15 * SECOND);
+        hierarchy.advance(START_MICROS + 15 * SECOND_MICROS);
         assertTrue(hierarchy.timeline().linksInUse().contains(new Topology.Link("h2", "h1")));
         assertEquals(1, hierarchy.snapshot().loopsHeld());
     }
@@ -101,25 +101,25 @@
     @Test
     void aRollbackDuringAMigrationReturnsTheShareThatHadMoved() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(T0, Topologies.topology(2, T0, "d:h2", "h1:o", "h2:o"), Set.of());
-        hierarchy.take(T0 + 5 * SECOND, Topologies.topology(3, T0 + 5 * SECOND, "d:h1", "h1:o", "h2:o"), Set.of());
+        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of());
+        hierarchy.take(START_MICROS + 5 * SECOND_MICROS, Topologies.topology(3, START_MICROS + 5 * SECOND_MICROS, "d:h1", "h1:o", "h2:o"), Set.of());
         // the rollback takes effect at 7 s, with half moved; seed links must reverse first, which takes the gap
-        FillSources back = localSources(hierarchy, T0 + 10 * SECOND);
+        FillSources back = localSources(hierarchy, START_MICROS + 10 * SECOND_MICROS);
         assertEquals(Set.of(id("h1")), currentMembers(back));
         assertTrue(back.reverting());
         assertEquals(0.2, back.current().get(0).share(), 0.001);
-        assertEquals(T0 + 18 * SECOND, back.current().get(0).rampEnd());
+        assertEquals(START_MICROS + 18 * SECOND_MICROS, back.current().get(0).rampEnd());
         assertEquals(1, hierarchy.snapshot().movesBack());
-        assertFalse(localSources(hierarchy, T0 + 60 * SECOND).reverting());
+        assertFalse(localSources(hierarchy, START_MICROS + 60 * SECOND_MICROS).reverting());
     }
 
     @Test
     void anotherTopologyDuringAMigrationWaitsForItsEnd() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o", "h3:o");
-        hierarchy.take(T0, Topologies.topology(2, T0, "d:h2", "h1:o", "h2:o", "h3:o"), Set.of());
-        hierarchy.take(T0 + 4 * SECOND, Topologies.topology(3, T0 + 4 * SECOND, "d:h3", "h1:o", "h2:o", "h3:o"), Set.of());
-        assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, T0 + 11 * SECOND)));
-        FillSources next = localSources(hierarchy, T0 + 12 * SECOND);
+        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o", "h3:o"), Set.of());
+        hierarchy.take(START_MICROS + 4 * SECOND_MICROS, Topologies.topology(3, START_MICROS + 4 * SECOND_MICROS, "d:h3", "h1:o", "h2:o", "h3:o"), Set.of());
+        assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, START_MICROS + 11 * SECOND_MICROS)));
+        FillSources next = localSources(hierarchy, START_MICROS + 12 * SECOND_MICROS);
         assertEquals(Set.of(id("h3")), currentMembers(next));
         assertEquals(id("h2"), next.previous().get(0).member());
     }
@@ -127,11 +127,11 @@
     @Test
     void aRemovedHubStaysUntilNoUnitFillsThroughIt() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o");
-        hierarchy.take(T0, Topologies.topology(2, T0, "d:o"), Set.of()); // nothing else filled from h1
-        hierarchy.advance(T0 + 8 * SECOND);
+        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:o"), Set.of()); // nothing else filled from h1
+        hierarchy.advance(START_MICROS + 8 * SECOND_MICROS);
         assertTrue(hierarchy.timeline().linksInUse().contains(new Topology.Link("h1", "o")));
-        assertEquals(Set.of(id("o")), currentMembers(localSources(hierarchy, T0 + 8 * SECOND)));
-        hierarchy.advance(T0 + 100 * SECOND);
+        assertEquals(Set.of(id("o")), currentMembers(localSources(hierarchy, START_MICROS + 8 * SECOND_MICROS)));
+        hierarchy.advance(START_MICROS + 100 * SECOND_MICROS);
         assertEquals(Set.of(new Topology.Link("d", "o")), hierarchy.timeline().linksInUse());
         assertEquals(Stage.AS_WANTED, hierarchy.snapshot().stage());
     }
@@ -139,28 +139,28 @@
     @Test
     void aHubThatRestartsDuringAMigrationRampsUpFromZero() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(T0, Topologies.topology(2, T0, "d:h2", "h1:o", "h2:o"), Set.of());
-        hierarchy.advance(T0 + 6 * SECOND);
-        hierarchy.members(Map.of("h1", 0L, "h2", T0 + 6 * SECOND));
+        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of());
+        hierarchy.advance(START_MICROS + 6 * SECOND_MICROS);
+        hierarchy.members(Map.of("h1", 0L, "h2", START_MICROS + 6 * SECOND_MICROS));
         assertTrue(hierarchy.changed());
-        var source = localSources(hierarchy, T0 + 6 * SECOND).current().get(0);
-        assertEquals(T0 + 6 * SECOND, source.rampStart());
-        assertEquals(T0 + 16 * SECOND, source.rampEnd());
+        var source = localSources(hierarchy, START_MICROS + 6 * SECOND_MICROS).current().get(0);
+        assertEquals(START_MICROS + 6 * SECOND_MICROS, source.rampStart());
+        assertEquals(START_MICROS + 16 * SECOND_MICROS, source.rampEnd());
         assertEquals(0, source.share());
     }
 
     @Test
     void updatesOfAWholeTopologyAreAppliedTogetherOrNotAtAll() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(T0, update(1, T0, 2, "d:h2"));
-        hierarchy.certain(T0 + 3 * SECOND, T0 + 3 * SECOND, 1);
-        assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, T0 + 3 * SECOND)));
+        hierarchy.take(START_MICROS, update(1, START_MICROS, 2, "d:h2"));
+        hierarchy.certain(START_MICROS + 3 * SECOND_MICROS, START_MICROS + 3 * SECOND_MICROS, 1);
+        assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, START_MICROS + 3 * SECOND_MICROS)));
         assertEquals(Stage.WAITING_FOR_NEWS, hierarchy.snapshot().stage());
-        hierarchy.take(T0 + 3 * SECOND, update(2, T0 + 3 * SECOND, 2, "h2:h1"));
-        hierarchy.certain(T0 + 6 * SECOND, T0 + 6 * SECOND, 2);
-        assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, T0 + 6 * SECOND)));
-        hierarchy.take(T0 + 6 * SECOND, update(3, T0 + 6 * SECOND, 2, "h1:h2"));
-        hierarchy.take(T0 + 6 * SECOND, update(4, T0 + 6 * SECOND, 2, "d:h1"));
+        hierarchy.take(START_MICROS + 3 * SECOND_MICROS, update(2, START_MICROS + 3 * SECOND_MICROS, 2, "h2:h1"));
+        hierarchy.certain(START_MICROS + 6 * SECOND_MICROS, START_MICROS + 6 * SECOND_MICROS, 2);
+        assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, START_MICROS + 6 * SECOND_MICROS)));
+        hierarchy.take(START_MICROS + 6 * SECOND_MICROS, update(3, START_MICROS + 6 * SECOND_MICROS, 2, "h1:h2"));
+        hierarchy.take(START_MICROS + 6 * SECOND_MICROS, update(4, START_MICROS + 6 * SECOND_MICROS, 2, "d:h1"));
         assertEquals(1, hierarchy.snapshot().shapesRefused());
         assertTrue(
                 hierarchy.snapshot().lastRefusal().contains("a loop: h1 <- h2 <- h1"),
@@ -171,11 +171,11 @@
     @Test
     void duplicateAndOutOfOrderUpdatesAreAppliedOnceAndInOrder() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(T0, update(2, T0, 0, "d:h1,h2"));
-        hierarchy.take(T0, update(2, T0, 0, "d:h1,h2"));
+        hierarchy.take(START_MICROS, update(2, START_MICROS, 0, "d:h1,h2"));
+        hierarchy.take(START_MICROS, update(2, START_MICROS, 0, "d:h1,h2"));
         assertEquals(Stage.WAITING_FOR_NEWS, hierarchy.snapshot().stage());
-        hierarchy.take(T0, update(1, T0, 0, "d:h2"));
-        hierarchy.take(T0, update(1, T0, 0, "d:h2"));
+        hierarchy.take(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
+        hierarchy.take(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
         assertEquals(Map.of("h1", 1.0, "h2", 1.0), hierarchy.wanted().get("d").parents());
         Snapshot snapshot = hierarchy.snapshot();
         assertEquals(2, snapshot.piecesTwice());
@@ -185,18 +185,18 @@
     @Test
     void withoutConfirmationNothingMovesAndAfterTheGapNoSourcesAreGiven() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(T0, update(1, T0, 0, "d:h2"));
-        assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, T0 + SECOND)));
-        assertEquals(T0 + 2 * SECOND, hierarchy.nextDue(), "the next call is due when the update takes effect");
-        hierarchy.advance(T0 + 3 * SECOND);
+        hierarchy.take(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
+        assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, START_MICROS + SECOND_MICROS)));
+        assertEquals(START_MICROS + 2 * SECOND_MICROS, hierarchy.nextDue(), "the next call is due when the update takes effect");
+        hierarchy.advance(START_MICROS + 3 * SECOND_MICROS);
         assertFalse(hierarchy.sources(HierarchyTest::id).lists().isEmpty(), "the sources stay valid until half a gap after the lead");
-        hierarchy.advance(T0 + 4 * SECOND);
+        hierarchy.advance(START_MICROS + 4 * SECOND_MICROS);
         assertTrue(hierarchy.sources(HierarchyTest::id).lists().isEmpty(), "the ordinary path decides");
         assertEquals(Stage.TOO_OLD, hierarchy.snapshot().stage());
-        hierarchy.certain(T0 + 9 * SECOND, T0 + 9 * SECOND, 1);
-        assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, T0 + 9 * SECOND)));
-        hierarchy.certain(T0 + 20 * SECOND, T0 + 20 * SECOND, 2);
-        hierarchy.advance(T0 + 20 * SECOND);
+        hierarchy.certain(START_MICROS + 9 * SECOND_MICROS, START_MICROS + 9 * SECOND_MICROS, 1);
+        assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, START_MICROS + 9 * SECOND_MICROS)));
+        hierarchy.certain(START_MICROS + 20 * SECOND_MICROS, START_MICROS + 20 * SECOND_MICROS, 2);
+        hierarchy.advance(START_MICROS + 20 * SECOND_MICROS);
         assertEquals(Stage.TOO_OLD, hierarchy.snapshot().stage(), "an update is missing, so nothing after it is confirmed");
     }
 
@@ -204,10 +204,10 @@
     @CsvSource({"h1:d", "h1:h1", "d:", "h9:", "o:h1"})
     void anInvalidIndependentUpdateIsRefusedAlone(String line) {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o");
-        TopologyUpdate invalid = update(1, T0, 0, line);
-        hierarchy.take(T0, line.equals("d:") ? new TopologyUpdate(1, T0, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : invalid);
+        TopologyUpdate invalid = update(1, START_MICROS, 0, line);
+        hierarchy.take(START_MICROS, line.equals("d:") ? new TopologyUpdate(1, START_MICROS, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : invalid);
         assertEquals(1, hierarchy.snapshot().piecesRefused());
-        hierarchy.take(T0, update(2, T0, 0, "d:o"));
+        hierarchy.take(START_MICROS, update(2, START_MICROS, 0, "d:o"));
         assertEquals(Map.of("o", 1.0), hierarchy.wanted().get("d").parents());
     }
 
@@ -216,32 +216,32 @@
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o");
         assertEquals(
                 ViolationKind.LOOP,
-                hierarchy.take(T0, Topologies.topology(2, T0, "d:h1", "h1:h2", "h2:h1"), Set.of())
+                hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:h2", "h2:h1"), Set.of())
                         .get(0)
                         .kind());
         assertEquals(
                 ViolationKind.UNKNOWN_MEMBER,
-                hierarchy.take(T0, Topologies.topology(2, T0, "d:h1", "h1:o"), Set.of("o"))
+                hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:o"), Set.of("o"))
                         .get(0)
                         .kind());
-        assertFalse(hierarchy.take(T0, Topologies.topology(1, T0, "d:o", "h1:o"), Set.of()).isEmpty(), "the version must rise");
+        assertFalse(hierarchy.take(START_MICROS, Topologies.topology(1, START_MICROS, "d:o", "h1:o"), Set.of()).isEmpty(), "the version must rise");
         assertEquals(3, hierarchy.snapshot().shapesRefused());
         assertEquals(1, hierarchy.snapshot().version());
-        hierarchy.advance(T0 + 100 * SECOND);
+        hierarchy.advance(START_MICROS + 100 * SECOND_MICROS);
         assertEquals(0, hierarchy.snapshot().moves());
     }
 
     @Test
     void aRouterStartedDuringAChangeFollowsItOnlyIfItKnowsThePreviousTopology() {
         Topology before = Topologies.topology(1, 0, "d:h1", "h1:o", "h2:o");
-        Topology topology = Topologies.topology(2, T0, "d:h2", "h1:o", "h2:o");
+        Topology topology = Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o");
         Setup setup = new Setup("d", UpdateSource.FILE, TIMING, 0);
-        Hierarchy withPrevious = Hierarchy.start(topology, Optional.of(before), 0, T0 + 7 * SECOND, setup, log::add);
+        Hierarchy withPrevious = Hierarchy.start(topology, Optional.of(before), 0, START_MICROS + 7 * SECOND_MICROS, setup, log::add);
         assertEquals(0.5, withPrevious.snapshot().shareMoved(), 0.001);
-        Hierarchy withoutPrevious = Hierarchy.start(topology, Optional.empty(), 0, T0 + 7 * SECOND, setup, log::add);
-        withoutPrevious.advance(T0 + 7 * SECOND);
+        Hierarchy withoutPrevious = Hierarchy.start(topology, Optional.empty(), 0, START_MICROS + 7 * SECOND_MICROS, setup, log::add);
+        withoutPrevious.advance(START_MICROS + 7 * SECOND_MICROS);
         assertTrue(withoutPrevious.sources(HierarchyTest::id).lists().isEmpty());
-        long changeOver = T0 + TIMING.lead() + 3 * (TIMING.move() + TIMING.gap());
+        long changeOver = START_MICROS + TIMING.lead() + 3 * (TIMING.move() + TIMING.gap());
         assertEquals(changeOver, withoutPrevious.nextDue());
         assertFalse(localSources(withoutPrevious, changeOver) == null);
     }
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -28,11 +28,11 @@
  */
 class ManyRoutersTest {
 
-    private static final long SECOND = 1_000_000;
-    private static final MigrationTiming TIMING = new MigrationTiming(4 * SECOND, 6 * SECOND, 4 * SECOND, 5 * SECOND);
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final MigrationTiming TIMING = new MigrationTiming(4 * SECOND_MICROS, 6 * SECOND_MICROS, 4 * SECOND_MICROS, 5 * SECOND_MICROS);
     private static final int ROUTERS = 5;
     private static final int HUBS = 5;
-    private static final long STEP = SECOND / 2;
+    private static final long STEP_MICROS = SECOND_MICROS / 2;
 
     private record Delivery(long at, Runnable action) {}
 
@@ -55,7 +55,7 @@
             target.putAll(initial.units());
             initial.units().keySet().stream().filter(n -> n.startsWith("d")).forEach(depots::add);
             for (int i = 0; i < ROUTERS; i++) {
-                skew[i] = random.nextInt((int) (SECOND / 2));
+                skew[i] = random.nextInt((int) (SECOND_MICROS / 2));
                 routers.add(new Hierarchy(initial, 0, 0, new Setup("d0", UpdateSource.FEED, TIMING, 0), t -> {}));
                 inbox.add(new ArrayList<>());
             }
@@ -124,7 +124,7 @@
         }
 
         void deliverLater(int router, long now, TopologyUpdate update) {
-            long delay = random.nextInt(10) == 0 ? random.nextInt((int) (20 * SECOND)) : random.nextInt((int) SECOND);
+            long delay = random.nextInt(10) == 0 ? random.nextInt((int) (20 * SECOND_MICROS)) : random.nextInt((int) SECOND_MICROS);
             inbox.get(router).add(new Delivery(now + delay, () -> routers.get(router).take(localTime(router, now + delay), update)));
         }
 
@@ -133,7 +133,7 @@
             for (int index = 0; index < ROUTERS; index++) {
                 int router = index;
                 if (random.nextInt(4) > 0) {
-                    long delay = random.nextInt((int) (2 * SECOND));
+                    long delay = random.nextInt((int) (2 * SECOND_MICROS));
                     inbox.get(index).add(new Delivery(now + delay, () -> routers.get(router)
                             .certain(localTime(router, now + delay), now, last)));
                 }
@@ -176,8 +176,8 @@
     private static void simulate(long seed, boolean wholeTopologiesOnly) {
         Run run = new Run(seed, wholeTopologiesOnly);
         long now = 0;
-        long updatesEnd = 40 * SECOND;
-        for (; now < updatesEnd; now += STEP) {
+        long updatesEnd = 40 * SECOND_MICROS;
+        for (; now < updatesEnd; now += STEP_MICROS) {
             if (run.random.nextInt(6) == 0) {
                 run.announce(now);
             }
@@ -185,8 +185,8 @@
             run.deliver(now);
             run.check(now);
         }
-        long end = now + 40 * SECOND + (HUBS + 2) * 3 * (TIMING.move() + 2 * TIMING.gap() + TIMING.remember());
-        for (; now < end; now += 4 * STEP) {
+        long end = now + 40 * SECOND_MICROS + (HUBS + 2) * 3 * (TIMING.move() + 2 * TIMING.gap() + TIMING.remember());
+        for (; now < end; now += 4 * STEP_MICROS) {
             run.heartbeat(now);
             run.deliver(now);
             run.check(now);
