--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -65,7 +65,7 @@
             double shareMoved,
             int unitsMoving,
             int linksHeld,
-            long updates,
+            long pieces,
             long piecesTwice,
             long piecesLate,
             long piecesEarly,
@@ -87,7 +87,7 @@
             fields.put("share-moved", String.format(Locale.ROOT, "%.3f", shareMoved));
             fields.put("units-moving", Integer.toString(unitsMoving));
             fields.put("links-held", Integer.toString(linksHeld));
-            fields.put("pieces", Long.toString(updates));
+            fields.put("pieces", Long.toString(pieces));
             fields.put("pieces-twice", Long.toString(piecesTwice));
             fields.put("pieces-late", Long.toString(piecesLate));
             fields.put("pieces-early", Long.toString(piecesEarly));
