--- a/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
@@ -5,9 +5,11 @@
 import pumicemoor.hierarchy.Topology.Unit;
 
 /**
- * One piece of news: from its number on, a unit has these parents, or is no more. Numbers count from 1 without
- * a gap; of several pieces for one unit the highest number holds. The count of a whole shape is that of its
- * pieces when they are to be taken together or not at all, else 0. Announced is Unix microseconds.
+ * A change of one unit: as of this update the unit has these parents, or is removed.
+ *
+ * <p>Updates are numbered from 1 without gaps; of several updates for one unit the one with the highest number applies.
+ * The time of the announcement is in Unix microseconds. The number of pieces is the number of updates of the whole
+ * topology that this one belongs to, which are applied together or not at all; it is 0 if the update is independent.
  */
 public record TopologyUpdate(
         long number,
