--- a/src/main/java/pumicemoor/lab/scale/CoordinatorEvents.java
+++ b/src/main/java/pumicemoor/lab/scale/CoordinatorEvents.java
@@ -9,28 +9,28 @@
 import java.util.stream.IntStream;
 
 /**
- * What the coordinator tells at the size that is measured, as the texts that go over the wire: lines of members, lists,
- * purges, and the configuration of a router that knows them. It owns the shape of the installation and must never decide
- * anything. All of it follows from the seed.
+ * Generates the texts that a coordinator sends in an installation of the measured size: member lists, changes of single
+ * members, purges, and the configuration of a router that includes initial events. It owns the layout of the simulated
+ * installation and must never decide anything. All output follows from the seed.
  */
 final class CoordinatorEvents {
 
-    /** Where members stand: by sites as at the target, or all of the caches at the router's own site. */
+    /** The sites of the members: spread as in the target installation, or all caches at the router's own site. */
     enum Layout {
         SITES,
         ONE_SITE
     }
 
-    /** The number of the last event before the measurement: as many digits as a coordinator has after two days. */
-    static final long FIRST = 36_000_000;
-    /** Times of purges and lists, Unix milliseconds. */
-    static final long BEGIN = 1_764_576_000_000L;
-    /** A sign of life between events, as the stand-in sends it once a second. */
-    static final String COMMENT = ": \n\n";
+    /** The index of the last event before the measurement, with as many digits as a coordinator reaches in two days. */
+    static final long INITIAL_INDEX = 36_000_000;
+    /** The time at which purges and member changes begin. */
+    static final long START_UNIX_MILLIS = 1_764_576_000_000L;
+    /** A heartbeat between events, as the lab's coordinator stand-in sends it once a second. */
+    static final String HEARTBEAT = ": \n\n";
 
-    private static final double MEMBERS_A_SITE = 5.8;
-    private static final double PARENTS = 258.0 / 8_700; // two in each of 129 zones
-    private static final int ROUTERS_A_SITE = 12;
+    private static final double MEMBERS_PER_SITE = 5.8;
+    private static final double PARENT_SHARE = 258.0 / 8_700; // of all members: two parents in each of 129 zones
+    private static final int ROUTERS_PER_SITE = 12;
 
     private final Layout layout;
     private final int members;
@@ -40,7 +40,7 @@
     CoordinatorEvents(Layout layout, int members, long seed) {
         this.layout = layout;
         this.members = members;
-        this.sites = Math.max(1, (int) Math.round(members / MEMBERS_A_SITE));
+        this.sites = Math.max(1, (int) Math.round(members / MEMBERS_PER_SITE));
         this.random = new Random(seed);
     }
 
@@ -48,40 +48,40 @@
         return sites;
     }
 
-    /** The event as the stream carries it. */
-    static String onWire(long index, String event) {
+    /** The event in the format of the stream (server-sent events). */
+    static String streamText(long index, String event) {
         return "id: " + index + "\ndata: " + event + "\n\n";
     }
 
-    static int bytes(String text) {
+    static int utf8Length(String text) {
         return text.getBytes(StandardCharsets.UTF_8).length;
     }
 
-    /** The whole list. */
-    String whole(long index) {
-        List<String> lines = new ArrayList<>();
+    /** An event with the whole member list. */
+    String memberList(long index) {
+        List<String> entries = new ArrayList<>();
         for (int i = 0; i < members; i++) {
-            lines.add(line(i, "active", 0));
+            entries.add(memberEntry(i, "active", 0));
         }
-        return list(index, true, lines);
+        return endpointsEvent(index, true, entries);
     }
 
-    /** One member's process has been replaced. */
-    String change(long index, long unixMillis) {
-        return list(index, false, List.of(line(1 + random.nextInt(members - 1), "active", unixMillis)));
+    /** An event with a single changed member, whose process was replaced. */
+    String memberChange(long index, long unixMillis) {
+        return endpointsEvent(index, false, List.of(memberEntry(1 + random.nextInt(members - 1), "active", unixMillis)));
     }
 
     static String purge(long index, String object, long unixMillis) {
         return "{\"index\":" + index + ",\"evict\":{\"ref\":\"" + object + "\",\"unix_ms\":" + unixMillis + "}}";
     }
 
-    /** An object's name; each number has its own. */
-    static String object(long number) {
+    /** The name of the object with this number; names are unique. */
+    static String objectName(long number) {
         return String.format("%016x", number * 0x9E3779B97F4A7C15L);
     }
 
-    private static String list(long index, boolean whole, List<String> lines) {
-        return lines.stream()
+    private static String endpointsEvent(long index, boolean whole, List<String> entries) {
+        return entries.stream()
                 .collect(Collectors.joining(
                         ",",
                         "{\"index\":" + index + ",\"endpoints\":{\"generation\":" + index + ",\"reset\":" + whole
@@ -89,31 +89,31 @@
                         "]}}"));
     }
 
-    /** The first is the origin, then come the parents, then the caches. */
-    private String line(int number, String lifecycle, long started) {
-        int parents = Math.max(1, (int) Math.round(members * PARENTS));
+    /** One entry of the member list: number 0 is the origin, then come the parents, then the caches. */
+    private String memberEntry(int number, String lifecycle, long startedAtMillis) {
+        int parents = Math.max(1, (int) Math.round(members * PARENT_SHARE));
         String kind = number == 0 ? "origin" : number <= parents ? "parent" : "cache";
         int site = layout == Layout.ONE_SITE && number > parents ? 0 : number % sites;
         return "{\"instanceId\":\"" + kind.charAt(0) + String.format("-%08x", number * 0x9E3779B1)
                 + "\",\"hostPort\":\"10."
-                + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":9090\",\"zone\":\"" + site(site)
+                + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":9090\",\"zone\":\"" + siteName(site)
                 + "\",\"machineType\":\"" + kind + "\",\"cell\":0,\"lifecycle\":\"" + lifecycle
-                + "\",\"weight\":400,\"startedAtMs\":" + started + "}";
+                + "\",\"weight\":400,\"startedAtMs\":" + startedAtMillis + "}";
     }
 
-    private static String site(int number) {
+    private static String siteName(int number) {
         return String.format("site-%04d", number);
     }
 
-    /** A router's configuration; it knows these events, the last of them of that number. */
-    String config(long lastKnown, String... known) {
-        return config("r-0001", lastKnown, known);
+    /** A router configuration that includes these events, the last of which has the index {@code lastIndex}. */
+    String config(long lastIndex, String... events) {
+        return config("r-0001", lastIndex, events);
     }
 
-    String config(String router, long lastKnown, String... known) {
+    String config(String router, long lastIndex, String... events) {
         String zones =
-                IntStream.range(0, sites).mapToObj(i -> "\"" + site(i) + "\"").collect(Collectors.joining(","));
-        String crews = Collections.nCopies(sites, Integer.toString(ROUTERS_A_SITE)).stream()
+                IntStream.range(0, sites).mapToObj(i -> "\"" + siteName(i) + "\"").collect(Collectors.joining(","));
+        String routersBySite = Collections.nCopies(sites, Integer.toString(ROUTERS_PER_SITE)).stream()
                 .collect(Collectors.joining(","));
         return """
                 {"name":"%s","listen":"10.0.0.1:8080","seed":"1","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -133,6 +133,6 @@
                    "upper-cold-us":10000000,"parent-fall-multiple":2},
                   "telemetry":{"how":"none","columns":[]},"weights":"rough"}}
                 """
-                .formatted(router, lastKnown, String.join(",", known), zones, sites * ROUTERS_A_SITE, crews);
+                .formatted(router, lastIndex, String.join(",", events), zones, sites * ROUTERS_PER_SITE, routersBySite);
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/Fit.java
+++ b/src/main/java/pumicemoor/lab/scale/Fit.java
@@ -7,30 +7,31 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * How one figure grows with the size: the power of the size that fits best in logarithms, with the interval that
- * holds it with 95 %, and which of n^0, log n, n and n log n fits best when only its height is free. Residuals are factors:
- * 1.1 means that the worst point lies 10 % off. It must never say more than its points do: what it gives beyond them is extrapolated.
+ * The growth of one figure with the size. It has the exponent of the power law that fits best, by least squares on
+ * logarithms, with its 95 % confidence interval, and which of the forms n^0, log n, n and n log n fits best with a
+ * constant factor as the only parameter. Residuals are factors: 1.1 means that the worst point lies 10 % off. It must
+ * claim no more than its points show: values beyond their range are extrapolations.
  */
 record Fit(
-        int points,
-        int least,
-        int most,
+        int pointCount,
+        int minSize,
+        int maxSize,
         double slope,
         double slopeLow,
         double slopeHigh,
-        double height,
-        double worst,
+        double intercept,
+        double maxResidual,
         String form,
-        double formWorst) {
+        double formMaxResidual) {
 
-    private static final double LEVEL = 0.95;
-    private static final double FURTHEST = 1_000; // times the range, beyond which nothing is extrapolated
+    private static final double CONFIDENCE_LEVEL = 0.95;
+    private static final double MAX_EXTRAPOLATION_FACTOR = 1_000; // relative to the largest measured size
 
-    /** One measured point. */
+    /** One measured value of the figure. */
     record Point(int size, double value) {}
 
-    /** Where a figure leaves its budget, and whether that is within the measured range or beyond it by the fit. */
-    record Leaves(double size, boolean measured) {}
+    /** The size at which a figure exceeds its budget, and whether it lies in the measured range or is extrapolated. */
+    record BudgetCrossing(double size, boolean measured) {}
 
     private enum Form {
         CONSTANT("n^0"),
@@ -44,80 +45,81 @@
             this.text = text;
         }
 
-        private double of(double n) {
+        private double valueAt(double size) {
             return switch (this) {
                 case CONSTANT -> 1;
-                case LOG -> Math.log(n);
-                case LINEAR -> n;
-                case N_LOG_N -> n * Math.log(n);
+                case LOG -> Math.log(size);
+                case LINEAR -> size;
+                case N_LOG_N -> size * Math.log(size);
             };
         }
     }
 
-    /** Fits points of at least three different sizes, all above 0; null where there are fewer. */
+    /** Fits the points with positive values and sizes above 1; null if they have fewer than three different sizes. */
     static Fit of(List<Point> points) {
-        List<Point> used =
+        List<Point> positive =
                 points.stream().filter(p -> p.value() > 0 && p.size() > 1).toList();
-        if (used.stream().mapToInt(Point::size).distinct().count() < 3) {
+        if (positive.stream().mapToInt(Point::size).distinct().count() < 3) {
             return null;
         }
-        SimpleRegression line = new SimpleRegression();
-        used.forEach(p -> line.addData(Math.log(p.size()), Math.log(p.value())));
-        double half = line.getSlopeStdErr()
-                * new TDistribution(line.getN() - 2).inverseCumulativeProbability(1 - (1 - LEVEL) / 2);
-        double worst = used.stream()
-                .mapToDouble(p -> Math.abs(Math.log(p.value()) - line.predict(Math.log(p.size()))))
+        SimpleRegression regression = new SimpleRegression();
+        positive.forEach(p -> regression.addData(Math.log(p.size()), Math.log(p.value())));
+        double slopeMargin = regression.getSlopeStdErr()
+                * new TDistribution(regression.getN() - 2).inverseCumulativeProbability(1 - (1 - CONFIDENCE_LEVEL) / 2);
+        double maxLogResidual = positive.stream()
+                .mapToDouble(p -> Math.abs(Math.log(p.value()) - regression.predict(Math.log(p.size()))))
                 .max()
                 .orElse(0);
         Form best = null;
-        double least = Double.MAX_VALUE;
-        double bestWorst = 0;
+        double leastSquaredError = Double.MAX_VALUE;
+        double bestMaxLogResidual = 0;
         for (Form form : Form.values()) {
-            double mean = used.stream()
-                    .mapToDouble(p -> Math.log(p.value() / form.of(p.size())))
+            double mean = positive.stream()
+                    .mapToDouble(p -> Math.log(p.value() / form.valueAt(p.size())))
                     .average()
                     .orElse(0);
-            double squares = used.stream()
-                    .mapToDouble(p -> Math.pow(Math.log(p.value() / form.of(p.size())) - mean, 2))
+            double squaredError = positive.stream()
+                    .mapToDouble(p -> Math.pow(Math.log(p.value() / form.valueAt(p.size())) - mean, 2))
                     .sum();
-            if (squares < least) {
-                least = squares;
+            if (squaredError < leastSquaredError) {
+                leastSquaredError = squaredError;
                 best = form;
-                bestWorst = used.stream()
-                        .mapToDouble(p -> Math.abs(Math.log(p.value() / form.of(p.size())) - mean))
+                bestMaxLogResidual = positive.stream()
+                        .mapToDouble(p -> Math.abs(Math.log(p.value() / form.valueAt(p.size())) - mean))
                         .max()
                         .orElse(0);
             }
         }
         return new Fit(
-                used.size(),
-                used.stream().mapToInt(Point::size).min().orElse(0),
-                used.stream().mapToInt(Point::size).max().orElse(0),
-                line.getSlope(),
-                line.getSlope() - half,
-                line.getSlope() + half,
-                line.getIntercept(),
-                Math.exp(worst),
+                positive.size(),
+                positive.stream().mapToInt(Point::size).min().orElse(0),
+                positive.stream().mapToInt(Point::size).max().orElse(0),
+                regression.getSlope(),
+                regression.getSlope() - slopeMargin,
+                regression.getSlope() + slopeMargin,
+                regression.getIntercept(),
+                Math.exp(maxLogResidual),
                 best.text,
-                Math.exp(bestWorst));
+                Math.exp(bestMaxLogResidual));
     }
 
-    /** What the power of the size gives. */
-    double at(double size) {
-        return Math.exp(height + slope * Math.log(size));
+    /** The value of the power law at a size. */
+    double predict(double size) {
+        return Math.exp(intercept + slope * Math.log(size));
     }
 
-    /** By what factor a size goes past the largest that was measured; 1 where it doesn't. */
-    double past(double size) {
-        return Math.max(1, size / most);
+    /** The ratio of a size to the largest measured size; 1 for sizes within the range. */
+    double extrapolationFactor(double size) {
+        return Math.max(1, size / maxSize);
     }
 
     /**
-     * The smallest size at which a figure is over its budget: within the measured range between the last point under
-     * it and the first over it (in logarithms; the first point itself where that is over), else by the fit. Empty
-     * where the fit does not grow, or comes there only past a thousand times the range.
+     * The smallest size at which a figure exceeds its budget. Within the measured range it is interpolated on
+     * logarithms between the first point over the budget and the one before, or is the first point itself if that is
+     * over. Beyond the range it follows from the fit. Empty if the fit does not grow, or reaches the budget only
+     * beyond a thousand times the largest measured size.
      */
-    static Optional<Leaves> leaves(List<Point> points, Fit fit, double budget) {
+    static Optional<BudgetCrossing> budgetCrossing(List<Point> points, Fit fit, double budget) {
         List<Point> sorted = points.stream()
                 .sorted(java.util.Comparator.comparingInt(Point::size))
                 .toList();
@@ -125,19 +127,19 @@
             Point over = sorted.get(i);
             if (over.value() > budget) {
                 if (i == 0 || sorted.get(i - 1).value() <= 0) {
-                    return Optional.of(new Leaves(over.size(), true));
+                    return Optional.of(new BudgetCrossing(over.size(), true));
                 }
                 Point under = sorted.get(i - 1);
-                double part = Math.log(budget / under.value()) / Math.log(over.value() / under.value());
-                return Optional.of(new Leaves(
-                        Math.exp(Math.log(under.size()) + part * Math.log((double) over.size() / under.size())), true));
+                double fraction = Math.log(budget / under.value()) / Math.log(over.value() / under.value());
+                return Optional.of(new BudgetCrossing(
+                        Math.exp(Math.log(under.size()) + fraction * Math.log((double) over.size() / under.size())), true));
             }
         }
         OptionalDouble size = fit == null || fit.slope() <= 0 || Double.isInfinite(budget)
                 ? OptionalDouble.empty()
-                : OptionalDouble.of(Math.exp((Math.log(budget) - fit.height()) / fit.slope()));
-        return size.isPresent() && size.getAsDouble() <= FURTHEST * fit.most()
-                ? Optional.of(new Leaves(Math.max(size.getAsDouble(), fit.most()), false))
+                : OptionalDouble.of(Math.exp((Math.log(budget) - fit.intercept()) / fit.slope()));
+        return size.isPresent() && size.getAsDouble() <= MAX_EXTRAPOLATION_FACTOR * fit.maxSize()
+                ? Optional.of(new BudgetCrossing(Math.max(size.getAsDouble(), fit.maxSize()), false))
                 : Optional.empty();
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/FleetRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/FleetRoles.java
@@ -9,35 +9,41 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import pumicemoor.lab.scale.HollowFleet.Kind;
-import pumicemoor.lab.scale.HollowFleet.Shape;
+import pumicemoor.lab.scale.SimulatedFleet.FleetParameters;
+import pumicemoor.lab.scale.SimulatedFleet.Kind;
 
 /**
- * What a router costs as a part of its fleet, by size: it owns the order of what happens to each hollow fleet and
- * the windows that are measured. Counts are the same each time for the same configuration; processor time and heap are
- * those of this machine. A size that takes longer than it may is broken off: what it had measured stays, and a line says so.
+ * Measures what a router costs as a member of its fleet, by size of the fleet. It owns the sequence of events in each
+ * simulated fleet (start, calm period, faults) and the measured windows. Counts are the same for each run of the same
+ * configuration; processor time and heap are those of this machine. A size that exceeds its time limit is aborted: the
+ * samples taken so far are kept and a progress line reports the abort.
  */
 final class FleetRoles implements RoleMeasurement {
 
-    private static final int START = 10; // seconds measured after a common start
-    private static final int RESTART = 10; // seconds measured after a share was started anew
-    private static final int HOLDERS = 30; // routers of the fleet in which limits are counted
-    private static final int ACCUSED = 10; // seconds for which every router accuses one member
-    private static final int HEAP_FROM = 100; // routers; below, what else is in the heap moves by more than they hold
-    private static final int WARM = 60; // routers of the fleet that is not measured
-    private static final long TALK = 10_000_000_000L; // nanoseconds between two lines of progress
+    private static final int START_SECONDS = 10; // measured after all routers start at once
+    private static final int RESTART_SECONDS = 10; // measured after a share of the routers restarts
+    private static final int HOLDER_FLEET_ROUTERS = 30; // in the fleet that measures the role 'holder'
+    private static final int FAILURE_REPORT_SECONDS = 10; // for which every router reports one member as failing
+    /** In smaller fleets the rest of the heap varies by more than the routers use. */
+    private static final int MIN_ROUTERS_FOR_HEAP = 100;
 
-    private final Consumer<List<Sample>> soFar;
+    private static final int WARM_UP_ROUTERS = 60; // in the fleet that only warms up the JIT compiler
+    private static final long PROGRESS_INTERVAL_NANOS = 10_000_000_000L; // between two progress lines
+
+    private final Consumer<List<Sample>> onSamples;
     private ScaleConfig config;
     private PrintStream progress;
     private final List<Sample> samples = new ArrayList<>();
-    private long sizeBegan;
-    private long talked;
-    private boolean brokenOff;
+    private long runStartedNanos;
+    private long lastProgressNanos;
+    private boolean aborted;
 
-    /** Hands all samples so far over after each size, since the next may take long. */
-    FleetRoles(Consumer<List<Sample>> soFar) {
-        this.soFar = soFar;
+    /**
+     * @param onSamples receives all samples so far after each fleet size of the roles 'fleet' and 'keeper', since the
+     *     next size may take long
+     */
+    FleetRoles(Consumer<List<Sample>> onSamples) {
+        this.onSamples = onSamples;
     }
 
     @Override
@@ -45,186 +51,192 @@
         this.config = config;
         this.progress = progress;
         samples.clear();
-        warm();
+        warmUp();
         if (config.roles().contains(ScaleConfig.Role.FLEET) || config.roles().contains(ScaleConfig.Role.KEEPER)) {
             config.routers().forEach(size -> {
-                fleet(size);
-                soFar.accept(List.copyOf(samples));
+                measureFleet(size);
+                onSamples.accept(List.copyOf(samples));
             });
         }
         if (config.roles().contains(ScaleConfig.Role.HOLDER)) {
-            config.limits().forEach(this::holder);
+            config.limits().forEach(this::measureHolders);
         }
         if (config.roles().contains(ScaleConfig.Role.DRAINS)) {
-            config.drains().forEach(this::drains);
+            config.drains().forEach(this::measureDrains);
         }
         return List.copyOf(samples);
     }
 
-    /** The first figures would else be those of code that is not compiled yet; of small fleets they are that anyhow. */
-    private void warm() {
-        if (config.routers().stream().allMatch(n -> n < WARM)) {
+    /**
+     * Runs a fleet without measuring it, since the first figures would otherwise be those of code that is not
+     * compiled yet. Configurations with small fleets alone skip this; their figures include that cost.
+     */
+    private void warmUp() {
+        if (config.routers().stream().allMatch(n -> n < WARM_UP_ROUTERS)) {
             return;
         }
-        begin("warming up");
-        HollowFleet fleet = new HollowFleet(config, new Shape(WARM, 1, false));
+        beginRun("warming up");
+        SimulatedFleet fleet = new SimulatedFleet(config, new FleetParameters(WARM_UP_ROUTERS, 1, false));
         fleet.startAll();
-        live(fleet, 20, "warming up");
+        simulate(fleet, 20, "warming up");
     }
 
-    private void fleet(int size) {
-        begin("routers " + size);
-        if (config.cells() == null && size > HollowFleet.TABLE) {
+    private void measureFleet(int size) {
+        beginRun("routers " + size);
+        if (config.cells() == null && size > SimulatedFleet.MAX_TABLE_ROUTERS) {
             progress.println("routers " + size + ": the table is set to hold them all; a real router's holds "
-                    + HollowFleet.TABLE);
+                    + SimulatedFleet.MAX_TABLE_ROUTERS);
         }
-        long base = base();
-        HollowFleet fleet = new HollowFleet(config, new Shape(size, 1, false));
+        long heapBefore = usedHeap();
+        SimulatedFleet fleet = new SimulatedFleet(config, new FleetParameters(size, 1, false));
         int seconds = (int) Math.ceil(config.seconds());
-        boolean all = config.roles().contains(ScaleConfig.Role.FLEET);
+        boolean measured = config.roles().contains(ScaleConfig.Role.FLEET);
         fleet.startAll();
-        if (!window(fleet, START, all ? "start" : null)
-                || !live(fleet, Math.max(0, config.settle() - START), "settling")) {
+        if (!measureWindow(fleet, START_SECONDS, measured ? "start" : null)
+                || !simulate(fleet, Math.max(0, config.settle() - START_SECONDS), "settling")) {
             return;
         }
         fleet.churn();
-        if (!window(fleet, seconds, all ? "calm" : null)) {
+        if (!measureWindow(fleet, seconds, measured ? "calm" : null)) {
             return;
         }
-        if (all) {
-            fleet.window(0);
-            heap(fleet, base, size);
-            faults(fleet, size, seconds);
+        if (measured) {
+            fleet.beginWindow(0);
+            addHeap(fleet, heapBefore, size);
+            injectFaults(fleet, size, seconds);
         }
-        if (!brokenOff && config.verdicts() && config.roles().contains(ScaleConfig.Role.KEEPER)) {
-            fleet.accuse(fleet.now + ACCUSED * HollowFleet.SECOND);
-            window(fleet, ACCUSED, "one member accused by all");
+        if (!aborted && config.verdicts() && config.roles().contains(ScaleConfig.Role.KEEPER)) {
+            fleet.reportFailing(fleet.now + FAILURE_REPORT_SECONDS * SimulatedFleet.MICROS_PER_SECOND);
+            measureWindow(fleet, FAILURE_REPORT_SECONDS, "one member accused by all");
         }
     }
 
-    private void faults(HollowFleet fleet, int size, int seconds) {
-        ScaleConfig.Faults f = config.faults();
-        Random draw = new Random(config.seed());
-        if (f.restartShare() > 0) {
-            fleet.window(RESTART);
-            int count = fleet.restart(r -> draw.nextDouble() < f.restartShare(), HollowFleet.SECOND);
-            if (!finish(fleet, RESTART, percent(f.restartShare()) + " restarted")
-                    || !live(fleet, seconds, "settling")) {
+    private void injectFaults(SimulatedFleet fleet, int size, int seconds) {
+        ScaleConfig.Faults faults = config.faults();
+        Random random = new Random(config.seed());
+        if (faults.restartShare() > 0) {
+            fleet.beginWindow(RESTART_SECONDS);
+            int restarted = fleet.restart(r -> random.nextDouble() < faults.restartShare(), SimulatedFleet.MICROS_PER_SECOND);
+            if (!finishWindow(fleet, RESTART_SECONDS, percent(faults.restartShare()) + " restarted")
+                    || !simulate(fleet, seconds, "settling")) {
                 return;
             }
-            say("routers " + size + ": " + count + " were started anew at once");
+            report("routers " + size + ": " + restarted + " were started anew at once");
         }
-        if (f.zoneSeconds() > 0) {
-            int zone = fleet.geography.largest(Geography.Place::zone, -1);
-            int lost = (int) Math.ceil(f.zoneSeconds());
-            fleet.window(lost);
-            int count = fleet.restart(r -> r.place.zone() == zone, lost * HollowFleet.SECOND);
-            if (!finish(fleet, lost, "zone lost") || !window(fleet, seconds, "zone back")) {
+        if (faults.zoneSeconds() > 0) {
+            int zone = fleet.geography.largest(Geography.Location::zone, -1);
+            int lostSeconds = (int) Math.ceil(faults.zoneSeconds());
+            fleet.beginWindow(lostSeconds);
+            int restarted = fleet.restart(r -> r.location.zone() == zone, lostSeconds * SimulatedFleet.MICROS_PER_SECOND);
+            if (!finishWindow(fleet, lostSeconds, "zone lost") || !measureWindow(fleet, seconds, "zone back")) {
                 return;
             }
-            say("routers " + size + ": a zone with " + count + " of them was lost and came back");
+            report("routers " + size + ": a zone with " + restarted + " of them was lost and came back");
         }
-        if (f.cutSeconds() > 0) {
-            int one = fleet.geography.largest(Geography.Place::region, -1);
-            int other = fleet.geography.largest(Geography.Place::region, one);
-            int apart = (int) Math.ceil(f.cutSeconds());
-            fleet.cut((a, b) -> a.region() == one && b.region() == other || a.region() == other && b.region() == one);
-            if (one == other || !window(fleet, apart, "regions cut")) {
+        if (faults.cutSeconds() > 0) {
+            int firstRegion = fleet.geography.largest(Geography.Location::region, -1);
+            int secondRegion = fleet.geography.largest(Geography.Location::region, firstRegion);
+            int cutSeconds = (int) Math.ceil(faults.cutSeconds());
+            fleet.setPartition((a, b) -> a.region() == firstRegion && b.region() == secondRegion || a.region() == secondRegion && b.region() == firstRegion);
+            if (firstRegion == secondRegion || !measureWindow(fleet, cutSeconds, "regions cut")) {
                 return;
             }
-            fleet.cut((a, b) -> false);
-            window(fleet, seconds, "regions joined");
+            fleet.setPartition((a, b) -> false);
+            measureWindow(fleet, seconds, "regions joined");
         }
     }
 
-    /** A small fleet with so many limits: what its plain routers, its holders, and its grantor cost. */
-    private void holder(int limits) {
-        begin("limits " + limits);
-        HollowFleet fleet = new HollowFleet(config, new Shape(HOLDERS, limits, false));
+    /**
+     * Measures a small fleet with the given number of limits: the cost of its members, which hold shares of the
+     * limits, and of its grantor.
+     */
+    private void measureHolders(int limits) {
+        beginRun("limits " + limits);
+        SimulatedFleet fleet = new SimulatedFleet(config, new FleetParameters(HOLDER_FLEET_ROUTERS, limits, false));
         fleet.startAll();
-        if (!live(fleet, config.settle(), "settling")) {
+        if (!simulate(fleet, config.settle(), "settling")) {
             return;
         }
-        fleet.window((int) Math.ceil(config.seconds()));
-        if (!live(fleet, Math.ceil(config.seconds()), "calm")) {
+        fleet.beginWindow((int) Math.ceil(config.seconds()));
+        if (!simulate(fleet, Math.ceil(config.seconds()), "calm")) {
             return;
         }
         fleet.samples("calm", false)
                 .forEach(s -> samples.add(new Sample(
-                        (s.role().startsWith("member") ? "holder" : s.role().replace(", calm", "")) + " at " + HOLDERS
+                        (s.role().startsWith("member") ? "holder" : s.role().replace(", calm", "")) + " at " + HOLDER_FLEET_ROUTERS
                                 + " routers, by limits",
                         limits,
                         s.figures())));
     }
 
-    private void drains(int size) {
-        begin("drains, routers " + size);
-        HollowFleet fleet = new HollowFleet(config, new Shape(size, 1, true));
+    private void measureDrains(int size) {
+        beginRun("drains, routers " + size);
+        SimulatedFleet fleet = new SimulatedFleet(config, new FleetParameters(size, 1, true));
         fleet.startAll();
-        if (live(fleet, config.settle(), "settling")) {
-            window(fleet, (int) Math.ceil(config.seconds()), "calm, with drains");
+        if (simulate(fleet, config.settle(), "settling")) {
+            measureWindow(fleet, (int) Math.ceil(config.seconds()), "calm, with drains");
         }
     }
 
     // ---- windows --------------------------------------------------------------------------------------
 
-    private boolean window(HollowFleet fleet, int seconds, String scenario) {
-        fleet.window(seconds);
-        return finish(fleet, seconds, scenario);
+    private boolean measureWindow(SimulatedFleet fleet, int seconds, String scenario) {
+        fleet.beginWindow(seconds);
+        return finishWindow(fleet, seconds, scenario);
     }
 
-    /** Lives a window that has begun to its end and keeps its samples; null measures nothing. */
-    private boolean finish(HollowFleet fleet, int seconds, String scenario) {
-        if (!live(fleet, seconds, scenario == null ? "settling" : scenario)) {
+    /** Runs the simulation to the end of a window that has begun and adds its samples; a null scenario adds none. */
+    private boolean finishWindow(SimulatedFleet fleet, int seconds, String scenario) {
+        if (!simulate(fleet, seconds, scenario == null ? "settling" : scenario)) {
             return false;
         }
         if (scenario != null) {
-            List<Sample> measured = fleet.samples(scenario, scenario.equals("start"));
-            measured.forEach(s -> say(line(s)));
-            samples.addAll(measured);
+            List<Sample> windowSamples = fleet.samples(scenario, scenario.equals("start"));
+            windowSamples.forEach(s -> report(line(s)));
+            samples.addAll(windowSamples);
         }
         return true;
     }
 
-    private boolean live(HollowFleet fleet, double seconds, String what) {
-        long end = fleet.now + (long) (seconds * HollowFleet.SECOND);
-        Predicate<HollowFleet> tick = f -> {
-            long took = System.nanoTime() - sizeBegan;
-            if (System.nanoTime() - talked > TALK) {
-                talked = System.nanoTime();
-                say(String.format(
+    private boolean simulate(SimulatedFleet fleet, double seconds, String activity) {
+        long end = fleet.now + (long) (seconds * SimulatedFleet.MICROS_PER_SECOND);
+        Predicate<SimulatedFleet> eachSecond = running -> {
+            long elapsedNanos = System.nanoTime() - runStartedNanos;
+            if (System.nanoTime() - lastProgressNanos > PROGRESS_INTERVAL_NANOS) {
+                lastProgressNanos = System.nanoTime();
+                report(String.format(
                         Locale.ROOT,
                         "%s: %s, %d virtual seconds to go, %d packets so far, %d s",
-                        unit,
-                        what,
-                        (end - f.now) / HollowFleet.SECOND,
-                        f.packets(),
-                        took / 1_000_000_000L));
+                        currentRun,
+                        activity,
+                        (end - running.now) / SimulatedFleet.MICROS_PER_SECOND,
+                        running.packets(),
+                        elapsedNanos / 1_000_000_000L));
             }
-            if (took > config.minutes() * 60e9) {
-                brokenOff = true;
-                say(unit + ": broken off in '" + what + "' after " + config.minutes() + " minutes (key 'minutes')");
+            if (elapsedNanos > config.minutes() * 60e9) {
+                aborted = true;
+                report(currentRun + ": broken off in '" + activity + "' after " + config.minutes() + " minutes (key 'minutes')");
             }
-            return !brokenOff;
+            return !aborted;
         };
-        return fleet.run((long) (seconds * HollowFleet.SECOND), tick);
+        return fleet.run((long) (seconds * SimulatedFleet.MICROS_PER_SECOND), eachSecond);
     }
 
-    private String unit = "";
+    private String currentRun = "";
 
-    private void begin(String what) {
-        unit = what;
-        sizeBegan = System.nanoTime();
-        talked = sizeBegan;
-        brokenOff = false;
-        say(what);
+    private void beginRun(String run) {
+        currentRun = run;
+        runStartedNanos = System.nanoTime();
+        lastProgressNanos = runStartedNanos;
+        aborted = false;
+        report(run);
     }
 
-    private void say(String line) {
+    private void report(String line) {
         progress.println(line);
     }
 
-    private static long base() {
+    private static long usedHeap() {
         System.gc();
         System.gc();
         return java.lang.management.ManagementFactory.getMemoryMXBean()
@@ -232,35 +244,38 @@
                 .getUsed();
     }
 
-    /** The heap of all routers by their number, into the calm samples: what each kind holds can't be told apart. */
-    private void heap(HollowFleet fleet, long base, int size) {
-        if (size < HEAP_FROM) {
+    /**
+     * Adds the heap of the fleet per router to the members' calm sample. The heap can't be split by kind of router, so
+     * this is the mean of all kinds.
+     */
+    private void addHeap(SimulatedFleet fleet, long heapBefore, int size) {
+        if (size < MIN_ROUTERS_FOR_HEAP) {
             return;
         }
-        double heap = (double) (fleet.heap() - base) / size;
-        samples.replaceAll(s -> s.size() != size || !s.role().equals(Kind.MEMBER.role + ", calm") ? s : with(s, heap));
+        double heapPerRouter = (double) (fleet.heap() - heapBefore) / size;
+        samples.replaceAll(s -> s.size() != size || !s.role().equals(Kind.MEMBER.role + ", calm") ? s : withHeap(s, heapPerRouter));
     }
 
-    private static Sample with(Sample s, double heap) {
-        Map<String, Double> figures = new LinkedHashMap<>(s.figures());
-        figures.put("heap bytes", heap);
-        return new Sample(s.role(), s.size(), figures);
+    private static Sample withHeap(Sample sample, double heapPerRouter) {
+        Map<String, Double> figures = new LinkedHashMap<>(sample.figures());
+        figures.put("heap bytes", heapPerRouter);
+        return new Sample(sample.role(), sample.size(), figures);
     }
 
     private static String percent(double share) {
         return Math.round(share * 100) + " %";
     }
 
-    /** Lines for a quick look: of each kind its bytes a second. */
-    static String line(Sample s) {
+    /** A progress line with the main figures of a sample. */
+    static String line(Sample sample) {
         return String.format(
                 Locale.ROOT,
                 "%s, %d: in %.0f, out %.0f bytes/s, %.3f cpu ms/s, all have %.3f of the limit",
-                s.role(),
-                s.size(),
-                s.figures().getOrDefault("bytes in/s", 0.0),
-                s.figures().getOrDefault("bytes out/s", 0.0),
-                s.figures().getOrDefault("cpu ms/s", 0.0),
-                s.figures().getOrDefault(HollowFleet.OF_THE_LIMIT, 0.0));
+                sample.role(),
+                sample.size(),
+                sample.figures().getOrDefault("bytes in/s", 0.0),
+                sample.figures().getOrDefault("bytes out/s", 0.0),
+                sample.figures().getOrDefault("cpu ms/s", 0.0),
+                sample.figures().getOrDefault(SimulatedFleet.SPENDABLE_SHARE, 0.0));
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/Geography.java
+++ b/src/main/java/pumicemoor/lab/scale/Geography.java
@@ -5,85 +5,101 @@
 import java.util.Random;
 
 /**
- * Where the routers of a hollow fleet stand, and how long a packet takes between two of them. It owns the draw of sites,
- * zones and regions, which are uneven as real ones are, and must never depend on anything but its seed and its numbers.
+ * Assigns the routers of a simulated fleet to sites, zones and regions and gives the network delay between two of them.
+ * It owns the random assignment, in which sites, zones and regions differ in size as real ones do. The result must
+ * depend on nothing but the seed and the counts passed to the constructor.
  */
 final class Geography {
 
-    /** The shortest way of a packet, microseconds. */
-    static final long SHORTEST = 500;
+    /** The minimum delay of any packet: no router can affect another in less time. */
+    static final long MIN_DELAY_MICROS = 500;
 
-    private static final long MILLI = 1_000;
-    private static final double UNEVEN = 0.7; // deviation of the logarithm of a site's, zone's or region's weight
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final double WEIGHT_LOG_DEVIATION = 0.7; // standard deviation of the logarithms of the weights
 
-    /** Where one router stands, by numbers that hold for the whole fleet. */
-    record Place(int site, int zone, int region) {}
+    /** The site, zone and region of one router, each numbered across the whole fleet. */
+    record Location(int site, int zone, int region) {}
 
-    private final List<Place> places = new ArrayList<>();
-    private final long[][] between; // the least delay of a pair of regions, microseconds
-    private final long jitter;
+    private final List<Location> locations = new ArrayList<>();
+    private final long[][] regionDelayMicros; // by pair of regions, without jitter
+    private final long jitterMicros;
 
-    /** Draws places for so many routers; the delay between two regions is drawn once, from far's least to its most. */
-    Geography(int routers, int sites, int zones, int regions, long leastFar, long mostFar, long seed) {
+    /**
+     * Draws the locations of all routers. The delay of each pair of regions is drawn once, between the minimum and the
+     * maximum given.
+     */
+    Geography(int routers, int sites, int zones, int regions, long minRegionDelayMicros, long maxRegionDelayMicros, long seed) {
         Random random = new Random(seed);
-        int[] regionOf = spread(zones, regions, random);
-        int[] zoneOf = spread(sites, zones, random);
-        int[] siteOf = spread(routers, sites, random);
+        int[] regionOf = assign(zones, regions, random);
+        int[] zoneOf = assign(sites, zones, random);
+        int[] siteOf = assign(routers, sites, random);
         for (int i = 0; i < routers; i++) {
-            places.add(new Place(siteOf[i], zoneOf[siteOf[i]], regionOf[zoneOf[siteOf[i]]]));
+            locations.add(new Location(siteOf[i], zoneOf[siteOf[i]], regionOf[zoneOf[siteOf[i]]]));
         }
-        java.util.Collections.shuffle(places, random);
-        jitter = Math.min(5 * MILLI, mostFar - leastFar);
-        between = new long[regions][regions];
-        for (int a = 0; a < regions; a++) {
-            for (int b = 0; b < a; b++) {
-                double draw = new Random(seed * 1_000_003 + a * 1_009L + b).nextDouble(); // the same at each size
-                between[a][b] = leastFar + (long) (draw * (mostFar - leastFar - jitter));
-                between[b][a] = between[a][b];
+        java.util.Collections.shuffle(locations, random);
+        jitterMicros = Math.min(5 * MICROS_PER_MILLI, maxRegionDelayMicros - minRegionDelayMicros);
+        regionDelayMicros = new long[regions][regions];
+        for (int from = 0; from < regions; from++) {
+            for (int to = 0; to < from; to++) {
+                // seeded by the pair, so that the delays of two regions are the same at each size
+                double fraction = new Random(seed * 1_000_003 + from * 1_009L + to).nextDouble();
+                regionDelayMicros[from][to] = minRegionDelayMicros + (long) (fraction * (maxRegionDelayMicros - minRegionDelayMicros - jitterMicros));
+                regionDelayMicros[to][from] = regionDelayMicros[from][to];
             }
         }
     }
 
-    /** Puts each of so many into one of so many groups: one into each, as far as they go, the others by uneven weights. */
-    private static int[] spread(int count, int groups, Random random) {
-        double[] upTo = new double[groups];
+    /**
+     * Assigns {@code count} elements to groups and returns the group of each: the first elements fill one group each,
+     * the others follow random weights.
+     */
+    private static int[] assign(int count, int groups, Random random) {
+        double[] cumulativeWeights = new double[groups];
         double sum = 0;
-        for (int g = 0; g < groups; g++) {
-            sum += Math.exp(UNEVEN * random.nextGaussian());
-            upTo[g] = sum;
+        for (int group = 0; group < groups; group++) {
+            sum += Math.exp(WEIGHT_LOG_DEVIATION * random.nextGaussian());
+            cumulativeWeights[group] = sum;
         }
-        int[] of = new int[count];
+        int[] groupOf = new int[count];
         for (int i = 0; i < count; i++) {
-            int g = java.util.Arrays.binarySearch(upTo, random.nextDouble() * sum);
-            of[i] = i < groups ? i : Math.min(groups - 1, g < 0 ? -g - 1 : g);
+            int position = java.util.Arrays.binarySearch(cumulativeWeights, random.nextDouble() * sum);
+            groupOf[i] = i < groups ? i : Math.min(groups - 1, position < 0 ? -position - 1 : position);
         }
-        return of;
+        return groupOf;
     }
 
-    Place place(int router) {
-        return places.get(router);
+    Location location(int router) {
+        return locations.get(router);
     }
 
-    /** The zone, or the region, with the most routers. */
-    int largest(java.util.function.ToIntFunction<Place> group, int without) {
-        int[] sizes = new int[places.size()];
-        places.forEach(p -> sizes[group.applyAsInt(p)]++);
+    /**
+     * The group (zone or region) with the most routers, other than the group {@code without}; -1 excludes none. Where
+     * no other group has a router, the result is an empty group or, for a single router, the excluded one.
+     */
+    int largest(java.util.function.ToIntFunction<Location> groupOf, int without) {
+        int[] sizes = new int[locations.size()];
+        locations.forEach(p -> sizes[groupOf.applyAsInt(p)]++);
         int largest = without == 0 ? Math.min(1, sizes.length - 1) : 0;
-        for (int g = 0; g < sizes.length; g++) {
-            if (g != without && sizes[g] > sizes[largest]) {
-                largest = g;
+        for (int group = 0; group < sizes.length; group++) {
+            if (group != without && sizes[group] > sizes[largest]) {
+                largest = group;
             }
         }
         return largest;
     }
 
-    /** How long a packet takes from one place to another, microseconds: within a site, a zone, a region, beyond. */
-    long delay(Place from, Place to, double draw) {
+    /**
+     * The delay of a packet in microseconds, in the range for two routers of the same site, zone or region, or of
+     * different regions.
+     *
+     * @param draw a random number from 0 to 1 that selects the delay within the range
+     */
+    long delay(Location from, Location to, double draw) {
         if (from.region() != to.region()) {
-            return between[from.region()][to.region()] + (long) (draw * jitter);
+            return regionDelayMicros[from.region()][to.region()] + (long) (draw * jitterMicros);
         }
-        long least = from.zone() != to.zone() ? 5_000 : from.site() != to.site() ? 2_000 : SHORTEST;
-        long most = from.zone() != to.zone() ? 15_000 : from.site() != to.site() ? 5_000 : 2_000;
-        return least + (long) (draw * (most - least));
+        long minMicros = from.zone() != to.zone() ? 5_000 : from.site() != to.site() ? 2_000 : MIN_DELAY_MICROS;
+        long maxMicros = from.zone() != to.zone() ? 15_000 : from.site() != to.site() ? 5_000 : 2_000;
+        return minMicros + (long) (draw * (maxMicros - minMicros));
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
@@ -22,31 +22,37 @@
 import pumicemoor.operator.OperatorFile;
 
 /**
- * Measures what grows with the list of members and with purges: a router as reader of the coordinator's stream, as
- * decider on requests, at its cold start, and the sender of that stream. Counts and bytes follow from the seed alone;
- * processor time is this thread's (the collector's is not in it), heap is what is left after a collection. It must never
- * decide anything: the reducer and the decisions that run here are those of the real program.
+ * Measures the costs that grow with the member list and with purges: a router as a reader of the coordinator stream,
+ * as the decider on requests and during its cold start, and the sender of that stream. Counts and bytes follow from
+ * the seed alone. Processor time is that of this thread, without the garbage collector's; heap is what remains after
+ * a collection. It must never decide anything: the reducer and the decision code that run here are those of the
+ * production program.
  */
 public final class ReaderRoles implements RoleMeasurement {
 
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final double PURGE_SECONDS = 4.9; // within which the target wants a purge everywhere
-    private static final int PURGE_LIVES = 3; // for so many of those a router keeps a purge
-    private static final double CHANGES = 36_000 / 86_400.0; // of configuration a second
-    private static final double MACHINES = 7_620 / 86_400.0; // that come or go a second
-    private static final int MACHINE_LINES = 2; // one that goes, one that comes back
-    private static final double PURGES = 210; // a second
-    private static final int CONTROL = 39; // machines for control
-    private static final int REQUESTS = 1_056; // a second at a router
-    private static final int OBJECTS = 3_000; // asked for, each many times
-    private static final int CHANGES_A_ROUND = 50;
-    private static final int HOLDING = 6; // virtual seconds until all is lent
-    private static final int HELD = 5; // virtual seconds that are counted: five reports
-    private static final int READ = 8_192; // bytes of the stream that are handed on at once, at most
-    private static final int WARM_UP = 8; // times the rounds, before anything counts
-    private static final int SMALL = 200; // members then
-    private static final int WARMING = 4; // rounds of requests that do not count
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long MILLIS_PER_SECOND = 1_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final double PURGE_TARGET_SECONDS = 4.9; // within which a purge must take effect everywhere
+    private static final int PURGE_RETENTION_FACTOR = 3; // a router keeps a purge for this many times the purge time
+    private static final double CONFIG_CHANGES_PER_SECOND = 36_000 / 86_400.0;
+    private static final double MACHINE_CHANGES_PER_SECOND = 7_620 / 86_400.0; // machines that come or go
+    private static final int EVENTS_PER_MACHINE_CHANGE = 2; // one entry leaves the list, one comes back
+    private static final double PURGES_PER_SECOND = 210;
+    private static final int CONTROL_MACHINES = 39; // that run the coordinator in the target installation
+    private static final int REQUESTS_PER_SECOND = 1_056; // to one router
+    private static final int OBJECT_COUNT = 3_000; // each is requested many times
+    private static final int CHANGES_PER_ROUND = 50;
+    private static final int LEASE_SETTLE_SECONDS = 6; // virtual time until all limits are leased
+    private static final int HOLDER_WINDOW_SECONDS = 5; // virtual time that is measured: five demand reports
+    private static final int MAX_READ_BYTES = 8_192; // maximum that is passed on at once from the stream
+    private static final double SIMULTANEOUS_STARTS = 1_800.0; // 10 % of the target's 18,000 routers
+    private static final int BUDGET_BYTES_PER_SECOND = 26_000; // of a router, in and out together
+    private static final int TARGET_MEMBERS = 8_700;
+    private static final int WARM_UP_ROUNDS_FACTOR = 8; // rounds of the warm-up relative to those measured
+    private static final int WARM_UP_MEMBERS = 200; // of the warm-up
+    private static final int WARM_UP_REQUEST_ROUNDS = 4; // unmeasured rounds before those measured
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final MemoryMXBean MEMORY = ManagementFactory.getMemoryMXBean();
@@ -56,8 +62,14 @@
     private final List<Sample> samples = new ArrayList<>();
 
     /**
-     * What is measured: sizes of the list, purges a second, routers before the sender, seconds that a router was cut off,
-     * rounds of each measurement of processor time (the median counts), the seed.
+     * The sizes to measure.
+     *
+     * @param members sizes of the member list
+     * @param purgeRates purges a second
+     * @param routers numbers of routers that the sender serves
+     * @param cutSeconds how long a router was disconnected from the stream, in seconds
+     * @param rounds rounds of each measurement of processor time, of which the median is reported
+     * @param seed seed of the generated events and requests
      */
     public record Plan(
             List<Integer> members,
@@ -67,7 +79,7 @@
             int rounds,
             long seed) {
 
-        /** That of the target. */
+        /** The plan for the target installation. */
         public static Plan target() {
             return new Plan(
                     List.of(100, 300, 1_000, 3_000, 8_700),
@@ -79,7 +91,7 @@
         }
     }
 
-    /** One that takes its plan from a file. */
+    /** A measurement that takes its plan from the configuration in {@link #measure(ScaleConfig, PrintStream)}. */
     public ReaderRoles() {
         this(Plan.target(), new PrintStream(OutputStream.nullOutputStream()));
     }
@@ -90,7 +102,7 @@
     }
 
     @Override
-    public List<Sample> measure(ScaleConfig config, PrintStream lines) {
+    public List<Sample> measure(ScaleConfig config, PrintStream progressOutput) {
         Plan target = Plan.target();
         return measure(
                 new Plan(
@@ -100,77 +112,77 @@
                         target.cutSeconds(),
                         target.rounds(),
                         config.seed()),
-                lines);
+                progressOutput);
     }
 
-    /** All samples of the plan, in order; a line of progress for each. */
+    /** Measures all sizes of a plan and returns the samples in order; prints a progress line for each sample. */
     public static List<Sample> measure(Plan plan, PrintStream progress) {
         ReaderRoles roles = new ReaderRoles(plan, progress);
         roles.warmUp();
         for (int members : plan.members()) {
-            roles.lists(members);
-            roles.changes(members);
-            roles.coldStart(members);
-            roles.decisions("decider, sites of 5.8", Layout.SITES, members);
-            roles.decisions("decider, one site", Layout.ONE_SITE, members);
-            roles.holders(members);
+            roles.measureMemberLists(members);
+            roles.measureMemberChanges(members);
+            roles.measureColdStart(members);
+            roles.measureDecisions("decider, sites of 5.8", Layout.SITES, members);
+            roles.measureDecisions("decider, one site", Layout.ONE_SITE, members);
+            roles.measureLimitHolders(members);
         }
         for (int rate : plan.purgeRates()) {
-            roles.purges(rate);
+            roles.measurePurges(rate);
         }
         for (int seconds : plan.cutSeconds()) {
-            roles.backlog(seconds);
+            roles.measureBacklog(seconds);
         }
         for (int routers : plan.routers()) {
-            roles.sender(routers);
+            roles.measureSender(routers);
         }
         return List.copyOf(roles.samples);
     }
 
-    /** Compiles what will be measured: the same work on a small list, thrown away. */
+    /** Runs the same work on a small list and discards the results, so that the measured code is compiled. */
     private void warmUp() {
-        PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
-        ReaderRoles small = new ReaderRoles(
-                new Plan(List.of(), List.of(), List.of(), List.of(), WARM_UP * plan.rounds(), plan.seed()), nowhere);
-        small.lists(SMALL);
-        small.changes(SMALL);
-        small.coldStart(SMALL);
-        small.purges((int) PURGES);
-        ReaderRoles few = new ReaderRoles(plan, nowhere);
-        few.decisions("", Layout.SITES, SMALL);
-        few.decisions("", Layout.ONE_SITE, SMALL);
-        few.holders(SMALL);
+        PrintStream discard = new PrintStream(OutputStream.nullOutputStream());
+        ReaderRoles smallList = new ReaderRoles(
+                new Plan(List.of(), List.of(), List.of(), List.of(), WARM_UP_ROUNDS_FACTOR * plan.rounds(), plan.seed()), discard);
+        smallList.measureMemberLists(WARM_UP_MEMBERS);
+        smallList.measureMemberChanges(WARM_UP_MEMBERS);
+        smallList.measureColdStart(WARM_UP_MEMBERS);
+        smallList.measurePurges((int) PURGES_PER_SECOND);
+        ReaderRoles plannedRounds = new ReaderRoles(plan, discard);
+        plannedRounds.measureDecisions("", Layout.SITES, WARM_UP_MEMBERS);
+        plannedRounds.measureDecisions("", Layout.ONE_SITE, WARM_UP_MEMBERS);
+        plannedRounds.measureLimitHolders(WARM_UP_MEMBERS);
     }
 
-    private void add(String role, int size, Map<String, Double> figures) {
+    private void addSample(String role, int size, Map<String, Double> figures) {
         samples.add(new Sample(role, size, figures));
         progress.printf("%s, %d: %s%n", role, size, figures);
     }
 
-    /** What is done once, in microseconds of this thread. */
-    private static double micros(Runnable work) {
+    /** The processor time of this thread for one run of the work, in microseconds. */
+    private static double cpuMicros(Runnable work) {
         long before = THREADS.getCurrentThreadCpuTime();
         work.run();
         return (THREADS.getCurrentThreadCpuTime() - before) / 1e3;
     }
 
-    /** The median of the rounds, with the least and the most of them. */
-    private static void cpu(Map<String, Double> figures, String unit, double[] rounds) {
+    /** Adds the median, the minimum and the maximum of the rounds to the figures. */
+    private static void addRounds(Map<String, Double> figures, String unit, double[] rounds) {
         Arrays.sort(rounds);
         figures.put("cpu " + unit, rounds[rounds.length / 2]);
         figures.put("cpu " + unit + " least", rounds[0]);
         figures.put("cpu " + unit + " most", rounds[rounds.length - 1]);
     }
 
-    /** What each of these routers keeps on the heap: what is free once they are let go. */
-    private static double heap(List<HollowReader> readers) {
+    /** The heap that each of these routers uses: what becomes free when they are released. Empties the list. */
+    private static double heapPerRouter(List<SimulatedRouter> readers) {
         int count = readers.size();
-        long held = used();
+        long usedBefore = usedHeap();
         readers.clear();
-        return (double) (held - used()) / count;
+        return (double) (usedBefore - usedHeap()) / count;
     }
 
-    private static long used() {
+    private static long usedHeap() {
         MEMORY.gc();
         MEMORY.gc();
         return MEMORY.getHeapMemoryUsage().getUsed();
@@ -178,75 +190,78 @@
 
     // ---- lists ----------------------------------------------------------------------------------------
 
-    /** A router that started with an empty list. */
-    private HollowReader empty(CoordinatorEvents events) {
-        return new HollowReader(events.config(CoordinatorEvents.FIRST));
+    /** A router that starts with an empty member list. */
+    private SimulatedRouter emptyRouter(CoordinatorEvents events) {
+        return new SimulatedRouter(events.config(CoordinatorEvents.INITIAL_INDEX));
     }
 
-    /** Whole lists, one after the other at a running router, each behind an event that was lost. */
-    private void lists(int members) {
+    /** Measures whole member lists that a running router receives one after the other, each after a lost event. */
+    private void measureMemberLists(int members) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, members, plan.seed());
         Map<String, Double> figures = new TreeMap<>();
         int routers = Math.max(2, Math.min(40, 20_000 / members));
-        List<HollowReader> readers = new ArrayList<>();
+        List<SimulatedRouter> readers = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
-            HollowReader reader = empty(events);
-            reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
+            SimulatedRouter reader = emptyRouter(events);
+            reader.accept(new Input.CoordinatorUpdate(events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)));
             readers.add(reader);
         }
-        HollowReader reader = readers.remove(0);
-        figures.put("heap bytes", heap(readers));
-        long index = CoordinatorEvents.FIRST + 1;
+        SimulatedRouter reader = readers.remove(0);
+        figures.put("heap bytes", heapPerRouter(readers));
+        long index = CoordinatorEvents.INITIAL_INDEX + 1;
         double[] rounds = new double[plan.rounds()];
         for (int i = 0; i < rounds.length; i++) {
-            reader.pass(SECOND);
-            long lost = ++index; // the one behind it shows the gap, the answer is the whole list
-            reader.take(new Input.CoordinatorUpdate(
-                    CoordinatorEvents.purge(lost + 1, CoordinatorEvents.object(i), CoordinatorEvents.BEGIN)));
-            String whole = events.whole(lost);
-            rounds[i] = micros(() -> reader.take(new Input.CoordinatorUpdate(whole))) / MILLI;
+            reader.advance(MICROS_PER_SECOND);
+            long lostIndex = ++index; // the next event reveals the gap, and the whole list is the response
+            reader.accept(new Input.CoordinatorUpdate(
+                    CoordinatorEvents.purge(lostIndex + 1, CoordinatorEvents.objectName(i), CoordinatorEvents.START_UNIX_MILLIS)));
+            String memberList = events.memberList(lostIndex);
+            rounds[i] = cpuMicros(() -> reader.accept(new Input.CoordinatorUpdate(memberList))) / MICROS_PER_MILLI;
         }
         figures.put(
-                "bytes a list", (double) CoordinatorEvents.bytes(CoordinatorEvents.onWire(index, events.whole(index))));
-        figures.put("asked again", (double) reader.followed());
-        cpu(figures, "ms a list", rounds);
-        add("reader, whole list", members, figures);
+                "bytes a list", (double) CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(index, events.memberList(index))));
+        figures.put("asked again", (double) reader.streamRequests());
+        addRounds(figures, "ms a list", rounds);
+        addSample("reader, whole list", members, figures);
     }
 
-    /** Single changes, as most news of the list come. */
-    private void changes(int members) {
+    /** Measures changes of single members, the form of most updates to the list. */
+    private void measureMemberChanges(int members) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, members, plan.seed());
-        HollowReader reader = empty(events);
-        reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
-        long index = CoordinatorEvents.FIRST + 1;
+        SimulatedRouter reader = emptyRouter(events);
+        reader.accept(new Input.CoordinatorUpdate(events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)));
+        long index = CoordinatorEvents.INITIAL_INDEX + 1;
         long bytes = 0;
         double[] rounds = new double[plan.rounds()];
         for (int i = 0; i < rounds.length; i++) {
-            List<String> told = new ArrayList<>();
-            for (int k = 0; k < CHANGES_A_ROUND; k++) {
-                told.add(events.change(++index, reader.now() / MILLI));
-                bytes += CoordinatorEvents.bytes(CoordinatorEvents.onWire(index, told.get(k)));
+            List<String> updates = new ArrayList<>();
+            for (int k = 0; k < CHANGES_PER_ROUND; k++) {
+                updates.add(events.memberChange(++index, reader.now() / MICROS_PER_MILLI));
+                bytes += CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(index, updates.get(k)));
             }
-            rounds[i] = micros(() -> told.forEach(t -> reader.take(new Input.CoordinatorUpdate(t)))) / CHANGES_A_ROUND;
-            reader.pass(SECOND);
+            rounds[i] = cpuMicros(() -> updates.forEach(t -> reader.accept(new Input.CoordinatorUpdate(t)))) / CHANGES_PER_ROUND;
+            reader.advance(MICROS_PER_SECOND);
         }
         Map<String, Double> figures = new TreeMap<>();
-        figures.put("bytes a change", (double) bytes / rounds.length / CHANGES_A_ROUND);
-        cpu(figures, "us a change", rounds);
-        add("reader, single changes", members, figures);
+        figures.put("bytes a change", (double) bytes / rounds.length / CHANGES_PER_ROUND);
+        addRounds(figures, "us a change", rounds);
+        addSample("reader, single changes", members, figures);
     }
 
-    /** A reader that has heard that nothing was told behind its configuration. */
-    private static HollowReader caughtUp(String config) {
-        HollowReader reader = new HollowReader(config);
-        reader.take(new Input.CoordinatorHeartbeat());
+    /** A router that has received a heartbeat, and so knows that no event follows those in its configuration. */
+    private static SimulatedRouter caughtUp(String config) {
+        SimulatedRouter reader = new SimulatedRouter(config);
+        reader.accept(new Input.CoordinatorHeartbeat());
         return reader;
     }
 
-    /** From the text of the configuration to ready, of the reducer alone; 10 % of 18,000 routers at once at the sender. */
-    private void coldStart(int members) {
+    /**
+     * Measures the start of a router from the text of its configuration until it is ready, in the reducer alone, and
+     * works out the bytes that the sender needs when 10 % of 18,000 routers start at once.
+     */
+    private void measureColdStart(int members) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, members, plan.seed());
-        String config = events.config(CoordinatorEvents.FIRST + 1, events.whole(CoordinatorEvents.FIRST + 1));
+        String config = events.config(CoordinatorEvents.INITIAL_INDEX + 1, events.memberList(CoordinatorEvents.INITIAL_INDEX + 1));
         double[] rounds = new double[plan.rounds()];
         boolean ready = true;
         for (int i = 0; i < rounds.length; i++) {
@@ -255,60 +270,61 @@
             rounds[i] = (THREADS.getCurrentThreadCpuTime() - before) / 1e6;
         }
         int routers = Math.max(2, Math.min(40, 20_000 / members));
-        List<HollowReader> readers = new ArrayList<>();
+        List<SimulatedRouter> readers = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             readers.add(caughtUp(config));
             ready &= readers.get(i).ready();
         }
         Map<String, Double> figures = new TreeMap<>();
-        figures.put("heap bytes", heap(readers));
-        figures.put("bytes of configuration", (double) CoordinatorEvents.bytes(config));
+        figures.put("heap bytes", heapPerRouter(readers));
+        figures.put("bytes of configuration", (double) CoordinatorEvents.utf8Length(config));
         figures.put("ready", ready ? 1.0 : 0.0);
         figures.put(
                 "worked out: bytes a control machine, 10 % at once",
-                1_800.0 * CoordinatorEvents.bytes(config) / CONTROL);
-        cpu(figures, "ms a start", rounds);
-        add("cold start", members, figures);
+                SIMULTANEOUS_STARTS * CoordinatorEvents.utf8Length(config) / CONTROL_MACHINES);
+        addRounds(figures, "ms a start", rounds);
+        addSample("cold start", members, figures);
     }
 
     // ---- requests -------------------------------------------------------------------------------------
 
-    /** Processor time of all that a request asks of the reducer and the decisions, at the target's rate. */
-    private void decisions(String role, Layout layout, int members) {
+    /** Measures the processor time of requests in the reducer and the decision code, at the target's request rate. */
+    private void measureDecisions(String role, Layout layout, int members) {
         CoordinatorEvents events = new CoordinatorEvents(layout, members, plan.seed());
-        HollowReader reader = empty(events);
-        reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
-        reader.take(new Input.CoordinatorHeartbeat());
+        SimulatedRouter reader = emptyRouter(events);
+        reader.accept(new Input.CoordinatorUpdate(events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)));
+        reader.accept(new Input.CoordinatorHeartbeat());
         Random random = new Random(plan.seed());
         int requests = Math.max(200, Math.min(2_000, 1_000_000 / members));
         double[] rounds = new double[plan.rounds()];
-        for (int i = -WARMING; i < rounds.length; i++) { // the first ones fill the caches, and are compiled
-            List<String> objects = random.ints(requests, 0, OBJECTS)
-                    .mapToObj(CoordinatorEvents::object)
+        // the first rounds fill the caches and warm up the JIT compiler
+        for (int i = -WARM_UP_REQUEST_ROUNDS; i < rounds.length; i++) {
+            List<String> objects = random.ints(requests, 0, OBJECT_COUNT)
+                    .mapToObj(CoordinatorEvents::objectName)
                     .toList();
-            reader.take(new Input.CoordinatorHeartbeat());
-            double spent = micros(() -> objects.forEach(object -> {
+            reader.accept(new Input.CoordinatorHeartbeat());
+            double micros = cpuMicros(() -> objects.forEach(object -> {
                         reader.request(object);
-                        reader.pass(SECOND / REQUESTS);
+                        reader.advance(MICROS_PER_SECOND / REQUESTS_PER_SECOND);
                     }))
                     / requests;
             if (i >= 0) {
-                rounds[i] = spent;
+                rounds[i] = micros;
             }
         }
-        reader.pass(SECOND);
+        reader.advance(MICROS_PER_SECOND);
         Map<String, Double> figures = new TreeMap<>();
-        figures.put("requests", (double) requests * (rounds.length + WARMING));
+        figures.put("requests", (double) requests * (rounds.length + WARM_UP_REQUEST_ROUNDS));
         figures.put("served", (double) reader.served());
-        cpu(figures, "us a request", rounds);
+        addRounds(figures, "us a request", rounds);
         figures.put(
-                "worked out: cpu ms/s at 1,056 requests a second", figures.get("cpu us a request") * REQUESTS / MILLI);
-        add(role, members, figures);
+                "worked out: cpu ms/s at 1,056 requests a second", figures.get("cpu us a request") * REQUESTS_PER_SECOND / MICROS_PER_MILLI);
+        addSample(role, members, figures);
     }
 
     // ---- limits ---------------------------------------------------------------------------------------
 
-    private static final String FLEET =
+    private static final String FLEET_SETTINGS =
             """
             fleet:
               cluster: scale
@@ -318,85 +334,85 @@
               limits: [{name: boxes, members: each-cache, per-second: 1000}]
             """;
 
-    /** Two routers of one fleet with a limit at each cache: one of them holds, the other lends and holds. */
-    private void holders(int members) {
+    /** Measures a fleet of two routers with a limit at each cache: both hold shares, and one of them is the grantor. */
+    private void measureLimitHolders(int members) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, members, plan.seed());
-        List<Holder> pair = new ArrayList<>();
+        List<CountedRouter> pair = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
-            pair.add(new Holder(
+            pair.add(new CountedRouter(
                     "10.0.0." + i + ":7946",
-                    new HollowReader(
+                    new SimulatedRouter(
                             events.config(
-                                    "r-" + i, CoordinatorEvents.FIRST + 1, events.whole(CoordinatorEvents.FIRST + 1)),
-                            operator(FLEET.formatted(i)))));
+                                    "r-" + i, CoordinatorEvents.INITIAL_INDEX + 1, events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)),
+                            parseOperatorConfig(FLEET_SETTINGS.formatted(i)))));
         }
-        run(pair, HOLDING);
-        pair.forEach(Holder::count);
-        run(pair, HELD);
-        boolean firstHolds = pair.get(0).bytes > pair.get(1).bytes; // asks are longer than their answers
-        List<HollowReader> readers =
-                new ArrayList<>(pair.stream().map(h -> h.reader).toList());
-        pair.forEach(h -> h.reader = null);
-        double heap = heap(readers);
-        for (Holder h : pair) {
-            boolean holder = firstHolds == (h == pair.get(0));
+        simulate(pair, LEASE_SETTLE_SECONDS);
+        pair.forEach(CountedRouter::resetCounts);
+        simulate(pair, HOLDER_WINDOW_SECONDS);
+        boolean firstIsHolder = pair.get(0).bytes > pair.get(1).bytes; // demand reports are longer than grants
+        List<SimulatedRouter> simulatedRouters =
+                new ArrayList<>(pair.stream().map(h -> h.simulatedRouter).toList());
+        pair.forEach(h -> h.simulatedRouter = null);
+        double heapBytes = heapPerRouter(simulatedRouters);
+        for (CountedRouter router : pair) {
+            boolean holder = firstIsHolder == (router == pair.get(0));
             Map<String, Double> figures = new TreeMap<>();
-            figures.put("heap bytes", heap); // the mean of both
-            figures.put("bytes out/s", (double) h.bytes / HELD);
-            figures.put("packets out/s", (double) h.packets / HELD);
-            Holder other = pair.get(h == pair.get(0) ? 1 : 0); // nothing is lost between the two
-            figures.put("bytes in/s", (double) other.bytes / HELD);
-            figures.put("packets in/s", (double) other.packets / HELD);
-            figures.put("cpu ms/s", h.nanos / 1e6 / HELD);
-            add((holder ? "holder" : "grantor of one other holder") + ", a limit at each cache", members, figures);
+            figures.put("heap bytes", heapBytes); // the mean of both
+            figures.put("bytes out/s", (double) router.bytes / HOLDER_WINDOW_SECONDS);
+            figures.put("packets out/s", (double) router.packets / HOLDER_WINDOW_SECONDS);
+            CountedRouter other = pair.get(router == pair.get(0) ? 1 : 0); // no packet between the two is lost
+            figures.put("bytes in/s", (double) other.bytes / HOLDER_WINDOW_SECONDS);
+            figures.put("packets in/s", (double) other.packets / HOLDER_WINDOW_SECONDS);
+            figures.put("cpu ms/s", router.nanos / 1e6 / HOLDER_WINDOW_SECONDS);
+            addSample((holder ? "holder" : "grantor of one other holder") + ", a limit at each cache", members, figures);
         }
     }
 
-    private static OperatorConfig operator(String text) {
+    private static OperatorConfig parseOperatorConfig(String text) {
         try {
             Path file = Files.writeString(Files.createTempFile("scale-", ".yaml"), text);
             OperatorConfig operator = OperatorFile.read(file);
             Files.delete(file);
             return operator;
         } catch (IOException | OperatorException e) {
-            throw new IllegalStateException("the measurement's own file can't be used", e);
+            throw new IllegalStateException("the operator file of the measurement can't be used", e);
         }
     }
 
-    /** One of the two, with what it has cost since it was counted anew. */
-    private static final class Holder {
+    /** One of the two routers and its cost since the last reset of the counts. */
+    private static final class CountedRouter {
         final String address;
-        HollowReader reader;
+        SimulatedRouter simulatedRouter;
         long bytes;
         long packets;
         long nanos;
 
-        Holder(String address, HollowReader reader) {
+        CountedRouter(String address, SimulatedRouter simulatedRouter) {
             this.address = address;
-            this.reader = reader;
+            this.simulatedRouter = simulatedRouter;
         }
 
-        void count() {
+        void resetCounts() {
             bytes = 0;
             packets = 0;
             nanos = 0;
         }
     }
 
-    /** Both live on for so many seconds; a packet takes a step of a millisecond to the other. */
-    private static void run(List<Holder> pair, int seconds) {
-        for (int step = 0; step < seconds * MILLI; step++) {
-            for (Holder h : pair) {
-                h.nanos += (long) (MILLI * micros(() -> h.reader.pass(MILLI)));
+    /** Runs both routers for a number of virtual seconds in steps of a millisecond; a packet takes one step. */
+    private static void simulate(List<CountedRouter> pair, int seconds) {
+        for (int step = 0; step < seconds * MILLIS_PER_SECOND; step++) {
+            for (CountedRouter router : pair) {
+                router.nanos += (long) (NANOS_PER_MICRO * cpuMicros(() -> router.simulatedRouter.advance(MICROS_PER_MILLI)));
             }
-            for (Holder from : pair) {
-                for (Effect.SendFleetPacket packet : from.reader.takePackets()) {
+            for (CountedRouter from : pair) {
+                for (Effect.SendFleetPacket packet : from.simulatedRouter.takePackets()) {
                     from.bytes += packet.bytes().length;
                     from.packets++;
                     pair.stream()
                             .filter(to -> to.address.equals(packet.address()))
                             .forEach(to -> to.nanos +=
-                                    (long) (MILLI * micros(() -> to.reader.take(new Input.FleetPacketReceived(packet.bytes())))));
+                                    (long) (NANOS_PER_MICRO * cpuMicros(() -> to.simulatedRouter.accept(new Input.FleetPacketReceived(packet.bytes())))));
                 }
             }
         }
@@ -404,169 +420,175 @@
 
     // ---- purges ---------------------------------------------------------------------------------------
 
-    /** Purges at an even rate for longer than they are kept, then a second at a time. */
-    private void purges(int rate) {
+    /** Measures purges at an even rate: first for longer than a router keeps them, then second by second. */
+    private void measurePurges(int rate) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, 100, plan.seed());
         int routers = 8;
-        long gap = rate == 0 ? 0 : SECOND / rate;
-        int filling = (int) Math.ceil(PURGE_LIVES * PURGE_SECONDS) + 1;
-        List<HollowReader> readers = new ArrayList<>();
+        long gapMicros = rate == 0 ? 0 : MICROS_PER_SECOND / rate;
+        int fillSeconds = (int) Math.ceil(PURGE_RETENTION_FACTOR * PURGE_TARGET_SECONDS) + 1;
+        List<SimulatedRouter> readers = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
-            readers.add(empty(events));
-            readers.get(i).take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
+            readers.add(emptyRouter(events));
+            readers.get(i).accept(new Input.CoordinatorUpdate(events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)));
         }
         long bytes = 0;
-        double[] perPurge = new double[plan.rounds()];
-        double[] perSecond = new double[plan.rounds()];
-        int count = 0;
-        HollowReader first = readers.get(0);
-        for (int second = 0; second < filling + plan.rounds(); second++) {
-            List<String> told = new ArrayList<>();
+        double[] microsPerPurge = new double[plan.rounds()];
+        double[] millisPerSecond = new double[plan.rounds()];
+        int purgeCount = 0;
+        SimulatedRouter measured = readers.get(0);
+        for (int second = 0; second < fillSeconds + plan.rounds(); second++) {
+            List<String> updates = new ArrayList<>();
             for (int k = 0; k < rate; k++) {
-                long at = CoordinatorEvents.BEGIN + second * MILLI + k * MILLI / rate;
-                long index = CoordinatorEvents.FIRST + 2 + count;
-                told.add(CoordinatorEvents.purge(index, CoordinatorEvents.object(count++), at));
-                bytes += second < filling ? 0 : CoordinatorEvents.bytes(CoordinatorEvents.onWire(index, told.get(k)));
+                long unixMillis = CoordinatorEvents.START_UNIX_MILLIS + second * MILLIS_PER_SECOND + k * MILLIS_PER_SECOND / rate;
+                long index = CoordinatorEvents.INITIAL_INDEX + 2 + purgeCount;
+                updates.add(CoordinatorEvents.purge(index, CoordinatorEvents.objectName(purgeCount++), unixMillis));
+                bytes += second < fillSeconds ? 0 : CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(index, updates.get(k)));
             }
-            bytes += second < filling ? 0 : CoordinatorEvents.bytes(CoordinatorEvents.COMMENT);
-            for (HollowReader reader : readers) {
-                double all = micros(() -> {
-                            told.forEach(t -> {
-                                reader.take(new Input.CoordinatorUpdate(t));
-                                reader.take(new Input.CoordinatorHeartbeat());
-                                reader.pass(gap);
+            bytes += second < fillSeconds ? 0 : CoordinatorEvents.utf8Length(CoordinatorEvents.HEARTBEAT);
+            for (SimulatedRouter reader : readers) {
+                double millis = cpuMicros(() -> {
+                            updates.forEach(update -> {
+                                reader.accept(new Input.CoordinatorUpdate(update));
+                                reader.accept(new Input.CoordinatorHeartbeat());
+                                reader.advance(gapMicros);
                             });
-                            reader.pass(SECOND - rate * gap);
+                            reader.advance(MICROS_PER_SECOND - rate * gapMicros);
                         })
-                        / MILLI;
-                if (second >= filling && reader == first) {
-                    perSecond[second - filling] = all;
+                        / MICROS_PER_MILLI;
+                if (second >= fillSeconds && reader == measured) {
+                    millisPerSecond[second - fillSeconds] = millis;
                 }
             }
         }
         Map<String, Double> figures = new TreeMap<>();
         figures.put("bytes in/s", (double) bytes / plan.rounds());
-        HollowReader reader = readers.remove(0);
-        figures.put("heap bytes", heap(readers));
-        for (int i = 0; i < perPurge.length; i++) { // the taking in alone, without the passing of time
-            List<String> told = new ArrayList<>();
+        SimulatedRouter reader = readers.remove(0);
+        figures.put("heap bytes", heapPerRouter(readers));
+        for (int i = 0; i < microsPerPurge.length; i++) { // accepting the events alone, without advancing the time
+            List<String> updates = new ArrayList<>();
             for (int k = 0; k < rate; k++) {
-                told.add(CoordinatorEvents.purge(
-                        CoordinatorEvents.FIRST + 2 + count, CoordinatorEvents.object(count++), reader.now() / MILLI));
+                updates.add(CoordinatorEvents.purge(
+                        CoordinatorEvents.INITIAL_INDEX + 2 + purgeCount, CoordinatorEvents.objectName(purgeCount++), reader.now() / MICROS_PER_MILLI));
             }
-            perPurge[i] = micros(() -> told.forEach(t -> {
-                        reader.take(new Input.CoordinatorUpdate(t));
-                        reader.take(new Input.CoordinatorHeartbeat());
+            microsPerPurge[i] = cpuMicros(() -> updates.forEach(update -> {
+                        reader.accept(new Input.CoordinatorUpdate(update));
+                        reader.accept(new Input.CoordinatorHeartbeat());
                     }))
                     / Math.max(1, rate);
-            reader.pass(SECOND);
+            reader.advance(MICROS_PER_SECOND);
         }
-        for (int i = 0; i < count; i++) { // who is kept shows in the oldest copy that an attempt accepts
-            reader.request(CoordinatorEvents.object(i));
+        // a purge that is still kept shows in the maximum age that an attempt accepts
+        for (int i = 0; i < purgeCount; i++) {
+            reader.request(CoordinatorEvents.objectName(i));
         }
-        figures.put("entries", (double) reader.bounded());
-        cpu(figures, "us a purge", perPurge);
-        cpu(figures, "ms/s", perSecond);
-        add("reader, purges a second", rate, figures);
+        figures.put("entries", (double) reader.attemptsWithMaxAge());
+        addRounds(figures, "us a purge", microsPerPurge);
+        addRounds(figures, "ms/s", millisPerSecond);
+        addSample("reader, purges a second", rate, figures);
     }
 
-    /** What a router that was cut off for so long has to take in at once when it is back, at the target's rates. */
-    private void backlog(int seconds) {
+    /**
+     * Measures the backlog that a router receives at once when it reconnects to the stream after the given time, at the
+     * target's rates.
+     */
+    private void measureBacklog(int seconds) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, 1_000, plan.seed());
         Map<String, Double> figures = new TreeMap<>();
         double[] rounds = new double[plan.rounds()];
         for (int i = 0; i < rounds.length; i++) {
-            HollowReader reader = empty(events);
-            reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
-            reader.pass(seconds * SECOND);
-            List<String> told = new ArrayList<>();
-            long index = CoordinatorEvents.FIRST + 1;
+            SimulatedRouter reader = emptyRouter(events);
+            reader.accept(new Input.CoordinatorUpdate(events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)));
+            reader.advance(seconds * MICROS_PER_SECOND);
+            List<String> updates = new ArrayList<>();
+            long index = CoordinatorEvents.INITIAL_INDEX + 1;
             long bytes = 0;
             for (int second = 0; second < seconds; second++) {
-                for (int k = 0; k < PURGES; k++) {
-                    told.add(CoordinatorEvents.purge(
+                for (int k = 0; k < PURGES_PER_SECOND; k++) {
+                    updates.add(CoordinatorEvents.purge(
                             ++index,
-                            CoordinatorEvents.object(index),
-                            CoordinatorEvents.BEGIN + second * MILLI + (long) (k * MILLI / PURGES)));
+                            CoordinatorEvents.objectName(index),
+                            CoordinatorEvents.START_UNIX_MILLIS + second * MILLIS_PER_SECOND + (long) (k * MILLIS_PER_SECOND / PURGES_PER_SECOND)));
                 }
-                if ((int) ((second + 1) * CHANGES) > (int) (second * CHANGES)) {
-                    told.add(events.change(++index, CoordinatorEvents.BEGIN + second * MILLI));
+                if ((int) ((second + 1) * CONFIG_CHANGES_PER_SECOND) > (int) (second * CONFIG_CHANGES_PER_SECOND)) {
+                    updates.add(events.memberChange(++index, CoordinatorEvents.START_UNIX_MILLIS + second * MILLIS_PER_SECOND));
                 }
             }
-            for (int k = 0; k < told.size(); k++) {
+            for (int k = 0; k < updates.size(); k++) {
                 bytes +=
-                        CoordinatorEvents.bytes(CoordinatorEvents.onWire(CoordinatorEvents.FIRST + 2 + k, told.get(k)));
+                        CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(CoordinatorEvents.INITIAL_INDEX + 2 + k, updates.get(k)));
             }
-            reader.request(CoordinatorEvents.object(index));
-            figures.put("bounded while cut off", (double) reader.bounded());
-            rounds[i] = micros(() -> told.forEach(t -> reader.take(new Input.CoordinatorUpdate(t)))) / MILLI;
-            figures.put("events", (double) told.size());
+            reader.request(CoordinatorEvents.objectName(index));
+            figures.put("bounded while cut off", (double) reader.attemptsWithMaxAge());
+            rounds[i] = cpuMicros(() -> updates.forEach(t -> reader.accept(new Input.CoordinatorUpdate(t)))) / MICROS_PER_MILLI;
+            figures.put("events", (double) updates.size());
             figures.put("bytes", (double) bytes);
         }
-        figures.put("unbounded while behind", (double) unbounded(events, seconds));
-        cpu(figures, "ms", rounds);
+        figures.put("unbounded while behind", (double) countUnboundedAttempts(events, seconds));
+        addRounds(figures, "ms", rounds);
         figures.put(
                 "worked out: seconds at 26 KB a second beside 210 purges a second",
-                figures.get("bytes") / Math.max(1, 26_000 - PURGES * purgeBytes()));
-        add("reader, seconds cut off", seconds, figures);
+                figures.get("bytes") / Math.max(1, BUDGET_BYTES_PER_SECOND - PURGES_PER_SECOND * purgeBytes()));
+        addSample("reader, seconds cut off", seconds, figures);
     }
 
     /**
-     * Attempts that accept a copy of any age although a purge of their object, told long ago, is still to come: one is made
-     * behind each part of the backlog that a read brings. None of these is a sign that all was told (CoordinatorStream).
+     * Counts attempts that accept a copy of any age although an old purge of their object is still in the backlog.
+     * One attempt is made after each portion of the backlog that a single read delivers. No such portion is evidence
+     * that the router has received all events (see CoordinatorStream).
      */
-    private int unbounded(CoordinatorEvents events, int seconds) {
-        HollowReader reader = empty(events);
-        reader.take(new Input.CoordinatorUpdate(events.whole(CoordinatorEvents.FIRST + 1)));
-        reader.pass(seconds * SECOND);
-        int purges = (int) (seconds * PURGES);
-        int aRead = (int) (READ / purgeBytes());
-        int asked = 0;
+    private int countUnboundedAttempts(CoordinatorEvents events, int seconds) {
+        SimulatedRouter reader = emptyRouter(events);
+        reader.accept(new Input.CoordinatorUpdate(events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)));
+        reader.advance(seconds * MICROS_PER_SECOND);
+        int purges = (int) (seconds * PURGES_PER_SECOND);
+        int purgesPerRead = (int) (MAX_READ_BYTES / purgeBytes());
+        int attempts = 0;
         for (int k = 0; k < purges; k++) {
-            long index = CoordinatorEvents.FIRST + 2 + k;
-            reader.take(new Input.CoordinatorUpdate(CoordinatorEvents.purge(
-                    index, CoordinatorEvents.object(index), CoordinatorEvents.BEGIN + (long) (k * MILLI / PURGES))));
-            if (k % aRead == aRead - 1 && k < purges - 1) {
+            long index = CoordinatorEvents.INITIAL_INDEX + 2 + k;
+            reader.accept(new Input.CoordinatorUpdate(CoordinatorEvents.purge(
+                    index, CoordinatorEvents.objectName(index), CoordinatorEvents.START_UNIX_MILLIS + (long) (k * MILLIS_PER_SECOND / PURGES_PER_SECOND))));
+            if (k % purgesPerRead == purgesPerRead - 1 && k < purges - 1) {
                 reader.request(
-                        CoordinatorEvents.object(CoordinatorEvents.FIRST + 1 + purges)); // the last that is purged
-                asked++;
+                        // the last object in the backlog
+                        CoordinatorEvents.objectName(CoordinatorEvents.INITIAL_INDEX + 1 + purges));
+                attempts++;
             }
         }
-        return asked - (int) reader.bounded();
+        return attempts - (int) reader.attemptsWithMaxAge();
     }
 
     // ---- the sender -----------------------------------------------------------------------------------
 
     private static double purgeBytes() {
-        return CoordinatorEvents.bytes(CoordinatorEvents.onWire(
-                CoordinatorEvents.FIRST,
+        return CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(
+                CoordinatorEvents.INITIAL_INDEX,
                 CoordinatorEvents.purge(
-                        CoordinatorEvents.FIRST, CoordinatorEvents.object(1), CoordinatorEvents.BEGIN)));
+                        CoordinatorEvents.INITIAL_INDEX, CoordinatorEvents.objectName(1), CoordinatorEvents.START_UNIX_MILLIS)));
     }
 
-    /** The sizes of the encoded events are measured; what they come to at the target's rates is worked out. */
-    private void sender(int routers) {
-        CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, 8_700, plan.seed());
-        double change = CoordinatorEvents.bytes(CoordinatorEvents.onWire(
-                CoordinatorEvents.FIRST, events.change(CoordinatorEvents.FIRST, CoordinatorEvents.BEGIN)));
-        double whole = CoordinatorEvents.bytes(
-                CoordinatorEvents.onWire(CoordinatorEvents.FIRST, events.whole(CoordinatorEvents.FIRST)));
-        double eventsASecond = PURGES + CHANGES + MACHINE_LINES * MACHINES;
-        double router = PURGES * purgeBytes()
-                + (CHANGES + MACHINE_LINES * MACHINES) * change
-                + CoordinatorEvents.bytes(CoordinatorEvents.COMMENT);
+    /** Measures the sizes of the encoded events and works out the traffic at the target's rates from them. */
+    private void measureSender(int routers) {
+        CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, TARGET_MEMBERS, plan.seed());
+        double changeBytes = CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(
+                CoordinatorEvents.INITIAL_INDEX, events.memberChange(CoordinatorEvents.INITIAL_INDEX, CoordinatorEvents.START_UNIX_MILLIS)));
+        double listBytes = CoordinatorEvents.utf8Length(
+                CoordinatorEvents.streamText(CoordinatorEvents.INITIAL_INDEX, events.memberList(CoordinatorEvents.INITIAL_INDEX)));
+        double eventsPerSecond = PURGES_PER_SECOND + CONFIG_CHANGES_PER_SECOND + EVENTS_PER_MACHINE_CHANGE * MACHINE_CHANGES_PER_SECOND;
+        double routerBytesPerSecond = PURGES_PER_SECOND * purgeBytes()
+                + (CONFIG_CHANGES_PER_SECOND + EVENTS_PER_MACHINE_CHANGE * MACHINE_CHANGES_PER_SECOND) * changeBytes
+                + CoordinatorEvents.utf8Length(CoordinatorEvents.HEARTBEAT);
         Map<String, Double> figures = new TreeMap<>();
         figures.put("bytes a purge", purgeBytes());
-        figures.put("bytes a change", change);
-        figures.put("bytes a whole list of 8,700", whole);
-        figures.put("worked out: bytes/s a router", router);
-        figures.put("worked out: bytes/s in all", router * routers);
-        figures.put("worked out: bytes/s a control machine", router * routers / CONTROL);
-        figures.put("worked out: events/s a control machine", eventsASecond * routers / CONTROL);
-        figures.put("worked out: connections a control machine", Math.ceil((double) routers / CONTROL));
+        figures.put("bytes a change", changeBytes);
+        figures.put("bytes a whole list of 8,700", listBytes);
+        figures.put("worked out: bytes/s a router", routerBytesPerSecond);
+        figures.put("worked out: bytes/s in all", routerBytesPerSecond * routers);
+        figures.put("worked out: bytes/s a control machine", routerBytesPerSecond * routers / CONTROL_MACHINES);
+        figures.put("worked out: events/s a control machine", eventsPerSecond * routers / CONTROL_MACHINES);
+        figures.put("worked out: connections a control machine", Math.ceil((double) routers / CONTROL_MACHINES));
         figures.put(
                 "worked out: bytes/s a router, whole lists in place of changes",
-                router + (CHANGES + MACHINE_LINES * MACHINES) * (whole - change));
-        add("sender", routers, figures);
+                routerBytesPerSecond + (CONFIG_CHANGES_PER_SECOND + EVENTS_PER_MACHINE_CHANGE * MACHINE_CHANGES_PER_SECOND) * (listBytes - changeBytes));
+        addSample("sender", routers, figures);
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/RoleMeasurement.java
+++ b/src/main/java/pumicemoor/lab/scale/RoleMeasurement.java
@@ -3,9 +3,12 @@
 import java.io.PrintStream;
 import java.util.List;
 
-/** One way of measuring what roles cost; it goes over the sizes of the configuration by itself. */
+/** Measures the cost of a group of roles at all sizes that the configuration lists. */
 public interface RoleMeasurement {
 
-    /** What was measured, in the order of sizes within each role; progress takes a line now and then on long runs. */
+    /**
+     * Measures the roles and returns the samples, ordered by size within each role. Long runs print a line to {@code
+     * progress} from time to time.
+     */
     List<Sample> measure(ScaleConfig config, PrintStream progress);
 }
--- a/src/main/java/pumicemoor/lab/scale/Sample.java
+++ b/src/main/java/pumicemoor/lab/scale/Sample.java
@@ -3,8 +3,9 @@
 import java.util.Map;
 
 /**
- * What one role cost at one size. Role is a short name such as "grantor" or "member, calm"; size is the number of
- * routers, or of members where the role grows with those (its name says so). Figures by name, the unit in the name:
- * "bytes out/s", "bytes in/s", "packets out/s", "packets in/s", "cpu ms/s", "heap bytes".
+ * The measured cost of one role at one size. The role is a short name such as "grantor" or "member, calm". The size is
+ * the number of routers, or of whatever else the name of the role says that its cost grows with, for instance members.
+ * The figures are keyed by name, and each name states its unit: "bytes out/s", "bytes in/s", "packets out/s",
+ * "packets in/s", "cpu ms/s", "heap bytes".
  */
 public record Sample(String role, int size, Map<String, Double> figures) {}
--- a/src/main/java/pumicemoor/lab/scale/ScaleConfig.java
+++ b/src/main/java/pumicemoor/lab/scale/ScaleConfig.java
@@ -20,9 +20,10 @@
 import java.util.stream.Collectors;
 
 /**
- * What is to be measured, as a YAML file tells it; docs/lab.md, "Scale", names the keys and their units. It owns the
- * defaults and the bounds of every key: a value outside them is refused in one line that names the key, and none is
- * put right silently. Sites, zones and regions are those of the largest size; smaller sizes have fewer, in proportion.
+ * The measurements to run, as read from a YAML file; docs/lab.md, "Scale", lists the keys and their units. It owns
+ * the defaults and the bounds of every key: a value outside its bounds is refused with a one-line message that names
+ * the key, and no value is corrected silently. The numbers of sites, zones and regions are those of the largest size;
+ * smaller sizes have proportionally fewer.
  */
 public record ScaleConfig(
         String name,
@@ -55,39 +56,39 @@
 
     /** The groups of roles that can be measured. */
     public enum Role {
-        /** Routers of a fleet when nothing happens, after a common start, and under the faults that are set. */
+        /** Routers of a fleet after a simultaneous start, in a calm period, and under the configured faults. */
         @JsonProperty("fleet")
         FLEET,
-        /** A report's cost at the holder and at the grantor, by the number of limits. */
+        /** The cost of limit shares to the routers that hold them and to the grantor, by the number of limits. */
         @JsonProperty("holder")
         HOLDER,
-        /** The keeper while every router accuses one member. */
+        /** The leader that decides on ejections, while every router reports the same member as failing. */
         @JsonProperty("keeper")
         KEEPER,
-        /** The fleet with drains, at the sizes of 'drains'. */
+        /** A fleet that coordinates drains, at the sizes of the key 'drains'. */
         @JsonProperty("drains")
         DRAINS,
-        /** A router as reader of the coordinator's stream, and the stream's sender. */
+        /** A router as a reader of the coordinator stream, and the sender of that stream. */
         @JsonProperty("reader")
         READER
     }
 
-    /** A fleet of cells: routers in a cell at most, and delegates of each; absent: one flat fleet. */
+    /** A fleet of cells: the maximum number of routers in a cell and its delegates. Absent for one flat fleet. */
     public record Cells(Integer most, Integer delegates) {}
 
     /**
-     * What is made to fail, in virtual seconds; 0 leaves it out. The zone is lost and its routers come back, as fresh
-     * processes, after so long; the two largest regions hear nothing of each other for so long; a share of all routers
-     * is started anew at once.
+     * The faults to inject; 0 leaves a fault out. The largest zone is lost and its routers come back as new processes
+     * after {@code zoneSeconds}; the two largest regions are partitioned from each other for {@code cutSeconds}; a
+     * share of all routers, {@code restartShare}, restarts at once. Times are virtual.
      */
     public record Faults(
             @JsonProperty("zone-seconds") Double zoneSeconds,
             @JsonProperty("cut-seconds") Double cutSeconds,
             @JsonProperty("restart-share") Double restartShare) {}
 
-    static final int MOST_ROUTERS = 100_000;
+    static final int MAX_ROUTERS = 100_000;
 
-    /** Puts in what is absent. */
+    /** Sets the default of each absent key. */
     public ScaleConfig {
         name = name == null ? "scale" : name;
         seed = seed == null ? 1L : seed;
@@ -119,28 +120,28 @@
             cells = new Cells(
                     cells.most() == null ? 96 : cells.most(), cells.delegates() == null ? 2 : cells.delegates());
         }
-        Faults f = faults == null ? new Faults(null, null, null) : faults;
+        Faults given = faults == null ? new Faults(null, null, null) : faults;
         faults = new Faults(
-                f.zoneSeconds() == null ? 0.0 : f.zoneSeconds(),
-                f.cutSeconds() == null ? 0.0 : f.cutSeconds(),
-                f.restartShare() == null ? 0.0 : f.restartShare());
+                given.zoneSeconds() == null ? 0.0 : given.zoneSeconds(),
+                given.cutSeconds() == null ? 0.0 : given.cutSeconds(),
+                given.restartShare() == null ? 0.0 : given.restartShare());
         roles = roles == null ? List.of(Role.FLEET) : copy(roles);
         minutes = minutes == null ? 60.0 : minutes;
         threads = threads == null ? 1 : threads;
         target = target == null ? 18_000 : target;
     }
 
-    /** As it stands, absent values too: those are refused later, by a line that names the key. */
+    /** Copies a list that may contain nulls, which {@code check} refuses later with a message that names the key. */
     private static <T> List<T> copy(List<T> list) {
         return Collections.unmodifiableList(new ArrayList<>(list));
     }
 
-    /** Reads and checks a file; what is wrong is told in one line that names the file and the key. */
+    /** Reads and checks a file. The message of the exception is one line that names the file and the key. */
     public static ScaleConfig read(Path file) throws IOException {
         return parse(Files.readString(file), file.toString());
     }
 
-    /** Reads and checks a text; where is what the line of an error begins with. */
+    /** Reads and checks a YAML text; messages of exceptions begin with {@code where}. */
     static ScaleConfig parse(String text, String where) throws IOException {
         YAMLMapper yaml = YAMLMapper.builder()
                 .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -152,17 +153,17 @@
         try {
             ScaleConfig config = yaml.readValue(text, ScaleConfig.class);
             if (config == null) {
-                throw new IOException(where + ": it is empty");
+                throw new IOException(where + ": the file is empty");
             }
             config.check(where);
             return config;
         } catch (UnrecognizedPropertyException e) {
-            throw new IOException(where + ": " + key(e) + ": there is no such key", e);
+            throw new IOException(where + ": " + keyPath(e) + ": unknown key", e);
         } catch (JsonMappingException e) {
             throw new IOException(
-                    where + ": " + key(e) + ": "
+                    where + ": " + keyPath(e) + ": "
                             + (e.getMessage().startsWith("Cannot deserialize")
-                                    ? "it is not of the kind that docs/lab.md says"
+                                    ? "has a value of the wrong type; docs/lab.md lists the types"
                                     : e.getOriginalMessage().lines().findFirst().orElse("")),
                     e);
         } catch (JsonProcessingException e) {
@@ -173,7 +174,7 @@
         }
     }
 
-    private static String key(JsonMappingException e) {
+    private static String keyPath(JsonMappingException e) {
         return e.getPath().isEmpty()
                 ? "the file"
                 : e.getPath().stream()
@@ -183,64 +184,64 @@
     }
 
     private void check(String where) throws IOException {
-        Bounds b = new Bounds(where);
-        b.range("routers", routers, 2, MOST_ROUTERS);
-        b.range("sites", List.of(sites), 1, MOST_ROUTERS);
-        b.range("zones", List.of(zones), 1, sites);
-        b.range("regions", List.of(regions), 1, zones);
-        b.range("members", members, 1, 100_000);
-        b.range("purges", purges, 0, 10_000);
-        b.range("configurations", configurations, 0, 1_000);
-        b.range("caches", List.of(caches), 1, 10_000);
-        b.range("churn", List.of(churn), 0, 1_000);
-        b.range("loss", List.of(loss), 0, 0.9);
-        b.range("far-ms", farMillis, 1, 1_000);
+        Bounds bounds = new Bounds(where);
+        bounds.requireRange("routers", routers, 2, MAX_ROUTERS);
+        bounds.requireRange("sites", List.of(sites), 1, MAX_ROUTERS);
+        bounds.requireRange("zones", List.of(zones), 1, sites);
+        bounds.requireRange("regions", List.of(regions), 1, zones);
+        bounds.requireRange("members", members, 1, 100_000);
+        bounds.requireRange("purges", purges, 0, 10_000);
+        bounds.requireRange("configurations", configurations, 0, 1_000);
+        bounds.requireRange("caches", List.of(caches), 1, 10_000);
+        bounds.requireRange("churn", List.of(churn), 0, 1_000);
+        bounds.requireRange("loss", List.of(loss), 0, 0.9);
+        bounds.requireRange("far-ms", farMillis, 1, 1_000);
         if (farMillis.size() != 2 || farMillis.get(0) > farMillis.get(1)) {
-            throw new IOException(where + ": far-ms: it is not the least and the most");
+            throw new IOException(where + ": far-ms: must be two values, the minimum and then the maximum");
         }
-        b.range("seconds", List.of(seconds), 1, 3_600);
-        b.range("settle", List.of(settle), 0, 3_600);
-        b.range("period-ms", List.of(periodMillis), 20, 10_000);
-        b.range("lease-ms", List.of(leaseMillis), 500, 600_000);
-        b.range("guard-ms", List.of(guardMillis), 10, leaseMillis / 2);
-        b.range("limits", limits, 1, 400);
+        bounds.requireRange("seconds", List.of(seconds), 1, 3_600);
+        bounds.requireRange("settle", List.of(settle), 0, 3_600);
+        bounds.requireRange("period-ms", List.of(periodMillis), 20, 10_000);
+        bounds.requireRange("lease-ms", List.of(leaseMillis), 500, 600_000);
+        bounds.requireRange("guard-ms", List.of(guardMillis), 10, leaseMillis / 2);
+        bounds.requireRange("limits", limits, 1, 400);
         if (!drains.isEmpty()) {
-            b.range("drains", drains, 2, 2_000);
+            bounds.requireRange("drains", drains, 2, 2_000);
         }
         if (cells != null) {
-            b.range("cells.most", List.of(cells.most()), 4, 512);
-            b.range("cells.delegates", List.of(cells.delegates()), 1, 5);
+            bounds.requireRange("cells.most", List.of(cells.most()), 4, 512);
+            bounds.requireRange("cells.delegates", List.of(cells.delegates()), 1, 5);
         }
-        b.range("faults.zone-seconds", List.of(faults.zoneSeconds()), 0, 3_600);
-        b.range("faults.cut-seconds", List.of(faults.cutSeconds()), 0, 3_600);
-        b.range("faults.restart-share", List.of(faults.restartShare()), 0, 1);
-        b.range("minutes", List.of(minutes), 0.01, 600);
-        b.range("threads", List.of(threads), 1, 64);
-        b.range("target", List.of(target), 2, 10_000_000);
+        bounds.requireRange("faults.zone-seconds", List.of(faults.zoneSeconds()), 0, 3_600);
+        bounds.requireRange("faults.cut-seconds", List.of(faults.cutSeconds()), 0, 3_600);
+        bounds.requireRange("faults.restart-share", List.of(faults.restartShare()), 0, 1);
+        bounds.requireRange("minutes", List.of(minutes), 0.01, 600);
+        bounds.requireRange("threads", List.of(threads), 1, 64);
+        bounds.requireRange("target", List.of(target), 2, 10_000_000);
         if (roles.isEmpty() || roles.stream().anyMatch(Objects::isNull)) {
-            throw new IOException(where + ": roles: it names none");
+            throw new IOException(where + ": roles: must list at least one role and no null");
         }
         if (roles.contains(Role.DRAINS) && (cells != null || drains.isEmpty())) {
             throw new IOException(
-                    where + ": drains: " + (cells != null ? "cells do not carry drains" : "it names no size"));
+                    where + ": drains: " + (cells != null ? "drains are not supported in a fleet of cells" : "must list at least one size"));
         }
     }
 
     private record Bounds(String where) {
-        void range(String key, List<? extends Number> values, double least, double most) throws IOException {
+        void requireRange(String key, List<? extends Number> values, double min, double max) throws IOException {
             if (values.isEmpty()) {
-                throw new IOException(where + ": " + key + ": it names none");
+                throw new IOException(where + ": " + key + ": must list at least one value");
             }
-            for (Number v : values) {
-                if (v == null || !(v.doubleValue() >= least && v.doubleValue() <= most)) {
+            for (Number value : values) {
+                if (value == null || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
                     throw new IOException(
-                            where + ": " + key + ": " + v + " is not from " + plain(least) + " to " + plain(most));
+                            where + ": " + key + ": " + value + " is not from " + formatNumber(min) + " to " + formatNumber(max));
                 }
             }
         }
 
-        private static String plain(double d) {
-            return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
+        private static String formatNumber(double value) {
+            return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
         }
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/ScaleReport.java
+++ b/src/main/java/pumicemoor/lab/scale/ScaleReport.java
@@ -18,32 +18,35 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import pumicemoor.lab.scale.Fit.Leaves;
+import pumicemoor.lab.scale.Fit.BudgetCrossing;
 import pumicemoor.lab.scale.Fit.Point;
 
 /**
- * What was measured, as JSON, as a table for people and as plots. It owns the budgets of a router's control
- * and which figures are held against them, and must never leave out a sample or show a fit without its range.
+ * Writes the samples of a run as JSON, as Markdown tables and as plots. It owns the budgets for a router's control
+ * traffic, processor time and heap, and selects the figures that are compared with them. It must never leave out a
+ * sample or show a fit without its range.
  */
 final class ScaleReport {
 
-    /** A figure by its name in samples, its budget (infinite for none) and the word its plots' files begin with. */
-    record Budget(String figure, double most, String file) {
+    /**
+     * The name of a figure in samples, its budget (infinite for none) and the prefix of the file names of its plots.
+     */
+    record Budget(String figure, double max, String filePrefix) {
 
         static Budget none(String figure) {
             return new Budget(figure, Double.POSITIVE_INFINITY, figure.replaceAll("[^A-Za-z0-9]+", "-"));
         }
     }
 
-    /** 26 KB a second in and out together, 2.6 % of a core, 32 MB. */
+    /** 26 KB a second in and out together, 2.6 % of a core, 32 MB of heap. */
     static final List<Budget> BUDGETS = List.of(
             new Budget("bytes/s", 26_000, "bytes"),
             new Budget("worst second bytes/s", 26_000, "worst-second"),
             new Budget("cpu ms/s", 26, "cpu"),
             new Budget("heap bytes", 32_000_000, "heap"));
 
-    /** The columns of the first table, of which only those with a budget are fitted. */
-    private static final Set<String> COLUMNS = Set.of(
+    /** The figures that the first table shows or covers. Of these only the ones with a budget are fitted. */
+    private static final Set<String> TABLE_FIGURES = Set.of(
             "routers",
             "bytes/s",
             "bytes in/s",
@@ -62,12 +65,15 @@
             "living known",
             "cells",
             "delegates known",
-            HollowFleet.OF_THE_LIMIT);
+            SimulatedFleet.SPENDABLE_SHARE);
 
-    /** One figure of one role over its sizes; fit is null where there are fewer than three sizes. */
-    record Slope(String role, Budget budget, List<Point> points, Fit fit, Optional<Leaves> leaves) {
+    /** One figure of one role by size; {@code fit} is null if there are fewer than three sizes. */
+    record Slope(String role, Budget budget, List<Point> points, Fit fit, Optional<BudgetCrossing> crossing) {
 
-        /** What the size of the role counts: routers, or what its name says after 'by'. */
+        /**
+         * What the sizes of the role count: routers, unless the name of the role implies something else, as after
+         * 'by'.
+         */
         String axis() {
             int by = role.lastIndexOf(", by ");
             if (by >= 0) {
@@ -85,7 +91,7 @@
                                     : "routers";
         }
 
-        /** What was going on, or by what it grows: roles of one scenario share a plot. */
+        /** The part of the role's name after its first comma, or the whole name. Roles of one scenario share a plot. */
         String scenario() {
             int comma = role.indexOf(", ");
             return comma < 0 ? role : role.substring(comma + 2);
@@ -97,30 +103,33 @@
 
     ScaleReport(ScaleConfig config, List<Sample> samples) {
         this.config = config;
-        this.samples = samples.stream().map(ScaleReport::inAndOut).toList();
+        this.samples = samples.stream().map(ScaleReport::withTotalBytes).toList();
     }
 
-    /** With the bytes in and out together where a measurement tells them apart alone. */
-    private static Sample inAndOut(Sample s) {
-        if (s.figures().containsKey("bytes/s")
-                || s.figures().keySet().stream().noneMatch(f -> f.equals("bytes in/s") || f.equals("bytes out/s"))) {
-            return s;
+    /** Adds the sum of bytes in and out to a sample that has one or both of them but no sum. */
+    private static Sample withTotalBytes(Sample sample) {
+        if (sample.figures().containsKey("bytes/s")
+                || sample.figures().keySet().stream().noneMatch(f -> f.equals("bytes in/s") || f.equals("bytes out/s"))) {
+            return sample;
         }
-        Map<String, Double> figures = new LinkedHashMap<>(s.figures());
+        Map<String, Double> figures = new LinkedHashMap<>(sample.figures());
         figures.put(
                 "bytes/s",
-                s.figures().getOrDefault("bytes in/s", 0.0) + s.figures().getOrDefault("bytes out/s", 0.0));
-        return new Sample(s.role(), s.size(), figures);
+                sample.figures().getOrDefault("bytes in/s", 0.0) + sample.figures().getOrDefault("bytes out/s", 0.0));
+        return new Sample(sample.role(), sample.size(), figures);
     }
 
-    /** The figures of a role that are fitted: those with a budget, and those that are no column of the first table. */
-    private List<Budget> fitted(String role) {
+    /**
+     * The figures of a role that are fitted: those with a budget, and those that are not in the first table, except
+     * derived values ("worked out") and the minimum and maximum of rounds.
+     */
+    private List<Budget> fittedBudgets(String role) {
         List<Budget> fitted = new ArrayList<>(BUDGETS);
         samples.stream()
                 .filter(s -> s.role().equals(role))
                 .flatMap(s -> s.figures().keySet().stream())
                 .distinct()
-                .filter(f -> !COLUMNS.contains(f)
+                .filter(f -> !TABLE_FIGURES.contains(f)
                         && !f.startsWith("worked out")
                         && !f.endsWith(" least")
                         && !f.endsWith(" most"))
@@ -128,26 +137,26 @@
         return fitted;
     }
 
-    /** All slopes, role by role. */
+    /** The slopes of all fitted figures, role by role. */
     List<Slope> slopes() {
         List<Slope> slopes = new ArrayList<>();
         for (String role :
                 new LinkedHashSet<>(samples.stream().map(Sample::role).toList())) {
-            for (Budget b : fitted(role)) {
+            for (Budget budget : fittedBudgets(role)) {
                 List<Point> points = samples.stream()
-                        .filter(s -> s.role().equals(role) && s.figures().containsKey(b.figure()))
-                        .map(s -> new Point(s.size(), s.figures().get(b.figure())))
+                        .filter(s -> s.role().equals(role) && s.figures().containsKey(budget.figure()))
+                        .map(s -> new Point(s.size(), s.figures().get(budget.figure())))
                         .toList();
                 if (!points.isEmpty()) {
                     Fit fit = Fit.of(points);
-                    slopes.add(new Slope(role, b, points, fit, Fit.leaves(points, fit, b.most())));
+                    slopes.add(new Slope(role, budget, points, fit, Fit.budgetCrossing(points, fit, budget.max())));
                 }
             }
         }
         return slopes;
     }
 
-    /** Writes scale.json, scale.md and the plots into the folder; the table is given back. */
+    /** Writes scale.json, scale.md and the plots into the folder and returns the contents of scale.md. */
     String write(Path folder) throws IOException {
         Files.createDirectories(folder);
         List<Slope> slopes = slopes();
@@ -155,68 +164,68 @@
                 .writer(new DefaultPrettyPrinter()
                         .withObjectIndenter(new DefaultIndenter("  ", "\n"))
                         .withArrayIndenter(new DefaultIndenter("  ", "\n")));
-        Files.writeString(folder.resolve("scale.json"), json.writeValueAsString(tree(slopes)) + "\n");
+        Files.writeString(folder.resolve("scale.json"), json.writeValueAsString(jsonTree(slopes)) + "\n");
         String table = markdown(slopes);
         Files.writeString(folder.resolve("scale.md"), table);
-        for (Budget b : new LinkedHashSet<>(slopes.stream().map(Slope::budget).toList())) {
+        for (Budget budget : new LinkedHashSet<>(slopes.stream().map(Slope::budget).toList())) {
             for (String scenario :
                     new TreeSet<>(slopes.stream().map(Slope::scenario).toList())) {
                 List<Slope> shown = slopes.stream()
-                        .filter(s -> s.budget().equals(b)
+                        .filter(s -> s.budget().equals(budget)
                                 && s.scenario().equals(scenario)
                                 && s.points().stream().anyMatch(p -> p.value() > 0 && p.size() > 0))
                         .toList();
                 if (!shown.isEmpty()) {
                     SlopePlot.write(
-                            b,
+                            budget,
                             scenario,
                             shown,
-                            folder.resolve(b.file() + "-" + scenario.replaceAll("[^A-Za-z0-9]+", "-") + ".svg"));
+                            folder.resolve(budget.filePrefix() + "-" + scenario.replaceAll("[^A-Za-z0-9]+", "-") + ".svg"));
                 }
             }
         }
         return table;
     }
 
-    private Map<String, Object> tree(List<Slope> slopes) {
+    private Map<String, Object> jsonTree(List<Slope> slopes) {
         Map<String, Object> tree = new LinkedHashMap<>();
         tree.put("parameters", config);
         List<Map<String, Object>> rows = new ArrayList<>();
-        for (Sample s : samples) {
+        for (Sample sample : samples) {
             Map<String, Object> row = new LinkedHashMap<>();
-            row.put("role", s.role());
-            row.put("size", s.size());
+            row.put("role", sample.role());
+            row.put("size", sample.size());
             Map<String, Double> figures = new LinkedHashMap<>();
-            s.figures().forEach((figure, value) -> figures.put(figure, rounded(value, 7)));
+            sample.figures().forEach((figure, value) -> figures.put(figure, rounded(value, 7)));
             row.put("figures", figures);
             rows.add(row);
         }
         tree.put("samples", rows);
         List<Map<String, Object>> fits = new ArrayList<>();
-        for (Slope s : slopes) {
+        for (Slope slope : slopes) {
             Map<String, Object> row = new LinkedHashMap<>();
-            row.put("role", s.role());
-            row.put("figure", s.budget().figure());
-            if (Double.isFinite(s.budget().most())) {
-                row.put("budget", s.budget().most());
+            row.put("role", slope.role());
+            row.put("figure", slope.budget().figure());
+            if (Double.isFinite(slope.budget().max())) {
+                row.put("budget", slope.budget().max());
             }
-            s.leaves().ifPresent(l -> {
-                row.put("leaves budget at", rounded(l.size()));
-                row.put("leaves within the measured range", l.measured());
+            slope.crossing().ifPresent(crossing -> {
+                row.put("leaves budget at", rounded(crossing.size()));
+                row.put("leaves within the measured range", crossing.measured());
             });
-            if (s.fit() != null) {
-                Fit f = s.fit();
-                row.put("measured from", f.least());
-                row.put("measured to", f.most());
-                row.put("slope", rounded(f.slope()));
-                row.put("slope, 95 % low", rounded(f.slopeLow()));
-                row.put("slope, 95 % high", rounded(f.slopeHigh()));
-                row.put("worst residual, factor", rounded(f.worst()));
-                row.put("form", f.form());
-                row.put("form's worst residual, factor", rounded(f.formWorst()));
-                if (s.axis().equals("routers")) {
-                    row.put("at target", rounded(f.at(config.target())));
-                    row.put("target past the range, factor", rounded(f.past(config.target())));
+            if (slope.fit() != null) {
+                Fit fit = slope.fit();
+                row.put("measured from", fit.minSize());
+                row.put("measured to", fit.maxSize());
+                row.put("slope", rounded(fit.slope()));
+                row.put("slope, 95 % low", rounded(fit.slopeLow()));
+                row.put("slope, 95 % high", rounded(fit.slopeHigh()));
+                row.put("worst residual, factor", rounded(fit.maxResidual()));
+                row.put("form", fit.form());
+                row.put("form's worst residual, factor", rounded(fit.formMaxResidual()));
+                if (slope.axis().equals("routers")) {
+                    row.put("at target", rounded(fit.predict(config.target())));
+                    row.put("target past the range, factor", rounded(fit.extrapolationFactor(config.target())));
                 }
             }
             fits.add(row);
@@ -254,65 +263,65 @@
                 .append(config.churn())
                 .append(" a second at the largest size. Virtual time; bytes are those of the packets without the"
                         + " headers of UDP and IP; processor time is this machine's, without collections.\n\n");
-        if (config.cells() == null && config.routers().stream().anyMatch(n -> n > HollowFleet.TABLE)) {
+        if (config.cells() == null && config.routers().stream().anyMatch(n -> n > SimulatedFleet.MAX_TABLE_ROUTERS)) {
             md.append("Beyond ")
-                    .append(HollowFleet.TABLE)
+                    .append(SimulatedFleet.MAX_TABLE_ROUTERS)
                     .append(" routers the table was set to hold them all; a real" + " router's doesn't.\n\n");
         }
         md.append(
                 "## Measured\n\n| role | size | routers of it | KB/s in | KB/s out | packets/s in | packets/s out | worst router"
                         + " KB/s in, out | worst second KB/s in, out | cpu ms/s | worst router | heap KB | all have of the limit |\n"
                         + "| --- | --: | --: | --: | --: | --: | --: | --: | --: | --: | --: | --: | --: |\n");
-        for (Sample s : samples.stream()
-                .filter(s -> s.figures().keySet().stream().anyMatch(COLUMNS::contains))
+        for (Sample sample : samples.stream()
+                .filter(s -> s.figures().keySet().stream().anyMatch(TABLE_FIGURES::contains))
                 .toList()) {
             md.append("| ")
-                    .append(s.role())
+                    .append(sample.role())
                     .append(" | ")
-                    .append(s.size())
+                    .append(sample.size())
                     .append(" | ")
-                    .append(cell(s, "routers", 1))
+                    .append(cell(sample, "routers", 1))
                     .append(" | ")
-                    .append(cell(s, "bytes in/s", 1e3))
+                    .append(cell(sample, "bytes in/s", 1e3))
                     .append(" | ")
-                    .append(cell(s, "bytes out/s", 1e3))
+                    .append(cell(sample, "bytes out/s", 1e3))
                     .append(" | ")
-                    .append(cell(s, "packets in/s", 1))
+                    .append(cell(sample, "packets in/s", 1))
                     .append(" | ")
-                    .append(cell(s, "packets out/s", 1))
+                    .append(cell(sample, "packets out/s", 1))
                     .append(" | ")
-                    .append(cell(s, "worst router bytes in/s", 1e3))
+                    .append(cell(sample, "worst router bytes in/s", 1e3))
                     .append(", ")
-                    .append(cell(s, "worst router bytes out/s", 1e3))
+                    .append(cell(sample, "worst router bytes out/s", 1e3))
                     .append(" | ")
-                    .append(cell(s, "worst second bytes in/s", 1e3))
+                    .append(cell(sample, "worst second bytes in/s", 1e3))
                     .append(", ")
-                    .append(cell(s, "worst second bytes out/s", 1e3))
+                    .append(cell(sample, "worst second bytes out/s", 1e3))
                     .append(" | ")
-                    .append(cell(s, "cpu ms/s", 1))
+                    .append(cell(sample, "cpu ms/s", 1))
                     .append(" | ")
-                    .append(cell(s, "worst router cpu ms/s", 1))
+                    .append(cell(sample, "worst router cpu ms/s", 1))
                     .append(" | ")
-                    .append(cell(s, "heap bytes", 1e3))
+                    .append(cell(sample, "heap bytes", 1e3))
                     .append(" | ")
-                    .append(cell(s, HollowFleet.OF_THE_LIMIT, 1))
+                    .append(cell(sample, SimulatedFleet.SPENDABLE_SHARE, 1))
                     .append(" |\n");
         }
         List<Sample> others = samples.stream()
-                .filter(s -> !COLUMNS.containsAll(s.figures().keySet()))
+                .filter(s -> !TABLE_FIGURES.containsAll(s.figures().keySet()))
                 .toList();
         if (!others.isEmpty()) {
             md.append("\n## Other figures\n\n| role | size | figure | value |\n| --- | --: | --- | --: |\n");
-            others.forEach(s -> s.figures().forEach((figure, value) -> {
-                if (!COLUMNS.contains(figure)) {
+            others.forEach(sample -> sample.figures().forEach((figure, value) -> {
+                if (!TABLE_FIGURES.contains(figure)) {
                     md.append("| ")
-                            .append(s.role())
+                            .append(sample.role())
                             .append(" | ")
-                            .append(s.size())
+                            .append(sample.size())
                             .append(" | ")
                             .append(figure)
                             .append(" | ")
-                            .append(number(value))
+                            .append(format(value))
                             .append(" |\n");
                 }
             }));
@@ -324,49 +333,49 @@
                                 + " (worst residual) | at ")
                 .append(config.target())
                 .append(" | budget | leaves it at |\n" + "| --- | --- | --- | --- | --: | --- | --- | --: | --- |\n");
-        for (Slope s : slopes) {
-            Fit f = s.fit();
+        for (Slope slope : slopes) {
+            Fit fit = slope.fit();
             md.append("| ")
-                    .append(s.role())
+                    .append(slope.role())
                     .append(" | ")
-                    .append(s.budget().figure())
+                    .append(slope.budget().figure())
                     .append(" | ")
-                    .append(f == null ? s.points().size() + " sizes" : f.least() + " to " + f.most())
+                    .append(fit == null ? slope.points().size() + " sizes" : fit.minSize() + " to " + fit.maxSize())
                     .append(" | ")
                     .append(
-                            f == null
+                            fit == null
                                     ? "too few sizes"
-                                    : number(f.slope()) + " (" + number(f.slopeLow()) + " to " + number(f.slopeHigh())
+                                    : format(fit.slope()) + " (" + format(fit.slopeLow()) + " to " + format(fit.slopeHigh())
                                             + ")")
                     .append(" | ")
-                    .append(f == null ? "" : number(f.worst()))
+                    .append(fit == null ? "" : format(fit.maxResidual()))
                     .append(" | ")
-                    .append(f == null ? "" : f.form() + " (" + number(f.formWorst()) + ")")
+                    .append(fit == null ? "" : fit.form() + " (" + format(fit.formMaxResidual()) + ")")
                     .append(" | ")
                     .append(
-                            f == null || !s.axis().equals("routers")
+                            fit == null || !slope.axis().equals("routers")
                                     ? ""
-                                    : number(f.at(config.target()))
-                                            + (f.past(config.target()) > 1
-                                                    ? ", " + number(f.past(config.target())) + " times past"
+                                    : format(fit.predict(config.target()))
+                                            + (fit.extrapolationFactor(config.target()) > 1
+                                                    ? ", " + format(fit.extrapolationFactor(config.target())) + " times past"
                                                     : ""))
                     .append(" | ")
                     .append(
-                            Double.isFinite(s.budget().most())
-                                    ? number(s.budget().most())
+                            Double.isFinite(slope.budget().max())
+                                    ? format(slope.budget().max())
                                     : "none")
                     .append(" | ")
                     .append(
-                            Double.isInfinite(s.budget().most())
+                            Double.isInfinite(slope.budget().max())
                                     ? ""
-                                    : s.leaves()
-                                            .map(l -> number(l.size())
-                                                    + (l.measured()
+                                    : slope.crossing()
+                                            .map(crossing -> format(crossing.size())
+                                                    + (crossing.measured()
                                                             ? ", within the measured range"
-                                                            : ", extrapolated " + number(f.past(l.size()))
+                                                            : ", extrapolated " + format(fit.extrapolationFactor(crossing.size()))
                                                                     + " times past"))
                                             .orElse(
-                                                    f == null
+                                                    fit == null
                                                             ? "not over it where measured"
                                                             : "not within 1,000 times the range by this fit"))
                     .append(" |\n");
@@ -374,12 +383,12 @@
         return md.toString();
     }
 
-    private static String cell(Sample s, String figure, double unit) {
-        return s.figures().containsKey(figure) ? number(s.figures().get(figure) / unit) : "-";
+    private static String cell(Sample sample, String figure, double unit) {
+        return sample.figures().containsKey(figure) ? format(sample.figures().get(figure) / unit) : "-";
     }
 
-    /** Three figures that count, or whole where there are more before the point. */
-    private static String number(double value) {
+    /** Formats a value with three significant digits, or as a whole number if it has three or more integer digits. */
+    private static String format(double value) {
         if (!Double.isFinite(value)) {
             return "-";
         }
--- a/src/main/java/pumicemoor/lab/scale/ScaleRun.java
+++ b/src/main/java/pumicemoor/lab/scale/ScaleRun.java
@@ -8,23 +8,23 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Measures what a file asks for and writes the report; it owns the list of what can measure roles. */
+/** Runs the measurements that a scale file asks for and writes the report. It owns the list of measurements. */
 public final class ScaleRun {
 
     private ScaleRun() {}
 
-    /** Measures; the report's table is given back, it and the other files are left in the folder. */
+    /** Runs the measurements, writes the report files into the folder and returns the Markdown table. */
     public static String run(Path file, Path folder, PrintStream progress) throws IOException {
         ScaleConfig config = ScaleConfig.read(file);
         List<Sample> samples = new ArrayList<>();
-        for (RoleMeasurement m : measurements(config, soFar -> keep(config, soFar, folder))) {
-            samples.addAll(m.measure(config, progress));
+        for (RoleMeasurement measurement : measurements(config, samplesSoFar -> writeReport(config, samplesSoFar, folder))) {
+            samples.addAll(measurement.measure(config, progress));
         }
         return new ScaleReport(config, samples).write(folder);
     }
 
-    /** A run that is ended before its time leaves what it had. */
-    private static void keep(ScaleConfig config, List<Sample> samples, Path folder) {
+    /** Writes a report of the samples so far, so that a run that is killed early leaves the finished sizes. */
+    private static void writeReport(ScaleConfig config, List<Sample> samples, Path folder) {
         try {
             new ScaleReport(config, samples).write(folder);
         } catch (IOException e) {
@@ -32,14 +32,14 @@
         }
     }
 
-    private static List<RoleMeasurement> measurements(ScaleConfig config, Consumer<List<Sample>> soFar) {
-        List<RoleMeasurement> all = new ArrayList<>();
+    private static List<RoleMeasurement> measurements(ScaleConfig config, Consumer<List<Sample>> onSamples) {
+        List<RoleMeasurement> measurements = new ArrayList<>();
         if (config.roles().stream().anyMatch(r -> r != ScaleConfig.Role.READER)) {
-            all.add(new FleetRoles(soFar));
+            measurements.add(new FleetRoles(onSamples));
         }
         if (config.roles().contains(ScaleConfig.Role.READER)) {
-            all.add(new ReaderRoles());
+            measurements.add(new ReaderRoles());
         }
-        return all;
+        return measurements;
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/SlopePlot.java
+++ b/src/main/java/pumicemoor/lab/scale/SlopePlot.java
@@ -22,10 +22,14 @@
 import pumicemoor.lab.scale.ScaleReport.Budget;
 import pumicemoor.lab.scale.ScaleReport.Slope;
 
-/** Draws one figure of several roles over their sizes, both in logarithms, with the fits and the budget, as SVG. */
+/**
+ * Draws one figure of several roles by size as an SVG plot with logarithmic axes, with the fitted power laws and the
+ * budget.
+ */
 final class SlopePlot {
 
-    private static final Pattern DIGITS = Pattern.compile("(\\d\\.\\d\\d)\\d+"); // a hundredth of a pixel is enough
+    /** Shortened to hundredths of a pixel. */
+    private static final Pattern EXCESS_DIGITS = Pattern.compile("(\\d\\.\\d\\d)\\d+");
 
     private SlopePlot() {}
 
@@ -36,7 +40,7 @@
                     .getDOMImplementation()
                     .createDocument("http://www.w3.org/2000/svg", "svg", null);
         } catch (ParserConfigurationException e) {
-            throw new IllegalStateException("the JDK has no XML documents", e);
+            throw new IllegalStateException("the JDK provides no XML document builder", e);
         }
     }
 
@@ -56,35 +60,35 @@
                 .setYAxisLogarithmic(true)
                 .setXAxisDecimalPattern("#,##0")
                 .setYAxisDecimalPattern("#,##0.####")
-                .setPlotGridLinesStroke(new BasicStroke(0.5f)) // dashes make the file ten times as large
+                .setPlotGridLinesStroke(new BasicStroke(0.5f)) // the default dashes make the file ten times as large
                 .setLegendPosition(Styler.LegendPosition.OutsideE)
                 .setChartBackgroundColor(Color.WHITE);
-        double least = Double.MAX_VALUE;
-        double most = 0;
-        for (Slope s : slopes) {
-            List<Point> points = s.points().stream()
+        double minSize = Double.MAX_VALUE;
+        double maxSize = 0;
+        for (Slope slope : slopes) {
+            List<Point> points = slope.points().stream()
                     .filter(p -> p.value() > 0 && p.size() > 0)
                     .toList();
             XYSeries series = chart.addSeries(
-                    s.role(),
+                    slope.role(),
                     points.stream().mapToDouble(Point::size).toArray(),
                     points.stream().mapToDouble(Point::value).toArray());
-            series.setLineStyle(new BasicStroke(s.fit() == null ? 1 : 0.01f));
-            if (s.fit() != null) {
-                XYSeries line = chart.addSeries(
-                        s.role() + ", fit",
-                        new double[] {s.fit().least(), s.fit().most()},
+            series.setLineStyle(new BasicStroke(slope.fit() == null ? 1 : 0.01f));
+            if (slope.fit() != null) {
+                XYSeries fitLine = chart.addSeries(
+                        slope.role() + ", fit",
+                        new double[] {slope.fit().minSize(), slope.fit().maxSize()},
                         new double[] {
-                            s.fit().at(s.fit().least()), s.fit().at(s.fit().most())
+                            slope.fit().predict(slope.fit().minSize()), slope.fit().predict(slope.fit().maxSize())
                         });
-                line.setMarker(SeriesMarkers.NONE).setShowInLegend(false);
-                line.setLineStyle(new BasicStroke(1));
+                fitLine.setMarker(SeriesMarkers.NONE).setShowInLegend(false);
+                fitLine.setLineStyle(new BasicStroke(1));
             }
-            least = Math.min(least, points.get(0).size());
-            most = Math.max(most, points.get(points.size() - 1).size());
+            minSize = Math.min(minSize, points.get(0).size());
+            maxSize = Math.max(maxSize, points.get(points.size() - 1).size());
         }
-        if (least < most && Double.isFinite(budget.most())) {
-            chart.addSeries("budget", new double[] {least, most}, new double[] {budget.most(), budget.most()})
+        if (minSize < maxSize && Double.isFinite(budget.max())) {
+            chart.addSeries("budget", new double[] {minSize, maxSize}, new double[] {budget.max(), budget.max()})
                     .setMarker(SeriesMarkers.NONE);
         }
         SVGGraphics2D canvas = new SVGGraphics2D(document());
@@ -92,6 +96,6 @@
         chart.paint(canvas, chart.getWidth(), chart.getHeight());
         StringWriter svg = new StringWriter();
         canvas.stream(svg, true);
-        Files.writeString(file, DIGITS.matcher(svg.toString()).replaceAll("$1"));
+        Files.writeString(file, EXCESS_DIGITS.matcher(svg.toString()).replaceAll("$1"));
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/package-info.java
+++ b/src/main/java/pumicemoor/lab/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Measures how the cost of each role grows with the size of a fleet: hollow routers (the real deciding code without
- * sockets, in virtual time), fits of the slopes, plots, tables. It must never be needed by serving.
+ * Measures how the cost of each router role grows with the size of the fleet: simulated routers (the production
+ * decision code without sockets, in virtual time), least-squares fits of the growth, plots and tables. Code that
+ * serves requests must never depend on this package.
  */
 package pumicemoor.lab.scale;
--- a/src/test/java/pumicemoor/lab/scale/CapacityPageTest.java
+++ b/src/test/java/pumicemoor/lab/scale/CapacityPageTest.java
@@ -16,26 +16,29 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Holds the small sizes of docs/CAPACITY.md, as its own table has them, against a fresh run: counts and bytes alone. */
+/**
+ * Guards against a docs/CAPACITY.md that no longer matches the code: compares the sizes in its table with a new run.
+ * Only counts and bytes are compared, which do not depend on the machine.
+ */
 class CapacityPageTest {
 
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
-    private static final String HEAD = "| role | size | figure | value |";
-    private static final Pattern FACTOR = Pattern.compile("within a factor of (\\d+\\.\\d+)");
-    private static final String ROLES = "reader, whole list; reader, single changes; reader, purges a second; "
+    private static final String TABLE_HEADER = "| role | size | figure | value |";
+    private static final Pattern TOLERANCE_FACTOR = Pattern.compile("within a factor of (\\d+\\.\\d+)");
+    private static final String REQUIRED_ROLES = "reader, whole list; reader, single changes; reader, purges a second; "
             + "reader, seconds cut off; cold start; sender; holder, a limit at each cache";
 
-    /** A row of the page's table. */
+    /** A row of the table in the page. */
     private record Row(String role, int size, String figure, double value) {}
 
-    private static List<Row> rows(String page) {
+    private static List<Row> parseRows(String page) {
         List<Row> rows = new ArrayList<>();
         page.lines()
-                .dropWhile(l -> !l.equals(HEAD))
+                .dropWhile(l -> !l.equals(TABLE_HEADER))
                 .skip(2)
                 .takeWhile(l -> l.startsWith("|"))
-                .forEach(l -> {
-                    String[] cells = l.split("\\|");
+                .forEach(line -> {
+                    String[] cells = line.split("\\|");
                     rows.add(new Row(
                             cells[1].strip(),
                             Integer.parseInt(cells[2].strip().replace(",", "")),
@@ -51,15 +54,15 @@
     }
 
     @Test
-    void thePageHoldsWhatAFreshRunGives() throws IOException {
+    void pageMatchesAFreshRun() throws IOException {
         String page = Files.readString(PAGE);
-        Matcher factor = FACTOR.matcher(page);
-        assertTrue(factor.find(), "the page states no factor");
-        double most = Double.parseDouble(factor.group(1));
-        assertTrue(most > 1 && most <= 1.25, "a factor of " + most);
-        List<Row> rows = rows(page);
-        for (String role : ROLES.split("; ")) {
-            assertTrue(rows.stream().anyMatch(r -> r.role().equals(role)), "no row of " + role);
+        Matcher factor = TOLERANCE_FACTOR.matcher(page);
+        assertTrue(factor.find(), "the page states no tolerance factor");
+        double tolerance = Double.parseDouble(factor.group(1));
+        assertTrue(tolerance > 1 && tolerance <= 1.25, "the tolerance factor is " + tolerance);
+        List<Row> rows = parseRows(page);
+        for (String role : REQUIRED_ROLES.split("; ")) {
+            assertTrue(rows.stream().anyMatch(r -> r.role().equals(role)), "the page has no row for role " + role);
         }
         List<Sample> fresh = ReaderRoles.measure(
                 new ReaderRoles.Plan(
@@ -70,18 +73,18 @@
                         1,
                         1),
                 new PrintStream(OutputStream.nullOutputStream()));
-        List<String> off = new ArrayList<>();
+        List<String> mismatches = new ArrayList<>();
         for (Row row : rows) {
-            double now = fresh.stream()
+            double measured = fresh.stream()
                     .filter(s -> s.role().equals(row.role()) && s.size() == row.size())
                     .findFirst()
-                    .orElseThrow(() -> new AssertionError("nothing measures " + row))
+                    .orElseThrow(() -> new AssertionError("no sample for " + row))
                     .figures()
                     .get(row.figure());
-            if (now > row.value() * most || now * most < row.value()) {
-                off.add(row + ": now " + now);
+            if (measured > row.value() * tolerance || measured * tolerance < row.value()) {
+                mismatches.add(row + ": now " + measured);
             }
         }
-        assertEquals(List.of(), off);
+        assertEquals(List.of(), mismatches);
     }
 }
--- a/src/test/java/pumicemoor/lab/scale/ScaleTest.java
+++ b/src/test/java/pumicemoor/lab/scale/ScaleTest.java
@@ -23,16 +23,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicemoor.lab.scale.Fit.Leaves;
+import pumicemoor.lab.scale.Fit.BudgetCrossing;
 import pumicemoor.lab.scale.Fit.Point;
-import pumicemoor.lab.scale.HollowFleet.Router;
-import pumicemoor.lab.scale.HollowFleet.Shape;
+import pumicemoor.lab.scale.SimulatedFleet.FleetParameters;
+import pumicemoor.lab.scale.SimulatedFleet.Router;
 
-/** Hollow fleets count the same each time, and what is said of them follows from the points; no wall time is held. */
+/**
+ * Checks that simulated fleets give the same counts in each run, that reports follow from the samples, and that scale
+ * files are validated. Wall-clock times are not checked.
+ */
 class ScaleTest {
 
-    private static final PrintStream QUIET = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
-    private static final String SMALL =
+    private static final PrintStream DISCARD_PROGRESS = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
+    private static final String SMALL_CONFIG =
             """
             seed: 7
             routers: [10, 30]
@@ -48,25 +51,25 @@
     @TempDir
     Path folder;
 
-    /** All that is counted, without what this machine's clock and heap tell. */
-    private static Map<String, Map<String, Double>> counts(String yaml) throws IOException {
-        return new FleetRoles(soFar -> {})
-                .measure(ScaleConfig.parse(yaml, "test"), QUIET).stream()
+    /** All samples without the figures that depend on the machine: processor time and heap. */
+    private static Map<String, Map<String, Double>> machineIndependentFigures(String yaml) throws IOException {
+        return new FleetRoles(samplesSoFar -> {})
+                .measure(ScaleConfig.parse(yaml, "test"), DISCARD_PROGRESS).stream()
                         .collect(Collectors.toMap(s -> s.role() + " " + s.size(), s -> {
-                            Map<String, Double> counted = new TreeMap<>(s.figures());
-                            counted.keySet().removeIf(f -> f.contains("cpu") || f.contains("heap"));
-                            return counted;
+                            Map<String, Double> figures = new TreeMap<>(s.figures());
+                            figures.keySet().removeIf(f -> f.contains("cpu") || f.contains("heap"));
+                            return figures;
                         }));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "cells: {most: 8, delegates: 2}\n"})
-    void oneSeedCountsTheSameTwiceByAnyThreadsAndAnotherDoesNot(String more) throws IOException {
-        Map<String, Map<String, Double>> first = counts(SMALL + more);
-        Map<String, Map<String, Double>> second = counts(SMALL + more + "threads: 3\n");
+    void countsDependOnTheSeedAndNotOnTheNumberOfThreads(String extraSettings) throws IOException {
+        Map<String, Map<String, Double>> first = machineIndependentFigures(SMALL_CONFIG + extraSettings);
+        Map<String, Map<String, Double>> second = machineIndependentFigures(SMALL_CONFIG + extraSettings + "threads: 3\n");
         assertEquals(first.keySet(), second.keySet());
         first.forEach((sample, figures) -> assertEquals(figures, second.get(sample), sample));
-        assertFalse(first.equals(counts(SMALL.replace("seed: 7", "seed: 8") + more)));
+        assertFalse(first.equals(machineIndependentFigures(SMALL_CONFIG.replace("seed: 7", "seed: 8") + extraSettings)));
         for (int size : new int[] {10, 30}) {
             for (String scenario : List.of(
                     "start", "calm", "20 % restarted", "zone lost", "zone back", "regions cut", "regions joined")) {
@@ -78,16 +81,19 @@
         }
     }
 
-    /** What one kind sends another gets: in a calm flat fleet with no loss the bytes in and out are the same in sum. */
+    /**
+     * Guards against traffic that is counted twice or not at all: in a calm flat fleet without loss the sums of bytes
+     * in and out are equal.
+     */
     @Test
-    void nothingIsCountedTwiceOrLost() throws IOException {
-        ScaleConfig config = ScaleConfig.parse(SMALL + "loss: 0.0\n", "test");
-        HollowFleet fleet = new HollowFleet(config, new Shape(30, 1, false));
+    void bytesOutEqualBytesInWithoutLoss() throws IOException {
+        ScaleConfig config = ScaleConfig.parse(SMALL_CONFIG + "loss: 0.0\n", "test");
+        SimulatedFleet fleet = new SimulatedFleet(config, new FleetParameters(30, 1, false));
         fleet.startAll();
-        fleet.run(10 * HollowFleet.SECOND, f -> true);
+        fleet.run(10 * SimulatedFleet.MICROS_PER_SECOND, f -> true);
         long before = fleet.bytes();
-        fleet.window(10);
-        fleet.run(10 * HollowFleet.SECOND, f -> true);
+        fleet.beginWindow(10);
+        fleet.run(10 * SimulatedFleet.MICROS_PER_SECOND, f -> true);
         List<Sample> samples = fleet.samples("calm", false);
         double out = samples.stream()
                 .mapToDouble(s -> s.figures().get("routers") * s.figures().get("bytes out/s"))
@@ -96,7 +102,7 @@
                 .mapToDouble(s -> s.figures().get("routers") * s.figures().get("bytes in/s"))
                 .sum();
         assertEquals(fleet.bytes() - before, out * 10, 0.5);
-        assertEquals(out, in, out / 100); // what is on its way at either end
+        assertEquals(out, in, out / 100); // packets in flight at either end of the window
         assertEquals(
                 30,
                 samples.stream().mapToDouble(s -> s.figures().get("routers")).sum());
@@ -104,43 +110,43 @@
     }
 
     @Test
-    void aCutLetsNothingThroughAndAKilledRouterHearsNothing() throws IOException {
-        HollowFleet fleet = new HollowFleet(ScaleConfig.parse(SMALL, "test"), new Shape(30, 1, false));
+    void partitionDropsAllPacketsAndKilledRouterLeavesTheFleet() throws IOException {
+        SimulatedFleet fleet = new SimulatedFleet(ScaleConfig.parse(SMALL_CONFIG, "test"), new FleetParameters(30, 1, false));
         fleet.startAll();
-        fleet.run(10 * HollowFleet.SECOND, f -> true);
-        fleet.cut((a, b) -> a.zone() != b.zone());
-        fleet.run(20 * HollowFleet.SECOND, f -> true);
-        for (Router r : fleet.routers) {
-            long zone = fleet.routers.stream()
-                    .filter(o -> o.place.zone() == r.place.zone())
+        fleet.run(10 * SimulatedFleet.MICROS_PER_SECOND, f -> true);
+        fleet.setPartition((a, b) -> a.zone() != b.zone());
+        fleet.run(20 * SimulatedFleet.MICROS_PER_SECOND, f -> true);
+        for (Router router : fleet.routers) {
+            long routersInZone = fleet.routers.stream()
+                    .filter(o -> o.location.zone() == router.location.zone())
                     .count();
-            assertEquals(Long.toString(zone), r.part.fields().get("fleet-living"), r.name);
+            assertEquals(Long.toString(routersInZone), router.participant.fields().get("fleet-living"), router.name);
         }
-        fleet.cut((a, b) -> true);
-        fleet.run(HollowFleet.SECOND, f -> true); // what was on its way
-        fleet.window(5);
-        fleet.run(5 * HollowFleet.SECOND, f -> true);
-        for (Sample s : fleet.samples("all apart", false)) {
-            assertEquals(0, s.figures().get("bytes in/s"), 0);
-            assertTrue(s.figures().get("bytes out/s") > 0);
+        fleet.setPartition((a, b) -> true);
+        fleet.run(SimulatedFleet.MICROS_PER_SECOND, f -> true); // lets the packets in flight arrive
+        fleet.beginWindow(5);
+        fleet.run(5 * SimulatedFleet.MICROS_PER_SECOND, f -> true);
+        for (Sample sample : fleet.samples("all apart", false)) {
+            assertEquals(0, sample.figures().get("bytes in/s"), 0);
+            assertTrue(sample.figures().get("bytes out/s") > 0);
         }
-        fleet.cut((a, b) -> false);
+        fleet.setPartition((a, b) -> false);
         Router killed = fleet.routers.get(5);
         fleet.kill(killed);
-        fleet.run(30 * HollowFleet.SECOND, f -> true);
+        fleet.run(30 * SimulatedFleet.MICROS_PER_SECOND, f -> true);
         fleet.routers.stream()
                 .filter(r -> r != killed)
-                .forEach(r -> assertEquals("29", r.part.fields().get("fleet-living"), r.name));
+                .forEach(r -> assertEquals("29", r.participant.fields().get("fleet-living"), r.name));
     }
 
     @Test
-    void theReportIsWrittenAndReadable() throws Exception {
+    void reportFilesAreWrittenAndParse() throws Exception {
         Path file = folder.resolve("tiny.yaml");
         Files.writeString(
                 file,
-                SMALL.replace("[10, 30]", "[5, 8, 12]") + "roles: [fleet, holder, keeper, drains]\n"
+                SMALL_CONFIG.replace("[10, 30]", "[5, 8, 12]") + "roles: [fleet, holder, keeper, drains]\n"
                         + "limits: [1, 3]\ndrains: [5]\n");
-        String table = ScaleRun.run(file, folder.resolve("out"), QUIET);
+        String table = ScaleRun.run(file, folder.resolve("out"), DISCARD_PROGRESS);
         assertEquals(table, Files.readString(folder.resolve("out/scale.md")));
         assertTrue(
                 table.contains("| member, calm | 12 |")
@@ -171,12 +177,15 @@
         }
     }
 
-    /** The reader's roles come through the same command, with figures of their own, and grow with what their names say. */
+    /**
+     * The same command reports the roles of stream readers, with figures of their own and sizes in the unit that
+     * their names imply.
+     */
     @Test
-    void rolesOfReadersAreListedToo() throws Exception {
+    void reportIncludesStreamReaderRoles() throws Exception {
         Path file = folder.resolve("reader.yaml");
         Files.writeString(file, "roles: [reader]\nmembers: [10, 20, 40]\npurges: [0, 10]\nrouters: [30]\n");
-        String table = ScaleRun.run(file, folder.resolve("out"), QUIET);
+        String table = ScaleRun.run(file, folder.resolve("out"), DISCARD_PROGRESS);
         assertTrue(table.contains("| reader, purges a second | 10 | entries | 147 |"), table);
         assertTrue(table.contains("| reader, whole list | bytes a list | 10 to 40 |"), table);
         assertTrue(Files.readString(folder.resolve("out/bytes-a-list-whole-list.svg"))
@@ -205,42 +214,43 @@
     }
 
     @Test
-    void aFitFindsTheSlopeAndTheFormAndWhereABudgetIsLeft() {
+    void fitFindsSlopeConfidenceIntervalAndBudgetCrossing() {
         List<Point> square = List.of(new Point(10, 300), new Point(100, 30_000), new Point(1_000, 3_000_000));
         Fit fit = Fit.of(square);
         assertEquals(2, fit.slope(), 1e-9);
-        assertEquals(1, fit.worst(), 1e-9);
-        assertEquals(3e8, fit.at(10_000), 1);
-        assertEquals(10, fit.past(10_000), 1e-9);
-        Leaves within = Fit.leaves(square, fit, 30_000 * 1.0001).orElseThrow();
-        assertTrue(within.measured() && Math.abs(within.size() - 100) < 0.1, within.toString());
-        Leaves beyond = Fit.leaves(square, fit, 3e8).orElseThrow();
-        assertTrue(!beyond.measured() && Math.abs(beyond.size() - 10_000) < 1, beyond.toString());
-        assertTrue(Fit.leaves(square, fit, 3e20).isEmpty()); // past a thousand times the range nothing is said
-        assertEquals(10, Fit.leaves(square, fit, 1).orElseThrow().size(), 0);
+        assertEquals(1, fit.maxResidual(), 1e-9);
+        assertEquals(3e8, fit.predict(10_000), 1);
+        assertEquals(10, fit.extrapolationFactor(10_000), 1e-9);
+        BudgetCrossing crossingInRange = Fit.budgetCrossing(square, fit, 30_000 * 1.0001).orElseThrow();
+        assertTrue(crossingInRange.measured() && Math.abs(crossingInRange.size() - 100) < 0.1, crossingInRange.toString());
+        BudgetCrossing crossingBeyondRange = Fit.budgetCrossing(square, fit, 3e8).orElseThrow();
+        assertTrue(!crossingBeyondRange.measured() && Math.abs(crossingBeyondRange.size() - 10_000) < 1, crossingBeyondRange.toString());
+        // no extrapolation beyond a thousand times the range
+        assertTrue(Fit.budgetCrossing(square, fit, 3e20).isEmpty());
+        assertEquals(10, Fit.budgetCrossing(square, fit, 1).orElseThrow().size(), 0);
 
-        // worked out by hand: logarithms to base 10 (1, 1), (2, 2), (3, 2) have slope 1/2, standard error 1/(2 sqrt 3),
+        // calculated by hand: logarithms to base 10 (1, 1), (2, 2), (3, 2) have slope 1/2, standard error 1/(2 sqrt 3),
         // t = 12.706
-        Fit rough = Fit.of(List.of(new Point(10, 10), new Point(100, 100), new Point(1_000, 100)));
-        assertEquals(0.5, rough.slope(), 1e-9);
-        assertEquals(0.5 - 12.706 / 2 / Math.sqrt(3), rough.slopeLow(), 1e-3);
-        assertEquals(0.5 + 12.706 / 2 / Math.sqrt(3), rough.slopeHigh(), 1e-3);
-        assertEquals(Math.pow(10, 1 / 3.0), rough.worst(), 1e-9);
+        Fit scatteredFit = Fit.of(List.of(new Point(10, 10), new Point(100, 100), new Point(1_000, 100)));
+        assertEquals(0.5, scatteredFit.slope(), 1e-9);
+        assertEquals(0.5 - 12.706 / 2 / Math.sqrt(3), scatteredFit.slopeLow(), 1e-3);
+        assertEquals(0.5 + 12.706 / 2 / Math.sqrt(3), scatteredFit.slopeHigh(), 1e-3);
+        assertEquals(Math.pow(10, 1 / 3.0), scatteredFit.maxResidual(), 1e-9);
     }
 
     @ParameterizedTest
     @CsvSource({"n^0, 0", "log n, 1", "n, 2", "n log n, 3"})
-    void aFitNamesTheForm(String form, int which) {
+    void fitSelectsTheForm(String form, int formIndex) {
         int[] sizes = {30, 100, 300, 1_000, 2_000};
         Fit fit = Fit.of(java.util.Arrays.stream(sizes)
-                .mapToObj(n -> new Point(n, 5 * new double[] {1, Math.log(n), n, n * Math.log(n)}[which]))
+                .mapToObj(n -> new Point(n, 5 * new double[] {1, Math.log(n), n, n * Math.log(n)}[formIndex]))
                 .toList());
         assertEquals(form, fit.form());
-        assertEquals(1, fit.formWorst(), 1e-9);
+        assertEquals(1, fit.formMaxResidual(), 1e-9);
     }
 
     @Test
-    void tooFewSizesGiveNoFit() {
+    void fewerThanThreeSizesGiveNoFit() {
         assertEquals(null, Fit.of(List.of(new Point(10, 1), new Point(100, 2), new Point(100, 3))));
     }
 
@@ -271,14 +281,14 @@
                 "limits: [401]; limits",
                 "target: 1; target"
             })
-    void aBadValueIsToldInOneLineThatNamesTheKey(String yaml, String key) {
+    void invalidValueIsReportedInOneLineThatNamesTheKey(String yaml, String key) {
         IOException e = assertThrows(IOException.class, () -> ScaleConfig.parse(yaml, "file.yaml"));
         assertTrue(e.getMessage().startsWith("file.yaml: " + key), e.getMessage());
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
     }
 
     @Test
-    void theDeliveredFilesAreGood() throws IOException {
+    void deployedScaleFilesAreValid() throws IOException {
         assertTrue(ScaleConfig.read(Path.of("deploy/lab/scale-flat.yaml")).cells() == null);
         assertEquals(
                 List.of(30, 100, 300, 1_000, 2_000),
