--- a/src/main/java/pumicemoor/lab/scale/SimulatedFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedFleet.java
@@ -349,7 +349,7 @@
         }
     }
 
-    /** Sets the pairs of locations between which all packets are lost from now on. */
+    /** Sets the pairs of locations between which packets that are sent from now on are lost. */
     void setPartition(BiPredicate<Geography.Location, Geography.Location> pairs) {
         partition = pairs;
     }
