--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -19,13 +19,17 @@
 import pumicemoor.RouterApi.SendToPeer;
 import pumicemoor.RouterApi.WatchMembers;
 
-/** Writes the actions of instances as lines of a reply. */
+/**
+ * Writes the actions of the simulated router instances as a reply to a batch: one JSON object a line. A reply is
+ * buffered until {@link #endReply} flushes it.
+ */
 final class ActionWriter {
 
-    private static final int JOIN = 1;
-    private static final int ONLY_IF_HELD = 2;
-    private static final int PASS_PARENT = 4;
-    private static final int RENEW = 8;
+    // bits of the field 'opts' of a 'Get'
+    private static final int JOIN_FLAG = 1;
+    private static final int ONLY_IF_CACHED_FLAG = 2;
+    private static final int BYPASS_PARENT_FLAG = 4;
+    private static final int RENEW_FLAG = 8;
 
     private final JsonGenerator json;
 
@@ -35,92 +39,93 @@
         json.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
     }
 
-    /** Closes the reply to a batch and flushes it. */
-    void end(long round, OutputStream out) throws IOException {
+    /** Writes the line that ends the reply to a batch, and flushes the reply. */
+    void endReply(long round, OutputStream out) throws IOException {
         json.writeStartObject();
         json.writeStringField("msg", "End");
         json.writeNumberField("round", round);
-        endLine();
+        endObject();
         json.flush();
         out.flush();
     }
 
-    void fault(int router, String text) throws IOException {
-        start("BailOut", router);
+    /** Reports an exception that the decisions of a router threw. */
+    void writeFault(int router, String text) throws IOException {
+        startObject("BailOut", router);
         json.writeStringField("message", text);
-        endLine();
+        endObject();
     }
 
     void write(int router, Action action) throws IOException {
-        if (action instanceof Fetch a) {
-            start("Get", router);
-            json.writeStringField("id", a.id());
-            json.writeNumberField("server", a.member());
-            json.writeNumberField("from-where", a.source());
-            json.writeNumberField("store-as", a.keepRank());
-            json.writeNumberField("how-old-us", a.maxAge());
+        if (action instanceof Fetch fetch) {
+            startObject("Get", router);
+            json.writeStringField("id", fetch.id());
+            json.writeNumberField("server", fetch.member());
+            json.writeNumberField("from-where", fetch.source());
+            json.writeNumberField("store-as", fetch.keepRank());
+            json.writeNumberField("how-old-us", fetch.maxAge());
             json.writeNumberField(
                     "opts",
-                    (a.join() ? JOIN : 0)
-                            | (a.onlyIfCached() ? ONLY_IF_HELD : 0)
-                            | (a.bypassParent() ? PASS_PARENT : 0)
-                            | (a.renew() ? RENEW : 0));
-            json.writeNumberField("try-for-us", a.timeout());
-        } else if (action instanceof Lookup a) {
-            start("Try", router);
-            json.writeStringField("id", a.id());
-            json.writeNumberField("server", a.member());
-            json.writeNumberField("try-for-us", a.timeout());
-        } else if (action instanceof Refuse a) {
-            start("Refuse", router);
-            json.writeStringField("id", a.id());
-            if (a.retryAfter() > 0) {
-                json.writeNumberField("cool-down-us", a.retryAfter());
+                    (fetch.join() ? JOIN_FLAG : 0)
+                            | (fetch.onlyIfCached() ? ONLY_IF_CACHED_FLAG : 0)
+                            | (fetch.bypassParent() ? BYPASS_PARENT_FLAG : 0)
+                            | (fetch.renew() ? RENEW_FLAG : 0));
+            json.writeNumberField("try-for-us", fetch.timeout());
+        } else if (action instanceof Lookup lookup) {
+            startObject("Try", router);
+            json.writeStringField("id", lookup.id());
+            json.writeNumberField("server", lookup.member());
+            json.writeNumberField("try-for-us", lookup.timeout());
+        } else if (action instanceof Refuse refusal) {
+            startObject("Refuse", router);
+            json.writeStringField("id", refusal.id());
+            if (refusal.retryAfter() > 0) {
+                json.writeNumberField("cool-down-us", refusal.retryAfter());
             }
-        } else if (action instanceof Fail a) {
-            start("Surrender", router);
-            json.writeStringField("id", a.id());
-        } else if (action instanceof Cancel a) {
-            start("Revoke", router);
-            json.writeStringField("id", a.id());
-            json.writeNumberField("trial", a.attempt());
-        } else if (action instanceof Probe a) {
-            start("Sample", router);
-            json.writeNumberField("server", a.member());
-        } else if (action instanceof CloseIdle a) {
-            start("HangUp", router);
-            json.writeNumberField("server", a.member());
-        } else if (action instanceof SetTimer a) {
-            start("SetAlarm", router);
-            json.writeNumberField("in-us", a.delay());
-            json.writeNumberField("cookie", a.token());
-        } else if (action instanceof SendToPeer a) {
-            start("Tell", router);
-            if (a.router() < 0) {
+        } else if (action instanceof Fail failure) {
+            startObject("Surrender", router);
+            json.writeStringField("id", failure.id());
+        } else if (action instanceof Cancel cancel) {
+            startObject("Revoke", router);
+            json.writeStringField("id", cancel.id());
+            json.writeNumberField("trial", cancel.attempt());
+        } else if (action instanceof Probe probe) {
+            startObject("Sample", router);
+            json.writeNumberField("server", probe.member());
+        } else if (action instanceof CloseIdle closeIdle) {
+            startObject("HangUp", router);
+            json.writeNumberField("server", closeIdle.member());
+        } else if (action instanceof SetTimer timer) {
+            startObject("SetAlarm", router);
+            json.writeNumberField("in-us", timer.delay());
+            json.writeNumberField("cookie", timer.token());
+        } else if (action instanceof SendToPeer peerMessage) {
+            startObject("Tell", router);
+            if (peerMessage.router() < 0) {
                 json.writeStringField("dest", "all");
             } else {
-                json.writeNumberField("dest", a.router());
+                json.writeNumberField("dest", peerMessage.router());
             }
-            json.writeStringField("bytes", Base64.getEncoder().encodeToString(a.payload()));
-        } else if (action instanceof WatchMembers a) {
-            start("Listen", router);
-            json.writeBooleanField("on", a.enabled());
+            json.writeStringField("bytes", Base64.getEncoder().encodeToString(peerMessage.payload()));
+        } else if (action instanceof WatchMembers watch) {
+            startObject("Listen", router);
+            json.writeBooleanField("on", watch.enabled());
         } else if (action instanceof RequestMemberList) {
-            start("ListAll", router);
-        } else if (action instanceof Log a) {
-            start("SayLog", router);
-            json.writeStringField("message", a.text());
+            startObject("ListAll", router);
+        } else if (action instanceof Log log) {
+            startObject("SayLog", router);
+            json.writeStringField("message", log.text());
         }
-        endLine();
+        endObject();
     }
 
-    private void start(String name, int router) throws IOException {
+    private void startObject(String messageName, int router) throws IOException {
         json.writeStartObject();
-        json.writeStringField("msg", name);
+        json.writeStringField("msg", messageName);
         json.writeNumberField("router", router);
     }
 
-    private void endLine() throws IOException {
+    private void endObject() throws IOException {
         json.writeEndObject();
         json.writeRaw('\n');
     }
--- a/src/main/java/pumicemoor/wire/Message.java
+++ b/src/main/java/pumicemoor/wire/Message.java
@@ -10,20 +10,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** One JSON object of the wire, read whole, with typed access to its fields. */
+/**
+ * An immutable JSON object, parsed completely, with typed access to its fields. A field whose value is null counts as
+ * absent. Errors name the field by its path in the object, such as {@code info.classes[0].aim-us}.
+ */
 public final class Message {
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private final String path;
+    private final String pathPrefix;
     private final Map<String, Object> fields;
 
-    private Message(String path, Map<String, Object> fields) {
-        this.path = path;
+    private Message(String pathPrefix, Map<String, Object> fields) {
+        this.pathPrefix = pathPrefix;
         this.fields = fields;
     }
 
-    /** Reads the one object that a line must hold. */
+    /** Parses a line, which must hold exactly one JSON object. */
     public static Message parse(String line) throws WireException {
         try (JsonParser parser = JSON.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -31,7 +34,7 @@
             }
             Map<String, Object> fields = readObject(parser);
             if (parser.nextToken() != null) {
-                throw new WireException("more than one JSON value on the line");
+                throw new WireException("the line has more than one JSON value");
             }
             return new Message("", fields);
         } catch (JsonProcessingException e) {
@@ -74,7 +77,7 @@
         return fields.get(name) != null;
     }
 
-    /** The value as it was read, whatever it is; null where absent. Equal texts give equal values. */
+    /** Returns a field's value of any type, or null if it is absent. Equal JSON texts give equal values. */
     public Object value(String name) {
         return fields.get(name);
     }
@@ -83,43 +86,44 @@
         return required(name, String.class);
     }
 
-    public String text(String name, String absent) throws WireException {
-        return has(name) ? text(name) : absent;
+    public String text(String name, String defaultValue) throws WireException {
+        return has(name) ? text(name) : defaultValue;
     }
 
     public long integer(String name) throws WireException {
         return required(name, Number.class).longValue();
     }
 
-    public long integer(String name, long absent) throws WireException {
-        return has(name) ? integer(name) : absent;
+    public long integer(String name, long defaultValue) throws WireException {
+        return has(name) ? integer(name) : defaultValue;
     }
 
-    public double number(String name, double absent) throws WireException {
-        return has(name) ? required(name, Number.class).doubleValue() : absent;
+    public double number(String name, double defaultValue) throws WireException {
+        return has(name) ? required(name, Number.class).doubleValue() : defaultValue;
     }
 
+    /** Returns a boolean field; an absent one counts as false. */
     public boolean flag(String name) throws WireException {
         return has(name) && required(name, Boolean.class);
     }
 
     public Message object(String name) throws WireException {
-        return object(path + name, required(name, Map.class));
+        return object(pathPrefix + name, required(name, Map.class));
     }
 
-    /** The object of that name, or one without fields. */
+    /** Returns the object of that name, or an object without fields if it is absent. */
     public Message objectOrEmpty(String name) throws WireException {
-        return has(name) ? object(name) : new Message(path + name + ".", Map.of());
+        return has(name) ? object(name) : new Message(pathPrefix + name + ".", Map.of());
     }
 
-    /** The elements of a list of objects; an absent list is empty. */
+    /** Returns the elements of a list of objects; an absent list counts as empty. */
     public List<Message> objects(String name) throws WireException {
         List<Message> objects = new ArrayList<>();
         for (Object element : list(name)) {
             if (!(element instanceof Map)) {
                 throw wrongType(name);
             }
-            objects.add(object(path + name + "[" + objects.size() + "]", element));
+            objects.add(object(pathPrefix + name + "[" + objects.size() + "]", element));
         }
         return objects;
     }
@@ -136,7 +140,7 @@
         return elements(name, Boolean.class);
     }
 
-    /** All fields that hold numbers, by name. */
+    /** Returns all fields whose values are numbers, by name. */
     Map<String, Double> numbersByName() {
         Map<String, Double> numbers = new LinkedHashMap<>();
         fields.forEach((name, value) -> {
@@ -165,7 +169,7 @@
     private <T> T required(String name, Class<T> type) throws WireException {
         Object value = fields.get(name);
         if (value == null) {
-            throw new WireException("field '" + path + name + "' is missing");
+            throw new WireException("field '" + pathPrefix + name + "' is missing");
         }
         if (!type.isInstance(value)) {
             throw wrongType(name);
@@ -174,7 +178,7 @@
     }
 
     private WireException wrongType(String name) {
-        return new WireException("field '" + path + name + "' has a value of the wrong type");
+        return new WireException("field '" + pathPrefix + name + "' has a value of the wrong type");
     }
 
     private static Message object(String path, Object value) {
--- a/src/main/java/pumicemoor/wire/Rows.java
+++ b/src/main/java/pumicemoor/wire/Rows.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Rows for people and programs, as the JSON text in which one process tells them to another. */
+/**
+ * Encodes and decodes the rows of a status table as the JSON text that a router sends to the operator's commands: an
+ * array with one object a row. The keys are the columns.
+ */
 public final class Rows {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -17,16 +20,16 @@
         try {
             return JSON.writeValueAsString(rows);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("rows are plain values", e);
+            throw new IllegalStateException("a row has a value that cannot be written as JSON", e);
         }
     }
 
-    /** Reads them back; the exception says what came instead. */
+    /** Decodes the JSON text of rows; the exception says why the text cannot be read as rows. */
     public static List<Map<String, Object>> read(String json) throws WireException {
         try {
             return JSON.readValue(json, new TypeReference<List<Map<String, Object>>>() {});
         } catch (JsonProcessingException e) {
-            throw new WireException("these are no rows: " + e.getOriginalMessage());
+            throw new WireException("the answer is not a JSON array of rows: " + e.getOriginalMessage());
         }
     }
 }
--- a/src/main/java/pumicemoor/wire/SettingsReader.java
+++ b/src/main/java/pumicemoor/wire/SettingsReader.java
@@ -22,23 +22,26 @@
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.WeightMeaning;
 
-/** The names that one instance's settings define, and the settings and list lines read with them. */
+/**
+ * Reads the settings of one router instance, and resolves the names that they define (zones, kinds of machines,
+ * request classes) in requests and in entries of the member list.
+ */
 public final class SettingsReader {
 
-    private static final Map<String, Idempotency> EFFECTS =
+    private static final Map<String, Idempotency> IDEMPOTENCIES =
             Map.of("pure", Idempotency.SAFE, "token", Idempotency.KEYED, "side_effect", Idempotency.UNSAFE);
-    private static final Map<String, DeduplicationScope> GROUPS =
+    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES =
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
-    private static final Map<String, SiblingScope> SIBLINGS =
+    private static final Map<String, SiblingScope> SIBLING_SCOPES =
             Map.of("none", SiblingScope.NONE, "location", SiblingScope.LOCATION, "any", SiblingScope.ANY);
-    private static final Map<String, FillReporting> NOTES = Map.of("none", FillReporting.NONE, "hit", FillReporting.HIT_ONLY, "all", FillReporting.ALL);
-    private static final Map<String, LoadReportSource> REPORTS =
+    private static final Map<String, FillReporting> FILL_REPORTINGS = Map.of("none", FillReporting.NONE, "hit", FillReporting.HIT_ONLY, "all", FillReporting.ALL);
+    private static final Map<String, LoadReportSource> LOAD_REPORT_SOURCES =
             Map.of("none", LoadReportSource.NONE, "probe", LoadReportSource.PROBE, "answers", LoadReportSource.ANSWER);
-    private static final Map<String, WeightMeaning> WEIGHTS =
+    private static final Map<String, WeightMeaning> WEIGHT_MEANINGS =
             Map.of("none", WeightMeaning.NONE, "nominal", WeightMeaning.NOMINAL, "rough", WeightMeaning.ROUGH, "live", WeightMeaning.LIVE);
-    private static final Map<String, State> STATES =
+    private static final Map<String, State> MEMBER_STATES =
             Map.of("in_service", State.READY, "terminating", State.DRAINING, "terminated", State.GONE);
-    private static final Map<Long, Outcome> OUTCOMES = Map.of(
+    private static final Map<Long, Outcome> OUTCOMES_BY_CODE = Map.of(
             200L,
             Outcome.OK,
             502L,
@@ -59,22 +62,22 @@
             Outcome.MISS);
 
     private final Settings settings;
-    private final List<String> classes = new ArrayList<>();
-    private final List<String> zones;
-    private final int parentKind;
-    private final int originKind;
-    private final List<String> kinds;
+    private final List<String> classNames = new ArrayList<>();
+    private final List<String> zoneNames;
+    private final int parentKind; // index in kindNames; -1 if none
+    private final int originKind; // index in kindNames; -1 if none
+    private final List<String> kindNames;
 
     public SettingsReader(Message info) throws WireException {
         Message specifics = info.objectOrEmpty("specifics");
-        zones = info.texts("zones");
-        kinds = info.texts("kinds");
+        zoneNames = info.texts("zones");
+        kindNames = info.texts("kinds");
         parentKind = (int) specifics.integer("shield-kind", -1);
         originKind = (int) specifics.integer("store-kind", -1);
         List<RequestClass> requestClasses = new ArrayList<>();
         for (Message entry : info.objects("classes")) {
-            requestClasses.add(requestClass(entry, specifics, classes.size()));
-            classes.add(entry.text("name"));
+            requestClasses.add(requestClass(entry, specifics, classNames.size()));
+            classNames.add(entry.text("name"));
         }
         Message limits = info.object("policy-limits");
         Message rules = info.object("obligations");
@@ -84,7 +87,7 @@
         settings = new Settings(
                 (int) info.integer("me"),
                 (int) info.integer("siblings"),
-                index(zones, info.text("az"), "zone"),
+                index(zoneNames, info.text("az"), "zone"),
                 routersByLocation,
                 integers(specifics.numbers("zone-hub")),
                 requestClasses,
@@ -124,17 +127,17 @@
                 new Fills(
                         specifics.flag("pass-through-ok"),
                         specifics.flag("can-join"),
-                        word(SIBLINGS, specifics.text("sideways", "none"), "sideways"),
-                        word(NOTES, specifics.text("note-level", "none"), "note-level"),
+                        constant(SIBLING_SCOPES, specifics.text("sideways", "none"), "sideways"),
+                        constant(FILL_REPORTINGS, specifics.text("note-level", "none"), "note-level"),
                         specifics.number("one-flow-kb-per-s", 0),
                         specifics.number("origin-fall-multiple", 0),
                         specifics.integer("origin-bears-us", 0),
                         specifics.numbers("feed-kb-per-s").stream()
                                 .map(Number::doubleValue)
                                 .toList()),
-                new LoadReports(word(REPORTS, telemetry.text("how", "none"), "how"), telemetry.texts("columns")),
+                new LoadReports(constant(LOAD_REPORT_SOURCES, telemetry.text("how", "none"), "how"), telemetry.texts("columns")),
                 info.text("discovery", "push").equals("ask"),
-                word(WEIGHTS, info.text("weights", "none"), "weights"),
+                constant(WEIGHT_MEANINGS, info.text("weights", "none"), "weights"),
                 info.objectOrEmpty("clients").flag("marks-retry"));
     }
 
@@ -142,43 +145,47 @@
         return settings;
     }
 
-    /** The name of this router's location. */
+    /** Returns the name of this router's location. */
     public String locationName() {
-        return zones.get(settings.location());
+        return zoneNames.get(settings.location());
     }
 
+    /** Returns the index of a request class in the settings. */
     public int requestClass(String name) throws WireException {
-        return index(classes, name, "class");
+        return index(classNames, name, "class");
     }
 
+    /** Returns the outcome that a result code of the simulator stands for. */
     Outcome outcome(long code) throws WireException {
-        return word(OUTCOMES, code, "rc");
+        return constant(OUTCOMES_BY_CODE, code, "rc");
     }
 
-    Member member(Message line) throws WireException {
+    /** Reads an entry of the member list. */
+    Member member(Message entry) throws WireException {
         return new Member(
-                line.integer("server"),
-                role(line.text("generation-hw", null)),
-                zone(line.text("area")),
-                (int) line.integer("block", 0),
-                line.number("capacity-hint", 1),
-                line.integer("online-since-us", 0),
-                word(STATES, line.text("health"), "health"));
+                entry.integer("server"),
+                role(entry.text("generation-hw", null)),
+                zone(entry.text("area")),
+                (int) entry.integer("block", 0),
+                entry.number("capacity-hint", 1),
+                entry.integer("online-since-us", 0),
+                constant(MEMBER_STATES, entry.text("health"), "health"));
     }
 
-    /** What a member of this kind of machine is for; without a kind it is a cache. */
+    /** Returns the role of a member by its kind of machine; a member without a kind (null) is a cache. */
     public Role role(String kindName) throws WireException {
-        int kind = kindName == null ? -1 : index(kinds, kindName, "kind");
+        int kind = kindName == null ? -1 : index(kindNames, kindName, "kind");
         return kind >= 0 && kind == parentKind
                 ? Role.PARENT
                 : kind >= 0 && kind == originKind ? Role.ORIGIN : Role.CACHE;
     }
 
+    /** Returns the index of a zone in the settings. */
     public int zone(String name) throws WireException {
-        return index(zones, name, "zone");
+        return index(zoneNames, name, "zone");
     }
 
-    private static RequestClass requestClass(Message entry, Message specifics, int at) throws WireException {
+    private static RequestClass requestClass(Message entry, Message specifics, int index) throws WireException {
         return new RequestClass(
                 entry.text("name"),
                 entry.integer("aim-us"),
@@ -186,44 +193,47 @@
                 entry.integer("deadline-us"),
                 entry.number("worth", 1),
                 entry.number("late-worth", 0),
-                word(EFFECTS, entry.text("idempotency"), "idempotency"),
-                word(GROUPS, entry.text("group", "all"), "group"),
+                constant(IDEMPOTENCIES, entry.text("idempotency"), "idempotency"),
+                constant(DEDUPLICATION_SCOPES, entry.text("group", "all"), "group"),
                 entry.integer("window-us", 0),
                 entry.flag("streamed"),
-                flagAt(specifics, "never-kept", at),
-                flagAt(specifics, "class-parts", at),
-                (long) numberAt(specifics, "good-for-us", at),
-                (long) numberAt(specifics, "class-grace-us", at),
-                numberAt(specifics, "worth-when-old", at));
+                flagAt(specifics, "never-kept", index),
+                flagAt(specifics, "class-parts", index),
+                (long) numberAt(specifics, "good-for-us", index),
+                (long) numberAt(specifics, "class-grace-us", index),
+                numberAt(specifics, "worth-when-old", index));
     }
 
-    private static double numberAt(Message message, String name, int at) throws WireException {
+    /** Returns an element of a list; a list that is absent or too short counts as filled up with 0. */
+    private static double numberAt(Message message, String name, int index) throws WireException {
         List<Number> numbers = message.numbers(name);
-        return at < numbers.size() ? numbers.get(at).doubleValue() : 0;
+        return index < numbers.size() ? numbers.get(index).doubleValue() : 0;
     }
 
-    private static boolean flagAt(Message message, String name, int at) throws WireException {
+    /** Returns an element of a list; a list that is absent or too short counts as filled up with false. */
+    private static boolean flagAt(Message message, String name, int index) throws WireException {
         List<Boolean> flags = message.flags(name);
-        return at < flags.size() && flags.get(at);
+        return index < flags.size() && flags.get(index);
     }
 
     private static List<Integer> integers(List<Number> numbers) {
         return numbers.stream().map(Number::intValue).toList();
     }
 
-    private static int index(List<String> names, String name, String what) throws WireException {
+    private static int index(List<String> names, String name, String category) throws WireException {
         int index = names.indexOf(name);
         if (index < 0) {
-            throw new WireException("unknown " + what + " '" + name + "'");
+            throw new WireException("unknown " + category + " '" + name + "'");
         }
         return index;
     }
 
-    private static <K, V> V word(Map<K, V> words, K word, String field) throws WireException {
-        V value = words.get(word);
-        if (value == null) {
-            throw new WireException("field '" + field + "' has the unknown value '" + word + "'");
+    /** Maps the value of a field to its enum constant. */
+    private static <K, V> V constant(Map<K, V> constants, K value, String field) throws WireException {
+        V constant = constants.get(value);
+        if (constant == null) {
+            throw new WireException("field '" + field + "' has the unknown value '" + value + "'");
         }
-        return value;
+        return constant;
     }
 }
--- a/src/main/java/pumicemoor/wire/SimulatorAdapter.java
+++ b/src/main/java/pumicemoor/wire/SimulatorAdapter.java
@@ -30,7 +30,11 @@
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.TimerDue;
 
-/** Hosts the instances of one simulator process: reads batches of events, answers each with one reply. */
+/**
+ * Runs the router instances of a simulator process: reads batches of events from a stream and answers each batch with
+ * one reply, which holds the actions of the instances. Input and output are lines with one JSON object each. A batch
+ * begins with 'Sync' and ends with 'YourTurn'; batches are numbered without gaps, and their time never goes back.
+ */
 public final class SimulatorAdapter {
 
     private static final Map<String, MemberListKind> LIST_KINDS = Map.of(
@@ -42,97 +46,97 @@
             MemberListKind.RESTORED,
             "failed",
             MemberListKind.FAILED);
-    private static final FillResult[] FILL_NOTES = FillResult.values();
+    private static final FillResult[] FILL_RESULTS = FillResult.values(); // by their number in the field 'info'
 
     private final BufferedReader in;
     private final OutputStream out;
     private final ActionWriter writer;
-    private final BiFunction<Settings, Long, RouterApi> routers;
+    private final BiFunction<Settings, Long, RouterApi> routerFactory; // from settings and salt
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Long, List<Message>> lists = new HashMap<>();
-    private long clock;
+    private final Map<Long, List<Message>> memberLists = new HashMap<>(); // by the number in the field 'sheet'
+    private long clockMicros;
     private long round;
-    private boolean inBatch;
-    private boolean started;
+    private boolean batchOpen;
+    private boolean anyBatchStarted;
 
-    private record Instance(int number, SettingsReader words, RouterApi router) {}
+    private record Instance(int number, SettingsReader settings, RouterApi router) {}
 
     public SimulatorAdapter(InputStream in, OutputStream out) throws IOException {
         this(in, out, Logic::new);
     }
 
-    SimulatorAdapter(InputStream in, OutputStream out, BiFunction<Settings, Long, RouterApi> routers) throws IOException {
-        this.routers = routers;
+    SimulatorAdapter(InputStream in, OutputStream out, BiFunction<Settings, Long, RouterApi> routerFactory) throws IOException {
+        this.routerFactory = routerFactory;
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
         this.writer = new ActionWriter(out);
     }
 
-    /** Serves batches until the input ends. */
+    /** Processes batches until the end of the input. */
     public void run() throws IOException, WireException {
-        long number = 0;
+        long lineNumber = 0;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            number++;
+            lineNumber++;
             try {
-                take(Message.parse(line));
+                process(Message.parse(line));
             } catch (WireException e) {
-                throw new WireException("line " + number + ": " + e.getMessage());
+                throw new WireException("line " + lineNumber + ": " + e.getMessage());
             }
         }
-        if (inBatch) {
-            throw new WireException("line " + number + ": input ends within batch " + round);
+        if (batchOpen) {
+            throw new WireException("line " + lineNumber + ": input ends within batch " + round);
         }
     }
 
-    private void take(Message message) throws IOException, WireException {
-        String name = message.text("msg");
-        if (name.equals("Sync")) {
+    private void process(Message message) throws IOException, WireException {
+        String messageName = message.text("msg");
+        if (messageName.equals("Sync")) {
             startBatch(message);
             return;
         }
-        if (!inBatch) {
-            throw new WireException("'" + name + "' outside of a batch");
+        if (!batchOpen) {
+            throw new WireException("'" + messageName + "' outside of a batch");
         }
-        switch (name) {
+        switch (messageName) {
             case "YourTurn" -> {
-                inBatch = false;
-                writer.end(round, out);
+                batchOpen = false;
+                writer.endReply(round, out);
             }
-            case "List" -> lists.put(message.integer("sheet"), message.objects("nodes-list"));
-            case "Born" -> start(message);
+            case "List" -> memberLists.put(message.integer("sheet"), message.objects("nodes-list"));
+            case "Born" -> startInstance(message);
             case "Shutdown" -> {
                 instance(message);
                 instances.remove((int) message.integer("router"));
             }
             default -> {
                 Instance instance = instance(message);
-                handle(instance, event(name, message, instance.words()));
+                handle(instance, event(messageName, message, instance.settings()));
             }
         }
     }
 
     private void startBatch(Message message) throws WireException {
-        long nextClock = message.integer("clock-us");
+        long nextClockMicros = message.integer("clock-us");
         long nextRound = message.integer("round");
-        if (inBatch) {
+        if (batchOpen) {
             throw new WireException("batch " + nextRound + " opens within batch " + round);
         }
-        if (started && (nextRound != round + 1 || nextClock < clock)) {
-            throw new WireException("batch " + nextRound + " at " + nextClock + " is out of order after batch " + round
-                    + " at " + clock);
+        if (anyBatchStarted && (nextRound != round + 1 || nextClockMicros < clockMicros)) {
+            throw new WireException("batch " + nextRound + " at " + nextClockMicros + " is out of order after batch " + round
+                    + " at " + clockMicros);
         }
-        clock = nextClock;
+        clockMicros = nextClockMicros;
         round = nextRound;
-        inBatch = true;
-        started = true;
+        batchOpen = true;
+        anyBatchStarted = true;
     }
 
-    private void start(Message message) throws IOException, WireException {
+    private void startInstance(Message message) throws IOException, WireException {
         int number = (int) message.integer("router");
-        SettingsReader words = new SettingsReader(message.object("info"));
+        SettingsReader settings = new SettingsReader(message.object("info"));
         long salt = message.integer("salt");
         try {
-            instances.put(number, new Instance(number, words, routers.apply(words.settings(), salt)));
+            instances.put(number, new Instance(number, settings, routerFactory.apply(settings.settings(), salt)));
         } catch (RuntimeException e) {
             writer.fault(number, describe(e));
         }
@@ -142,14 +146,14 @@
         int number = (int) message.integer("router");
         Instance instance = instances.get(number);
         if (instance == null) {
-            throw new WireException("'" + message.text("msg") + "' for router " + number + ", which was never born");
+            throw new WireException("'" + message.text("msg") + "' for router " + number + ", which is not running");
         }
         return instance;
     }
 
     private void handle(Instance instance, Event event) throws IOException {
         try {
-            instance.router().handle(clock, event, action -> {
+            instance.router().handle(clockMicros, event, action -> {
                 try {
                     writer.write(instance.number(), action);
                 } catch (IOException e) {
@@ -163,76 +167,78 @@
         }
     }
 
+    /** Returns the exception's text and the place where it was thrown. */
     private static String describe(RuntimeException e) {
         StackTraceElement[] trace = e.getStackTrace();
         return e + (trace.length > 0 ? " at " + trace[0] : "");
     }
 
-    private Event event(String name, Message m, SettingsReader words) throws WireException {
-        return switch (name) {
-            case "Fleet" -> members(m, words);
+    private Event event(String messageName, Message message, SettingsReader settings) throws WireException {
+        return switch (messageName) {
+            case "Fleet" -> memberListUpdate(message, settings);
             case "Arrival" ->
                 new RequestArrived(
-                        m.text("id"),
-                        words.requestClass(m.text("grade")),
-                        m.text("asset", ""),
-                        (int) m.integer("chunk", 0),
-                        (int) m.integer("group", -1),
-                        m.number("size-kb", 0),
-                        m.integer("time-left-us"),
-                        m.flag("again-by-client"));
+                        message.text("id"),
+                        settings.requestClass(message.text("grade")),
+                        message.text("asset", ""),
+                        (int) message.integer("chunk", 0),
+                        (int) message.integer("group", -1),
+                        message.number("size-kb", 0),
+                        message.integer("time-left-us"),
+                        message.flag("again-by-client"));
             case "Opened" ->
-                new AnswerStarted(m.text("id"), (int) m.integer("trial"), m.integer("server"), m.integer("lag-us"));
+                new AnswerStarted(message.text("id"), (int) message.integer("trial"), message.integer("server"), message.integer("lag-us"));
             case "Verdict" ->
                 new AttemptEnded(
-                        m.text("id"),
-                        (int) m.integer("trial"),
-                        m.integer("server"),
-                        words.outcome(m.integer("rc")),
-                        m.integer("lag-us"),
-                        m.flag("settled"),
-                        note(m),
-                        m.integer("waited-us", 0),
-                        m.objectOrEmpty("load").numbersByName());
-            case "Lapsed" -> new RequestAbandoned(m.text("id"));
+                        message.text("id"),
+                        (int) message.integer("trial"),
+                        message.integer("server"),
+                        settings.outcome(message.integer("rc")),
+                        message.integer("lag-us"),
+                        message.flag("settled"),
+                        fillResult(message),
+                        message.integer("waited-us", 0),
+                        message.objectOrEmpty("load").numbersByName());
+            case "Lapsed" -> new RequestAbandoned(message.text("id"));
             case "Checked" ->
                 new ProbeEnded(
-                        m.integer("server"),
-                        words.outcome(m.integer("rc")),
-                        m.integer("lag-us"),
-                        m.objectOrEmpty("load").numbersByName());
-            case "TickDue" -> new TimerDue(m.integer("cookie"));
+                        message.integer("server"),
+                        settings.outcome(message.integer("rc")),
+                        message.integer("lag-us"),
+                        message.objectOrEmpty("load").numbersByName());
+            case "TickDue" -> new TimerDue(message.integer("cookie"));
             case "Invalidated" ->
-                new Purged(m.text("asset", null), (int) m.integer("set-no", -1), m.integer("how-old-us", 0));
-            case "FromPeer" -> new PeerMessage((int) m.integer("origin-peer"), bytes(m.text("bytes", "")));
-            default -> throw new WireException("unknown message '" + name + "'");
+                new Purged(message.text("asset", null), (int) message.integer("set-no", -1), message.integer("how-old-us", 0));
+            case "FromPeer" -> new PeerMessage((int) message.integer("origin-peer"), decodeBase64(message.text("bytes", "")));
+            default -> throw new WireException("unknown message '" + messageName + "'");
         };
     }
 
-    private MemberListUpdate members(Message m, SettingsReader words) throws WireException {
-        MemberListKind kind = LIST_KINDS.get(m.text("mode"));
+    private MemberListUpdate memberListUpdate(Message message, SettingsReader settings) throws WireException {
+        MemberListKind kind = LIST_KINDS.get(message.text("mode"));
         if (kind == null) {
-            throw new WireException("field 'mode' has the unknown value '" + m.text("mode") + "'");
+            throw new WireException("field 'mode' has the unknown value '" + message.text("mode") + "'");
         }
         List<Member> members = new ArrayList<>();
         if (kind != MemberListKind.FAILED) {
-            List<Message> lines = lists.get(m.integer("sheet"));
-            if (lines == null) {
-                throw new WireException("list " + m.integer("sheet") + " was never sent");
+            List<Message> entries = memberLists.get(message.integer("sheet"));
+            if (entries == null) {
+                throw new WireException("member list " + message.integer("sheet") + " was never sent");
             }
-            for (Message line : lines) {
-                members.add(words.member(line));
+            for (Message entry : entries) {
+                members.add(settings.member(entry));
             }
         }
-        return new MemberListUpdate(kind, m.integer("gen", 0), members);
+        return new MemberListUpdate(kind, message.integer("gen", 0), members);
     }
 
-    private static FillResult note(Message m) throws WireException {
-        long note = m.integer("info", 0);
-        return note >= 0 && note < FILL_NOTES.length ? FILL_NOTES[(int) note] : FillResult.NONE;
+    /** Returns the result of a fill from its number on the wire; a number that is not known counts as no result. */
+    private static FillResult fillResult(Message message) throws WireException {
+        long number = message.integer("info", 0);
+        return number >= 0 && number < FILL_RESULTS.length ? FILL_RESULTS[(int) number] : FillResult.NONE;
     }
 
-    private static byte[] bytes(String text) throws WireException {
+    private static byte[] decodeBase64(String text) throws WireException {
         try {
             return Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -7,21 +7,22 @@
 import pumicemoor.hierarchy.Topology.Kind;
 
 /**
- * News of the hierarchy as the coordinator of an installation with a feed tells it, under 'shape' in its events:
- * a piece, or that all until a time have been told. It only reads; it must never judge a piece. Form:
+ * A message about the topology of the hierarchy, which a coordinator that streams topology updates sends in the field
+ * 'shape' of its events: an update, or the statement that all updates announced until some time have been sent. This
+ * type only parses messages and must not validate updates. The JSON:
  *
  * <pre>
  * {"piece":7,"version":3,"pieces":0,"announced_ms":1764576000123,"unit":"hub-a","kind":"hub",
- *  "parents":{"hub-b":1.0}}            a unit's parents; "removed":true in place of parents: it is no more
- * {"certain_ms":1764576000123,"piece":7}      no piece past number 7 was announced until then
+ *  "parents":{"hub-b":1.0}}            the parents of a unit; "removed":true in place of "parents" removes the unit
+ * {"certain_ms":1764576000123,"piece":7}      no update after number 7 was announced until that time
  * </pre>
  */
 public sealed interface TopologyMessage {
 
-    /** A piece, with its number. */
+    /** A topology update; it carries its own number. */
     record Told(TopologyUpdate piece) implements TopologyMessage {}
 
-    /** All pieces announced until a time (Unix microseconds) have numbers up to this one. */
+    /** States that every update announced until a time (Unix microseconds) has this number or a lower one. */
     record Certain(long asOf, long lastNumber) implements TopologyMessage {}
 
     private static Kind kind(String text) throws WireException {
@@ -33,23 +34,23 @@
         throw new WireException("field 'shape.kind' has the unknown value '" + text + "'");
     }
 
-    /** Reads one; the exception names the field that cannot be used. */
-    static TopologyMessage read(Message news) throws WireException {
-        long number = news.integer("piece");
-        if (news.has("certain_ms")) {
-            return new Certain(news.integer("certain_ms") * 1_000, number);
+    /** Parses a message; times become microseconds. The exception names the invalid field. */
+    static TopologyMessage read(Message message) throws WireException {
+        long number = message.integer("piece");
+        if (message.has("certain_ms")) {
+            return new Certain(message.integer("certain_ms") * 1_000, number);
         }
-        String unit = news.text("unit");
+        String unit = message.text("unit");
         Map<String, Double> parents =
-                new LinkedHashMap<>(news.objectOrEmpty("parents").numbersByName());
+                new LinkedHashMap<>(message.objectOrEmpty("parents").numbersByName());
         return new Told(new TopologyUpdate(
                 number,
-                news.integer("announced_ms") * 1_000,
-                news.integer("version"),
-                (int) news.integer("pieces", 0),
+                message.integer("announced_ms") * 1_000,
+                message.integer("version"),
+                (int) message.integer("pieces", 0),
                 unit,
-                kind(news.text("kind")),
+                kind(message.text("kind")),
                 parents,
-                news.flag("removed")));
+                message.flag("removed")));
     }
 }
--- a/src/main/java/pumicemoor/wire/WireException.java
+++ b/src/main/java/pumicemoor/wire/WireException.java
@@ -1,6 +1,6 @@
 package pumicemoor.wire;
 
-/** Input that no wire or configuration allows; the message says what and where, in one line. */
+/** Thrown when a message or a configuration is invalid; the exception's message is one line that says what and where. */
 public final class WireException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/test/java/pumicemoor/wire/DrillTest.java
+++ b/src/test/java/pumicemoor/wire/SimulatorAdapterTest.java
@@ -16,11 +16,14 @@
 import pumicemoor.RouterApi;
 import pumicemoor.RouterApi.Settings;
 
-/** The adapter: replies to batches, tolerance for what is new, one plain line for what is wrong. */
-class DrillTest {
+/**
+ * Tests the simulator's adapter: each batch gets one reply, unknown keys and fields are ignored, and invalid input is
+ * reported in one line with its line number.
+ */
+class SimulatorAdapterTest {
 
-    private static final String OPEN = "{\"msg\":\"Sync\",\"clock-us\":1000,\"round\":1}\n";
-    private static final String TURN = "{\"msg\":\"YourTurn\"}\n";
+    private static final String SYNC = "{\"msg\":\"Sync\",\"clock-us\":1000,\"round\":1}\n";
+    private static final String YOUR_TURN = "{\"msg\":\"YourTurn\"}\n";
     private static final String BORN =
             "{\"msg\":\"Born\",\"router\":3,\"salt\":5,\"info\":{\"az\":\"a\",\"new-key\":[1,{}],"
                     + "\"classes\":[{\"name\":\"page\",\"aim-us\":100000,\"deadline-us\":900000,\"idempotency\":\"pure\"}],"
@@ -38,41 +41,41 @@
         return run(input, Logic::new);
     }
 
-    private static String run(String input, BiFunction<Settings, Long, RouterApi> routers)
+    private static String run(String input, BiFunction<Settings, Long, RouterApi> routerFactory)
             throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, routers).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, routerFactory).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
     void emptyBatchGetsAnEmptyReply() throws Exception {
-        assertEquals("{\"msg\":\"End\",\"round\":1}\n", run(OPEN + TURN));
+        assertEquals("{\"msg\":\"End\",\"round\":1}\n", run(SYNC + YOUR_TURN));
     }
 
     @Test
-    void endOfInputIsNoFault() throws Exception {
+    void emptyInputGivesNoOutputAndNoError() throws Exception {
         assertEquals("", run(""));
     }
 
     @Test
-    void requestIsSentToTheCacheWithItsParentAsSource() throws Exception {
-        String reply = run(OPEN + BORN + FLEET + ARRIVAL + TURN);
+    void requestIsSentToTheCacheWithItsParentAsFillSource() throws Exception {
+        String reply = run(SYNC + BORN + FLEET + ARRIVAL + YOUR_TURN);
         assertTrue(
                 reply.contains("{\"msg\":\"Get\",\"router\":3,\"id\":\"r-a\",\"server\":11,\"from-where\":22,"), reply);
         assertTrue(reply.endsWith("{\"msg\":\"End\",\"round\":1}\n"), reply);
     }
 
     @Test
-    void instancesShareNothing() throws Exception {
+    void instancesDoNotShareMemberLists() throws Exception {
         String other = BORN.replace("\"router\":3", "\"router\":4");
-        String reply = run(OPEN + BORN + FLEET + other + ARRIVAL.replace("\"router\":3", "\"router\":4") + TURN);
+        String reply = run(SYNC + BORN + FLEET + other + ARRIVAL.replace("\"router\":3", "\"router\":4") + YOUR_TURN);
         assertTrue(reply.contains("{\"msg\":\"Refuse\",\"router\":4,\"id\":\"r-a\"}"), reply);
     }
 
     @Test
-    void exceptionInTheDecisionsIsReportedWithItsText() throws Exception {
-        String reply = run(OPEN + BORN + FLEET + TURN, (settings, salt) -> (now, event, sink) -> {
+    void exceptionInTheDecisionsIsReportedWithItsMessage() throws Exception {
+        String reply = run(SYNC + BORN + FLEET + YOUR_TURN, (settings, salt) -> (now, event, sink) -> {
             throw new IllegalStateException("no decision");
         });
         assertTrue(
@@ -87,14 +90,14 @@
             value = {
                 "nonsense | line 2: not JSON",
                 "[1] | line 2: not a JSON object",
-                "{\"msg\":\"Nova\",\"router\":3} | line 2: 'Nova' for router 3, which was never born",
+                "{\"msg\":\"Nova\",\"router\":3} | line 2: 'Nova' for router 3, which is not running",
                 "{\"msg\":\"Arrival\",\"id\":\"r-a\"} | line 2: field 'router' is missing",
                 "{\"router\":3} | line 2: field 'msg' is missing",
-                "{\"msg\":\"Lapsed\",\"router\":9,\"id\":\"r-a\"} | line 2: 'Lapsed' for router 9, which was never born",
+                "{\"msg\":\"Lapsed\",\"router\":9,\"id\":\"r-a\"} | line 2: 'Lapsed' for router 9, which is not running",
                 "{\"msg\":\"Sync\",\"clock-us\":2000,\"round\":2} | line 2: batch 2 opens within batch 1"
             })
-    void badLineInABatchEndsWithOnePlainMessage(String line, String message) {
-        WireException e = assertThrows(WireException.class, () -> run(OPEN + line + "\n" + TURN));
+    void invalidLineInABatchFailsWithALineNumberInOneLine(String line, String message) {
+        WireException e = assertThrows(WireException.class, () -> run(SYNC + line + "\n" + YOUR_TURN));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
         assertEquals(1, e.getMessage().lines().count());
     }
@@ -107,29 +110,29 @@
                 "{\"msg\":\"Sync\",\"clock-us\":999,\"round\":2} | line 3: batch 2 at 999 is out of order",
                 "{\"msg\":\"YourTurn\"} | line 3: 'YourTurn' outside of a batch"
             })
-    void batchOutOfOrderEndsWithOnePlainMessage(String line, String message) {
-        WireException e = assertThrows(WireException.class, () -> run(OPEN + TURN + line + "\n"));
+    void batchOutOfOrderFailsWithALineNumber(String line, String message) {
+        WireException e = assertThrows(WireException.class, () -> run(SYNC + YOUR_TURN + line + "\n"));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 
     @Test
-    void missingOrStrangeFieldsAreNamed() {
+    void missingAndInvalidFieldsAreNamedInTheError() {
         WireException missing =
-                assertThrows(WireException.class, () -> run(OPEN + BORN + ARRIVAL.replace("\"grade\":\"page\",", "")));
+                assertThrows(WireException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"grade\":\"page\",", "")));
         assertEquals("line 3: field 'grade' is missing", missing.getMessage());
-        WireException strange =
-                assertThrows(WireException.class, () -> run(OPEN + BORN + ARRIVAL.replace("800000", "\"soon\"")));
-        assertEquals("line 3: field 'time-left-us' has a value of the wrong type", strange.getMessage());
-        WireException unknown =
-                assertThrows(WireException.class, () -> run(OPEN + BORN + ARRIVAL.replace("\"page\"", "\"film\"")));
-        assertEquals("line 3: unknown class 'film'", unknown.getMessage());
-        WireException deep =
-                assertThrows(WireException.class, () -> run(OPEN + BORN.replace("\"aim-us\":100000,", "")));
-        assertEquals("line 2: field 'info.classes[0].aim-us' is missing", deep.getMessage());
+        WireException wrongType =
+                assertThrows(WireException.class, () -> run(SYNC + BORN + ARRIVAL.replace("800000", "\"soon\"")));
+        assertEquals("line 3: field 'time-left-us' has a value of the wrong type", wrongType.getMessage());
+        WireException unknownClass =
+                assertThrows(WireException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"page\"", "\"film\"")));
+        assertEquals("line 3: unknown class 'film'", unknownClass.getMessage());
+        WireException nested =
+                assertThrows(WireException.class, () -> run(SYNC + BORN.replace("\"aim-us\":100000,", "")));
+        assertEquals("line 2: field 'info.classes[0].aim-us' is missing", nested.getMessage());
     }
 
     @Test
-    void inputThatEndsWithinABatchIsAFault() {
-        assertThrows(WireException.class, () -> run(OPEN));
+    void endOfInputWithinABatchIsAnError() {
+        assertThrows(WireException.class, () -> run(SYNC));
     }
 }
