--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -12,8 +12,10 @@
 import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
- * The section 'fleet': where this router hears the others of its cluster, how many there are at most, what they hold
- * together, and whether that is one flat fleet or cells. Listen is where it hears them, advertise how they reach it. Times are microseconds.
+ * The section 'fleet' of an operator's file: the address on which this router receives the packets of the other routers
+ * of its cluster (listen), the address at which they reach it (advertise), how many routers there are at most (size),
+ * which limits, ejections and drains they coordinate, and whether they form one flat fleet or cells. Times are
+ * microseconds.
  */
 public record FleetSection(
         String cluster,
@@ -31,19 +33,19 @@
         Optional<DrainTimes> drains,
         Optional<CellSetup> cells) {
 
-    private static final int ROUTERS = 2_000; // that are kept in the table
+    private static final int MAX_TABLE_ROUTERS = 2_000; // bound of the membership table
 
-    /** What a router of this name is set up with; how long members take to warm is told by the platform's rules. */
+    /** Returns the fleet setup of a router of this name; the slow start times of members come from the platform's rules. */
     public FleetSetup setup(String name, RouterApi.Rules rules) {
         return new FleetSetup(
                 cluster,
-                new Membership.Setup(name, advertise, seeds, period, indirect, fanout, remember, ROUTERS),
+                new Membership.Setup(name, advertise, seeds, period, indirect, fanout, remember, MAX_TABLE_ROUTERS),
                 size,
                 times,
                 limits,
                 verdicts,
                 drains.map(
-                        d -> d.warming(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
+                        drainTimes -> drainTimes.warming(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
                 cells);
     }
 }
--- a/src/main/java/pumicemoor/operator/OperatorConfig.java
+++ b/src/main/java/pumicemoor/operator/OperatorConfig.java
@@ -2,20 +2,20 @@
 
 import java.util.Optional;
 
-/** What an operator has set; a section that is absent leaves its part of the program off. */
+/** The configuration that an operator's file gives; a feature whose section is absent is off. */
 public record OperatorConfig(
         LogFormat log,
         Optional<HierarchySection> hierarchy,
         Optional<ProcessorSection> processor,
         Optional<FleetSection> fleet) {
 
-    /** Lines for people, as on the platform, or one JSON object a line. */
+    /** The format of log lines: plain text, as on the platform, or one JSON object a line. */
     public enum LogFormat {
         TEXT,
         JSON
     }
 
-    /** Nothing set: all as the platform has it. */
+    /** The configuration without an operator's file: text logs, all optional features off. */
     public static final OperatorConfig NONE =
             new OperatorConfig(LogFormat.TEXT, Optional.empty(), Optional.empty(), Optional.empty());
 }
--- a/src/main/java/pumicemoor/operator/OperatorException.java
+++ b/src/main/java/pumicemoor/operator/OperatorException.java
@@ -1,6 +1,6 @@
 package pumicemoor.operator;
 
-/** An operator's file that cannot be used; the message is one line with file, line and key. */
+/** Thrown when an operator's file cannot be used; the message is one line that names file, line and key. */
 public final class OperatorException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -47,20 +47,19 @@
 import pumicemoor.operator.OperatorConfig.LogFormat;
 
 /**
- * Reads an operator's file whole and checks it whole: unknown keys, wrong types, values out of range and
- * contradictions, each with its line and key. It must never give back half of a file.
+ * Reads and validates an operator's file: rejects unknown keys, wrong types, values out of range and contradictory
+ * values, and reports the first error with its line and key. It must never return a file that is only partly read.
  */
 public final class OperatorFile {
 
-    /** The largest file that is read, in bytes. */
-    static final long LONGEST = 16 << 20;
+    static final long MAX_FILE_BYTES = 16 << 20;
 
-    private static final long MILLI = 1_000;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
-    private static final Pattern ROOT = Pattern.compile("[A-Za-z0-9_-]{1,24}");
-    private static final int FLAT_SIZE = 2_000; // routers that each can know of each
-    private static final int CELLS_SIZE = 100_000;
-    private static final int LONGEST_TIME = 24 * 3_600_000; // milliseconds
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,64}");
+    private static final Pattern CELL_ROOT_PATTERN = Pattern.compile("[A-Za-z0-9_-]{1,24}");
+    private static final int MAX_FLAT_FLEET_ROUTERS = 2_000; // in a flat fleet each router keeps a record of every other
+    private static final int MAX_CELL_FLEET_ROUTERS = 100_000;
+    private static final int MAX_TIME_MILLIS = 24 * 3_600_000;
     private static final YAMLMapper YAML = YAMLMapper.builder()
             .enable(
                     DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES,
@@ -74,7 +73,8 @@
                     .setCoercion(CoercionInputShape.Boolean, CoercionAction.Fail))
             .build();
 
-    // the form of the file, with its own names and units; absent keys are null
+    // The structure of the file. Components without an annotation give the keys their names; times have the units of the
+    // file; absent keys are null.
     private record Root(LogForm log, HierarchyForm hierarchy, ProcessorForm processor, FleetForm fleet) {}
 
     private record FleetForm(
@@ -164,69 +164,70 @@
 
     private record UnitForm(@JsonProperty("fill-from") Map<String, Double> fillFrom) {}
 
-    private final String name;
-    private final KeyLines lines;
+    private final String fileName;
+    private final YamlLineIndex lines;
 
-    private OperatorFile(String name, KeyLines lines) {
-        this.name = name;
+    private OperatorFile(String fileName, YamlLineIndex lines) {
+        this.fileName = fileName;
         this.lines = lines;
     }
 
-    /** Reads a file; the exception's message is the one line to show. */
+    /** Reads a file; the exception's message is the one line to show to the operator. */
     public static OperatorConfig read(Path file) throws OperatorException {
         try {
-            if (Files.size(file) > LONGEST) {
-                throw new OperatorException(file + ": it has over " + LONGEST + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new OperatorException(file + ": the file has more than " + MAX_FILE_BYTES + " bytes");
             }
             return parse(file.toString(), Files.readString(file));
         } catch (NoSuchFileException e) {
             throw new OperatorException(file + ": there is no such file");
         } catch (IOException e) {
-            throw new OperatorException(file + ": it can't be read: " + e);
+            throw new OperatorException(file + ": the file can't be read: " + e);
         }
     }
 
-    /** Reads only the shape of a file: the section of a whole file, or a file that is a shape by itself. */
+    /** Reads a file and returns its section 'hierarchy', which it must have; other sections may be absent. */
     public static HierarchySection readHierarchy(Path file) throws OperatorException {
         return read(file)
                 .hierarchy()
-                .orElseThrow(() -> new OperatorException(file + ":1: hierarchy: the file has no such section"));
+                .orElseThrow(() -> new OperatorException(file + ":1: hierarchy: the file has no section 'hierarchy'"));
     }
 
-    static OperatorConfig parse(String name, String yaml) throws OperatorException {
+    /** Parses the text of a file; the file's name is needed only for errors. */
+    static OperatorConfig parse(String fileName, String yaml) throws OperatorException {
         try {
-            OperatorFile file = new OperatorFile(name, new KeyLines(yaml));
+            OperatorFile file = new OperatorFile(fileName, new YamlLineIndex(yaml));
             Root root = yaml.isBlank() ? null : YAML.readValue(yaml, Root.class);
-            return root == null ? OperatorConfig.NONE : file.config(root);
+            return root == null ? OperatorConfig.NONE : file.operatorConfig(root);
         } catch (JsonMappingException e) {
             String path = e.getPath().stream()
                     .map(JsonMappingException.Reference::getFieldName)
                     .collect(Collectors.joining("."));
             int line = e.getCause() instanceof JsonProcessingException
                     ? e.getLocation().getLineNr()
-                    : new OperatorFile(name, linesOf(yaml)).lines.of(path);
-            String what = e instanceof UnrecognizedPropertyException u
+                    : new OperatorFile(fileName, indexLines(yaml)).lines.lineOf(path);
+            String problem = e instanceof UnrecognizedPropertyException unrecognized
                     ? "unknown key; known here: "
-                            + u.getKnownPropertyIds().stream()
+                            + unrecognized.getKnownPropertyIds().stream()
                                     .map(Object::toString)
                                     .sorted()
                                     .collect(Collectors.joining(", "))
-                    : e instanceof MismatchedInputException m && m.getTargetType() != null
-                            ? "wrong type, wanted is " + typeName(m.getTargetType())
+                    : e instanceof MismatchedInputException mismatched && mismatched.getTargetType() != null
+                            ? "wrong type, expected " + typeName(mismatched.getTargetType())
                             : e.getOriginalMessage().lines().findFirst().orElse("");
-            throw new OperatorException(name + ":" + line + ": " + path + ": " + what.replace('\n', ' '));
+            throw new OperatorException(fileName + ":" + line + ": " + path + ": " + problem.replace('\n', ' '));
         } catch (JsonProcessingException e) {
             throw new OperatorException(
-                    name + ":" + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": not YAML: "
+                    fileName + ":" + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": not YAML: "
                             + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
-            throw new OperatorException(name + ":1: not YAML: " + e.getMessage());
+            throw new OperatorException(fileName + ":1: not YAML: " + e.getMessage());
         }
     }
 
-    private static KeyLines linesOf(String yaml) throws OperatorException {
+    private static YamlLineIndex indexLines(String yaml) throws OperatorException {
         try {
-            return new KeyLines(yaml);
+            return new YamlLineIndex(yaml);
         } catch (IOException e) {
             throw new OperatorException("not YAML: " + e.getMessage());
         }
@@ -242,27 +243,27 @@
                                 : type == String.class ? "text (quote it)" : "a group of keys";
     }
 
-    private OperatorException wrong(String key, String what) {
-        return new OperatorException(name + ":" + lines.of(key) + ": " + key + ": " + what);
+    private OperatorException invalid(String key, String problem) {
+        return new OperatorException(fileName + ":" + lines.lineOf(key) + ": " + key + ": " + problem);
     }
 
-    private OperatorConfig config(Root root) throws OperatorException {
+    private OperatorConfig operatorConfig(Root root) throws OperatorException {
         String format = root.log() == null || root.log().format() == null
                 ? "text"
                 : root.log().format();
         if (!Set.of("text", "json").contains(format)) {
-            throw wrong("log.format", "'" + format + "' is neither text nor json");
+            throw invalid("log.format", "'" + format + "' is neither text nor json");
         }
         return new OperatorConfig(
                 format.equals("json") ? LogFormat.JSON : LogFormat.TEXT,
-                root.hierarchy() == null ? Optional.empty() : Optional.of(hierarchy(root.hierarchy())),
-                root.processor() == null ? Optional.empty() : Optional.of(processor(root.processor())),
-                root.fleet() == null ? Optional.empty() : Optional.of(fleet(root.fleet())));
+                root.hierarchy() == null ? Optional.empty() : Optional.of(hierarchySection(root.hierarchy())),
+                root.processor() == null ? Optional.empty() : Optional.of(processorSection(root.processor())),
+                root.fleet() == null ? Optional.empty() : Optional.of(fleetSection(root.fleet())));
     }
 
-    private FleetSection fleet(FleetForm form) throws OperatorException {
-        if (form.cluster() == null || !NAME.matcher(form.cluster()).matches()) {
-            throw wrong("fleet.cluster", "it is missing, or not of 1 to 64 letters, digits, dots, dashes, underscores");
+    private FleetSection fleetSection(FleetForm form) throws OperatorException {
+        if (form.cluster() == null || !NAME_PATTERN.matcher(form.cluster()).matches()) {
+            throw invalid("fleet.cluster", "it is missing, or is not 1 to 64 letters, digits, dots, dashes, underscores");
         }
         String listen = fleetAddress(form.listen(), "fleet.listen");
         String advertise = form.advertise() == null ? listen : fleetAddress(form.advertise(), "fleet.advertise");
@@ -270,108 +271,108 @@
         for (String seed : form.seeds() == null ? List.<String>of() : form.seeds()) {
             seeds.add(fleetAddress(seed, "fleet.seeds"));
         }
-        int largest = form.cells() == null ? FLAT_SIZE : CELLS_SIZE;
-        if (form.size() == null || form.size() < 1 || form.size() > largest) {
-            throw wrong(
+        int maxRouters = form.cells() == null ? MAX_FLAT_FLEET_ROUTERS : MAX_CELL_FLEET_ROUTERS;
+        if (form.size() == null || form.size() < 1 || form.size() > maxRouters) {
+            throw invalid(
                     "fleet.size",
-                    "it is missing or out of range: 1 to " + largest + " routers"
-                            + (form.cells() == null ? ", to " + CELLS_SIZE + " with fleet.cells" : ""));
+                    "it is missing or out of range: 1 to " + maxRouters + " routers"
+                            + (form.cells() == null ? ", to " + MAX_CELL_FLEET_ROUTERS + " with fleet.cells" : ""));
         }
         if (form.cells() != null && form.drains() != null) {
-            throw wrong("fleet.drains", "not together with fleet.cells: cells do not take members out in order yet");
+            throw invalid("fleet.drains", "cannot be combined with fleet.cells: drains are not supported with cells yet");
         }
-        long period = MILLI * time(form.period(), 200, 20, "fleet.period-ms");
-        long lease = MILLI * time(form.lease(), 5_000, 500, "fleet.lease-ms");
-        long guard = MILLI * time(form.guard(), 500, 10, "fleet.guard-ms");
-        if (guard * 2 > lease) {
-            throw wrong("fleet.guard-ms", "it is over half of lease-ms");
+        long periodMicros = MICROS_PER_MILLI * millisOrDefault(form.period(), 200, 20, "fleet.period-ms");
+        long leaseMicros = MICROS_PER_MILLI * millisOrDefault(form.lease(), 5_000, 500, "fleet.lease-ms");
+        long guardMicros = MICROS_PER_MILLI * millisOrDefault(form.guard(), 500, 10, "fleet.guard-ms");
+        if (guardMicros * 2 > leaseMicros) {
+            throw invalid("fleet.guard-ms", "it is over half of lease-ms");
         }
         List<LimitRule> limits = new ArrayList<>();
         for (LimitForm limit : form.limits() == null ? List.<LimitForm>of() : form.limits()) {
-            LimitRule rule = limit(limit, form.size());
-            if (limits.stream().anyMatch(l -> l.name().equals(rule.name()))) {
-                throw wrong("fleet.limits", "two limits have the name '" + rule.name() + "'");
+            LimitRule rule = limitRule(limit, form.size());
+            if (limits.stream().anyMatch(other -> other.name().equals(rule.name()))) {
+                throw invalid("fleet.limits", "two limits have the name '" + rule.name() + "'");
             }
             limits.add(rule);
         }
-        Optional<EjectionPolicy.Rules> verdicts = form.verdicts() == null ? Optional.empty() : Optional.of(verdicts(form));
+        Optional<EjectionPolicy.Rules> ejectionRules = form.verdicts() == null ? Optional.empty() : Optional.of(ejectionRules(form));
         return new FleetSection(
                 form.cluster(),
                 listen,
                 advertise,
                 List.copyOf(seeds),
                 form.size(),
-                period,
-                count(form.indirect(), 3, "fleet.indirect"),
-                count(form.fanout(), 2, "fleet.fanout"),
-                MILLI * time(form.remember(), 600_000, 1_000, "fleet.remember-ms"),
-                new LeaseTimes(lease, guard),
+                periodMicros,
+                countOrDefault(form.indirect(), 3, "fleet.indirect"),
+                countOrDefault(form.fanout(), 2, "fleet.fanout"),
+                MICROS_PER_MILLI * millisOrDefault(form.remember(), 600_000, 1_000, "fleet.remember-ms"),
+                new LeaseTimes(leaseMicros, guardMicros),
                 List.copyOf(limits),
-                verdicts,
+                ejectionRules,
                 form.drains() == null
                         ? Optional.empty()
-                        : Optional.of(drains(
+                        : Optional.of(drainTimes(
                                 form.drains(),
-                                lease + guard,
-                                MILLI * time(form.remember(), 600_000, 1_000, "fleet.remember-ms"))),
-                form.cells() == null ? Optional.empty() : Optional.of(cells(form.cells())));
+                                leaseMicros + guardMicros,
+                                MICROS_PER_MILLI * millisOrDefault(form.remember(), 600_000, 1_000, "fleet.remember-ms"))),
+                form.cells() == null ? Optional.empty() : Optional.of(cellSetup(form.cells())));
     }
 
-    private CellSetup cells(CellsForm form) throws OperatorException {
-        if (form.root() == null || !ROOT.matcher(form.root()).matches()) {
-            throw wrong("fleet.cells.root", "it is missing, or not of 1 to 24 letters, digits, dashes, underscores");
+    private CellSetup cellSetup(CellsForm form) throws OperatorException {
+        if (form.root() == null || !CELL_ROOT_PATTERN.matcher(form.root()).matches()) {
+            throw invalid("fleet.cells.root", "it is missing, or is not 1 to 24 letters, digits, dashes, underscores");
         }
-        int most = form.most() == null ? 96 : form.most();
-        if (most < 4 || most > 512) {
-            throw wrong("fleet.cells.most", most + " is out of range: 4 to 512 routers");
+        int maxCellRouters = form.most() == null ? 96 : form.most();
+        if (maxCellRouters < 4 || maxCellRouters > 512) {
+            throw invalid("fleet.cells.most", maxCellRouters + " is out of range: 4 to 512 routers");
         }
         int delegates = form.delegates() == null ? 2 : form.delegates();
         if (delegates < 1 || delegates > 5) {
-            throw wrong("fleet.cells.delegates", delegates + " is out of range: 1 to 5 routers");
+            throw invalid("fleet.cells.delegates", delegates + " is out of range: 1 to 5 routers");
         }
-        return new CellSetup(form.root(), most, delegates);
+        return new CellSetup(form.root(), maxCellRouters, delegates);
     }
 
-    private DrainTimes drains(DrainsForm form, long touch, long remember) throws OperatorException {
-        long least = MILLI * time(form.least(), 1_000, 0, "fleet.drains.least-ms");
-        long drain = MILLI * time(form.drain(), 10_000, 100, "fleet.drains.drain-ms");
-        long gone = MILLI * time(form.gone(), 60_000, 1_000, "fleet.drains.gone-ms");
-        if (least > drain) {
-            throw wrong("fleet.drains.least-ms", "it is over drain-ms");
+    private DrainTimes drainTimes(DrainsForm form, long leaseAndGuardMicros, long rememberMicros) throws OperatorException {
+        long minDrainMicros = MICROS_PER_MILLI * millisOrDefault(form.least(), 1_000, 0, "fleet.drains.least-ms");
+        long maxDrainMicros = MICROS_PER_MILLI * millisOrDefault(form.drain(), 10_000, 100, "fleet.drains.drain-ms");
+        long goneMicros = MICROS_PER_MILLI * millisOrDefault(form.gone(), 60_000, 1_000, "fleet.drains.gone-ms");
+        if (minDrainMicros > maxDrainMicros) {
+            throw invalid("fleet.drains.least-ms", "it is over drain-ms");
         }
-        if (gone < touch + drain) {
-            throw wrong("fleet.drains.gone-ms", "it is under lease-ms, guard-ms and drain-ms together");
+        if (goneMicros < leaseAndGuardMicros + maxDrainMicros) {
+            throw invalid("fleet.drains.gone-ms", "it is less than the sum of lease-ms, guard-ms and drain-ms");
         }
-        if (gone > remember) { // a router that was forgotten is waited for no more
-            throw wrong("fleet.drains.gone-ms", "it is over remember-ms");
+        if (goneMicros > rememberMicros) { // drains no longer wait for a router whose record has been dropped
+            throw invalid("fleet.drains.gone-ms", "it is over remember-ms");
         }
         return new DrainTimes(
-                least, drain, gone, MILLI * time(form.overdue(), 600_000, 1_000, "fleet.drains.overdue-ms"), 0, 0);
+                minDrainMicros, maxDrainMicros, goneMicros, MICROS_PER_MILLI * millisOrDefault(form.overdue(), 600_000, 1_000, "fleet.drains.overdue-ms"), 0, 0);
     }
 
     private String fleetAddress(String address, String key) throws OperatorException {
         if (address == null || !PacketCodec.possibleAddress(address)) {
-            throw wrong(
-                    key, address == null ? "it is missing" : "'" + address + "' is no address such as 127.0.0.1:7946");
+            throw invalid(
+                    key, address == null ? "it is missing" : "'" + address + "' is not an address such as 127.0.0.1:7946");
         }
         return address;
     }
 
-    private LimitRule limit(LimitForm form, int size) throws OperatorException {
-        if (form.name() == null || !NAME.matcher(form.name()).matches() || form.members() == null) {
-            throw wrong("fleet.limits", "a limit has a name and members");
+    private LimitRule limitRule(LimitForm form, int fleetSize) throws OperatorException {
+        if (form.name() == null || !NAME_PATTERN.matcher(form.name()).matches() || form.members() == null) {
+            throw invalid("fleet.limits", "a limit must have members and a name of 1 to 64 letters, digits, dots, dashes, underscores");
         }
         int measures = (form.perSecond() == null ? 0 : 1)
                 + (form.inFlight() == null ? 0 : 1)
                 + (form.coldInFlight() == null ? 0 : 1)
                 + (form.kbPerSecond() == null ? 0 : 1);
         if (measures != 1) {
-            throw wrong(
+            throw invalid(
                     "fleet.limits",
                     "limit '" + form.name() + "' needs one of per-second, in-flight, cold-in-flight, kb-per-second");
         }
         if (form.members().equals("across-zones") != (form.kbPerSecond() != null)) {
-            throw wrong("fleet.limits", "limit '" + form.name() + "': across-zones and kb-per-second go together");
+            throw invalid("fleet.limits", "limit '" + form.name() + "': across-zones and kb-per-second go together");
         }
         LimitMeasure measure = form.kbPerSecond() != null
                 ? LimitMeasure.KB_PER_SECOND
@@ -384,13 +385,13 @@
                         ? form.perSecond()
                         : form.inFlight() != null ? form.inFlight() : form.coldInFlight();
         if (!(amount > 0 && amount <= 1e9)) {
-            throw wrong("fleet.limits", "limit '" + form.name() + "' is out of range: over 0, up to 1000000000");
+            throw invalid("fleet.limits", "limit '" + form.name() + "' is out of range: over 0, up to 1000000000");
         }
-        if (measure.wholeNumbers && amount < size) {
-            throw wrong(
+        if (measure.wholeNumbers && amount < fleetSize) {
+            throw invalid(
                     "fleet.limits",
-                    "limit '" + form.name() + "' of " + (int) amount + " can't be shared out in whole parts among "
-                            + size + " routers");
+                    "limit '" + form.name() + "' of " + (int) amount + " can't be divided into whole parts among "
+                            + fleetSize + " routers");
         }
         Scope scope =
                 switch (form.members()) {
@@ -403,54 +404,54 @@
         return new LimitRule(form.name(), scope, form.members(), measure, amount);
     }
 
-    private EjectionPolicy.Rules verdicts(FleetForm fleet) throws OperatorException {
+    private EjectionPolicy.Rules ejectionRules(FleetForm fleet) throws OperatorException {
         VerdictsForm form = fleet.verdicts();
-        double share = form.mostOut() == null ? 0.1 : form.mostOut();
-        if (!(share >= 0 && share <= 1)) {
-            throw wrong("fleet.verdicts.most-out", share + " is out of range: 0 to 1");
+        double maxEjectedShare = form.mostOut() == null ? 0.1 : form.mostOut();
+        if (!(maxEjectedShare >= 0 && maxEjectedShare <= 1)) {
+            throw invalid("fleet.verdicts.most-out", maxEjectedShare + " is out of range: 0 to 1");
         }
-        long hold = MILLI * time(form.hold(), 5_000, 500, "fleet.verdicts.hold-ms");
+        long holdMicros = MICROS_PER_MILLI * millisOrDefault(form.hold(), 5_000, 500, "fleet.verdicts.hold-ms");
         return new EjectionPolicy.Rules(
-                share,
-                count(form.witnesses(), 2, "fleet.verdicts.witnesses"),
-                hold,
-                MILLI * time(form.guard(), 2_500, 10, "fleet.verdicts.guard-ms"));
+                maxEjectedShare,
+                countOrDefault(form.witnesses(), 2, "fleet.verdicts.witnesses"),
+                holdMicros,
+                MICROS_PER_MILLI * millisOrDefault(form.guard(), 2_500, 10, "fleet.verdicts.guard-ms"));
     }
 
-    private ProcessorSection processor(ProcessorForm form) throws OperatorException {
+    private ProcessorSection processorSection(ProcessorForm form) throws OperatorException {
         String listen = form.listen() == null ? "" : form.listen();
         if (!listen.matches("[^:\\s]+:\\d{1,5}")) {
-            throw wrong("processor.listen", "'" + listen + "' is no address such as 127.0.0.1:9443");
+            throw invalid("processor.listen", "'" + listen + "' is not an address such as 127.0.0.1:9443");
         }
         if (form.tls() == null
                 && !Boolean.TRUE.equals(form.plainAnywhere())
                 && !listen.matches("127\\.\\d+\\.\\d+\\.\\d+:.*|localhost:.*")) {
-            throw wrong("processor.listen", "without tls only on loopback, unless plain-anywhere is true");
+            throw invalid("processor.listen", "without tls the address must be on loopback, unless plain-anywhere is true");
         }
         Optional<ProcessorSection.Tls> tls = Optional.empty();
         if (form.tls() != null) {
             if (form.tls().certificate() == null || form.tls().key() == null) {
-                throw wrong("processor.tls", "certificate and key are needed");
+                throw invalid("processor.tls", "certificate and key are both required");
             }
             tls = Optional.of(new ProcessorSection.Tls(
                     form.tls().certificate(), form.tls().key(), form.tls().callers()));
         }
         String noRule = form.noRule() == null ? "refuse" : form.noRule();
         if (!Set.of("pass", "refuse").contains(noRule)) {
-            throw wrong("processor.no-rule", "'" + noRule + "' is neither pass nor refuse");
+            throw invalid("processor.no-rule", "'" + noRule + "' is neither pass nor refuse");
         }
         if (form.rules() == null || form.rules().isEmpty() || form.rules().size() > CallRules.MOST_RULES) {
-            throw wrong("processor.rules", "between 1 and " + CallRules.MOST_RULES + " rules are needed");
+            throw invalid("processor.rules", "between 1 and " + CallRules.MOST_RULES + " rules are required");
         }
         List<ProcessorSection.RuleText> rules = new ArrayList<>();
         for (RuleForm rule : form.rules()) {
             if (rule.path() == null || rule.requestClass() == null) {
-                throw wrong("processor.rules", "a rule has a path and a class");
+                throw invalid("processor.rules", "a rule must have a path and a class");
             }
             try {
                 CallRules.Rule.pattern(rule.path());
             } catch (IllegalArgumentException e) {
-                throw wrong("processor.rules", "the path '" + rule.path() + "': " + e.getMessage());
+                throw invalid("processor.rules", "the path '" + rule.path() + "' is invalid: " + e.getMessage());
             }
             rules.add(new ProcessorSection.RuleText(
                     rule.method(),
@@ -459,131 +460,134 @@
                     rule.requestClass(),
                     rule.groupHeader()));
         }
-        int open = count(form.openCalls(), 10_000, "processor.open-calls");
+        int maxOpenCalls = countOrDefault(form.openCalls(), 10_000, "processor.open-calls");
         return new ProcessorSection(
                 listen,
                 tls,
-                MILLI * time(form.messageTimeout(), 200, 20, "processor.message-timeout-ms"),
-                MILLI * time(form.retryWait(), 0, 0, "processor.retry-wait-ms"),
-                count(form.headerBytes(), 16_384, "processor.header-bytes"),
-                count(form.callsPerConnection(), 1_000, "processor.calls-per-connection"),
+                MICROS_PER_MILLI * millisOrDefault(form.messageTimeout(), 200, 20, "processor.message-timeout-ms"),
+                MICROS_PER_MILLI * millisOrDefault(form.retryWait(), 0, 0, "processor.retry-wait-ms"),
+                countOrDefault(form.headerBytes(), 16_384, "processor.header-bytes"),
+                countOrDefault(form.callsPerConnection(), 1_000, "processor.calls-per-connection"),
                 new FairAdmission.Limits(
-                        open,
+                        maxOpenCalls,
                         form.openPerCaller() == null
-                                ? open
-                                : count(form.openPerCaller(), open, "processor.open-calls-per-caller"),
-                        count(form.rate(), 5_000, "processor.calls-per-second"),
+                                ? maxOpenCalls
+                                : countOrDefault(form.openPerCaller(), maxOpenCalls, "processor.open-calls-per-caller"),
+                        countOrDefault(form.rate(), 5_000, "processor.calls-per-second"),
                         !Boolean.FALSE.equals(form.fair())),
                 noRule.equals("pass") ? CallRules.NoRule.PASS : CallRules.NoRule.REFUSE,
                 List.copyOf(rules));
     }
 
-    private int count(Integer value, int absent, String key) throws OperatorException {
-        int count = value == null ? absent : value;
+    /** Returns a number from 1 to 1,000,000, or the default if the key is absent. */
+    private int countOrDefault(Integer value, int defaultCount, String key) throws OperatorException {
+        int count = value == null ? defaultCount : value;
         if (count < 1 || count > 1_000_000) {
-            throw wrong(key, count + " is out of range: 1 to 1000000");
+            throw invalid(key, count + " is out of range: 1 to 1000000");
         }
         return count;
     }
 
-    private HierarchySection hierarchy(HierarchyForm form) throws OperatorException {
+    private HierarchySection hierarchySection(HierarchyForm form) throws OperatorException {
         String news = form.news() == null ? "file" : form.news();
         if (!Set.of("file", "feed").contains(news)) {
-            throw wrong("hierarchy.news", "'" + news + "' is neither file nor feed");
+            throw invalid("hierarchy.news", "'" + news + "' is neither file nor feed");
         }
         MigrationTiming timing = new MigrationTiming(
-                MILLI * time(form.lead(), 5_000, 0, "hierarchy.lead-ms"),
-                MILLI * time(form.move(), 60_000, 0, "hierarchy.move-ms"),
-                MILLI * time(form.gap(), 10_000, 100, "hierarchy.gap-ms"),
-                MILLI * time(form.remember(), 600_000, 0, "hierarchy.remember-ms"));
+                MICROS_PER_MILLI * millisOrDefault(form.lead(), 5_000, 0, "hierarchy.lead-ms"),
+                MICROS_PER_MILLI * millisOrDefault(form.move(), 60_000, 0, "hierarchy.move-ms"),
+                MICROS_PER_MILLI * millisOrDefault(form.gap(), 10_000, 100, "hierarchy.gap-ms"),
+                MICROS_PER_MILLI * millisOrDefault(form.remember(), 600_000, 0, "hierarchy.remember-ms"));
         if (form.shape() == null) {
-            throw wrong("hierarchy.shape", "it is missing");
+            throw invalid("hierarchy.shape", "it is missing");
         }
-        Topology shape = shape("hierarchy.shape", form.shape());
-        Optional<Topology> before =
-                form.before() == null ? Optional.empty() : Optional.of(shape("hierarchy.before", form.before()));
-        if (before.isPresent() && before.get().version() >= shape.version()) {
-            throw wrong(
+        Topology topology = topology("hierarchy.shape", form.shape());
+        Optional<Topology> previous =
+                form.before() == null ? Optional.empty() : Optional.of(topology("hierarchy.before", form.before()));
+        if (previous.isPresent() && previous.get().version() >= topology.version()) {
+            throw invalid(
                     "hierarchy.before.version",
-                    "the version before is " + before.get().version() + ", and that of the shape is "
-                            + shape.version());
+                    "version " + previous.get().version() + " of the previous shape is not below that of the shape, "
+                            + topology.version());
         }
-        long last = form.lastPiece() == null ? 0 : form.lastPiece();
-        if (last < 0) {
-            throw wrong("hierarchy.last-piece", "it is under 0");
+        long lastUpdate = form.lastPiece() == null ? 0 : form.lastPiece();
+        if (lastUpdate < 0) {
+            throw invalid("hierarchy.last-piece", "it is negative");
         }
-        if (last > 0 && news.equals("file")) {
-            throw wrong("hierarchy.last-piece", "pieces come with news: feed only");
+        if (lastUpdate > 0 && news.equals("file")) {
+            throw invalid("hierarchy.last-piece", "it is allowed with news: feed only");
         }
         return new HierarchySection(
                 news.equals("file") ? UpdateSource.FILE : UpdateSource.FEED,
                 form.depot() == null ? "" : form.depot(),
                 timing,
-                shape,
-                before,
-                last);
+                topology,
+                previous,
+                lastUpdate);
     }
 
-    private long time(Integer value, int absent, int least, String key) throws OperatorException {
-        int time = value == null ? absent : value;
-        if (time < least || time > LONGEST_TIME) {
-            throw wrong(key, time + " is out of range: " + least + " to " + LONGEST_TIME + " milliseconds");
+    /** Returns a time in milliseconds, or the default if the key is absent. */
+    private long millisOrDefault(Integer value, int defaultMillis, int minMillis, String key) throws OperatorException {
+        int millis = value == null ? defaultMillis : value;
+        if (millis < minMillis || millis > MAX_TIME_MILLIS) {
+            throw invalid(key, millis + " is out of range: " + minMillis + " to " + MAX_TIME_MILLIS + " milliseconds");
         }
-        return time;
+        return millis;
     }
 
-    private Topology shape(String path, ShapeForm form) throws OperatorException {
+    private Topology topology(String path, ShapeForm form) throws OperatorException {
         if (form.version() == null || form.version() < 1) {
-            throw wrong(path + ".version", form.version() == null ? "it is missing" : "it is under 1");
+            throw invalid(path + ".version", form.version() == null ? "it is missing" : "it is under 1");
         }
         if (form.origin() == null) {
-            throw wrong(path + ".origin", "it is missing");
+            throw invalid(path + ".origin", "it is missing");
         }
         Map<String, Unit> units = new TreeMap<>();
         units.put(form.origin(), new Unit(form.origin(), Kind.ORIGIN, Map.of()));
-        addAll(units, path + ".hubs", Kind.HUB, form.hubs());
-        addAll(units, path + ".depots", Kind.DEPOT, form.depots());
-        addAll(units, path + ".caches", Kind.CACHE, form.caches());
-        Topology shape = new Topology(
-                form.version(), announced(path, form.announced()), Boolean.TRUE.equals(form.allowSkips()), units);
-        List<Violation> problems = TopologyValidator.problems(shape, Set.of());
-        if (!problems.isEmpty()) {
-            Violation first = problems.get(0);
+        addUnits(units, path + ".hubs", Kind.HUB, form.hubs());
+        addUnits(units, path + ".depots", Kind.DEPOT, form.depots());
+        addUnits(units, path + ".caches", Kind.CACHE, form.caches());
+        Topology topology = new Topology(
+                form.version(), announcedMicros(path, form.announced()), Boolean.TRUE.equals(form.allowSkips()), units);
+        List<Violation> violations = TopologyValidator.problems(topology, Set.of());
+        if (!violations.isEmpty()) {
+            Violation first = violations.get(0);
             Unit unit = units.get(first.unit());
-            String group = unit == null || unit.kind() == Kind.ORIGIN
+            String key = unit == null || unit.kind() == Kind.ORIGIN
                     ? ".origin"
                     : "." + unit.kind().name().toLowerCase(java.util.Locale.ROOT) + "s." + unit.name();
-            throw wrong(
-                    path + group,
-                    first.text() + (problems.size() > 1 ? " (and " + (problems.size() - 1) + " more)" : ""));
+            throw invalid(
+                    path + key,
+                    first.text() + (violations.size() > 1 ? " (and " + (violations.size() - 1) + " more)" : ""));
         }
-        return shape;
+        return topology;
     }
 
-    private void addAll(Map<String, Unit> units, String path, Kind kind, Map<String, UnitForm> forms)
+    private void addUnits(Map<String, Unit> units, String path, Kind kind, Map<String, UnitForm> forms)
             throws OperatorException {
-        for (Map.Entry<String, UnitForm> e : (forms == null ? Map.<String, UnitForm>of() : forms).entrySet()) {
+        for (Map.Entry<String, UnitForm> entry : (forms == null ? Map.<String, UnitForm>of() : forms).entrySet()) {
             Map<String, Double> parents = new LinkedHashMap<>();
-            if (e.getValue() != null && e.getValue().fillFrom() != null) {
-                parents.putAll(e.getValue().fillFrom());
+            if (entry.getValue() != null && entry.getValue().fillFrom() != null) {
+                parents.putAll(entry.getValue().fillFrom());
             }
             if (parents.containsValue(null)) {
-                throw wrong(path + "." + e.getKey() + ".fill-from", "a parent without a weight");
+                throw invalid(path + "." + entry.getKey() + ".fill-from", "a parent without a weight");
             }
-            if (units.put(e.getKey(), new Unit(e.getKey(), kind, parents)) != null) {
-                throw wrong(path + "." + e.getKey(), "there is another unit of that name");
+            if (units.put(entry.getKey(), new Unit(entry.getKey(), kind, parents)) != null) {
+                throw invalid(path + "." + entry.getKey(), "another unit has the same name");
             }
         }
     }
 
-    private long announced(String path, String text) throws OperatorException {
+    /** Returns the time of an announcement in Unix microseconds; 0 if it is absent. */
+    private long announcedMicros(String path, String text) throws OperatorException {
         if (text == null) {
             return 0;
         }
         try {
-            return Instant.parse(text).toEpochMilli() * MILLI;
+            return Instant.parse(text).toEpochMilli() * MICROS_PER_MILLI;
         } catch (DateTimeException e) {
-            throw wrong(path + ".announced", "'" + text + "' is no time such as 2026-12-01T16:00:00Z");
+            throw invalid(path + ".announced", "'" + text + "' is not a time such as 2026-12-01T16:00:00Z");
         }
     }
 }
--- a/src/main/java/pumicemoor/operator/ProcessorSection.java
+++ b/src/main/java/pumicemoor/operator/ProcessorSection.java
@@ -6,9 +6,10 @@
 import pumicemoor.calls.FairAdmission;
 
 /**
- * The section 'processor': where proxies call, what they may ask for and how much of it. Times are microseconds,
- * sizes bytes. The message time-out is the callers' own, before which an answer must have left; the retry wait is how
- * long an attempt is held ready for a caller that tries again by itself (0: callers do not).
+ * The section 'processor' of an operator's file: the address that proxies call, the rules that map their calls to
+ * request classes, and the limits on calls. Times are microseconds, sizes bytes. The message timeout is the one that the
+ * callers apply: an answer must be sent before it expires. The retry wait is how long an attempt stays available for a
+ * caller that retries by itself (0: callers do not).
  */
 public record ProcessorSection(
         String listen,
@@ -21,10 +22,10 @@
         CallRules.NoRule noRule,
         List<RuleText> rules) {
 
-    /** Files in PEM: this router's certificate and key, and who signs the callers' certificates. */
+    /** PEM files: this router's certificate and key, and the certificates of the authorities that sign the callers' ones. */
     public record Tls(String certificate, String key, String callers) {}
 
-    /** A rule as it stands in the file, so that two readings of one file are equal. */
+    /** A rule as written in the file, with its pattern not compiled, so that reading a file twice gives equal sections. */
     public record RuleText(
             String method,
             String path,
@@ -32,21 +33,24 @@
             String requestClass,
             String groupHeader) {}
 
-    /** The rules, their patterns compiled. */
+    /** Returns the rules with their patterns compiled. */
     public CallRules callRules() {
         return new CallRules(
                 rules.stream()
-                        .map(r -> new CallRules.Rule(
-                                r.method(),
-                                CallRules.Rule.pattern(r.path()),
-                                r.headers(),
-                                r.requestClass(),
-                                r.groupHeader()))
+                        .map(rule -> new CallRules.Rule(
+                                rule.method(),
+                                CallRules.Rule.pattern(rule.path()),
+                                rule.headers(),
+                                rule.requestClass(),
+                                rule.groupHeader()))
                         .toList(),
                 noRule);
     }
 
-    /** Whether a running router can go over to this from another: what it listens on and by stays the same. */
+    /**
+     * Returns whether a running router can switch from the other section to this one: the address, TLS, and the bounds
+     * that are fixed when the server is built (header bytes, calls per connection) must be the same.
+     */
     public boolean follows(ProcessorSection other) {
         return listen.equals(other.listen)
                 && tls.equals(other.tls)
--- a/src/main/java/pumicemoor/operator/package-info.java
+++ b/src/main/java/pumicemoor/operator/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The operator's file: what an operator of this installation sets beyond what the platform gives, as YAML. It
- * owns the form, the defaults and the checks, one record for each section; it must never decide anything, nor
- * be needed where no file is named. Every key with its unit and default stands in deploy/operator.example.yaml.
+ * The operator's file: a YAML file with the settings that an operator adds to those of the platform. The package owns
+ * the file's format, defaults and validation, with one record for each section. It must not make routing decisions, and
+ * a router started without such a file must not need it. deploy/operator.example.yaml lists every key with its unit and
+ * default.
  */
 package pumicemoor.operator;
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -14,9 +14,10 @@
 import pumicemoor.fleet.cells.CellSetup;
 import pumicemoor.node.NodeTestConfig;
 
+/** Tests reading and validation of the section 'fleet' of an operator's file. */
 class FleetSectionTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             """
             fleet:
               cluster: west
@@ -33,18 +34,18 @@
             """;
 
     @Test
-    void aGoodSectionIsReadWithItsDefaults() throws Exception {
-        FleetSection f = OperatorFile.parse("f", GOOD).fleet().orElseThrow();
-        assertEquals("127.0.0.1:7946", f.advertise());
-        assertEquals(200_000, f.period());
-        assertEquals(5_000_000, f.times().lease());
-        assertEquals(Scope.EACH_CACHE, f.limits().get(0).scope());
-        assertEquals(Scope.MEMBER, f.limits().get(1).scope());
-        assertEquals(LimitMeasure.IN_FLIGHT, f.limits().get(1).measure());
-        assertEquals(5_000_000, f.verdicts().orElseThrow().hold());
-        assertEquals(4_000_000, f.drains().orElseThrow().drain());
-        assertEquals(60_000_000, f.drains().orElseThrow().gone());
-        assertTrue(OperatorFile.parse("f", GOOD.replace("  drains: {drain-ms: 4000}\n", ""))
+    void absentKeysOfAValidSectionGetTheirDefaults() throws Exception {
+        FleetSection section = OperatorFile.parse("f", VALID).fleet().orElseThrow();
+        assertEquals("127.0.0.1:7946", section.advertise());
+        assertEquals(200_000, section.period());
+        assertEquals(5_000_000, section.times().lease());
+        assertEquals(Scope.EACH_CACHE, section.limits().get(0).scope());
+        assertEquals(Scope.MEMBER, section.limits().get(1).scope());
+        assertEquals(LimitMeasure.IN_FLIGHT, section.limits().get(1).measure());
+        assertEquals(5_000_000, section.verdicts().orElseThrow().hold());
+        assertEquals(4_000_000, section.drains().orElseThrow().drain());
+        assertEquals(60_000_000, section.drains().orElseThrow().gone());
+        assertTrue(OperatorFile.parse("f", VALID.replace("  drains: {drain-ms: 4000}\n", ""))
                 .fleet()
                 .orElseThrow()
                 .drains()
@@ -52,13 +53,13 @@
         assertTrue(OperatorFile.parse("f", "").fleet().isEmpty());
     }
 
-    /** What is changed in the good section, and the line and words of the error. */
+    /** Each row: a text of the valid section, its replacement, the line that the error names, words of the error. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
                 "cluster: west|cluster: 'w st'|2|fleet.cluster",
-                "listen: 127.0.0.1:7946|listen: nowhere|3|fleet.listen: 'nowhere' is no address",
+                "listen: 127.0.0.1:7946|listen: nowhere|3|fleet.listen: 'nowhere' is not an address",
                 "listen: 127.0.0.1:7946|listen: 127.0.0.999:7946|3|fleet.listen",
                 "127.0.0.1:7947|127.0.0.1:0|4|fleet.seeds",
                 "size: 8|size: 0|5|fleet.size",
@@ -73,54 +74,54 @@
                 "most-out: 0.2|most-out: 1.2|11|fleet.verdicts.most-out",
                 "drain-ms: 4000|drain-ms: 5|12|fleet.drains.drain-ms: 5 is out of range",
                 "drain-ms: 4000|least-ms: 20000|12|fleet.drains.least-ms: it is over drain-ms",
-                "drain-ms: 4000|gone-ms: 9000|12|fleet.drains.gone-ms: it is under lease-ms",
+                "drain-ms: 4000|gone-ms: 9000|12|fleet.drains.gone-ms: it is less than the sum of lease-ms",
                 "drain-ms: 4000|gone-ms: 700000|12|fleet.drains.gone-ms: it is over remember-ms",
                 "drain-ms: 4000|drain: 4000|12|unknown key",
             })
-    void anErrorNamesItsLineAndKey(String from, String to, int line, String words) {
-        assertTrue(GOOD.contains(from));
+    void errorNamesItsLineAndKey(String from, String to, int line, String words) {
+        assertTrue(VALID.contains(from));
         OperatorException e =
-                assertThrows(OperatorException.class, () -> OperatorFile.parse("f", GOOD.replace(from, to)));
+                assertThrows(OperatorException.class, () -> OperatorFile.parse("f", VALID.replace(from, to)));
         assertTrue(
                 e.getMessage().startsWith("f:" + line + ":") && e.getMessage().contains(words), e.getMessage());
     }
 
-    private static final String CELLS = GOOD.replace("size: 8", "size: 18000")
+    private static final String VALID_WITH_CELLS = VALID.replace("size: 8", "size: 18000")
             .replace("in-flight: 16", "in-flight: 18000")
             .replace("drains: {drain-ms: 4000}", "cells: {root: zone-a, most: 64, delegates: 3}");
 
     @Test
-    void cellsAreReadWithTheirDefaults() throws Exception {
-        FleetSection f = OperatorFile.parse("f", CELLS).fleet().orElseThrow();
-        assertEquals(18_000, f.size());
-        assertEquals(new CellSetup("zone-a", 64, 3), f.cells().orElseThrow());
+    void absentKeysOfCellsGetTheirDefaults() throws Exception {
+        FleetSection section = OperatorFile.parse("f", VALID_WITH_CELLS).fleet().orElseThrow();
+        assertEquals(18_000, section.size());
+        assertEquals(new CellSetup("zone-a", 64, 3), section.cells().orElseThrow());
         assertEquals(
                 new CellSetup("site_7", 96, 2),
-                OperatorFile.parse("f", CELLS.replace("{root: zone-a, most: 64, delegates: 3}", "{root: site_7}"))
+                OperatorFile.parse("f", VALID_WITH_CELLS.replace("{root: zone-a, most: 64, delegates: 3}", "{root: site_7}"))
                         .fleet()
                         .orElseThrow()
                         .cells()
                         .orElseThrow());
         assertEquals(
                 100_000,
-                OperatorFile.parse("f", CELLS.replace("18000", "100000"))
+                OperatorFile.parse("f", VALID_WITH_CELLS.replace("18000", "100000"))
                         .fleet()
                         .orElseThrow()
                         .size());
-        assertTrue(OperatorFile.parse("f", GOOD).fleet().orElseThrow().cells().isEmpty(), "off unless it is there");
+        assertTrue(OperatorFile.parse("f", VALID).fleet().orElseThrow().cells().isEmpty(), "cells are off if the section is absent");
     }
 
-    /** What a router's part is set up with carries the cells, and none where the section has none. */
+    /** The fleet setup of a router includes the cells of the section, and no cells if the section has none. */
     @Test
-    void theSetupCarriesTheCells() throws Exception {
+    void fleetSetupIncludesTheCells() throws Exception {
         RouterApi.Rules rules = NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:0", "127.0.0.1:1"))
                 .words()
                 .settings()
                 .rules();
-        FleetSetup cells = OperatorFile.parse("f", CELLS).fleet().orElseThrow().setup("r", rules);
-        assertEquals("zone-a", cells.cells().orElseThrow().root());
-        assertEquals(18_000, cells.size());
-        assertTrue(OperatorFile.parse("f", GOOD)
+        FleetSetup setup = OperatorFile.parse("f", VALID_WITH_CELLS).fleet().orElseThrow().setup("r", rules);
+        assertEquals("zone-a", setup.cells().orElseThrow().root());
+        assertEquals(18_000, setup.size());
+        assertTrue(OperatorFile.parse("f", VALID)
                 .fleet()
                 .orElseThrow()
                 .setup("r", rules)
@@ -128,7 +129,7 @@
                 .isEmpty());
     }
 
-    /** What is changed in the section with cells, and the line and words of the error. */
+    /** Each row: a text of the section with cells, its replacement, the line that the error names, words of the error. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -148,18 +149,18 @@
                 "delegates: 3|delegates: 6|12|fleet.cells.delegates: 6 is out of range",
                 "delegates: 3|delegate: 3|12|unknown key; known here: delegates, most, root",
             })
-    void anErrorInCellsNamesItsLineAndKey(String from, String to, int line, String words) {
-        assertTrue(CELLS.contains(from));
+    void errorInCellsNamesItsLineAndKey(String from, String to, int line, String words) {
+        assertTrue(VALID_WITH_CELLS.contains(from));
         OperatorException e = assertThrows(
-                OperatorException.class, () -> OperatorFile.parse("f", CELLS.replace(from, to == null ? "" : to)));
+                OperatorException.class, () -> OperatorFile.parse("f", VALID_WITH_CELLS.replace(from, to == null ? "" : to)));
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
         assertTrue(
                 e.getMessage().startsWith("f:" + line + ":") && e.getMessage().contains(words), e.getMessage());
     }
 
     @Test
-    void aFlatFleetKeepsItsLargestSize() throws Exception {
-        String flat = CELLS.replace("  cells: {root: zone-a, most: 64, delegates: 3}\n", "");
+    void flatFleetIsBoundedTo2000Routers() throws Exception {
+        String flat = VALID_WITH_CELLS.replace("  cells: {root: zone-a, most: 64, delegates: 3}\n", "");
         assertEquals(
                 2_000,
                 OperatorFile.parse("f", flat.replace("18000", "2000"))
@@ -173,10 +174,10 @@
     }
 
     @Test
-    void drainsWithCellsAreRefusedInOneLine() {
+    void drainsWithCellsAreRefusedWithALineAndAKey() {
         assertEquals(
-                "f:13: fleet.drains: not together with fleet.cells: cells do not take members out in order yet",
-                assertThrows(OperatorException.class, () -> OperatorFile.parse("f", CELLS + "  drains: {}\n"))
+                "f:13: fleet.drains: cannot be combined with fleet.cells: drains are not supported with cells yet",
+                assertThrows(OperatorException.class, () -> OperatorFile.parse("f", VALID_WITH_CELLS + "  drains: {}\n"))
                         .getMessage());
     }
 }
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -12,9 +12,10 @@
 import pumicemoor.fleet.cells.CellSetup;
 import pumicemoor.hierarchy.Hierarchy.UpdateSource;
 
+/** Tests reading and validation of an operator's file, mostly by its section 'hierarchy'. */
 class OperatorFileTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             """
             hierarchy:
               news: file
@@ -31,27 +32,30 @@
             """;
 
     @Test
-    void aGoodFileIsReadWithItsDefaults() throws Exception {
-        HierarchySection h = OperatorFile.parse("f", GOOD).hierarchy().orElseThrow();
-        assertEquals(UpdateSource.FILE, h.news());
-        assertEquals(4_000_000, h.timing().lead());
-        assertEquals(60_000_000, h.timing().move());
-        assertEquals(4, h.shape().units().size());
-        assertEquals(0.5, h.shape().units().get("west").parents().get("hub-b"));
-        assertEquals(1_796_140_800_000_000L, h.shape().announced());
+    void absentKeysOfAValidFileGetTheirDefaults() throws Exception {
+        HierarchySection section = OperatorFile.parse("f", VALID).hierarchy().orElseThrow();
+        assertEquals(UpdateSource.FILE, section.news());
+        assertEquals(4_000_000, section.timing().lead());
+        assertEquals(60_000_000, section.timing().move());
+        assertEquals(4, section.shape().units().size());
+        assertEquals(0.5, section.shape().units().get("west").parents().get("hub-b"));
+        assertEquals(1_796_140_800_000_000L, section.shape().announced());
         assertEquals(OperatorConfig.NONE, OperatorFile.parse("f", ""));
     }
 
     @Test
-    void theExampleIsUsable() throws Exception {
+    void shippedExampleIsValid() throws Exception {
         assertTrue(OperatorFile.read(Path.of("deploy/operator.example.yaml"))
                 .hierarchy()
                 .isPresent());
     }
 
-    /** The example's fleet is commented out; with the marks taken away, but for drains, each key of cells is read as it says. */
+    /**
+     * The shipped example has its fleet commented out, with drains and cells, which exclude each other. Uncommented and
+     * without drains, its cells must be valid.
+     */
     @Test
-    void theCellsOfTheExampleAreUsable() throws Exception {
+    void cellsOfTheShippedExampleAreValid() throws Exception {
         String example = Files.readString(Path.of("deploy/operator.example.yaml"));
         String fleet = example.substring(example.indexOf("# fleet:")).replaceAll("(?m)^# ", "");
         String cells = fleet.substring(0, fleet.indexOf("  drains:")) + fleet.substring(fleet.indexOf("  cells:"));
@@ -60,10 +64,10 @@
                 OperatorFile.parse("f", cells).fleet().orElseThrow().cells().orElseThrow());
         assertTrue(assertThrows(OperatorException.class, () -> OperatorFile.parse("f", fleet))
                 .getMessage()
-                .contains("fleet.drains: not together with fleet.cells"));
+                .contains("fleet.drains: cannot be combined with fleet.cells"));
     }
 
-    /** What is changed in the good file, and the line and words that must stand in the one line of the error. */
+    /** Each row: a text of the valid file, its replacement, the line that the one-line error names, words of the error. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -76,7 +80,7 @@
                 "lead-ms: 4000|'lead-ms: 4000\n  lead-ms: 5'|4|",
                 "lead-ms: 4000|last-piece: 4|3|news: feed only",
                 "version: 3|version: 0|5|under 1",
-                "2026-12-01T16:00:00Z|yesterday|6|no time",
+                "2026-12-01T16:00:00Z|yesterday|6|not a time",
                 "{origin-1: 1}|{hub-b: 1}|9|a loop",
                 "{origin-1: 1}|{origin-1: 0}|9|weight",
                 "{origin-1: 1}|{origin-1: }|9|without a weight",
@@ -88,8 +92,8 @@
                 "hierarchy:|'log: {format: xml}\nhierarchy:'|1|neither text nor json",
                 "hierarchy:|'hierarchy: ['|1|not YAML"
             })
-    void aBadFileIsToldWithFileLineAndKey(String good, String bad, int line, String words) {
-        String text = GOOD.replace(good, bad);
+    void errorNamesFileLineAndKeyInOneLine(String from, String to, int line, String words) {
+        String text = VALID.replace(from, to);
         OperatorException e = assertThrows(OperatorException.class, () -> OperatorFile.parse("f.yaml", text), text);
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
         assertTrue(
@@ -99,14 +103,14 @@
     }
 
     @Test
-    void aMissingFileIsNamed() {
+    void missingFileIsNamedInTheError() {
         OperatorException e = assertThrows(OperatorException.class, () -> OperatorFile.read(Path.of("nowhere.yaml")));
         assertEquals("nowhere.yaml: there is no such file", e.getMessage());
     }
 
     @Test
-    void theVersionBeforeIsBelow() {
-        String text = GOOD + "  before:\n    version: 3\n    origin: origin-1\n    depots:\n"
+    void previousTopologyMustHaveALowerVersion() {
+        String text = VALID + "  before:\n    version: 3\n    origin: origin-1\n    depots:\n"
                 + "      west: {fill-from: {origin-1: 1}}\n";
         assertTrue(assertThrows(OperatorException.class, () -> OperatorFile.parse("f", text))
                 .getMessage()
