--- a/src/main/java/pumicemoor/cli/Command.java
+++ b/src/main/java/pumicemoor/cli/Command.java
@@ -5,13 +5,13 @@
 import pumicemoor.operator.OperatorException;
 import pumicemoor.wire.WireException;
 
-/** A sub-command; it exits 0 when done, 1 on bad input, and prints its own usage when asked. */
+/** A sub-command of the command line. The process exits with 0 when it is done and with 1 on bad input. */
 abstract class Command {
 
     @Option(name = "--help", aliases = "-h", help = true, usage = "print this")
-    boolean help;
+    boolean helpRequested;
 
-    /** The command to run: this one, or one inside it. */
+    /** Returns the command to run: this one, or the selected one of its sub-commands. */
     Command innermost() {
         return this;
     }
--- a/src/main/java/pumicemoor/cli/ConfigWatch.java
+++ b/src/main/java/pumicemoor/cli/ConfigWatch.java
@@ -8,27 +8,28 @@
 import java.util.List;
 
 /**
- * Looks for changes of the files of a configuration, for a process that was started with SIGHUP ignored and so can't
- * be told to read them again. A file that is being written may be seen half; its next state is a change again.
+ * Detects changes in the content of configuration files, for a process that was started with SIGHUP ignored and so
+ * cannot be signalled to reload them. A file may be read while it is only partly written; its final content is then
+ * one more change.
  */
 final class ConfigWatch {
 
-    static final long INTERVAL = 250; // milliseconds
+    static final long INTERVAL_MILLIS = 250;
 
     private final List<Path> files;
-    private byte[] last;
+    private byte[] lastContents;
 
-    /** Takes the present contents of these files as known. */
+    /** Watches these files for changes from their present contents. */
     ConfigWatch(List<Path> files) {
         this.files = files;
-        this.last = contents();
+        this.lastContents = contents();
     }
 
-    /** Whether the contents are others than when this was asked last. */
+    /** Returns whether the contents have changed since the previous call, or since construction. */
     boolean changed() {
-        byte[] before = last;
-        last = contents();
-        return !Arrays.equals(before, last);
+        byte[] previousContents = lastContents;
+        lastContents = contents();
+        return !Arrays.equals(previousContents, lastContents);
     }
 
     private byte[] contents() {
@@ -37,9 +38,9 @@
             try {
                 all.writeBytes(Files.readAllBytes(file));
             } catch (IOException e) {
-                // a file that can't be read has no contents
+                // a file that can't be read counts as empty
             }
-            all.write(0);
+            all.write(0); // separates the files
         }
         return all.toByteArray();
     }
--- a/src/main/java/pumicemoor/cli/DrainCommands.java
+++ b/src/main/java/pumicemoor/cli/DrainCommands.java
@@ -12,8 +12,11 @@
 import org.kohsuke.args4j.spi.SubCommands;
 import pumicemoor.wire.WireException;
 
-/** Asks a running router's fleet to take members out for work, one after the other; it must never order them itself. */
-@Usage.Text(
+/**
+ * The command 'drain': sends drain requests for maintenance to the fleet of a running router, and shows the drain plan.
+ * The routers decide the order of drains; this command must not.
+ */
+@Usage.Summary(
         "takes members out for work in an order that the routers settle: drain request|done|cancel|status HOST:PORT")
 public final class DrainCommands extends NestedCommand {
 
@@ -22,19 +25,19 @@
         @SubCommand(name = "request", impl = Request.class),
         @SubCommand(name = "done", impl = Done.class),
         @SubCommand(name = "cancel", impl = Cancel.class),
-        @SubCommand(name = "status", impl = Shown.class)
+        @SubCommand(name = "status", impl = ShowPlan.class)
     })
     private Command command;
 
     @Override
-    Command inner() {
+    Command selected() {
         return command;
     }
 
-    /** A command that waits until the plan in force shows it. */
-    abstract static class Told extends Command {
+    /** A command that changes the drain plan and waits until the plan in force shows the change. */
+    abstract static class PlanChange extends Command {
 
-        private static final long POLL = 200; // milliseconds
+        private static final long POLL_INTERVAL_MILLIS = 200;
 
         @Argument(
                 metaVar = "HOST:PORT",
@@ -59,19 +62,19 @@
         private String id = Long.toHexString(ThreadLocalRandom.current().nextLong());
 
         @Option(name = "--wait", metaVar = "SECONDS", usage = "how long to wait until the routers have agreed (10)")
-        private int wait = 10;
+        private int waitSeconds = 10;
 
         private final String verb;
 
-        Told(String verb) {
+        PlanChange(String verb) {
             this.verb = verb;
         }
 
-        /** What this command has beside its members. */
-        abstract void add(Map<String, String> fields);
+        /** Adds the fields of the request that only this command has. */
+        abstract void addFields(Map<String, String> fields);
 
-        /** Whether the plan in force shows that it was taken. */
-        abstract boolean taken(String address, String id) throws IOException, WireException;
+        /** Returns whether the plan in force shows that the command has taken effect. */
+        abstract boolean hasTakenEffect(String address, String id) throws IOException, WireException;
 
         @Override
         void run() throws IOException, WireException, InterruptedException {
@@ -82,75 +85,75 @@
             if (cluster != null) {
                 fields.put("cluster", cluster);
             }
-            add(fields);
-            String said = Status.command(address, fields);
-            if (!said.startsWith("waits")) {
-                throw new WireException(said);
+            addFields(fields);
+            String answer = Status.command(address, fields);
+            if (!answer.startsWith("waits")) {
+                throw new WireException(answer);
             }
-            long end = System.nanoTime() + wait * 1_000_000_000L;
-            while (!taken(address, id)) {
-                if (System.nanoTime() > end) {
+            long deadlineNanos = System.nanoTime() + waitSeconds * 1_000_000_000L;
+            while (!hasTakenEffect(address, id)) {
+                if (System.nanoTime() > deadlineNanos) {
                     throw new WireException(
-                            "not agreed within " + wait + " s: no majority of the routers, or they do not"
-                                    + " list these members; " + address + " goes on asking for a minute, and --id " + id
-                                    + " repeats it with no second effect");
+                            "not agreed within " + waitSeconds + " s: there is no majority of the routers, or they do not"
+                                    + " list these members; " + address + " keeps trying for a minute, and --id " + id
+                                    + " repeats the command with no second effect");
                 }
-                Thread.sleep(POLL);
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             }
             System.out.println("agreed: " + verb + " " + id);
         }
 
-        static List<Map<String, Object>> rows(String address) throws IOException, WireException {
+        static List<Map<String, Object>> drainRows(String address) throws IOException, WireException {
             return Status.rows(address, "drains");
         }
 
-        /** The rows of this command's members. */
-        List<Map<String, Object>> mine(String address) throws IOException, WireException {
+        /** Returns the rows of the drain plan for the members of this command. */
+        List<Map<String, Object>> rowsOfMembers(String address) throws IOException, WireException {
             List<String> names = List.of(members.split("\\s*,\\s*"));
-            return rows(address).stream()
-                    .filter(r -> names.contains(r.get("member")))
+            return drainRows(address).stream()
+                    .filter(row -> names.contains(row.get("member")))
                     .toList();
         }
     }
 
-    /** Asks for maintenance. */
-    @Usage.Text("asks the fleet to take members out for work, in an order that the routers settle")
-    public static final class Request extends Told {
+    /** Requests the drain of members for maintenance. */
+    @Usage.Summary("asks the fleet to take members out for work, in an order that the routers settle")
+    public static final class Request extends PlanChange {
 
         @Option(
                 name = "--max-at-once",
                 metaVar = "K",
                 required = true,
                 usage = "how many may be out at once in the whole fleet")
-        private int most;
+        private int maxAtOnce;
 
         @Option(
                 name = "--min-serving",
                 metaVar = "F",
                 required = true,
                 usage = "how many of each tier have to go on serving")
-        private int least;
+        private int minServing;
 
         public Request() {
             super("request");
         }
 
         @Override
-        void add(Map<String, String> fields) {
-            fields.put("max-at-once", Integer.toString(most));
-            fields.put("min-serving", Integer.toString(least));
+        void addFields(Map<String, String> fields) {
+            fields.put("max-at-once", Integer.toString(maxAtOnce));
+            fields.put("min-serving", Integer.toString(minServing));
         }
 
         @Override
-        boolean taken(String address, String id) throws IOException, WireException {
+        boolean hasTakenEffect(String address, String id) throws IOException, WireException {
             return Status.rows(address, "drain-requests").stream()
-                    .anyMatch(r -> r.get("id").equals(id) && !r.get("state").equals("not-taken"));
+                    .anyMatch(row -> row.get("id").equals(id) && !row.get("state").equals("not-taken"));
         }
     }
 
-    /** Says that the work on a member is done. */
-    @Usage.Text("says that the work on a member that is out is done: it is let back in and warms")
-    public static final class Done extends Told {
+    /** Reports that the maintenance of a member is done. */
+    @Usage.Summary("says that the work on a member that is out is done: it is let back in and warms")
+    public static final class Done extends PlanChange {
 
         @Option(
                 name = "--fence",
@@ -163,42 +166,42 @@
         }
 
         @Override
-        void add(Map<String, String> fields) {
+        void addFields(Map<String, String> fields) {
             if (fence != null) {
                 fields.put("fence", fence.toString());
             }
         }
 
         @Override
-        boolean taken(String address, String id) throws IOException, WireException {
-            return mine(address).stream().noneMatch(r -> r.get("phase").equals("out"));
+        boolean hasTakenEffect(String address, String id) throws IOException, WireException {
+            return rowsOfMembers(address).stream().noneMatch(row -> row.get("phase").equals("out"));
         }
     }
 
-    /** Calls off what has not gone out yet. */
-    @Usage.Text("leaves alone those of the members that are not out yet")
-    public static final class Cancel extends Told {
+    /** Cancels the drains of members that are not out yet. */
+    @Usage.Summary("leaves alone those of the members that are not out yet")
+    public static final class Cancel extends PlanChange {
 
         public Cancel() {
             super("cancel");
         }
 
         @Override
-        void add(Map<String, String> fields) {
-            // the members say it all
+        void addFields(Map<String, String> fields) {
+            // a cancel has no field beside its members
         }
 
         @Override
-        boolean taken(String address, String id) throws IOException, WireException {
-            return mine(address).stream()
-                    .noneMatch(r -> List.of("queued", "named", "draining").contains(r.get("phase")));
+        boolean hasTakenEffect(String address, String id) throws IOException, WireException {
+            return rowsOfMembers(address).stream()
+                    .noneMatch(row -> List.of("queued", "named", "draining").contains(row.get("phase")));
         }
     }
 
-    /** Shows the plan. */
-    @Usage.Text("shows who is out, who comes next, since when, and what holds it up")
-    public static final class Shown extends FleetRows {
-        public Shown() {
+    /** Shows the drain plan. */
+    @Usage.Summary("shows who is out, who comes next, since when, and what holds it up")
+    public static final class ShowPlan extends FleetRows {
+        public ShowPlan() {
             super("drains");
         }
     }
--- a/src/main/java/pumicemoor/cli/FleetRows.java
+++ b/src/main/java/pumicemoor/cli/FleetRows.java
@@ -12,7 +12,10 @@
 import pumicemoor.wire.Rows;
 import pumicemoor.wire.WireException;
 
-/** Shows what a running router knows of its fleet, as a table or as JSON; it must never change anything there. */
+/**
+ * Prints rows about the fleet that a running router knows, as a table or as JSON. It only reads: it must not change
+ * anything on the router.
+ */
 abstract class FleetRows extends Command {
 
     @Argument(metaVar = "HOST:PORT", required = true, usage = "where the router listens for clients")
@@ -33,23 +36,26 @@
         System.out.print(json ? Rows.json(rows) + "\n" : table(rows));
     }
 
-    /** A column for each key of any row, as wide as its widest cell; a line that says so where there are no rows. */
+    /**
+     * Formats rows as a table with a column for each key of any row, as wide as its widest cell. Without rows the table
+     * is the line "(none)".
+     */
     static String table(List<Map<String, Object>> rows) {
         if (rows.isEmpty()) {
             return "(none)\n";
         }
         Set<String> keys = new LinkedHashSet<>();
-        rows.forEach(r -> keys.addAll(r.keySet())); // the level, for one, is there in rows of the upper level alone
-        List<String> names = List.copyOf(keys);
-        List<List<String>> lines = new ArrayList<>(List.of(names));
-        rows.forEach(r -> lines.add(names.stream()
-                .map(n -> r.containsKey(n) ? String.valueOf(r.get(n)) : "-")
+        rows.forEach(row -> keys.addAll(row.keySet())); // rows may differ: only those of the upper level have 'level'
+        List<String> columns = List.copyOf(keys);
+        List<List<String>> lines = new ArrayList<>(List.of(columns));
+        rows.forEach(row -> lines.add(columns.stream()
+                .map(name -> row.containsKey(name) ? String.valueOf(row.get(name)) : "-")
                 .toList()));
         List<Integer> widths = new ArrayList<>();
-        for (int i = 0; i < names.size(); i++) {
+        for (int i = 0; i < columns.size(); i++) {
             int column = i;
             widths.add(
-                    lines.stream().mapToInt(l -> l.get(column).length()).max().orElse(0));
+                    lines.stream().mapToInt(line -> line.get(column).length()).max().orElse(0));
         }
         StringBuilder table = new StringBuilder();
         for (List<String> line : lines) {
@@ -63,26 +69,26 @@
         return table.toString();
     }
 
-    /** The routers of the fleet. */
-    @Usage.Text("shows the routers of the fleet as a running router knows them")
+    /** Lists the routers of the fleet. */
+    @Usage.Summary("shows the routers of the fleet as a running router knows them")
     public static final class Members extends FleetRows {
         public Members() {
             super("members");
         }
     }
 
-    /** The limits that the fleet holds together. */
-    @Usage.Text("shows the fleet's limits and what part of each a running router holds")
+    /** Lists the limits that the fleet shares among its routers. */
+    @Usage.Summary("shows the fleet's limits and what part of each a running router holds")
     public static final class Limits extends FleetRows {
         public Limits() {
             super("limits");
         }
     }
 
-    /** The members that the fleet leaves alone. */
-    @Usage.Text("shows the fleet's verdicts on caches and parents as a running router knows them")
-    public static final class Verdicts extends FleetRows {
-        public Verdicts() {
+    /** Lists the members that the fleet has ejected. */
+    @Usage.Summary("shows the fleet's verdicts on caches and parents as a running router knows them")
+    public static final class Ejections extends FleetRows {
+        public Ejections() {
             super("verdicts");
         }
     }
--- a/src/main/java/pumicemoor/cli/HierarchyCommand.java
+++ b/src/main/java/pumicemoor/cli/HierarchyCommand.java
@@ -12,8 +12,11 @@
 import pumicemoor.operator.OperatorFile;
 import pumicemoor.wire.WireException;
 
-/** Says of a hierarchy what a router would, before any router is told; it must never reach a router. */
-@Usage.Text("checks a hierarchy, or shows the steps from one to another: hierarchy check FILE, hierarchy plan OLD NEW")
+/**
+ * The command 'hierarchy': validates a topology, or computes the migration from one to another, with the code that
+ * routers run. It works on files only and must not contact a router.
+ */
+@Usage.Summary("checks a hierarchy, or shows the steps from one to another: hierarchy check FILE, hierarchy plan OLD NEW")
 public final class HierarchyCommand extends NestedCommand {
 
     @Argument(handler = SubCommandHandler.class, metaVar = "check|plan", required = true)
@@ -21,12 +24,12 @@
     private Command command;
 
     @Override
-    Command inner() {
+    Command selected() {
         return command;
     }
 
-    /** Validates the hierarchy of an operator's file. */
-    @Usage.Text("checks the hierarchy of an operator's file; exits 1 with the file, line and key of the first trouble")
+    /** Validates the topology of an operator's file. */
+    @Usage.Summary("checks the hierarchy of an operator's file; exits 1 with the file, line and key of the first trouble")
     public static final class Check extends Command {
         @Argument(metaVar = "FILE", required = true, usage = "an operator's file with a section 'hierarchy'")
         private String file;
@@ -40,33 +43,33 @@
         }
     }
 
-    /** Prints the steps from one hierarchy to the next. */
-    @Usage.Text("shows the steps from the hierarchy in OLD to that in NEW with the times of NEW, and what each moves;"
+    /** Prints the steps of the migration from one topology to another. */
+    @Usage.Summary("shows the steps from the hierarchy in OLD to that in NEW with the times of NEW, and what each moves;"
             + " exits 1 where NEW would be refused")
     public static final class Plan extends Command {
         @Argument(index = 0, metaVar = "OLD", required = true, usage = "the operator's file that is in force")
-        private String old;
+        private String currentFile;
 
         @Argument(index = 1, metaVar = "NEW", required = true, usage = "the operator's file that is to follow it")
-        private String next;
+        private String nextFile;
 
         @Override
         void run() throws OperatorException, WireException {
-            HierarchySection to = OperatorFile.readHierarchy(Path.of(next));
-            HierarchySection from = OperatorFile.readHierarchy(Path.of(old));
-            if (to.shape().version() <= from.shape().version()) {
-                throw new WireException(next + ": version " + to.shape().version() + " is not above version "
-                        + from.shape().version() + " of " + old);
+            HierarchySection next = OperatorFile.readHierarchy(Path.of(nextFile));
+            HierarchySection current = OperatorFile.readHierarchy(Path.of(currentFile));
+            if (next.shape().version() <= current.shape().version()) {
+                throw new WireException(nextFile + ": version " + next.shape().version() + " is not above version "
+                        + current.shape().version() + " of " + currentFile);
             }
-            MigrationPlan plan = MigrationPlan.between(from.shape(), to.shape(), to.timing());
+            MigrationPlan plan = MigrationPlan.between(current.shape(), next.shape(), next.timing());
             if (!plan.usable()) {
-                throw new WireException(next + ": refused: "
+                throw new WireException(nextFile + ": refused: "
                         + (plan.problems().isEmpty()
-                                ? "the change would not come to its end"
+                                ? "the migration would never complete"
                                 : plan.problems().get(0)));
             }
-            System.out.println("version " + from.shape().version() + " to "
-                    + to.shape().version() + ", " + plan.steps().size() + " steps; times count from the announcement");
+            System.out.println("version " + current.shape().version() + " to "
+                    + next.shape().version() + ", " + plan.steps().size() + " steps; times count from the announcement");
             for (MigrationPlan.Step step : plan.steps()) {
                 System.out.printf("at %.1f s%n", step.after() / 1e6);
                 print("begins to fill from", step.begin());
@@ -77,9 +80,9 @@
             }
         }
 
-        private static void print(String what, List<String> links) {
+        private static void print(String label, List<String> links) {
             if (!links.isEmpty()) {
-                System.out.println("  " + what + ": " + String.join(", ", links));
+                System.out.println("  " + label + ": " + String.join(", ", links));
             }
         }
     }
--- a/src/main/java/pumicemoor/cli/LabCommand.java
+++ b/src/main/java/pumicemoor/cli/LabCommand.java
@@ -11,8 +11,8 @@
 import pumicemoor.lab.ProcessRun;
 import pumicemoor.lab.scale.ScaleRun;
 
-/** The way into the lab; it must never be needed by serving. */
-@Usage.Text("plays scenarios with stand-ins on loopback (lab run FILE), measures costs by size (lab scale FILE)")
+/** The command 'lab', which runs scenarios and measurements. The serving path must not depend on it. */
+@Usage.Summary("plays scenarios with stand-ins on loopback (lab run FILE), measures costs by size (lab scale FILE)")
 public final class LabCommand extends NestedCommand {
 
     @Argument(handler = SubCommandHandler.class, metaVar = "run|scale|processes", required = true)
@@ -24,12 +24,12 @@
     private Command command;
 
     @Override
-    Command inner() {
+    Command selected() {
         return command;
     }
 
-    /** Plays one scenario. */
-    @Usage.Text("plays a scenario and prints what was measured; report.md, report.csv and asked.csv stay in the folder")
+    /** Runs one scenario and prints its report. */
+    @Usage.Summary("plays a scenario and prints what was measured; report.md, report.csv and asked.csv stay in the folder")
     public static final class Run extends Command {
         @Argument(metaVar = "FILE", required = true, usage = "the scenario, as YAML (docs/lab.md)")
         private String file;
@@ -41,18 +41,18 @@
                 name = "--by",
                 metaVar = "feed|file|restart",
                 usage = "how changes are told, in place of the scenario's way")
-        private String by;
+        private String updatePath;
 
         @Override
         void run() throws IOException, InterruptedException {
-            String table = LabRun.table(Path.of(file), by, Path.of(folder), System.out);
+            String table = LabRun.table(Path.of(file), updatePath, Path.of(folder), System.out);
             System.out.println();
             System.out.print(table);
         }
     }
 
-    /** Measures what its fleet costs a router as a real process. */
-    @Usage.Text("measures bytes, processor time and memory of real router processes, calm, with a fleet and without")
+    /** Measures what taking part in a fleet costs a router, with routers as real processes. */
+    @Usage.Summary("measures bytes, processor time and memory of real router processes, calm, with a fleet and without")
     public static final class Processes extends Command {
         @Argument(metaVar = "FILE", required = true, usage = "the sizes and the fleet's times, as YAML (docs/lab.md)")
         private String file;
@@ -68,8 +68,8 @@
         }
     }
 
-    /** Measures what each role costs at several sizes of a fleet. */
-    @Usage.Text(
+    /** Measures what each role in a fleet costs a router, at several sizes of the fleet. */
+    @Usage.Summary(
             "measures what each role costs as a fleet grows, in virtual time; scale.json, scale.md and plots stay in"
                     + " the folder")
     public static final class Scale extends Command {
--- a/src/main/java/pumicemoor/cli/Logging.java
+++ b/src/main/java/pumicemoor/cli/Logging.java
@@ -9,8 +9,8 @@
 import pumicemoor.operator.OperatorConfig.LogFormat;
 
 /**
- * Chooses the form of the log before its first line. Plain text loads nothing that the platform does not have;
- * lines for programs are JSON, each with its figures by name. It must be asked before any logger is made.
+ * Selects the logging backend: plain text with slf4j-simple, or JSON lines with Logback. Plain text must not load any
+ * library that the platform does not have. {@link #configure} must be called before the first logger is created.
  */
 final class Logging {
 
@@ -18,32 +18,32 @@
 
     private Logging() {}
 
-    static void choose(LogFormat format) {
-        System.setProperty("slf4j.internal.verbosity", "WARN"); // it tells on standard error what it loads
+    static void configure(LogFormat format) {
+        System.setProperty("slf4j.internal.verbosity", "WARN"); // below WARN, SLF4J reports on standard error which provider it loads
         if (format == LogFormat.TEXT) {
             System.setProperty(PROVIDER, "org.slf4j.simple.SimpleServiceProvider");
             return;
         }
         System.setProperty(PROVIDER, "ch.qos.logback.classic.spi.LogbackServiceProvider");
-        Json.begin();
+        JsonLogging.configure();
     }
 
-    /** A class of its own, so that text needs nothing of the other library. */
-    private static final class Json {
-        static void begin() {
+    /** A separate class, so that text logging does not load the classes of Logback. */
+    private static final class JsonLogging {
+        static void configure() {
             LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
             context.reset();
             JsonEncoder encoder = new JsonEncoder();
             encoder.setContext(context);
             encoder.start();
-            ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
-            out.setContext(context);
-            out.setTarget("System.err");
-            out.setEncoder(encoder);
-            out.start();
+            ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+            appender.setContext(context);
+            appender.setTarget("System.err");
+            appender.setEncoder(encoder);
+            appender.start();
             ch.qos.logback.classic.Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
             root.setLevel(Level.INFO);
-            root.addAppender(out);
+            root.addAppender(appender);
         }
     }
 }
--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -38,22 +38,22 @@
 import sun.misc.SignalHandler;
 
 /**
- * The command line: it owns the way in and the exit codes, and must never hold anything that serving or
- * deciding needs.
+ * The entry point of the program. It parses the command line, runs the selected command and sets the exit code. It
+ * must not contain code that serving or routing decisions depend on.
  */
 public final class Main {
 
     @Argument(handler = SubCommandHandler.class, metaVar = "COMMAND", required = true)
     @SubCommands({
         @SubCommand(name = "serve", impl = Serve.class),
-        @SubCommand(name = "drill", impl = Replay.class),
+        @SubCommand(name = "drill", impl = ServeSimulator.class),
         @SubCommand(name = "processor", impl = Processor.class),
         @SubCommand(name = "status", impl = Status.class),
         @SubCommand(name = "self-check", impl = SelfCheck.class),
         @SubCommand(name = "check-config", impl = CheckConfig.class),
         @SubCommand(name = "members", impl = FleetRows.Members.class),
         @SubCommand(name = "limits", impl = FleetRows.Limits.class),
-        @SubCommand(name = "verdicts", impl = FleetRows.Verdicts.class),
+        @SubCommand(name = "verdicts", impl = FleetRows.Ejections.class),
         @SubCommand(name = "drain", impl = DrainCommands.class),
         @SubCommand(name = "hierarchy", impl = HierarchyCommand.class),
         @SubCommand(name = "lab", impl = LabCommand.class),
@@ -62,11 +62,11 @@
     private Command command;
 
     @Option(name = "--help", aliases = "-h", help = true, usage = "print this")
-    private boolean help;
+    private boolean helpRequested;
 
     private Main() {}
 
-    /** Runs the subcommand; exits 0 at its end, 1 on bad input, 2 on bad usage. */
+    /** Runs the selected command; exits with 0 when it is done, 1 on bad input, 2 on an invalid command line. */
     public static void main(String[] args) throws InterruptedException {
         Main main = new Main();
         CmdLineParser parser = new CmdLineParser(main);
@@ -75,23 +75,23 @@
         } catch (CmdLineException e) {
             System.err.println(
                     "pumicemoor: " + e.getMessage().lines().findFirst().orElse(""));
-            System.err.println(Usage.OF_ALL);
+            System.err.println(Usage.OVERVIEW);
             System.exit(2);
         }
-        if (main.help) {
-            System.out.println(Usage.OF_ALL);
+        if (main.helpRequested) {
+            System.out.println(Usage.OVERVIEW);
             return;
         }
-        Command asked = main.command.innermost();
-        if (!(asked instanceof Serve)) {
-            Logging.choose(LogFormat.TEXT);
+        Command selected = main.command.innermost();
+        if (!(selected instanceof Serve)) {
+            Logging.configure(LogFormat.TEXT);
         }
-        if (asked.help) {
-            System.out.print(Usage.of(asked));
+        if (selected.helpRequested) {
+            System.out.print(Usage.of(selected));
             return;
         }
         try {
-            asked.run();
+            selected.run();
         } catch (NoSuchFileException e) {
             System.err.println("pumicemoor: there is no file '" + e.getMessage() + "'");
             System.exit(1);
@@ -101,22 +101,23 @@
         }
     }
 
-    /** Reads a configuration: at the start, at a reload and for check-config alike. */
-    private static NodeConfig config(String file) throws IOException, WireException {
+    /** Reads a configuration; used at the start, at a reload and by check-config. */
+    private static NodeConfig readConfig(String file) throws IOException, WireException {
         if (file == null) {
             throw new WireException("no configuration: RELAY_CONFIG is not set");
         }
         return NodeConfig.parse(Files.readString(Path.of(file)));
     }
 
-    private static OperatorConfig operator(String file) throws OperatorException {
+    /** Reads an operator's file; null stands for none. */
+    private static OperatorConfig readOperatorConfig(String file) throws OperatorException {
         return file == null ? OperatorConfig.NONE : OperatorFile.read(Path.of(file));
     }
 
-    /** Routes requests until the process is asked to end. */
-    @Usage.Text("routes requests on sockets, as the JSON file that RELAY_CONFIG names says, until SIGTERM")
+    /** Routes requests until the process receives SIGTERM or SIGINT. */
+    @Usage.Summary("routes requests on sockets, as the JSON file that RELAY_CONFIG names says, until SIGTERM")
     public static class Serve extends Command {
-        private static final long LONGEST_END = 10_000;
+        private static final long SHUTDOWN_TIMEOUT_MILLIS = 10_000;
 
         @Option(
                 name = "--operator",
@@ -126,21 +127,22 @@
 
         @Override
         void run() throws IOException, WireException, OperatorException, InterruptedException {
-            String file = System.getenv("RELAY_CONFIG");
-            // from here on SIGHUP ends nothing; a signal that comes before the server can take it waits for that
-            Semaphore reload = new Semaphore(0);
-            CountDownLatch end = new CountDownLatch(1);
-            boolean deaf = Signal.handle(new Signal("HUP"), signal -> reload.release()) == SignalHandler.SIG_IGN;
-            Signal.handle(new Signal("TERM"), signal -> end.countDown());
-            Signal.handle(new Signal("INT"), signal -> end.countDown());
-            OperatorConfig operator = operator(operatorFile);
-            Logging.choose(operator.log());
+            String configFile = System.getenv("RELAY_CONFIG");
+            // From here on SIGHUP does not end the process; a signal that arrives before the server can reload stays
+            // pending until it can.
+            Semaphore reloadRequests = new Semaphore(0);
+            CountDownLatch stopRequested = new CountDownLatch(1);
+            boolean hangupIgnored = Signal.handle(new Signal("HUP"), signal -> reloadRequests.release()) == SignalHandler.SIG_IGN;
+            Signal.handle(new Signal("TERM"), signal -> stopRequested.countDown());
+            Signal.handle(new Signal("INT"), signal -> stopRequested.countDown());
+            OperatorConfig operator = readOperatorConfig(operatorFile);
+            Logging.configure(operator.log());
             Logger log = LoggerFactory.getLogger(Serve.class);
-            if (deaf) { // as under nohup; the JVM takes no signal that its parent had it ignore, and says nothing
-                log.warn("this process was started with SIGHUP ignored: its files are read again when they change");
-                watch(file, operatorFile, reload);
+            if (hangupIgnored) { // as under nohup: the JVM silently installs no handler for a signal that its parent ignores
+                log.warn("SIGHUP was ignored when this process started; the configuration files are reloaded when they change instead");
+                watch(configFile, operatorFile, reloadRequests);
             }
-            NodeConfig config = config(file);
+            NodeConfig config = readConfig(configFile);
             NodeServer server = new NodeServer(config, operator);
             if (operator.processor().isPresent()) {
                 ProcessorFront.check(operator.processor().get(), config.words());
@@ -149,13 +151,13 @@
                 server.attach(front);
             }
             server.follow();
-            Thread reloading = new Thread(() -> reload(server, file, operatorFile, reload), "reload");
-            reloading.setDaemon(true);
-            reloading.start();
-            server.open(clientsWanted());
-            end.await();
+            Thread reloader = new Thread(() -> reload(server, configFile, operatorFile, reloadRequests), "reload");
+            reloader.setDaemon(true);
+            reloader.start();
+            server.open(acceptsClients());
+            stopRequested.await();
             server.terminate();
-            server.awaitEnd(LONGEST_END);
+            server.awaitEnd(SHUTDOWN_TIMEOUT_MILLIS);
             log.info("counters: {}", server.counters());
             if (operatorFile != null) {
                 log.info("state: {}", server.state());
@@ -163,45 +165,47 @@
             System.exit(0);
         }
 
-        boolean clientsWanted() {
+        /** Returns whether the router listens for clients. */
+        boolean acceptsClients() {
             return true;
         }
 
-        /** Asks for a reload whenever a file has changed. */
-        private static void watch(String file, String operatorFile, Semaphore reload) {
-            List<Path> files = Stream.of(file, operatorFile)
+        /** Requests a reload whenever the content of a file has changed. */
+        private static void watch(String configFile, String operatorFile, Semaphore reloadRequests) {
+            List<Path> files = Stream.of(configFile, operatorFile)
                     .filter(Objects::nonNull)
                     .map(Path::of)
                     .toList();
             ConfigWatch watch = new ConfigWatch(files);
-            ScheduledExecutorService watching = Executors.newSingleThreadScheduledExecutor(task -> {
+            ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor(task -> {
                 Thread thread = new Thread(task, "config-watch");
                 thread.setDaemon(true);
                 return thread;
             });
-            watching.scheduleWithFixedDelay(
+            scheduler.scheduleWithFixedDelay(
                     () -> {
                         if (watch.changed()) {
-                            reload.release();
+                            reloadRequests.release();
                         }
                     },
-                    ConfigWatch.INTERVAL,
-                    ConfigWatch.INTERVAL,
+                    ConfigWatch.INTERVAL_MILLIS,
+                    ConfigWatch.INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
 
-        /** Reads the file once for all the signals that have come by then, and hands over what it found. */
-        private static void reload(NodeServer server, String file, String operatorFile, Semaphore asked) {
+        /** Waits for reload requests; reads the files once for all pending ones and passes the result to the server. */
+        private static void reload(
+                NodeServer server, String configFile, String operatorFile, Semaphore reloadRequests) {
             try {
                 while (true) {
-                    asked.acquire();
-                    asked.drainPermits();
+                    reloadRequests.acquire();
+                    reloadRequests.drainPermits();
                     NodeConfig next = null;
                     OperatorConfig nextOperator = null;
                     String problem = null;
                     try {
-                        next = config(file);
-                        nextOperator = operator(operatorFile);
+                        next = readConfig(configFile);
+                        nextOperator = readOperatorConfig(operatorFile);
                     } catch (WireException | IOException | OperatorException | RuntimeException e) {
                         next = null;
                         problem = e.toString();
@@ -214,19 +218,19 @@
         }
     }
 
-    /** Decides for proxies alone. */
-    @Usage.Text(
+    /** Serves routing decisions to proxies only, without listening for clients. */
+    @Usage.Summary(
             "decides for proxies that call, as 'processor' in the operator's file says; clients are not listened to")
     public static final class Processor extends Serve {
         @Override
-        boolean clientsWanted() {
+        boolean acceptsClients() {
             return false;
         }
     }
 
-    /** Decides for the simulator. */
-    @Usage.Text("decides for the simulator: events on standard input, actions on standard output")
-    public static final class Replay extends Command {
+    /** Serves routing decisions to the simulator. */
+    @Usage.Summary("decides for the simulator: events on standard input, actions on standard output")
+    public static final class ServeSimulator extends Command {
         @Override
         void run() throws IOException, WireException {
             try (FileInputStream in = new FileInputStream(FileDescriptor.in);
@@ -237,11 +241,11 @@
         }
     }
 
-    /** Reads a configuration and says what it found. */
-    @Usage.Text("reads a configuration, and the operator's file where one is named, and says whether they can be used")
+    /** Validates a configuration and an operator's file, and prints a summary of them. */
+    @Usage.Summary("reads a configuration, and the operator's file where one is named, and says whether they can be used")
     public static final class CheckConfig extends Command {
         @Argument(metaVar = "FILE", usage = "the configuration; RELAY_CONFIG names it otherwise")
-        private String file = System.getenv("RELAY_CONFIG");
+        private String configFile = System.getenv("RELAY_CONFIG");
 
         @Option(name = "--operator", metaVar = "FILE", usage = "the operator's YAML file")
         private String operatorFile;
@@ -249,20 +253,20 @@
         @Override
         void run() throws IOException, WireException, OperatorException {
             if (operatorFile != null) {
-                OperatorConfig operator = operator(operatorFile);
+                OperatorConfig operator = readOperatorConfig(operatorFile);
                 System.out.println("usable: " + operatorFile
                         + operator.hierarchy()
-                                .map(h -> ", hierarchy of version " + h.shape().version() + " with "
-                                        + h.shape().units().size() + " units")
+                                .map(hierarchy -> ", hierarchy of version " + hierarchy.shape().version() + " with "
+                                        + hierarchy.shape().units().size() + " units")
                                 .orElse(operator.fleet()
-                                        .map(f -> ", fleet '" + f.cluster() + "' of " + f.size() + " routers with "
-                                                + f.limits().size() + " limits")
+                                        .map(fleet -> ", fleet '" + fleet.cluster() + "' of " + fleet.size() + " routers with "
+                                                + fleet.limits().size() + " limits")
                                         .orElse(", all off")));
-                if (file == null) {
+                if (configFile == null) {
                     return;
                 }
             }
-            NodeConfig config = config(file);
+            NodeConfig config = readConfig(configFile);
             System.out.println("usable: router '" + config.name() + "' on " + config.listen() + ", "
                     + config.words().settings().classes().size() + " classes, "
                     + config.known().size()
@@ -270,8 +274,7 @@
         }
     }
 
-    /** Prints the version. */
-    @Usage.Text("prints the version")
+    @Usage.Summary("prints the version")
     public static final class Version extends Command {
         @Override
         void run() {
--- a/src/main/java/pumicemoor/cli/NestedCommand.java
+++ b/src/main/java/pumicemoor/cli/NestedCommand.java
@@ -4,19 +4,19 @@
 import pumicemoor.operator.OperatorException;
 import pumicemoor.wire.WireException;
 
-/** A sub-command that only holds others. */
+/** A sub-command that only groups other sub-commands. */
 abstract class NestedCommand extends Command {
 
-    /** The one that was asked for; null where only help was. */
-    abstract Command inner();
+    /** Returns the selected sub-command, or null if only help was requested. */
+    abstract Command selected();
 
     @Override
     Command innermost() {
-        return inner() == null ? this : inner().innermost();
+        return selected() == null ? this : selected().innermost();
     }
 
     @Override
     void run() throws IOException, WireException, OperatorException, InterruptedException {
-        inner().run();
+        selected().run();
     }
 }
--- a/src/main/java/pumicemoor/cli/SelfCheck.java
+++ b/src/main/java/pumicemoor/cli/SelfCheck.java
@@ -17,18 +17,18 @@
 import pumicemoor.wire.WireException;
 
 /**
- * Starts a router on loopback before a cache of its own making, has one request served, prints the state and
- * ends it: a first look at an installation, and what the build records for quicker starts. It must never
- * reach anything outside this process.
+ * The command 'self-check': starts a router on loopback in front of a stub cache, sends it one request, prints its
+ * state and shuts it down. It checks an installation, and the build runs it to record the class archive that makes
+ * starts quicker. It must not contact anything outside this process.
  */
-@Usage.Text("starts a router on loopback, has it serve one request, prints its state and ends it")
+@Usage.Summary("starts a router on loopback, has it serve one request, prints its state and ends it")
 public final class SelfCheck extends Command {
 
-    private static final int REQUEST = 7;
-    private static final int ANSWER = 8;
-    private static final int SERVED = 1;
-    private static final long LONGEST_END = 10_000; // milliseconds
-    private static final String STREAM = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n:\n\n";
+    private static final int REQUEST_TYPE = 7;
+    private static final int ANSWER_TYPE = 8;
+    private static final int SERVED_CODE = 1;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 10_000;
+    private static final String COORDINATOR_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n:\n\n";
     private static final String BODY = "whole and unaltered";
     private static final String CONFIG =
             """
@@ -43,9 +43,9 @@
     @Override
     void run() throws IOException, WireException, InterruptedException {
         try (ServerSocket cache = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Thread answering = new Thread(() -> answer(cache));
-            answering.setDaemon(true);
-            answering.start();
+            Thread acceptor = new Thread(() -> acceptConnections(cache));
+            acceptor.setDaemon(true);
+            acceptor.start();
             NodeServer server = new NodeServer(
                     NodeConfig.parse(CONFIG.formatted(cache.getLocalPort(), cache.getLocalPort())),
                     OperatorConfig.NONE);
@@ -53,48 +53,49 @@
             try (FrameClient client =
                     new FrameClient("127.0.0.1", server.address().getPort())) {
                 FrameClient.Answer answer = client.ask(
-                        REQUEST,
+                        REQUEST_TYPE,
                         Map.of("op", "any", "call", "0123456789abcdef", "row", "0123456789abcdef", "ttl", "2000"),
-                        ANSWER);
-                if (answer.code() != SERVED
+                        ANSWER_TYPE);
+                if (answer.code() != SERVED_CODE
                         || !Arrays.equals(answer.body(), BODY.getBytes(StandardCharsets.US_ASCII))) {
-                    throw new IOException("the request was not served, code " + answer.code());
+                    throw new IOException("the router did not serve the request; its answer has code " + answer.code());
                 }
             }
             Status.print("127.0.0.1", server.address().getPort());
             server.terminate();
-            if (!server.awaitEnd(LONGEST_END)) {
-                throw new IOException("the router did not end");
+            if (!server.awaitEnd(SHUTDOWN_TIMEOUT_MILLIS)) {
+                throw new IOException("the router did not shut down in time");
             }
         }
     }
 
-    /** Answers each request on each connection, and the coordinator's question with a stream that tells nothing new. */
-    private static void answer(ServerSocket cache) {
+    /** Plays the cache and the coordinator: accepts connections and answers each on a thread of its own. */
+    private static void acceptConnections(ServerSocket cache) {
         while (!cache.isClosed()) {
             try {
                 Socket socket = cache.accept();
-                Thread each = new Thread(() -> answer(socket));
-                each.setDaemon(true);
-                each.start();
+                Thread responder = new Thread(() -> answer(socket));
+                responder.setDaemon(true);
+                responder.start();
             } catch (IOException e) {
-                return; // the check is over
+                return; // the socket was closed at the end of the check
             }
         }
     }
 
+    /** Answers each request for data; a request to the coordinator gets an event stream without updates. */
     private static void answer(Socket socket) {
         try (socket;
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))) {
-            String first = in.readLine();
-            if (first != null && first.startsWith("GET ")) {
-                socket.getOutputStream().write(STREAM.getBytes(StandardCharsets.US_ASCII));
+            String firstLine = in.readLine();
+            if (firstLine != null && firstLine.startsWith("GET ")) {
+                socket.getOutputStream().write(COORDINATOR_RESPONSE.getBytes(StandardCharsets.US_ASCII));
                 in.transferTo(Writer.nullWriter());
                 return;
             }
-            for (String line = first; line != null && line.startsWith("ASK "); line = in.readLine()) {
-                in.readLine(); // the end of the empty body
+            for (String line = firstLine; line != null && line.startsWith("ASK "); line = in.readLine()) {
+                in.readLine(); // the line end after the empty body
                 String answer = line.split(" ")[1] + " data entity=0,issued=1,tell=mem " + BODY.length() + "\r\n" + BODY
                         + "\r\n";
                 socket.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/pumicemoor/cli/Status.java
+++ b/src/main/java/pumicemoor/cli/Status.java
@@ -9,39 +9,39 @@
 import pumicemoor.wire.WireException;
 
 /**
- * Asks a running router whether it is ready and what it has counted, with the frame that clients use to ask.
- * It must never send a request.
+ * The command 'status': queries a running router's readiness, counters and state with the frame in which clients ask
+ * for its readiness. It must not send requests that the router would route.
  */
-@Usage.Text("asks a running router whether it is ready and prints its counters and state")
+@Usage.Summary("asks a running router whether it is ready and prints its counters and state")
 public final class Status extends Command {
 
-    private static final int READY_ASKED = 1;
-    private static final int READY = 2;
+    private static final int READY_REQUEST_TYPE = 1;
+    private static final int READY_ANSWER_TYPE = 2;
 
     @Argument(metaVar = "HOST:PORT", required = true, usage = "where the router listens")
     private String address;
 
     @Override
     void run() throws IOException, WireException {
-        int colon = colon(address);
+        int colon = portSeparator(address);
         print(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    /** Where the port begins in an address. */
-    private static int colon(String address) throws WireException {
+    /** Returns the index of the colon before the port in an address. */
+    private static int portSeparator(String address) throws WireException {
         int colon = address.lastIndexOf(':');
         if (colon < 1 || !address.substring(colon + 1).matches("\\d{1,5}")) {
-            throw new WireException("no address: '" + address + "'");
+            throw new WireException("not an address of the form HOST:PORT: '" + address + "'");
         }
         return colon;
     }
 
-    /** The router's rows about a subject; an exception where it knows none. */
+    /** Returns a router's rows about a subject; throws an exception if the router has none. */
     static List<Map<String, Object>> rows(String address, String subject) throws IOException, WireException {
-        int colon = colon(address);
+        int colon = portSeparator(address);
         try (FrameClient client =
                 connect(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))) {
-            FrameClient.Answer answer = client.ask(READY_ASKED, Map.of("rows", subject), READY);
+            FrameClient.Answer answer = client.ask(READY_REQUEST_TYPE, Map.of("rows", subject), READY_ANSWER_TYPE);
             if (answer.fields().isEmpty()) {
                 throw new WireException(address + ": this router has no section 'fleet' in its operator's file");
             }
@@ -49,12 +49,12 @@
         }
     }
 
-    /** What a router says to an operator's command. */
+    /** Sends an operator's command to a router and returns its answer. */
     static String command(String address, Map<String, String> fields) throws IOException, WireException {
-        int colon = colon(address);
+        int colon = portSeparator(address);
         try (FrameClient client =
                 connect(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))) {
-            return client.ask(READY_ASKED, fields, READY).fields().getOrDefault("said", "refused: no answer to that");
+            return client.ask(READY_REQUEST_TYPE, fields, READY_ANSWER_TYPE).fields().getOrDefault("said", "refused: the router did not answer this command");
         }
     }
 
@@ -66,9 +66,10 @@
         }
     }
 
+    /** Prints a router's readiness, counters and state. */
     static void print(String host, int port) throws IOException {
         try (FrameClient client = connect(host, port)) {
-            FrameClient.Answer answer = client.ask(READY_ASKED, Map.of("counters", "1"), READY);
+            FrameClient.Answer answer = client.ask(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE);
             System.out.println("ready " + (answer.code() == 1 ? "yes" : "no"));
             answer.fields().forEach((name, value) -> System.out.println(name + " " + value));
         }
--- a/src/main/java/pumicemoor/cli/Usage.java
+++ b/src/main/java/pumicemoor/cli/Usage.java
@@ -6,16 +6,16 @@
 import java.nio.charset.StandardCharsets;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** What the command line says of itself; it must never do anything else. */
+/** The usage texts of the command line. */
 final class Usage {
 
-    /** What a command does, in one line. */
+    /** A summary of what a command does, in one line. */
     @Retention(RetentionPolicy.RUNTIME)
-    @interface Text {
+    @interface Summary {
         String value();
     }
 
-    static final String OF_ALL =
+    static final String OVERVIEW =
             """
             usage: java -jar pumicemoor.jar COMMAND
               serve          route requests on sockets, as the JSON file that RELAY_CONFIG names says
@@ -33,16 +33,17 @@
               version        print the version
             COMMAND --help says more of each""";
 
-    private static final int WIDTH = 110;
+    private static final int WIDTH_COLUMNS = 110;
 
     private Usage() {}
 
+    /** Returns the usage of a command: its summary and its options. */
     static String of(Command command) {
         CmdLineParser parser = new CmdLineParser(command);
-        parser.getProperties().withUsageWidth(WIDTH);
+        parser.getProperties().withUsageWidth(WIDTH_COLUMNS);
         ByteArrayOutputStream options = new ByteArrayOutputStream();
         parser.printUsage(options);
-        Text text = command.getClass().getAnnotation(Text.class);
-        return (text == null ? "" : text.value() + "\n") + options.toString(StandardCharsets.UTF_8);
+        Summary summary = command.getClass().getAnnotation(Summary.class);
+        return (summary == null ? "" : summary.value() + "\n") + options.toString(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/pumicemoor/client/FrameClient.java
+++ b/src/main/java/pumicemoor/client/FrameClient.java
@@ -13,35 +13,37 @@
 import java.util.Map;
 
 /**
- * A plain client of a router: one connection, one frame at a time. It must never serve as
- * part of the router itself.
+ * A blocking client of a router: one connection, one request at a time. It is for tools and tests; the router itself
+ * must not use it.
  */
 public final class FrameClient implements Closeable {
 
-    private static final int PATIENCE = 3_000; // milliseconds
-    private static final int LONGEST = 262_144;
+    private static final int TIMEOUT_MILLIS = 3_000; // of connecting and of each read
+    private static final int MAX_FRAME_BYTES = 262_144;
+    private static final int HEADER_BYTES = 1 + 4; // frame type and stream number
+    private static final int STREAM_NUMBER = 1;
 
     private final Socket socket = new Socket();
     private final DataInputStream in;
     private final DataOutputStream out;
 
-    /** An answer: its code, its fields, what follows them. */
+    /** An answer: its code, its fields, and the bytes after them. */
     public record Answer(int code, Map<String, String> fields, byte[] body) {}
 
-    /** Connects; an address that does not answer is an exception. */
+    /** Connects to a router; throws an exception if the address does not answer within the timeout. */
     public FrameClient(String host, int port) throws IOException {
-        socket.connect(new InetSocketAddress(host, port), PATIENCE);
-        socket.setSoTimeout(PATIENCE);
+        socket.connect(new InetSocketAddress(host, port), TIMEOUT_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         in = new DataInputStream(socket.getInputStream());
         out = new DataOutputStream(socket.getOutputStream());
     }
 
-    /** Sends a frame with these fields and waits for one of the wanted type; others are skipped. */
-    public Answer ask(int type, Map<String, String> fields, int wanted) throws IOException {
+    /** Sends a frame with these fields and returns the next frame of the answer type; skips frames of other types. */
+    public Answer ask(int requestType, Map<String, String> fields, int answerType) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream frame = new DataOutputStream(bytes);
-        frame.writeByte(type);
-        frame.writeInt(1);
+        frame.writeByte(requestType);
+        frame.writeInt(STREAM_NUMBER);
         frame.writeByte(fields.size());
         for (Map.Entry<String, String> field : fields.entrySet()) {
             frame.writeByte(field.getKey().length());
@@ -54,17 +56,17 @@
         out.flush();
         while (true) {
             int length = in.readInt();
-            if (length < 5 || length > LONGEST) {
-                throw new IOException("a frame of " + length + " bytes came back");
+            if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
+                throw new IOException("the router sent a frame of invalid length: " + length + " bytes");
             }
-            byte[] answer = in.readNBytes(length);
-            if (answer.length == length && answer[0] == wanted) {
-                return read(new DataInputStream(new ByteArrayInputStream(answer, 5, length - 5)));
+            byte[] received = in.readNBytes(length);
+            if (received.length == length && received[0] == answerType) {
+                return parse(new DataInputStream(new ByteArrayInputStream(received, HEADER_BYTES, length - HEADER_BYTES)));
             }
         }
     }
 
-    private static Answer read(DataInputStream answer) throws IOException {
+    private static Answer parse(DataInputStream answer) throws IOException {
         int code = answer.readUnsignedByte();
         Map<String, String> fields = new LinkedHashMap<>();
         for (int left = answer.readUnsignedByte(); left > 0; left--) {
--- a/src/main/java/pumicemoor/client/package-info.java
+++ b/src/main/java/pumicemoor/client/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Clients of a router: it owns the client's side of the frames that routers answer. It must never be part of a
- * router, nor know how one works.
+ * A client of a router for tools and tests. The package owns the client's side of the frame protocol. It must not be
+ * used by the router itself, nor depend on the router's implementation.
  */
 package pumicemoor.client;
--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -12,9 +12,9 @@
 import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
- * The section 'fleet' of an operator's file: the address on which this router receives the packets of the other routers
- * of its cluster (listen), the address at which they reach it (advertise), how many routers there are at most (size),
- * which limits, ejections and drains they coordinate, and whether they form one flat fleet or cells. Times are
+ * The section 'fleet' of an operator's file: the address on which this router receives the packets of the other
+ * routers of its cluster (listen), the address at which they reach it (advertise), how many routers there are at most
+ * (size), which limits, ejections and drains they coordinate, and whether they form one flat fleet or cells. Times are
  * microseconds.
  */
 public record FleetSection(
@@ -35,7 +35,7 @@
 
     private static final int MAX_TABLE_ROUTERS = 2_000; // bound of the membership table
 
-    /** Returns the fleet setup of a router of this name; the slow start times of members come from the platform's rules. */
+    /** Returns the fleet setup of a router of this name; the slow start times come from the platform's rules. */
     public FleetSetup setup(String name, RouterApi.Rules rules) {
         return new FleetSetup(
                 cluster,
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -73,8 +73,8 @@
                     .setCoercion(CoercionInputShape.Boolean, CoercionAction.Fail))
             .build();
 
-    // The structure of the file. Components without an annotation give the keys their names; times have the units of the
-    // file; absent keys are null.
+    // The structure of the file. A component without an annotation has the name of its key; times have the units of
+    // the file; absent keys are null.
     private record Root(LogForm log, HierarchyForm hierarchy, ProcessorForm processor, FleetForm fleet) {}
 
     private record FleetForm(
--- a/src/main/java/pumicemoor/operator/ProcessorSection.java
+++ b/src/main/java/pumicemoor/operator/ProcessorSection.java
@@ -7,9 +7,9 @@
 
 /**
  * The section 'processor' of an operator's file: the address that proxies call, the rules that map their calls to
- * request classes, and the limits on calls. Times are microseconds, sizes bytes. The message timeout is the one that the
- * callers apply: an answer must be sent before it expires. The retry wait is how long an attempt stays available for a
- * caller that retries by itself (0: callers do not).
+ * request classes, and the limits on calls. Times are microseconds, sizes bytes. The message timeout is the one that
+ * the callers apply: an answer must be sent before it expires. The retry wait is how long an attempt stays available
+ * for a caller that retries by itself (0: callers do not).
  */
 public record ProcessorSection(
         String listen,
@@ -22,10 +22,10 @@
         CallRules.NoRule noRule,
         List<RuleText> rules) {
 
-    /** PEM files: this router's certificate and key, and the certificates of the authorities that sign the callers' ones. */
+    /** PEM files: this router's certificate and key, and the authorities that sign the callers' certificates. */
     public record Tls(String certificate, String key, String callers) {}
 
-    /** A rule as written in the file, with its pattern not compiled, so that reading a file twice gives equal sections. */
+    /** A rule as written in the file; its pattern is not compiled, so that reading a file twice gives equal rules. */
     public record RuleText(
             String method,
             String path,
--- a/src/main/java/pumicemoor/wire/WireException.java
+++ b/src/main/java/pumicemoor/wire/WireException.java
@@ -1,6 +1,6 @@
 package pumicemoor.wire;
 
-/** Thrown when a message or a configuration is invalid; the exception's message is one line that says what and where. */
+/** Thrown when a message or a configuration is invalid; the exception's text says what and where in one line. */
 public final class WireException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/test/java/pumicemoor/cli/ConfigWatchTest.java
+++ b/src/test/java/pumicemoor/cli/ConfigWatchTest.java
@@ -9,23 +9,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests that a change of a watched file is reported, and reported once. */
 class ConfigWatchTest {
 
     @TempDir
     Path folder;
 
     @Test
-    void eachNewContentIsOneChangeAlsoThatOfAFileThatComesAndGoes() throws Exception {
-        Path one = Files.writeString(folder.resolve("one"), "a");
-        Path two = folder.resolve("two");
-        ConfigWatch watch = new ConfigWatch(List.of(one, two));
+    void eachNewContentIsReportedOnceAlsoForAFileThatIsCreatedOrDeleted() throws Exception {
+        Path existing = Files.writeString(folder.resolve("one"), "a");
+        Path missing = folder.resolve("two");
+        ConfigWatch watch = new ConfigWatch(List.of(existing, missing));
         assertFalse(watch.changed());
-        Files.writeString(one, "b");
+        Files.writeString(existing, "b");
         assertTrue(watch.changed());
         assertFalse(watch.changed());
-        Files.writeString(two, "c");
+        Files.writeString(missing, "c");
         assertTrue(watch.changed());
-        Files.delete(one);
+        Files.delete(existing);
         assertTrue(watch.changed());
         assertFalse(watch.changed());
     }
--- a/src/test/java/pumicemoor/cli/FleetRowsTest.java
+++ b/src/test/java/pumicemoor/cli/FleetRowsTest.java
@@ -7,19 +7,20 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the commands that show a fleet print of its rows. */
+/** Tests the table that the commands members, limits, verdicts and drain status print. */
 class FleetRowsTest {
 
-    private static Map<String, Object> row(Object... pairs) {
+    /** Returns a row of alternating keys and values. */
+    private static Map<String, Object> row(Object... keysAndValues) {
         Map<String, Object> row = new LinkedHashMap<>();
-        for (int i = 0; i < pairs.length; i += 2) {
-            row.put((String) pairs[i], pairs[i + 1]);
+        for (int i = 0; i < keysAndValues.length; i += 2) {
+            row.put((String) keysAndValues[i], keysAndValues[i + 1]);
         }
         return row;
     }
 
     @Test
-    void rowsOfOneLevelHaveTheColumnsOfTheFirst() {
+    void columnsAreAsWideAsTheirWidestCellAndNoRowsPrintNone() {
         assertEquals(
                 "name  standing\na     alive\nbcd   dead\n",
                 FleetRows.table(
@@ -27,9 +28,9 @@
         assertEquals("(none)\n", FleetRows.table(List.of()));
     }
 
-    /** On a delegate rows of the upper level come after those of its cell, and only they name a level. */
+    /** A delegate lists the rows of its cell, then those of the upper level; only the latter have the key 'level'. */
     @Test
-    void theLevelIsShownWhereARowHasOne() {
+    void keyThatOnlyLaterRowsHaveGetsAColumn() {
         assertEquals(
                 "name  standing  level\na     alive     -\na     alive     upper\n",
                 FleetRows.table(List.of(
--- a/src/test/java/pumicemoor/cli/MainTest.java
+++ b/src/test/java/pumicemoor/cli/MainTest.java
@@ -18,30 +18,30 @@
 import pumicemoor.client.FrameClient;
 import pumicemoor.node.NodeTestConfig;
 
-/** The command line as a user meets it: output and exit code of a process of its own. */
+/** Tests the command line by running it as a separate process and checking its output and exit code. */
 class MainTest {
 
     @TempDir
     Path folder;
 
-    private record Ended(int code, String out, String err) {}
+    private record Result(int code, String out, String err) {}
 
-    private Ended run(String config, String... words) throws IOException, InterruptedException {
-        int code = start(config, words).waitFor();
-        return new Ended(
+    private Result run(String config, String... arguments) throws IOException, InterruptedException {
+        int code = start(config, arguments).waitFor();
+        return new Result(
                 code,
                 Files.readString(folder.resolve("out"), StandardCharsets.UTF_8),
                 Files.readString(folder.resolve("err"), StandardCharsets.UTF_8));
     }
 
-    private Process start(String config, String... words) throws IOException {
+    private Process start(String config, String... arguments) throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
                 Main.class.getName()));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         Path out = folder.resolve("out");
         Path err = folder.resolve("err");
         ProcessBuilder builder = new ProcessBuilder(command)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void askedToEndServeLogsItsCountersAndGoes() throws Exception {
+    void terminatedServeLogsItsCountersAndExitsWith0() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
@@ -72,10 +72,10 @@
                 try (FrameClient client = new FrameClient("127.0.0.1", port)) {
                     state = client.ask(1, Map.of(), 2);
                 } catch (ConnectException e) {
-                    Thread.sleep(20); // it does not listen yet
+                    Thread.sleep(20); // the router does not listen yet
                 }
             }
-            assertEquals(0, state.code(), "without members it is not ready");
+            assertEquals(0, state.code(), "a router without members is not ready");
             assertEquals(Map.of(), state.fields());
             router.destroy();
             assertEquals(0, router.waitFor());
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void theLogIsJsonWhereTheOperatorSaysSo() throws Exception {
+    void logIsJsonIfTheOperatorConfiguresIt() throws Exception {
         String operator = Files.writeString(folder.resolve("operator.yaml"), "log: {format: json}\n")
                 .toString();
         Process router = start(NodeTestConfig.json("127.0.0.1:0", ""), "serve", "--operator", operator);
@@ -104,35 +104,35 @@
         }
     }
 
-    /** Sends SIGHUP and waits for the counter that must grow by it; fails when the router ends instead. */
-    private void reload(Process router, int port, String counter, String count) throws Exception {
+    /** Sends SIGHUP and waits until the counter has this value; fails if the router ends instead. */
+    private void reload(Process router, int port, String counter, String expectedCount) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("/bin/sh", "-c", "kill -HUP " + router.pid())
                         .start()
                         .waitFor());
-        String seen = "";
-        while (!seen.equals(count)) {
-            assertTrue(router.isAlive(), "ended by SIGHUP");
+        String count = "";
+        while (!count.equals(expectedCount)) {
+            assertTrue(router.isAlive(), "SIGHUP ended the router");
             try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                seen = client.ask(1, Map.of("counters", "1"), 2).fields().get(counter);
+                count = client.ask(1, Map.of("counters", "1"), 2).fields().get(counter);
             }
         }
     }
 
     @Test
-    void hangupReadsTheConfigurationAgainAndKeepsTheOldOneIfItCannotBeUsed() throws Exception {
+    void hangupReloadsTheConfigurationAndKeepsTheOldOneIfTheNewIsInvalid() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-                ServerSocket first = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
-                ServerSocket second = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
+                ServerSocket oldCoordinator = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
+                ServerSocket newCoordinator = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
             free.close();
-            String before = NodeTestConfig.json("127.0.0.1:" + port, "127.0.0.1:" + first.getLocalPort());
+            String original = NodeTestConfig.json("127.0.0.1:" + port, "127.0.0.1:" + oldCoordinator.getLocalPort());
             Path config = folder.resolve("config.json");
-            Process router = start(before, "serve");
+            Process router = start(original, "serve");
             try {
-                first.accept().getInputStream().read();
+                oldCoordinator.accept().getInputStream().read();
                 boolean listens = false;
                 while (!listens && router.isAlive()) {
                     try {
@@ -142,23 +142,23 @@
                         Thread.sleep(20);
                     }
                 }
-                String[] bad = {
+                String[] invalid = {
                     "",
-                    before.substring(0, 200),
-                    before.replace("\"listen\":\"127.0.0.1:" + port, "\"listen\":\"127.0.0.1:1"),
-                    before.replace("\"max-open\":1000", "\"max-open\":9")
+                    original.substring(0, 200),
+                    original.replace("\"listen\":\"127.0.0.1:" + port, "\"listen\":\"127.0.0.1:1"),
+                    original.replace("\"max-open\":1000", "\"max-open\":9")
                 };
-                for (int i = 0; i < bad.length; i++) {
-                    Files.writeString(config, bad[i]);
+                for (int i = 0; i < invalid.length; i++) {
+                    Files.writeString(config, invalid[i]);
                     reload(router, port, "reloads-refused", Integer.toString(i + 1));
                 }
                 Files.delete(config);
                 reload(router, port, "reloads-refused", "5");
                 Files.writeString(
-                        config, NodeTestConfig.json("127.0.0.1:" + port, "127.0.0.1:" + second.getLocalPort()));
+                        config, NodeTestConfig.json("127.0.0.1:" + port, "127.0.0.1:" + newCoordinator.getLocalPort()));
                 reload(router, port, "reloads", "1");
-                second.setSoTimeout(20_000);
-                assertEquals('G', second.accept().getInputStream().read(), "the new coordinator is asked");
+                newCoordinator.setSoTimeout(20_000);
+                assertEquals('G', newCoordinator.accept().getInputStream().read(), "the router connects to the new coordinator");
             } finally {
                 router.destroy();
             }
@@ -167,79 +167,79 @@
     }
 
     @Test
-    void noOrAnUnknownCommandPrintsTheUsage() throws Exception {
-        for (String[] words : new String[][] {{}, {"dance"}, {"version", "now"}}) {
-            Ended ended = run(null, words);
-            assertEquals(2, ended.code());
-            assertTrue(ended.err().contains("usage: java -jar pumicemoor.jar COMMAND"), ended.err());
-            assertEquals("", ended.out());
+    void missingOrInvalidCommandPrintsTheUsageAndExitsWith2() throws Exception {
+        for (String[] arguments : new String[][] {{}, {"dance"}, {"version", "now"}}) {
+            Result result = run(null, arguments);
+            assertEquals(2, result.code());
+            assertTrue(result.err().contains("usage: java -jar pumicemoor.jar COMMAND"), result.err());
+            assertEquals("", result.out());
         }
     }
 
     @Test
     void versionIsPrinted() throws Exception {
-        Ended ended = run(null, "version");
-        assertEquals(0, ended.code());
-        assertTrue(ended.out().startsWith("pumicemoor "), ended.out());
+        Result result = run(null, "version");
+        assertEquals(0, result.code());
+        assertTrue(result.out().startsWith("pumicemoor "), result.out());
     }
 
     @Test
-    void aRouterCheckedByItselfServesARequestAndTellsItsCounters() throws Exception {
-        Ended ended = run(null, "self-check");
-        assertEquals(0, ended.code(), ended.err());
-        assertTrue(ended.out().startsWith("ready yes\nconnections 2\nrequests 1\n"), ended.out());
+    void selfCheckServesARequestAndPrintsTheCounters() throws Exception {
+        Result result = run(null, "self-check");
+        assertEquals(0, result.code(), result.err());
+        assertTrue(result.out().startsWith("ready yes\nconnections 2\nrequests 1\n"), result.out());
     }
 
     @Test
-    void statusOfWhatDoesNotAnswerIsToldInOneLine() throws Exception {
-        for (String[] words : new String[][] {{"status", "127.0.0.1:1"}, {"status", "nowhere"}}) {
-            Ended ended = run(null, words);
-            assertEquals(1, ended.code());
-            assertEquals(1, ended.err().lines().count(), ended.err());
-            assertTrue(ended.err().contains(words[1]), ended.err());
+    void statusOfAnUnreachableOrInvalidAddressFailsWithOneLine() throws Exception {
+        for (String[] arguments : new String[][] {{"status", "127.0.0.1:1"}, {"status", "nowhere"}}) {
+            Result result = run(null, arguments);
+            assertEquals(1, result.code());
+            assertEquals(1, result.err().lines().count(), result.err());
+            assertTrue(result.err().contains(arguments[1]), result.err());
         }
     }
 
     @Test
-    void drillEndsWithItsInput() throws Exception {
-        assertEquals(new Ended(0, "", ""), run(null, "drill"));
+    void drillExitsWith0AtTheEndOfItsInput() throws Exception {
+        assertEquals(new Result(0, "", ""), run(null, "drill"));
     }
 
     @Test
-    void theExamplesThatAreShippedAreUsable() throws Exception {
-        Ended ended =
+    void shippedExamplesAreValid() throws Exception {
+        Result result =
                 run(null, "check-config", "deploy/serve.example.json", "--operator", "deploy/operator.example.yaml");
-        assertEquals(0, ended.code(), ended.err());
-        assertTrue(ended.out().contains("router 'router-1' on 127.0.0.1:9090, 2 classes"), ended.out());
+        assertEquals(0, result.code(), result.err());
+        assertTrue(result.out().contains("router 'router-1' on 127.0.0.1:9090, 2 classes"), result.out());
     }
 
     @Test
-    void aConfigurationThatCanBeUsedIsSummedUp() throws Exception {
-        Ended ended = run(NodeTestConfig.json("127.0.0.1:9090", "127.0.0.1:7070"), "check-config");
-        assertEquals(0, ended.code());
-        assertTrue(ended.out().contains("router 'n0' on 127.0.0.1:9090, 2 classes"), ended.out());
+    void checkConfigPrintsASummaryOfAValidConfiguration() throws Exception {
+        Result result = run(NodeTestConfig.json("127.0.0.1:9090", "127.0.0.1:7070"), "check-config");
+        assertEquals(0, result.code());
+        assertTrue(result.out().contains("router 'n0' on 127.0.0.1:9090, 2 classes"), result.out());
     }
 
     @Test
-    void aConfigurationThatCannotBeUsedIsNamedInOneLine() throws Exception {
-        String good = NodeTestConfig.json("127.0.0.1:9090", "127.0.0.1:7070");
-        String[][] bad = {
-            {good.replace("127.0.0.1:9090", "here"), "listen"},
-            {good.replace("8c1f", "zz"), "seed"},
-            {good.replace("policy-limits", "limits"), "policy-limits"},
-            {good.substring(1), "JSON"}
+    void invalidConfigurationFailsWithOneLineThatNamesTheField() throws Exception {
+        String valid = NodeTestConfig.json("127.0.0.1:9090", "127.0.0.1:7070");
+        String[][] invalid = {
+            {valid.replace("127.0.0.1:9090", "here"), "listen"},
+            {valid.replace("8c1f", "zz"), "seed"},
+            {valid.replace("policy-limits", "limits"), "policy-limits"},
+            {valid.substring(1), "JSON"}
         };
-        for (String[] each : bad) {
+        for (String[] configAndField : invalid) {
             for (String command : new String[] {"check-config", "serve"}) {
-                Ended ended = run(each[0], command);
-                assertEquals(1, ended.code(), each[1]);
-                assertTrue(ended.err().contains(each[1]) && ended.err().lines().count() == 1, ended.err());
+                Result result = run(configAndField[0], command);
+                assertEquals(1, result.code(), configAndField[1]);
+                assertTrue(result.err().contains(configAndField[1]) && result.err().lines().count() == 1, result.err());
             }
         }
         assertEquals(1, run(null, "serve").code());
     }
 
-    private static final String SHAPE =
+    private static final String TOPOLOGY =
             """
             hierarchy:
               shape:
@@ -249,19 +249,20 @@
                 depots: {west: {fill-from: {hub-a: 1}}}
             """;
 
-    private String file(String name, int version, String aboveA, String aboveB) throws IOException {
-        return Files.writeString(folder.resolve(name), SHAPE.formatted(version, aboveA, aboveB))
+    /** Writes an operator's file with two hubs, each with one parent. */
+    private String operatorFile(String name, int version, String parentOfA, String parentOfB) throws IOException {
+        return Files.writeString(folder.resolve(name), TOPOLOGY.formatted(version, parentOfA, parentOfB))
                 .toString();
     }
 
     @Test
-    void aChangeOfTheHierarchyIsPlannedBeforeAnyoneIsTold() throws Exception {
-        String old = file("old.yaml", 1, "hub-b", "o");
-        Ended plan = run(null, "hierarchy", "plan", old, file("new.yaml", 2, "o", "hub-a"));
+    void hierarchyPlanPrintsTheMigrationAndRefusesAnInvalidOne() throws Exception {
+        String old = operatorFile("old.yaml", 1, "hub-b", "o");
+        Result plan = run(null, "hierarchy", "plan", old, operatorFile("new.yaml", 2, "o", "hub-a"));
         assertEquals(0, plan.code(), plan.err());
         assertTrue(plan.out().contains("held back, it would close a loop: hub-b <- hub-a"), plan.out());
         assertTrue(plan.out().contains("at 75.0 s\n  begins to fill from: hub-b <- hub-a"), plan.out());
-        Ended refused = run(null, "hierarchy", "plan", old, file("bad.yaml", 2, "hub-b", "hub-a"));
+        Result refused = run(null, "hierarchy", "plan", old, operatorFile("bad.yaml", 2, "hub-b", "hub-a"));
         assertEquals(1, refused.code());
         assertTrue(refused.err().contains("bad.yaml:5: hierarchy.shape.hubs.hub-a: a loop"), refused.err());
         assertEquals(1, run(null, "hierarchy", "plan", old, old).code());
@@ -271,8 +272,8 @@
     }
 
     @Test
-    void everyCommandTellsItsUsage() throws Exception {
-        for (String words : List.of(
+    void everyCommandPrintsItsUsage() throws Exception {
+        for (String arguments : List.of(
                 "serve",
                 "drill",
                 "status",
@@ -285,25 +286,25 @@
                 "lab",
                 "lab run",
                 "lab processes")) {
-            Ended ended = run(null, (words + " --help").split(" "));
-            assertEquals(0, ended.code(), words + ended.err());
-            assertTrue(ended.out().contains("--help"), words);
+            Result result = run(null, (arguments + " --help").split(" "));
+            assertEquals(0, result.code(), arguments + result.err());
+            assertTrue(result.out().contains("--help"), arguments);
         }
         assertEquals(0, run(null, "--help").code());
     }
 
     @Test
-    void labScaleRefusesABadFileInOneLineThatNamesTheKey() throws Exception {
+    void labScaleRefusesAnInvalidFileWithOneLineThatNamesTheKey() throws Exception {
         String file = Files.writeString(folder.resolve("scale.yaml"), "routers: [30]\nzones: many\n")
                 .toString();
-        Ended ended =
+        Result result =
                 run(null, "lab", "scale", file, "--out", folder.resolve("scale").toString());
-        assertEquals(1, ended.code(), ended.err());
-        List<String> said =
-                ended.err().lines().filter(l -> !l.startsWith("Picked up ")).toList(); // of the JVM itself
-        assertEquals(1, said.size(), ended.err());
-        assertTrue(said.get(0).startsWith("pumicemoor: " + file + ": zones: "), ended.err());
-        assertEquals("", ended.out());
+        assertEquals(1, result.code(), result.err());
+        List<String> errors =
+                result.err().lines().filter(l -> !l.startsWith("Picked up ")).toList(); // printed by the JVM itself
+        assertEquals(1, errors.size(), result.err());
+        assertTrue(errors.get(0).startsWith("pumicemoor: " + file + ": zones: "), result.err());
+        assertEquals("", result.out());
         assertTrue(Files.notExists(folder.resolve("scale")));
     }
 }
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -129,7 +129,7 @@
                 .isEmpty());
     }
 
-    /** Each row: a text of the section with cells, its replacement, the line that the error names, words of the error. */
+    /** Each row: a text of the section with cells, its replacement, the error's line number, words of the error. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -67,7 +67,7 @@
                 .contains("fleet.drains: cannot be combined with fleet.cells"));
     }
 
-    /** Each row: a text of the valid file, its replacement, the line that the one-line error names, words of the error. */
+    /** Each row: a text of the valid file, its replacement, the line that the error names, words of the error. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
