--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -23,15 +23,15 @@
         String advertise,
         List<String> seeds,
         int size,
-        long period,
-        int indirect,
-        int fanout,
-        long remember,
-        LeaseTimes times,
+        long periodMicros,
+        int indirectProbes,
+        int gossipFanout,
+        long rememberMicros,
+        LeaseTimes leaseTimes,
         List<LimitRule> limits,
-        Optional<EjectionPolicy.Rules> verdicts,
-        Optional<DrainTimes> drains,
-        Optional<CellSetup> cells) {
+        Optional<EjectionPolicy.Rules> ejectionRules,
+        Optional<DrainTimes> drainTimes,
+        Optional<CellSetup> cellSetup) {
 
     private static final int MAX_TABLE_ROUTERS = 2_000; // bound of the membership table
 
@@ -39,13 +39,14 @@
     public FleetSetup setup(String name, RouterApi.Rules rules) {
         return new FleetSetup(
                 cluster,
-                new Membership.Setup(name, advertise, seeds, period, indirect, fanout, remember, MAX_TABLE_ROUTERS),
+                new Membership.Setup(
+                        name, advertise, seeds, periodMicros, indirectProbes, gossipFanout, rememberMicros, MAX_TABLE_ROUTERS),
                 size,
-                times,
+                leaseTimes,
                 limits,
-                verdicts,
-                drains.map(
-                        drainTimes -> drainTimes.warming(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
-                cells);
+                ejectionRules,
+                drainTimes.map(
+                        times -> times.warming(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
+                cellSetup);
     }
 }
--- a/src/main/java/pumicemoor/operator/HierarchySection.java
+++ b/src/main/java/pumicemoor/operator/HierarchySection.java
@@ -6,10 +6,10 @@
 import pumicemoor.hierarchy.MigrationTiming;
 
 /**
- * The section 'hierarchy' of an operator's file: where topology updates come from (news), the timing of migrations, the
- * topology (shape), and the previous topology (before) while some router may still use it. The depot is the unit that
- * stands for the caches of the router's location; an empty one means the unit with the location's own name. The first
- * update of a topology has number 1; the topology in the file includes all updates up to number lastPiece.
+ * The section 'hierarchy' of an operator's file: where topology updates come from, the timing of migrations, the
+ * topology, and the previous topology while some router may still use it. The depot is the unit that stands for the
+ * caches of the router's location; an empty one means the unit with the location's own name. The first update of a
+ * topology has number 1; the topology in the file includes all updates up to the last number that is given.
  */
 public record HierarchySection(
         UpdateSource news, String depot, MigrationTiming timing, Topology shape, Optional<Topology> before, long lastPiece) {}
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -37,18 +37,18 @@
     void absentKeysOfAValidSectionGetTheirDefaults() throws Exception {
         FleetSection section = OperatorFile.parse("f", VALID).fleet().orElseThrow();
         assertEquals("127.0.0.1:7946", section.advertise());
-        assertEquals(200_000, section.period());
-        assertEquals(5_000_000, section.times().lease());
+        assertEquals(200_000, section.periodMicros());
+        assertEquals(5_000_000, section.leaseTimes().lease());
         assertEquals(Scope.EACH_CACHE, section.limits().get(0).scope());
         assertEquals(Scope.MEMBER, section.limits().get(1).scope());
         assertEquals(LimitMeasure.IN_FLIGHT, section.limits().get(1).measure());
-        assertEquals(5_000_000, section.verdicts().orElseThrow().hold());
-        assertEquals(4_000_000, section.drains().orElseThrow().drain());
-        assertEquals(60_000_000, section.drains().orElseThrow().gone());
+        assertEquals(5_000_000, section.ejectionRules().orElseThrow().hold());
+        assertEquals(4_000_000, section.drainTimes().orElseThrow().drain());
+        assertEquals(60_000_000, section.drainTimes().orElseThrow().gone());
         assertTrue(OperatorFile.parse("f", VALID.replace("  drains: {drain-ms: 4000}\n", ""))
                 .fleet()
                 .orElseThrow()
-                .drains()
+                .drainTimes()
                 .isEmpty());
         assertTrue(OperatorFile.parse("f", "").fleet().isEmpty());
     }
@@ -94,13 +94,13 @@
     void absentKeysOfCellsGetTheirDefaults() throws Exception {
         FleetSection section = OperatorFile.parse("f", VALID_WITH_CELLS).fleet().orElseThrow();
         assertEquals(18_000, section.size());
-        assertEquals(new CellSetup("zone-a", 64, 3), section.cells().orElseThrow());
+        assertEquals(new CellSetup("zone-a", 64, 3), section.cellSetup().orElseThrow());
         assertEquals(
                 new CellSetup("site_7", 96, 2),
                 OperatorFile.parse("f", VALID_WITH_CELLS.replace("{root: zone-a, most: 64, delegates: 3}", "{root: site_7}"))
                         .fleet()
                         .orElseThrow()
-                        .cells()
+                        .cellSetup()
                         .orElseThrow());
         assertEquals(
                 100_000,
@@ -108,7 +108,7 @@
                         .fleet()
                         .orElseThrow()
                         .size());
-        assertTrue(OperatorFile.parse("f", VALID).fleet().orElseThrow().cells().isEmpty(), "cells are off if the section is absent");
+        assertTrue(OperatorFile.parse("f", VALID).fleet().orElseThrow().cellSetup().isEmpty(), "cells are off if the section is absent");
     }
 
     /** The fleet setup of a router includes the cells of the section, and no cells if the section has none. */
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -61,7 +61,7 @@
         String cells = fleet.substring(0, fleet.indexOf("  drains:")) + fleet.substring(fleet.indexOf("  cells:"));
         assertEquals(
                 new CellSetup("zone-a", 96, 2),
-                OperatorFile.parse("f", cells).fleet().orElseThrow().cells().orElseThrow());
+                OperatorFile.parse("f", cells).fleet().orElseThrow().cellSetup().orElseThrow());
         assertTrue(assertThrows(OperatorException.class, () -> OperatorFile.parse("f", fleet))
                 .getMessage()
                 .contains("fleet.drains: cannot be combined with fleet.cells"));
