--- a/src/main/java/pumicemoor/cli/Logging.java
+++ b/src/main/java/pumicemoor/cli/Logging.java
@@ -19,7 +19,8 @@
     private Logging() {}
 
     static void configure(LogFormat format) {
-        System.setProperty("slf4j.internal.verbosity", "WARN"); // below WARN, SLF4J reports on standard error which provider it loads
+        // At lower levels SLF4J reports on standard error which provider it loads.
+        System.setProperty("slf4j.internal.verbosity", "WARN");
         if (format == LogFormat.TEXT) {
             System.setProperty(PROVIDER, "org.slf4j.simple.SimpleServiceProvider");
             return;
--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -138,7 +138,8 @@
             OperatorConfig operator = readOperatorConfig(operatorFile);
             Logging.configure(operator.log());
             Logger log = LoggerFactory.getLogger(Serve.class);
-            if (hangupIgnored) { // as under nohup: the JVM silently installs no handler for a signal that its parent ignores
+            // The JVM silently installs no handler for a signal that the parent process set to ignored, as nohup does.
+            if (hangupIgnored) {
                 log.warn("SIGHUP was ignored when this process started; the configuration files are reloaded when they change instead");
                 watch(configFile, operatorFile, reloadRequests);
             }
--- a/src/main/java/pumicemoor/cli/Status.java
+++ b/src/main/java/pumicemoor/cli/Status.java
@@ -17,6 +17,7 @@
 
     private static final int READY_REQUEST_TYPE = 1;
     private static final int READY_ANSWER_TYPE = 2;
+    private static final int READY_CODE = 1;
 
     @Argument(metaVar = "HOST:PORT", required = true, usage = "where the router listens")
     private String address;
@@ -70,7 +71,7 @@
     static void print(String host, int port) throws IOException {
         try (FrameClient client = connect(host, port)) {
             FrameClient.Answer answer = client.ask(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE);
-            System.out.println("ready " + (answer.code() == 1 ? "yes" : "no"));
+            System.out.println("ready " + (answer.code() == READY_CODE ? "yes" : "no"));
             answer.fields().forEach((name, value) -> System.out.println(name + " " + value));
         }
     }
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -57,7 +57,7 @@
     private static final long MICROS_PER_MILLI = 1_000;
     private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     private static final Pattern CELL_ROOT_PATTERN = Pattern.compile("[A-Za-z0-9_-]{1,24}");
-    private static final int MAX_FLAT_FLEET_ROUTERS = 2_000; // in a flat fleet each router keeps a record of every other
+    private static final int MAX_FLAT_FLEET_ROUTERS = 2_000; // each router keeps a record of every other
     private static final int MAX_CELL_FLEET_ROUTERS = 100_000;
     private static final int MAX_TIME_MILLIS = 24 * 3_600_000;
     private static final YAMLMapper YAML = YAMLMapper.builder()
--- a/src/test/java/pumicemoor/cli/MainTest.java
+++ b/src/test/java/pumicemoor/cli/MainTest.java
@@ -21,6 +21,9 @@
 /** Tests the command line by running it as a separate process and checking its output and exit code. */
 class MainTest {
 
+    private static final int READY_REQUEST_TYPE = 1;
+    private static final int READY_ANSWER_TYPE = 2;
+
     @TempDir
     Path folder;
 
@@ -70,7 +73,7 @@
             FrameClient.Answer state = null;
             while (state == null && router.isAlive()) {
                 try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                    state = client.ask(1, Map.of(), 2);
+                    state = client.ask(READY_REQUEST_TYPE, Map.of(), READY_ANSWER_TYPE);
                 } catch (ConnectException e) {
                     Thread.sleep(20); // the router does not listen yet
                 }
@@ -115,7 +118,7 @@
         while (!count.equals(expectedCount)) {
             assertTrue(router.isAlive(), "SIGHUP ended the router");
             try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                count = client.ask(1, Map.of("counters", "1"), 2).fields().get(counter);
+                count = client.ask(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE).fields().get(counter);
             }
         }
     }
