--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -12,8 +12,10 @@
 import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
- * The section 'fleet': where this router hears the others of its cluster, how many there are at most, what they hold
- * together, and whether that is one flat fleet or cells. Listen is where it hears them, advertise how they reach it. Times are microseconds.
+ * The section 'fleet' of an operator's file: the address on which this router receives the packets of the other
+ * routers of its cluster (listen), the address at which they reach it (advertise), how many routers there are at most
+ * (size), which limits, ejections and drains they coordinate, and whether they form one flat fleet or cells. Times are
+ * microseconds.
  */
 public record FleetSection(
         String cluster,
@@ -21,29 +23,30 @@
         String advertise,
         List<String> seeds,
         int size,
-        long period,
-        int indirect,
-        int fanout,
-        long remember,
-        LeaseTimes times,
+        long periodMicros,
+        int indirectProbes,
+        int gossipFanout,
+        long rememberMicros,
+        LeaseTimes leaseTimes,
         List<LimitRule> limits,
-        Optional<EjectionPolicy.Rules> verdicts,
-        Optional<DrainTimes> drains,
-        Optional<CellSetup> cells) {
+        Optional<EjectionPolicy.Rules> ejectionRules,
+        Optional<DrainTimes> drainTimes,
+        Optional<CellSetup> cellSetup) {
 
-    private static final int ROUTERS = 2_000; // that are kept in the table
+    private static final int MAX_TABLE_ROUTERS = 2_000; // bound of the membership table
 
-    /** What a router of this name is set up with; how long members take to warm is told by the platform's rules. */
+    /** Returns the fleet setup of a router of this name; the slow start times come from the platform's rules. */
     public FleetSetup setup(String name, RouterApi.Rules rules) {
         return new FleetSetup(
                 cluster,
-                new Membership.Setup(name, advertise, seeds, period, indirect, fanout, remember, ROUTERS),
+                new Membership.Setup(
+                        name, advertise, seeds, periodMicros, indirectProbes, gossipFanout, rememberMicros, MAX_TABLE_ROUTERS),
                 size,
-                times,
+                leaseTimes,
                 limits,
-                verdicts,
-                drains.map(
-                        d -> d.warming(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
-                cells);
+                ejectionRules,
+                drainTimes.map(
+                        times -> times.warming(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
+                cellSetup);
     }
 }
