--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -4,26 +4,27 @@
 import java.util.Map;
 
 /**
- * A cell's share of one limit, as its grantor holds it: a lease of the level above, for as many routers as its book held
- * when it asked. Routers that came into the book since bring their even parts along, those that fell out take theirs
- * away. It owns the lease and for how many it was asked; it must never lend out by itself.
+ * A cell's share of one limit, held by the cell's grantor: a lease from the upper level, for the number of routers in the
+ * grantor's lease table at the time of the request. Routers that entered the table since add their even shares, those
+ * that left it take theirs away. It owns the lease and the number of routers it was requested for; it must never grant
+ * leases itself.
  */
 public final class CellShare {
 
-    private static final int ASKS = 16; // that are remembered
+    private static final int MAX_PENDING_REQUESTS = 16;
 
     private final HeldLease lease;
-    private final LeaseTimes upper;
-    private final long routersLease;
-    private final Map<Long, Integer> asked = new LinkedHashMap<>(); // for how many routers each ask was
-    private int askedFor; // routers, in the ask whose grant is lived by
+    private final LeaseTimes upperTimes;
+    private final long routerLeaseMicros;
+    private final Map<Long, Integer> requestedRouters = new LinkedHashMap<>(); // routers by request number
+    private int grantedRouters; // routers in the request of the grant in force
     private double amount;
 
-    /** Times are those of the level above; routersLease is how long a router's lease of this cell lasts (microseconds). */
-    public CellShare(FleetLimit limit, LeaseTimes upper, long routersLease, long startedAt) {
-        this.lease = new HeldLease(limit, upper, startedAt);
-        this.upper = upper;
-        this.routersLease = routersLease;
+    /** Creates the share with the times of the upper level and the duration of this cell's leases to routers. */
+    public CellShare(FleetLimit limit, LeaseTimes upperTimes, long routerLeaseMicros, long startedAt) {
+        this.lease = new HeldLease(limit, upperTimes, startedAt);
+        this.upperTimes = upperTimes;
+        this.routerLeaseMicros = routerLeaseMicros;
     }
 
     public FleetLimit limit() {
@@ -34,54 +35,57 @@
         return lease.leased(now);
     }
 
-    /** Until when the lease lasts, Unix microseconds; long ago where there never was one. */
+    /** Returns when the lease expires (Unix microseconds); a time long past if there never was one. */
     public long until() {
         return lease.until();
     }
 
-    /** Whether the level above may still count on this share in whatever way. */
+    /** Whether the upper level can't count on this share any more: its lease and the shrink time after it have ended. */
     public boolean over(long now) {
-        return now >= lease.until() + upper.shrink();
+        return now >= lease.until() + upperTimes.shrink();
     }
 
-    /** The name of the one that the lease is from; empty for none. */
+    /** Returns the name of the grantor of the lease, or an empty string if there was none. */
     public String grantor() {
         return lease.grantor();
     }
 
-    /** The number of the grant that is lived by, to be told in an ask for so many routers, or -1 where none may be sent yet. */
+    /**
+     * Records a request for this many routers and returns the number of the grant in force to send with it (0 if there is
+     * none from this grantor), or -1 if no request may be sent yet.
+     */
     public long asks(long now, String name, long instance, long number, int routers) {
-        long holds = lease.asks(now, name, instance, number);
-        if (holds >= 0) {
-            asked.put(number, routers);
-            if (asked.size() > ASKS) {
-                asked.remove(asked.keySet().iterator().next());
+        long grantNumber = lease.asks(now, name, instance, number);
+        if (grantNumber >= 0) {
+            requestedRouters.put(number, routers);
+            if (requestedRouters.size() > MAX_PENDING_REQUESTS) {
+                requestedRouters.remove(requestedRouters.keySet().iterator().next());
             }
         }
-        return holds;
+        return grantNumber;
     }
 
-    /** Takes a grant; false where it comes too late, twice or behind a newer one. */
-    public boolean granted(long now, String name, long instance, long number, double part) {
-        Integer routers = asked.get(number);
-        if (routers == null || !lease.granted(now, name, instance, number, part)) {
+    /** Applies a grant; returns false if it is too late, a duplicate, older than the one in force or above the limit. */
+    public boolean granted(long now, String name, long instance, long number, double share) {
+        Integer routers = requestedRouters.get(number);
+        if (routers == null || !lease.granted(now, name, instance, number, share)) {
             return false;
         }
-        askedFor = routers;
-        amount = part;
-        asked.keySet().removeIf(n -> n <= number);
+        grantedRouters = routers;
+        amount = share;
+        requestedRouters.keySet().removeIf(n -> n <= number);
         return true;
     }
 
     /**
-     * What the cell's routers may spend together in all the time that a lease lasts which is given now, where the book
-     * holds so many of them, in a fleet of so many.
+     * Returns what the cell's routers may spend together throughout a lease that is granted now, where held routers are in
+     * the lease table of the cell's grantor and the fleet has this many routers.
      */
     public double pool(long now, int held, int routers) {
-        double even = limit().evenPart(routers);
-        double base = now + routersLease <= lease.until()
+        double evenShare = limit().evenPart(routers);
+        double base = now + routerLeaseMicros <= lease.until()
                 ? amount
-                : now < lease.until() + upper.shrink() ? Math.min(amount, askedFor * even) : askedFor * even;
-        return base + (held - askedFor) * even;
+                : now < lease.until() + upperTimes.shrink() ? Math.min(amount, grantedRouters * evenShare) : grantedRouters * evenShare;
+        return base + (held - grantedRouters) * evenShare;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
+++ b/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
@@ -3,21 +3,21 @@
 import pumicemoor.RouterApi.LimitMeasure;
 
 /**
- * A limit that the fleet holds together: so much of this measure at one member by all routers. Whole parts are those
- * of things that can't be divided.
+ * A limit on what all routers of the fleet together may spend at one member, in units of the measure. Some measures count
+ * things that can't be divided (requests in flight, for instance); their shares are whole numbers.
  */
 public record FleetLimit(String name, long member, LimitMeasure measure, double amount) {
 
-    private static final double LEAST = 0.1; // of the even part
+    private static final double MIN_SHARE_FACTOR = 0.1; // of the even share
 
-    /** What each router of so many may spend by itself; a whole part is one at least. */
+    /** Returns what each of this many routers may spend without a lease; a share in whole numbers is at least one. */
     public double evenPart(int routers) {
-        double part = amount / Math.max(1, routers);
-        return measure.wholeNumbers ? Math.max(1, Math.floor(part)) : part;
+        double share = amount / Math.max(1, routers);
+        return measure.wholeNumbers ? Math.max(1, Math.floor(share)) : share;
     }
 
-    /** The least that a lease is for: enough to show what is wanted. */
-    double leastPart(int routers) {
-        return measure.wholeNumbers ? 1 : evenPart(routers) * LEAST;
+    /** Returns the smallest share that a lease grants: enough for a router's demand to show. */
+    double minShare(int routers) {
+        return measure.wholeNumbers ? 1 : evenPart(routers) * MIN_SHARE_FACTOR;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -4,24 +4,25 @@
 import java.util.Map;
 
 /**
- * What one router may spend of one limit, as it holds it. It owns the lease, the asks that are out, and what follows a
- * lease that ran out: for a lease's time the lower of it and the even part, so that the grantor can first bring the
- * others down, then the even part. A grant counts from when its ask left, and one for an older ask than that held
- * changes nothing, so late, doubled and reordered grants never add up.
+ * The holder's side of a lease: what one router may spend of one limit. It owns the lease, the requests without an
+ * answer, and the fallback after a lease has expired: for the shrink time the lower of the leased and the even share, so
+ * that the grantor can first reduce the others' shares, then the even share. A lease lasts from when its request was
+ * sent, and a grant for an older request than that of the lease in force changes nothing, so late, duplicated and
+ * reordered grants never add up.
  */
 public final class HeldLease {
 
-    private static final int ASKS = 16; // that are remembered
+    private static final int MAX_PENDING_REQUESTS = 16;
 
     private final FleetLimit limit;
     private final LeaseTimes times;
     private final long startedAt;
-    private final Map<Long, Long> asked = new HashMap<>(); // when each ask left
+    private final Map<Long, Long> requestSentAt = new HashMap<>(); // by request number
     private String grantor = "";
     private long grantorInstance;
-    private long holds;
+    private long grantNumber; // of the lease last granted, 0 before the first
     private double amount;
-    private long until = Long.MIN_VALUE / 2;
+    private long expiresAt = Long.MIN_VALUE / 2;
 
     public HeldLease(FleetLimit limit, LeaseTimes times, long startedAt) {
         this.limit = limit;
@@ -33,35 +34,35 @@
         return limit;
     }
 
-    /** What may be spent at this time in a fleet of so many. */
+    /** Returns what may be spent at this time in a fleet of this many routers. */
     public double part(long now, int routers) {
-        double even = limit.evenPart(routers);
-        if (now < until) {
+        double evenShare = limit.evenPart(routers);
+        if (now < expiresAt) {
             return amount;
         }
-        if (now < Math.max(until, startedAt) + times.shrink()) {
-            return holds == 0 ? limit.leastPart(routers) : Math.min(amount, even);
+        if (now < Math.max(expiresAt, startedAt) + times.shrink()) {
+            return grantNumber == 0 ? limit.minShare(routers) : Math.min(amount, evenShare);
         }
-        return even;
+        return evenShare;
     }
 
-    /** What may be spent from the end of the lease on, for one who hears nothing more. */
+    /** Returns what may be spent once the lease has expired if no further grant is received. */
     public double after(int routers) {
-        return holds == 0 ? limit.leastPart(routers) : Math.min(amount, limit.evenPart(routers));
+        return grantNumber == 0 ? limit.minShare(routers) : Math.min(amount, limit.evenPart(routers));
     }
 
-    /** When the part changes by itself; Long.MAX_VALUE for not any more. */
+    /** Returns when the share next changes without a grant, or Long.MAX_VALUE if it doesn't. */
     public long changesAt(long now) {
-        long even = Math.max(until, startedAt) + times.shrink();
-        return now < until ? until : now < even ? even : Long.MAX_VALUE;
+        long evenShareAt = Math.max(expiresAt, startedAt) + times.shrink();
+        return now < expiresAt ? expiresAt : now < evenShareAt ? evenShareAt : Long.MAX_VALUE;
     }
 
     public boolean leased(long now) {
-        return now < until;
+        return now < expiresAt;
     }
 
     public long until() {
-        return until;
+        return expiresAt;
     }
 
     public String grantor() {
@@ -69,37 +70,38 @@
     }
 
     /**
-     * The number of the grant that is lived by, to be told to this router, or -1 where it may not be asked yet: one
-     * other than the last grantor is asked only when that one can't count on the lease any more.
+     * Records a request to a grantor and returns the number of the grant in force to send with it (0 if there is none
+     * from this grantor), or -1 if this grantor may not be asked yet: a grantor other than the last is asked only when the
+     * last one no longer counts on the lease.
      */
     public long asks(long now, String name, long instance, long number) {
-        boolean same = grantor.equals(name) && grantorInstance == instance;
-        if (!same && holds != 0 && now < until + times.shrink()) {
+        boolean sameGrantor = grantor.equals(name) && grantorInstance == instance;
+        if (!sameGrantor && grantNumber != 0 && now < expiresAt + times.shrink()) {
             return -1;
         }
-        if (asked.size() >= ASKS) {
-            asked.remove(asked.keySet().stream().min(Long::compare).orElseThrow());
+        if (requestSentAt.size() >= MAX_PENDING_REQUESTS) {
+            requestSentAt.remove(requestSentAt.keySet().stream().min(Long::compare).orElseThrow());
         }
-        asked.put(number, now);
-        return same && now < until ? holds : 0;
+        requestSentAt.put(number, now);
+        return sameGrantor && now < expiresAt ? grantNumber : 0;
     }
 
-    /** Takes a grant; false where it comes too late, twice or behind a newer one. */
-    public boolean granted(long now, String name, long instance, long number, double part) {
-        Long left = asked.remove(number);
-        boolean same = grantor.equals(name) && grantorInstance == instance;
-        if (left == null
-                || now - left > times.guard()
-                || same && number <= holds
-                || !same && holds != 0 && now < until + times.shrink()
-                || part > limit.amount()) {
+    /** Applies a grant; returns false if it is too late, a duplicate, older than the one in force or above the limit. */
+    public boolean granted(long now, String name, long instance, long number, double share) {
+        Long sentAt = requestSentAt.remove(number);
+        boolean sameGrantor = grantor.equals(name) && grantorInstance == instance;
+        if (sentAt == null
+                || now - sentAt > times.guard()
+                || sameGrantor && number <= grantNumber
+                || !sameGrantor && grantNumber != 0 && now < expiresAt + times.shrink()
+                || share > limit.amount()) {
             return false;
         }
         grantor = name;
         grantorInstance = instance;
-        holds = number;
-        amount = part;
-        until = left + times.lease();
+        grantNumber = number;
+        amount = share;
+        expiresAt = sentAt + times.lease();
         return true;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
@@ -7,48 +7,52 @@
 import java.util.Map;
 
 /**
- * What a grantor has given of one limit, and so what is left. Every router of the fleet that holds no lease of this
- * grantor counts with its even part, which is what it may spend by itself, wherever it is; one that holds leases counts
- * with the largest that it may still live by. So the sum stays within the limit whatever the grantor can't see. A holder
- * may stand for several routers, a cell: it counts with as many even parts, and at least with what its own book counts.
+ * The grantor's table of leases on one limit, from which follows what is left to grant. Every router of the fleet that
+ * holds no lease of this grantor counts with its even share, which is what it may spend without a lease, wherever it is; a
+ * holder of leases counts with the largest that may still be in force at it. So the sum stays within the limit whatever
+ * the grantor can't observe. A holder may represent several routers, a cell: it counts with as many even shares, and at
+ * least with what the table of its own grantor counts.
  */
 public final class LeaseBook {
 
-    private static final double AHEAD = 1.25; // of what is wanted, so that a rising demand shows
+    private static final double DEMAND_HEADROOM_FACTOR = 1.25; // lets a rising demand show
 
-    private record Given(long number, int routers, double amount, long until) {}
+    private record Grant(long number, int routers, double amount, long expiresAt) {}
 
-    /** Who asks: a process, the number of its ask, the ask whose grant it lives by, and for how many routers. */
+    /**
+     * The sender of a request: its name and process instance, the number of the request, the number of the request whose
+     * grant is in force at it (0 for none), and how many routers it represents.
+     */
     public record Asker(String name, long instance, long number, long holds, int routers) {}
 
-    /** What the holders of a book may be spending together, by how many routers they stand for. */
+    /** Gives what the holders in a table may spend together, by the number of routers that they represent. */
     public interface Pool {
 
-        double of(int held);
+        double of(int routers);
     }
 
     private static final class Holder {
         long instance;
-        long lastAsk;
-        long shown; // the grant that it last showed to live by, 0 for none
-        double wanted;
+        long lastRequest;
+        long confirmedGrant; // the grant in force by its last request, 0 for none
+        double demand;
         double inUse;
-        int routers = 1; // that it stands for
-        final List<Given> given = new ArrayList<>();
+        int routers = 1; // that it represents
+        final List<Grant> grants = new ArrayList<>();
 
         /**
-         * The most that it may be spending. A grant need not have reached it: unless one that it showed still lasts, it
-         * may be on its even part. Where it stands for more routers now than in the ask of a grant, it may live by that
-         * one and by what they brought along.
+         * Returns the most that this holder may be spending. A grant may not have reached it: unless one that it confirmed
+         * is still in force, it may be using its even share. Where it represents more routers now than in the request of a
+         * grant, it may be using that grant plus the even shares of the added routers.
          */
-        double counts(double even) {
+        double maxSpend(double evenShare) {
             boolean leased = false;
-            double most = inUse;
-            for (Given g : given) {
-                leased |= g.number() == shown;
-                most = Math.max(most, g.amount() + Math.max(0, routers - g.routers()) * even);
+            double max = inUse;
+            for (Grant grant : grants) {
+                leased |= grant.number() == confirmedGrant;
+                max = Math.max(max, grant.amount() + Math.max(0, routers - grant.routers()) * evenShare);
             }
-            return leased ? most : Math.max(most, even * routers);
+            return leased ? max : Math.max(max, evenShare * routers);
         }
     }
 
@@ -61,12 +65,12 @@
         this.times = times;
     }
 
-    /** How many hold a lease of this grantor. */
+    /** Returns how many holders have a lease of this grantor. */
     public int holders() {
         return holders.size();
     }
 
-    /** How many routers the holders stand for. */
+    /** Returns how many routers the holders represent. */
     public int held() {
         int held = 0;
         for (Holder h : holders.values()) {
@@ -75,110 +79,112 @@
         return held;
     }
 
-    /** The most that the holders may be spending together, of what they count with. */
+    /** Returns the most that the holders may be spending together. */
     public double countedOfHolders(int routers) {
-        return countedWithout(null, routers);
+        return countedExcept(null, routers);
     }
 
-    private double countedWithout(Holder one, int routers) {
-        double even = limit.evenPart(routers);
+    private double countedExcept(Holder excluded, int routers) {
+        double evenShare = limit.evenPart(routers);
         return holders.values().stream()
-                .filter(h -> h != one)
-                .mapToDouble(h -> h.counts(even))
+                .filter(h -> h != excluded)
+                .mapToDouble(h -> h.maxSpend(evenShare))
                 .sum();
     }
 
-    /** What the holders want together. */
+    /** Returns the total demand of the holders. */
     public double wanted() {
-        return holders.values().stream().mapToDouble(h -> h.wanted).sum();
+        return holders.values().stream().mapToDouble(h -> h.demand).sum();
     }
 
-    /** The sum of all that may be spent, as far as this grantor must count. */
+    /** Returns the most that the whole fleet may be spending, as far as this grantor can know. */
     public double counted(int routers) {
         return countedOfHolders(routers) + Math.max(0, routers - held()) * limit.evenPart(routers);
     }
 
     /**
-     * Answers an ask with a part of the limit, or with -1 where a newer ask of that router was answered before. Holds is
-     * the ask whose grant it lives by, 0 for none; then it counts with the even part until it shows that it has a lease.
+     * Answers a request with a share of the limit, or with -1 if a newer request of that router was answered before. holds
+     * is the number of the request whose grant is in force at the router, 0 for none; then the router counts with its even
+     * share until a request confirms a lease.
      */
     public double ask(
-            long now, String router, long instance, long number, long holds, double wanted, double inUse, int routers) {
+            long now, String router, long instance, long number, long holds, double demand, double inUse, int routers) {
         return ask(
                 now,
                 new Asker(router, instance, number, holds, 1),
-                wanted,
+                demand,
                 limit.measure().wholeNumbers ? inUse : 0,
                 routers,
                 held -> held * limit.evenPart(routers));
     }
 
-    /** The same for one who may stand for several routers; in use is the least that it counts with. */
-    public double ask(long now, Asker asker, double wanted, double inUse, int routers, Pool pool) {
+    /** Answers a request of a holder that may represent several routers and counts at least with inUse. */
+    public double ask(long now, Asker asker, double demand, double inUse, int routers, Pool pool) {
         expire(now);
-        Holder h = holders.computeIfAbsent(asker.name(), r -> new Holder());
-        if (h.instance != asker.instance()) {
-            if (asker.instance() < h.instance) {
+        Holder holder = holders.computeIfAbsent(asker.name(), name -> new Holder());
+        if (holder.instance != asker.instance()) {
+            if (asker.instance() < holder.instance) {
                 return -1;
             }
-            h.instance = asker.instance(); // what its process before held is counted until it ends
-            h.lastAsk = 0;
+            holder.instance = asker.instance(); // leases of its previous process count until they expire
+            holder.lastRequest = 0;
         }
-        if (asker.number() <= h.lastAsk) {
+        if (asker.number() <= holder.lastRequest) {
             return -1;
         }
-        h.lastAsk = asker.number();
-        h.wanted = Math.min(limit.amount(), wanted);
-        h.inUse = inUse;
-        h.routers = asker.routers();
-        // a lease shown that is not in the book has ended here: who shows it may be on its even part by now
-        h.shown = h.given.stream().anyMatch(g -> g.number() == asker.holds()) ? asker.holds() : 0;
-        h.given.removeIf(g -> g.number() < h.shown);
-        double part = part(h, routers, Math.min(limit.amount(), pool.of(held())));
-        h.given.add(new Given(asker.number(), asker.routers(), part, now + times.lease()));
-        return part;
+        holder.lastRequest = asker.number();
+        holder.demand = Math.min(limit.amount(), demand);
+        holder.inUse = inUse;
+        holder.routers = asker.routers();
+        // a confirmed lease that is not in the table has expired here: its holder may be using its even share by now
+        holder.confirmedGrant = holder.grants.stream().anyMatch(g -> g.number() == asker.holds()) ? asker.holds() : 0;
+        holder.grants.removeIf(g -> g.number() < holder.confirmedGrant);
+        double share = shareOf(holder, routers, Math.min(limit.amount(), pool.of(held())));
+        holder.grants.add(new Grant(asker.number(), asker.routers(), share, now + times.lease()));
+        return share;
     }
 
-    private double part(Holder asker, int routers, double pool) {
-        double left = pool - countedWithout(asker, routers);
-        double part = Math.max(limit.leastPart(routers) * asker.routers, Math.min(fair(asker, pool), left));
-        return limit.measure().wholeNumbers ? Math.max(asker.routers, Math.floor(part + 1e-9)) : part;
+    private double shareOf(Holder asker, int routers, double pool) {
+        double left = pool - countedExcept(asker, routers);
+        double share = Math.max(limit.minShare(routers) * asker.routers, Math.min(fairShare(asker, pool), left));
+        return limit.measure().wholeNumbers ? Math.max(asker.routers, Math.floor(share + 1e-9)) : share;
     }
 
     /**
-     * The even share of the pool, for each router stood for, among those that want more than it, each other's whole wish,
-     * and of what is left.
+     * Returns the holder's max-min fair share of the pool, weighted by the routers that each holder represents: a holder
+     * whose demand is below the fair level gets its whole demand, and the others divide the rest evenly by router. If the
+     * pool covers every demand, the remainder is divided evenly too.
      */
-    private double fair(Holder asker, double pool) {
-        List<Holder> modest = new ArrayList<>(holders.values());
-        modest.sort(Comparator.comparingDouble(h -> wish(h) / h.routers));
+    private double fairShare(Holder asker, double pool) {
+        List<Holder> byDemand = new ArrayList<>(holders.values());
+        byDemand.sort(Comparator.comparingDouble(h -> demandWithHeadroom(h) / h.routers));
         double left = Math.max(0, pool);
-        int all = held();
-        int routers = all;
+        int totalRouters = held();
+        int remainingRouters = totalRouters;
         double level = 0;
-        for (Holder h : modest) {
-            level = left / routers;
-            if (wish(h) > level * h.routers) {
+        for (Holder h : byDemand) {
+            level = left / remainingRouters;
+            if (demandWithHeadroom(h) > level * h.routers) {
                 break;
             }
-            left -= wish(h);
-            routers -= h.routers;
+            left -= demandWithHeadroom(h);
+            remainingRouters -= h.routers;
             level = Double.MAX_VALUE;
         }
         return level == Double.MAX_VALUE
-                ? wish(asker) + left * asker.routers / all
-                : Math.min(level * asker.routers, wish(asker));
+                ? demandWithHeadroom(asker) + left * asker.routers / totalRouters
+                : Math.min(level * asker.routers, demandWithHeadroom(asker));
     }
 
-    private double wish(Holder h) {
-        return h.wanted * AHEAD;
+    private double demandWithHeadroom(Holder h) {
+        return h.demand * DEMAND_HEADROOM_FACTOR;
     }
 
-    /** Forgets what has ended. */
+    /** Removes expired grants, and holders without any. */
     public void expire(long now) {
         holders.values().removeIf(h -> {
-            h.given.removeIf(g -> now >= g.until());
-            return h.given.isEmpty();
+            h.grants.removeIf(g -> now >= g.expiresAt());
+            return h.grants.isEmpty();
         });
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -1,33 +1,37 @@
 package pumicemoor.fleet.limits;
 
 /**
- * The times of leases, microseconds: how long one lasts, how late the answer to an ask may come to be used, and how long
- * after its lease a holder keeps to the lower of it and its even part, while others are brought down. The guard is what
- * a grantor may count a lease too long: the way of one ask.
+ * The durations that govern leases, in microseconds: how long a lease lasts (lease), how long after a request its grant
+ * is still accepted (guard), and how long after its lease has ended a holder keeps to the lower of the leased and the
+ * even share, while the shares of others are reduced (shrink). The grantor counts a lease from when it receives the
+ * request, so it may count it longer than the holder does by up to the guard: the time that the request was under way.
  */
 public record LeaseTimes(long lease, long guard, long shrink) {
 
-    private static final int UPPER_LEASE =
-            2; // times a cell's, so that what a router is lent ends before the cell's does
-    private static final int UPPER_GUARD = 4; // times a cell's: the way between regions
+    // a router's lease ends before that of its cell
+    private static final int UPPER_LEASE_FACTOR = 2;
+    // packets between delegates cross regions
+    private static final int UPPER_GUARD_FACTOR = 4;
 
-    /** Those of one level: others' leases end, and the book forgets. */
+    /** The times of a fleet with a single level: others' leases end, and the grantor's table drops them. */
     public LeaseTimes(long lease, long guard) {
         this(lease, guard, lease + guard);
     }
 
     /**
-     * Those of a cell's share of a limit, for these of its routers: once its lease has ended the book above forgets it a
-     * guard later, the other cells' shares end within a lease, and their routers' leases within one of theirs.
+     * Returns the times of a cell's share of a limit, where these are the times of the leases of its routers. After a
+     * cell's lease has ended, the upper grantor's table drops it one upper guard later, the other cells' shares end
+     * within one upper lease, and the leases of their routers within one router lease.
      */
     public LeaseTimes ofCells() {
-        long upper = UPPER_LEASE * lease;
-        return new LeaseTimes(upper, UPPER_GUARD * guard, UPPER_GUARD * guard + upper + lease);
+        long upper = UPPER_LEASE_FACTOR * lease;
+        return new LeaseTimes(upper, UPPER_GUARD_FACTOR * guard, UPPER_GUARD_FACTOR * guard + upper + lease);
     }
 
     /**
-     * Those of a router in a cell: its cell's book forgets it a guard after its lease, the level above knows a lease and
-     * a guard later at the latest, and then other cells' shares and their routers' leases end.
+     * Returns the times of a router in a cell. The table of its cell's grantor drops its lease one guard after the lease
+     * has ended, the upper level knows of it at most one upper lease and one upper guard later, and then the other cells'
+     * shares and the leases of their routers end.
      */
     public LeaseTimes inCells() {
         LeaseTimes upper = ofCells();
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -3,9 +3,11 @@
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
 
 /**
- * What the fleet holds of a member. Versions order verdicts, whoever gave them and whenever they come: the keeper's
- * term, then its count. It stands for the time that is left (microseconds), unless a newer one comes. The evidence
- * is that of the accuser with the most strikes; accusers tells how many there were.
+ * The fleet's decision on one process of a member: the member is ejected (failing is true), or an earlier ejection is
+ * withdrawn (failing is false). Versions order decisions, whichever leader made them and whenever they arrive: the
+ * leader's term in the high bits, then a count within the term. An ejection lasts for the time that is left
+ * (microseconds) unless a newer decision replaces it. The evidence is that of the failure report with the most
+ * consecutive failures; accusers is the number of routers that reported the member.
  */
 public record Ejection(
         long member,
@@ -19,20 +21,21 @@
         double failShare,
         String keeper) {
 
-    private static final int TERM_SHIFT = 24;
-    private static final long MOST_TERM = 1L << 38;
+    private static final int TERM_SHIFT_BITS = 24;
+    private static final long MAX_TERM = 1L << 38;
 
-    /** The version that follows another, within a term. */
-    static long next(long version, long term) {
-        return Math.max(version + 1, (term << TERM_SHIFT) + 1);
+    /** Returns a version in this term that is higher than the given one. */
+    static long nextVersion(long version, long term) {
+        return Math.max(version + 1, (term << TERM_SHIFT_BITS) + 1);
     }
 
-    static boolean possible(long version) {
-        return version > 0 && version >> TERM_SHIFT < MOST_TERM;
+    /** Whether a version is positive and its term is below the maximum. */
+    static boolean isValidVersion(long version) {
+        return version > 0 && version >> TERM_SHIFT_BITS < MAX_TERM;
     }
 
-    /** The same with this much time left. */
-    public Ejection withLeft(long time) {
-        return new Ejection(member, started, version, failing, time, accusers, cause, strikes, failShare, keeper);
+    /** Returns the same decision with this much time left, in microseconds. */
+    public Ejection withLeft(long micros) {
+        return new Ejection(member, started, version, failing, micros, accusers, cause, strikes, failShare, keeper);
     }
 }
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -7,32 +7,33 @@
 import java.util.TreeMap;
 
 /**
- * The verdicts as one router knows them. A verdict gives way to one of a higher version alone, never to an older one
- * that comes late; it ends by itself when its time has passed. It owns their versions and ends.
+ * The ejections and withdrawals that one router knows, by member. A decision is replaced only by one of a higher
+ * version, never by an older one that arrives late, and an ejection ends by itself when its time has passed. The table
+ * owns the versions and end times.
  */
 public final class EjectionTable {
 
-    /** A verdict and until when it stands here. */
+    /** A decision, the time until which it is in force here, and the time at which it was received. */
     public record Held(Ejection verdict, long until, long heardAt) {}
 
-    private static final int MOST = 4_096;
+    private static final int MAX_MEMBERS = 4_096;
 
     private final Map<Long, Held> byMember = new TreeMap<>();
 
-    /** Takes a verdict; true where it was new. */
-    public boolean take(long now, Ejection v, long longest) {
-        Held held = byMember.get(v.member());
-        if (!Ejection.possible(v.version())
-                || v.left() > longest
-                || held != null && held.verdict().version() >= v.version()
-                || held == null && byMember.size() >= MOST) {
+    /** Applies a decision that is newer than the known one and lasts at most as long as given; returns whether it did. */
+    public boolean take(long now, Ejection ejection, long maxMicros) {
+        Held held = byMember.get(ejection.member());
+        if (!Ejection.isValidVersion(ejection.version())
+                || ejection.left() > maxMicros
+                || held != null && held.verdict().version() >= ejection.version()
+                || held == null && byMember.size() >= MAX_MEMBERS) {
             return false;
         }
-        byMember.put(v.member(), new Held(v, now + v.left(), now));
+        byMember.put(ejection.member(), new Held(ejection, now + ejection.left(), now));
         return true;
     }
 
-    /** The verdict on a member, also one that was lifted or has ended; null for none. */
+    /** Returns the decision on a member, including withdrawn and ended ones, or null if there is none. */
     public Held on(long member) {
         return byMember.get(member);
     }
@@ -41,26 +42,26 @@
         return List.copyOf(byMember.values());
     }
 
-    /** Those that stand now. */
+    /** Returns the ejections in force now. */
     public List<Held> standing(long now) {
         return byMember.values().stream()
                 .filter(h -> h.verdict().failing() && now < h.until())
                 .toList();
     }
 
-    /** Those that have just ended without a newer one. */
-    public List<Held> ended(long from, long to) {
+    /** Returns the ejections whose time ended after one instant and up to another, and that nothing newer replaced. */
+    public List<Held> ended(long after, long upTo) {
         List<Held> ended = new ArrayList<>(byMember.values());
-        ended.removeIf(h -> !h.verdict().failing() || h.until() <= from || h.until() > to);
+        ended.removeIf(h -> !h.verdict().failing() || h.until() <= after || h.until() > upTo);
         return ended;
     }
 
-    /** Forgets what ended long ago; its version is then no longer needed, since no packet lives so long. */
-    public void forget(long now, long after) {
-        byMember.values().removeIf(h -> now - h.until() > after);
+    /** Removes decisions that ended this long ago (microseconds): no packet with an older version is still in flight then. */
+    public void forget(long now, long ageMicros) {
+        byMember.values().removeIf(h -> now - h.until() > ageMicros);
     }
 
-    /** When the next one ends; Long.MAX_VALUE for none. */
+    /** Returns when the next ejection ends, or Long.MAX_VALUE if none is in force. */
     public long nextEnd(long now) {
         return standing(now).stream().mapToLong(Held::until).min().orElse(Long.MAX_VALUE);
     }
--- a/src/main/java/pumicemoor/fleet/verdicts/FailureReport.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/FailureReport.java
@@ -1,17 +1,18 @@
 package pumicemoor.fleet.verdicts;
 
 /**
- * What one router's decision module holds against a member: the process meant, by its start, and the evidence. Of a cell
- * it is the worst of its routers' and how many of them accuse.
+ * The evidence of one router's decision module that a member fails: the member's process, identified by its start time,
+ * and what was observed. The report of a cell carries the worst evidence of its routers and the number of routers that
+ * report the member.
  */
 public record FailureReport(long member, long started, Cause cause, int strikes, double failShare, int accusers) {
 
-    /** One router's. */
+    /** Creates the report of a single router. */
     public FailureReport(long member, long started, Cause cause, int strikes, double failShare) {
         this(member, started, cause, strikes, failShare, 1);
     }
 
-    /** What was seen: no answers, or answers that were failures. */
+    /** The kind of failure observed: no answers, or answers that were failures. */
     public enum Cause {
         SILENT,
         FAILING
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -15,329 +15,329 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.LimitMeasure;
 
-/** A book whose holders stand for cells, and a cell's share of a limit as its grantor holds it. */
+/** Checks a lease table whose holders represent cells, and a cell's share of a limit as held by the cell's grantor. */
 class CellShareTest {
 
     private static final long SECOND = 1_000_000;
     private static final LeaseTimes TIMES = new LeaseTimes(3 * SECOND, 300_000);
-    private static final LeaseTimes ABOVE = TIMES.ofCells();
+    private static final LeaseTimes UPPER_TIMES = TIMES.ofCells();
     private static final FleetLimit LIMIT = new FleetLimit("origin", 1, LimitMeasure.PER_SECOND, 100);
-    private static final FleetLimit WHOLE = new FleetLimit("origin", 1, LimitMeasure.IN_FLIGHT, 100);
+    private static final FleetLimit WHOLE_NUMBER_LIMIT = new FleetLimit("origin", 1, LimitMeasure.IN_FLIGHT, 100);
 
     private static double ask(
-            LeaseBook book, long now, String cell, long number, long holds, int routers, double wanted, double inUse) {
-        return book.ask(
-                now, new LeaseBook.Asker(cell, 1, number, holds, routers), wanted, inUse, 10, held -> held * 10.0);
+            LeaseBook table, long now, String holder, long number, long holds, int routers, double demand, double inUse) {
+        return table.ask(
+                now, new LeaseBook.Asker(holder, 1, number, holds, routers), demand, inUse, 10, held -> held * 10.0);
     }
 
     @Test
-    void theTimesAreThoseThatAreStated() {
-        assertEquals(6 * SECOND, ABOVE.lease());
-        assertEquals(1_200_000, ABOVE.guard());
-        assertEquals(ABOVE.guard() + ABOVE.lease() + TIMES.lease(), ABOVE.shrink());
+    void upperAndCellTimesFollowFromTheRouterLeaseTimes() {
+        assertEquals(6 * SECOND, UPPER_TIMES.lease());
+        assertEquals(1_200_000, UPPER_TIMES.guard());
+        assertEquals(UPPER_TIMES.guard() + UPPER_TIMES.lease() + TIMES.lease(), UPPER_TIMES.shrink());
         assertEquals(
-                TIMES.guard() + ABOVE.guard() + 2 * ABOVE.lease() + TIMES.lease(),
+                TIMES.guard() + UPPER_TIMES.guard() + 2 * UPPER_TIMES.lease() + TIMES.lease(),
                 TIMES.inCells().shrink());
         assertEquals(TIMES.lease(), TIMES.inCells().lease());
         assertEquals(TIMES.guard(), TIMES.inCells().guard());
     }
 
     @Test
-    void whoWantsAllGetsByTheRoutersItStandsFor() {
-        LeaseBook book = new LeaseBook(LIMIT, ABOVE);
+    void cellsThatDemandTheWholeLimitShareItByTheirRouters() {
+        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
         double a = 0;
         double b = 0;
         for (int i = 1; i < 40; i++) {
-            a = ask(book, i * SECOND, "a", i, i - 1, 6, 1_000, a);
-            b = ask(book, i * SECOND, "b", i, i - 1, 2, 1_000, b);
+            a = ask(table, i * SECOND, "a", i, i - 1, 6, 1_000, a);
+            b = ask(table, i * SECOND, "b", i, i - 1, 2, 1_000, b);
         }
         assertEquals(60, a, 1e-6);
         assertEquals(20, b, 1e-6);
-        assertEquals(8, book.held());
-        assertEquals(100, book.counted(10), 1e-6, "two that are in nobody's book count with their even parts");
+        assertEquals(8, table.held());
+        assertEquals(100, table.counted(10), 1e-6, "two routers without a holder count with their even shares");
     }
 
     @Test
-    void whatOneCellDoesNotWantTheOtherGets() {
-        LeaseBook book = new LeaseBook(LIMIT, ABOVE);
+    void unusedShareOfOneCellGoesToTheOther() {
+        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
         double a = 0;
         double b = 0;
         for (int i = 1; i < 40; i++) {
-            a = ask(book, i * SECOND, "a", i, i - 1, 6, 8, a);
-            b = ask(book, i * SECOND, "b", i, i - 1, 2, 1_000, b);
+            a = ask(table, i * SECOND, "a", i, i - 1, 6, 8, a);
+            b = ask(table, i * SECOND, "b", i, i - 1, 2, 1_000, b);
         }
         assertEquals(10, a, 1e-6);
         assertEquals(70, b, 1e-6);
     }
 
     @Test
-    void aCellCountsWithAsManyEvenPartsUntilItShowsItsLeaseAndWithWhatItsOwnBookCounts() {
-        LeaseBook book = new LeaseBook(LIMIT, ABOVE);
-        double a = ask(book, SECOND, "a", 1, 0, 6, 0, 0);
-        assertEquals(60, Math.max(a, book.countedOfHolders(10)), 1e-9, "it may not have heard of its grant");
-        ask(book, 2 * SECOND, "a", 2, 1, 6, 0, 35);
-        assertEquals(Math.max(35, a), book.countedOfHolders(10), 1e-9, "what its routers were lent lasts on");
-        double b = ask(book, 2 * SECOND, "b", 1, 0, 2, 1_000, 0);
+    void cellCountsWithItsEvenSharesUntilItConfirmsItsLeaseAndAtLeastWithWhatItHasGranted() {
+        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        double a = ask(table, SECOND, "a", 1, 0, 6, 0, 0);
+        assertEquals(60, Math.max(a, table.countedOfHolders(10)), 1e-9, "it may not have received its grant");
+        ask(table, 2 * SECOND, "a", 2, 1, 6, 0, 35);
+        assertEquals(Math.max(35, a), table.countedOfHolders(10), 1e-9, "leases granted to its routers stay in force");
+        double b = ask(table, 2 * SECOND, "b", 1, 0, 2, 1_000, 0);
         assertTrue(b <= 80 - Math.max(35, a) + 1e-9, () -> "b gets " + b);
     }
 
     @Test
-    void theLeastIsForEachRouterThatIsStoodFor() {
-        LeaseBook book = new LeaseBook(LIMIT, ABOVE);
-        ask(book, SECOND, "a", 1, 0, 5, 1_000, 95);
-        assertEquals(3, ask(book, SECOND, "b", 1, 0, 3, 1_000, 0), 1e-9, "a tenth of three even parts");
-        LeaseBook whole = new LeaseBook(WHOLE, ABOVE);
-        ask(whole, SECOND, "a", 1, 0, 5, 1_000, 95);
-        assertEquals(3, ask(whole, SECOND, "b", 1, 0, 3, 1_000, 0), 1e-9, "one each");
+    void minimumShareIsPerRepresentedRouter() {
+        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        ask(table, SECOND, "a", 1, 0, 5, 1_000, 95);
+        assertEquals(3, ask(table, SECOND, "b", 1, 0, 3, 1_000, 0), 1e-9, "a tenth of three even shares");
+        LeaseBook wholeNumberTable = new LeaseBook(WHOLE_NUMBER_LIMIT, UPPER_TIMES);
+        ask(wholeNumberTable, SECOND, "a", 1, 0, 5, 1_000, 95);
+        assertEquals(3, ask(wholeNumberTable, SECOND, "b", 1, 0, 3, 1_000, 0), 1e-9, "one for each router");
     }
 
     @Test
-    void anAskThatComesLateChangesNeitherWeightNorWish() {
-        LeaseBook book = new LeaseBook(LIMIT, ABOVE);
-        ask(book, SECOND, "a", 5, 0, 6, 50, 0);
-        assertEquals(-1, ask(book, SECOND, "a", 4, 0, 2, 0, 0));
-        assertEquals(6, book.held());
-        assertEquals(50, book.wanted(), 1e-9);
+    void lateRequestChangesNeitherRoutersNorDemand() {
+        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        ask(table, SECOND, "a", 5, 0, 6, 50, 0);
+        assertEquals(-1, ask(table, SECOND, "a", 4, 0, 2, 0, 0));
+        assertEquals(6, table.held());
+        assertEquals(50, table.wanted(), 1e-9);
     }
 
     @Test
-    void aShareMovesWithTheRoutersOfTheBookAndEndsForNewLeasesBeforeItEnds() {
-        CellShare share = new CellShare(LIMIT, ABOVE, TIMES.lease(), 0);
-        assertEquals(40, share.pool(SECOND, 4, 10), 1e-9, "without a lease the even parts of those in the book");
+    void shareFollowsTheRoutersInTheTableAndBacksNoRouterLeaseThatWouldOutlastIt() {
+        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
+        assertEquals(40, share.pool(SECOND, 4, 10), 1e-9, "without a lease, the even shares of the routers in the table");
         assertEquals(0, share.asks(SECOND, "k", 1, 7, 4));
         assertTrue(share.granted(SECOND, "k", 1, 7, 70));
         assertEquals(70, share.pool(SECOND, 4, 10), 1e-9);
-        assertEquals(60, share.pool(SECOND, 3, 10), 1e-9, "who fell out of the book takes its even part away");
-        assertEquals(80, share.pool(SECOND, 5, 10), 1e-9, "who came in brings it along");
-        long until = SECOND + ABOVE.lease();
+        assertEquals(60, share.pool(SECOND, 3, 10), 1e-9, "a router that left the table takes its even share away");
+        assertEquals(80, share.pool(SECOND, 5, 10), 1e-9, "a router that entered adds its even share");
+        long until = SECOND + UPPER_TIMES.lease();
         assertEquals(until, share.until());
         assertEquals(70, share.pool(until - TIMES.lease(), 4, 10), 1e-9);
         assertEquals(
                 40,
                 share.pool(until - TIMES.lease() + 1, 4, 10),
                 1e-9,
-                "a router's lease from now on would outlast it");
-        assertFalse(share.over(until + ABOVE.shrink() - 1));
-        assertTrue(share.over(until + ABOVE.shrink()));
+                "a router lease granted from now on would outlast the share");
+        assertFalse(share.over(until + UPPER_TIMES.shrink() - 1));
+        assertTrue(share.over(until + UPPER_TIMES.shrink()));
     }
 
     @Test
-    void aShareBelowTheEvenPartsStaysThereWhileOthersAreBroughtDown() {
-        CellShare share = new CellShare(LIMIT, ABOVE, TIMES.lease(), 0);
+    void expiredShareBelowTheEvenSharesStaysLowWhileOthersAreReduced() {
+        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         share.asks(SECOND, "k", 1, 7, 4);
         share.granted(SECOND, "k", 1, 7, 4);
         long until = share.until();
         assertEquals(4, share.pool(until, 4, 10), 1e-9);
-        assertEquals(4, share.pool(until + ABOVE.shrink() - 1, 4, 10), 1e-9);
-        assertEquals(40, share.pool(until + ABOVE.shrink(), 4, 10), 1e-9);
-        assertEquals(-1, share.asks(until + ABOVE.shrink() - 1, "other", 1, 8, 4), "another is asked only then");
-        assertEquals(0, share.asks(until + ABOVE.shrink(), "other", 1, 9, 4));
+        assertEquals(4, share.pool(until + UPPER_TIMES.shrink() - 1, 4, 10), 1e-9);
+        assertEquals(40, share.pool(until + UPPER_TIMES.shrink(), 4, 10), 1e-9);
+        assertEquals(-1, share.asks(until + UPPER_TIMES.shrink() - 1, "other", 1, 8, 4), "another grantor is asked only after the shrink time");
+        assertEquals(0, share.asks(until + UPPER_TIMES.shrink(), "other", 1, 9, 4));
     }
 
     @Test
-    void anOldGrantIsForAsManyAsWereAskedFor() {
-        CellShare share = new CellShare(LIMIT, ABOVE, TIMES.lease(), 0);
+    void grantIsForTheNumberOfRoutersInItsRequest() {
+        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         share.asks(SECOND, "k", 1, 7, 4);
         share.asks(SECOND + 1, "k", 1, 8, 6);
         assertTrue(share.granted(SECOND + 2, "k", 1, 7, 50));
-        assertEquals(70, share.pool(SECOND + 2, 6, 10), 1e-9, "asked for four, now six");
+        assertEquals(70, share.pool(SECOND + 2, 6, 10), 1e-9, "requested for four, now six");
         assertTrue(share.granted(SECOND + 3, "k", 1, 8, 50));
         assertEquals(50, share.pool(SECOND + 3, 6, 10), 1e-9);
-        assertFalse(share.granted(SECOND + 4, "k", 1, 7, 90), "an older one behind a newer one");
+        assertFalse(share.granted(SECOND + 4, "k", 1, 7, 90), "older grant after a newer one");
     }
 
     @Test
-    void aCellThatGrewCountsWithItsOlderGrantAndWhatTheNewerRoutersBroughtAlong() {
-        LeaseBook book = new LeaseBook(LIMIT, ABOVE);
+    void grownCellCountsWithItsOlderGrantPlusTheEvenSharesOfNewRouters() {
+        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
         double b = 0;
         for (int i = 1; i < 40; i++) {
-            ask(book, i * SECOND, "a", i, i - 1, 4, 0, 4);
-            b = ask(book, i * SECOND, "b", i, i - 1, 4, 1_000, b);
+            ask(table, i * SECOND, "a", i, i - 1, 4, 0, 4);
+            b = ask(table, i * SECOND, "b", i, i - 1, 4, 1_000, b);
         }
         double counted = b + 4;
-        assertEquals(counted, book.countedOfHolders(10), 1e-6, "a is lent the least, a tenth of four even parts");
-        ask(book, 40 * SECOND, "a", 40, 39, 5, 0, 4);
+        assertEquals(counted, table.countedOfHolders(10), 1e-6, "a holds the minimum, a tenth of four even shares");
+        ask(table, 40 * SECOND, "a", 40, 39, 5, 0, 4);
         assertEquals(
                 counted + 10,
-                book.countedOfHolders(10),
+                table.countedOfHolders(10),
                 1e-6,
-                "it lives by the grant for four until it hears of the last");
-        ask(book, 41 * SECOND, "a", 41, 40, 5, 0, 4);
-        assertEquals(counted + 1, book.countedOfHolders(10), 1e-6, "it shows that it lives by one for five");
-        ask(book, 42 * SECOND, "a", 42, 41, 3, 0, 4);
-        assertEquals(counted + 1, book.countedOfHolders(10), 1e-6, "fewer take nothing off an older grant");
+                "the grant for four is in force until the last one is received");
+        ask(table, 41 * SECOND, "a", 41, 40, 5, 0, 4);
+        assertEquals(counted + 1, table.countedOfHolders(10), 1e-6, "it confirms a grant for five");
+        ask(table, 42 * SECOND, "a", 42, 41, 3, 0, 4);
+        assertEquals(counted + 1, table.countedOfHolders(10), 1e-6, "fewer routers do not reduce an older grant");
     }
 
     private static final class Cell {
         final String name;
         int routers;
         final CellShare share;
-        final Deque<double[]> pools = new ArrayDeque<>(); // when it could lend how much
-        final Deque<double[]> lent = new ArrayDeque<>(); // when it did lend how much
-        double wanted;
-        int view;
+        final Deque<double[]> grantable = new ArrayDeque<>(); // {time, amount that it could grant}
+        final Deque<double[]> granted = new ArrayDeque<>(); // {time, amount that it did grant}
+        double demand;
+        int grantor; // index of the upper grantor that it asks
 
         Cell(int number, int routers) {
             this.name = "c" + number;
             this.routers = routers;
-            this.share = new CellShare(LIMIT, ABOVE, TIMES.lease(), 0);
+            this.share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         }
 
-        /** The most that its routers may spend now: what it could lend at any time within their leases. */
-        double counts(long now, int all) {
-            pools.add(new double[] {now, share.pool(now, routers, all)});
-            return most(pools, now);
+        /** Returns the most that its routers may spend now: what it could grant at any time within their lease duration. */
+        double maxSpend(long now, int allRouters) {
+            grantable.add(new double[] {now, share.pool(now, routers, allRouters)});
+            return max(grantable, now);
         }
 
-        /** Lends all that it may now. */
-        void lends(long now, int all) {
-            lent.add(new double[] {now, share.pool(now, routers, all)});
+        /** Grants all that it may now. */
+        void grantAll(long now, int allRouters) {
+            granted.add(new double[] {now, share.pool(now, routers, allRouters)});
         }
 
-        /** What its routers live by, as its own book counts them. */
+        /** Returns the sum of its routers' leases, as its own table counts them. */
         double counted(long now) {
-            return most(lent, now);
+            return max(granted, now);
         }
 
-        private static double most(Deque<double[]> since, long now) {
-            since.removeIf(p -> p[0] <= now - TIMES.lease());
-            return since.stream().mapToDouble(p -> p[1]).max().orElse(0);
+        private static double max(Deque<double[]> amounts, long now) {
+            amounts.removeIf(a -> a[0] <= now - TIMES.lease());
+            return amounts.stream().mapToDouble(a -> a[1]).max().orElse(0);
         }
     }
 
-    private record Flying(long at, Runnable what) {}
+    private record InFlight(long arrivesAt, Runnable delivery) {}
 
-    /** Cells with demand that jumps, two grantors above in dispute, asks and grants lost, late and doubled. */
+    /** Cells with abruptly changing demand and two competing upper grantors; requests and grants are lost, late and duplicated. */
     @Property(tries = 80, seed = "5301", shrinking = ShrinkingMode.OFF)
-    void whatAllCellsMayLendStaysWithinTheLimit(@ForAll long seed) {
+    void sumOfCellSharesStaysWithinTheLimit(@ForAll long seed) {
         Random random = new Random(seed);
         List<Cell> cells = new ArrayList<>();
         for (int i = 0; i < 2 + random.nextInt(4); i++) {
             cells.add(new Cell(i, 1 + random.nextInt(6)));
         }
-        int all = cells.stream().mapToInt(c -> c.routers).sum();
-        List<LeaseBook> books = List.of(new LeaseBook(LIMIT, ABOVE), new LeaseBook(LIMIT, ABOVE));
-        List<Flying> flying = new ArrayList<>();
-        long[] clock = {SECOND}; // when what is delivered comes
-        double most = 0;
+        int allRouters = cells.stream().mapToInt(c -> c.routers).sum();
+        List<LeaseBook> tables = List.of(new LeaseBook(LIMIT, UPPER_TIMES), new LeaseBook(LIMIT, UPPER_TIMES));
+        List<InFlight> inFlight = new ArrayList<>();
+        long[] clock = {SECOND}; // time of the current delivery
+        double highest = 0;
         long now = SECOND;
         for (int step = 1; step < 3_000; step++) {
             now += random.nextInt(200_000);
             clock[0] = now;
             if (random.nextInt(200) == 0) {
-                int to = random.nextInt(2);
-                cells.forEach(c -> c.view = random.nextInt(4) == 0 ? 1 - to : to);
+                int preferred = random.nextInt(2);
+                cells.forEach(c -> c.grantor = random.nextInt(4) == 0 ? 1 - preferred : preferred);
             }
-            for (Flying f : List.copyOf(flying)) {
-                if (f.at() <= now) {
-                    flying.remove(f);
-                    f.what().run();
+            for (InFlight message : List.copyOf(inFlight)) {
+                if (message.arrivesAt() <= now) {
+                    inFlight.remove(message);
+                    message.delivery().run();
                 }
             }
-            Cell c = cells.get(random.nextInt(cells.size()));
+            Cell cell = cells.get(random.nextInt(cells.size()));
             if (random.nextInt(40) == 0) {
-                c.wanted = random.nextInt(3) == 0 ? 0 : random.nextDouble() * 150;
+                cell.demand = random.nextInt(3) == 0 ? 0 : random.nextDouble() * 150;
             }
             long number = step;
-            LeaseBook book = books.get(c.view);
-            String grantor = "k" + c.view;
-            long holds = c.share.asks(now, grantor, 1, number, c.routers);
+            LeaseBook table = tables.get(cell.grantor);
+            String grantor = "k" + cell.grantor;
+            long holds = cell.share.asks(now, grantor, 1, number, cell.routers);
             if (holds >= 0 && random.nextInt(4) > 0) {
-                double inUse = c.counts(now, all);
-                double wanted = c.wanted;
-                Runnable ask = () -> {
-                    long came = clock[0];
-                    double part = book.ask(
-                            came,
-                            new LeaseBook.Asker(c.name, 1, number, holds, c.routers),
-                            wanted,
+                double inUse = cell.maxSpend(now, allRouters);
+                double demand = cell.demand;
+                Runnable request = () -> {
+                    long receivedAt = clock[0];
+                    double share = table.ask(
+                            receivedAt,
+                            new LeaseBook.Asker(cell.name, 1, number, holds, cell.routers),
+                            demand,
                             inUse,
-                            all,
-                            held -> held * LIMIT.evenPart(all));
-                    if (part >= 0 && random.nextInt(4) > 0) {
-                        long back = came + random.nextInt(900_000);
-                        flying.add(new Flying(back, () -> c.share.granted(clock[0], grantor, 1, number, part)));
+                            allRouters,
+                            held -> held * LIMIT.evenPart(allRouters));
+                    if (share >= 0 && random.nextInt(4) > 0) {
+                        long grantArrivesAt = receivedAt + random.nextInt(900_000);
+                        inFlight.add(new InFlight(grantArrivesAt, () -> cell.share.granted(clock[0], grantor, 1, number, share)));
                     }
                 };
-                flying.add(new Flying(now + random.nextInt(900_000), ask));
+                inFlight.add(new InFlight(now + random.nextInt(900_000), request));
                 if (random.nextInt(5) == 0) {
-                    flying.add(new Flying(now + random.nextInt(3_000_000), ask));
+                    inFlight.add(new InFlight(now + random.nextInt(3_000_000), request));
                 }
             }
             double sum = 0;
-            for (Cell one : cells) {
-                sum += one.counts(now, all);
+            for (Cell each : cells) {
+                sum += each.maxSpend(now, allRouters);
             }
-            most = Math.max(most, sum);
-            assertTrue(sum <= 100 * (1 + 1e-9), "the cells may lend " + sum + " of 100");
+            highest = Math.max(highest, sum);
+            assertTrue(sum <= 100 * (1 + 1e-9), "the cells may grant " + sum + " of 100");
         }
-        assertTrue(most > 80, "they were lent something");
+        assertTrue(highest > 80, "the cells were granted most of the limit");
     }
 
     /**
-     * One cell that is joined by routers which held nothing and one that takes what is left, before one grantor: asks and
-     * grants get lost and come late, and the cell lends when it likes, also between an ask and its answer.
+     * One cell that routers without leases join and one that demands all the rest, with one grantor. Requests and grants
+     * are lost and late, and the cells grant leases at random times, also between a request and its answer.
      */
     @Property(tries = 200, seed = "5302", shrinking = ShrinkingMode.OFF)
-    void whatAGrowingCellMayLendStaysWithinTheLimit(@ForAll long seed) {
+    void sumOfGrantsStaysWithinTheLimitWhileACellGrows(@ForAll long seed) {
         Random random = new Random(seed);
-        int all = 12;
-        Cell grows = new Cell(0, 1 + random.nextInt(3));
+        int allRouters = 12;
+        Cell growing = new Cell(0, 1 + random.nextInt(3));
         Cell other = new Cell(1, 2 + random.nextInt(3));
-        other.wanted = 1_000;
-        int outside = all - grows.routers - other.routers;
-        LeaseBook book = new LeaseBook(LIMIT, ABOVE);
-        List<Flying> flying = new ArrayList<>();
+        other.demand = 1_000;
+        int outside = allRouters - growing.routers - other.routers;
+        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        List<InFlight> inFlight = new ArrayList<>();
         long[] clock = {SECOND};
         long now = SECOND;
-        double most = 0;
+        double highest = 0;
         for (int step = 1; step < 1_500; step++) {
             now += random.nextInt(200_000);
             clock[0] = now;
-            for (Flying f : List.copyOf(flying)) {
-                if (f.at() <= now) {
-                    flying.remove(f);
-                    f.what().run();
+            for (InFlight message : List.copyOf(inFlight)) {
+                if (message.arrivesAt() <= now) {
+                    inFlight.remove(message);
+                    message.delivery().run();
                 }
             }
             if (outside > 0 && random.nextInt(150) == 0) {
                 outside--;
-                grows.routers++;
+                growing.routers++;
             }
             if (random.nextInt(60) == 0) {
-                grows.wanted = random.nextBoolean() ? 0 : random.nextDouble() * 150;
+                growing.demand = random.nextBoolean() ? 0 : random.nextDouble() * 150;
             }
-            Cell c = random.nextBoolean() ? grows : other;
+            Cell cell = random.nextBoolean() ? growing : other;
             if (random.nextInt(3) == 0) {
-                c.lends(now, all);
+                cell.grantAll(now, allRouters);
             }
             if (random.nextInt(4) == 0) {
                 long number = step;
-                int routers = c.routers;
-                double inUse = c.counted(now);
-                double wanted = c.wanted;
-                long holds = c.share.asks(now, "k", 1, number, routers);
+                int routers = cell.routers;
+                double inUse = cell.counted(now);
+                double demand = cell.demand;
+                long holds = cell.share.asks(now, "k", 1, number, routers);
                 if (random.nextInt(4) > 0) {
-                    flying.add(new Flying(now + random.nextInt(500_000), () -> {
-                        double part = book.ask(
+                    inFlight.add(new InFlight(now + random.nextInt(500_000), () -> {
+                        double share = table.ask(
                                 clock[0],
-                                new LeaseBook.Asker(c.name, 1, number, holds, routers),
-                                wanted,
+                                new LeaseBook.Asker(cell.name, 1, number, holds, routers),
+                                demand,
                                 inUse,
-                                all,
-                                held -> held * LIMIT.evenPart(all));
-                        if (part >= 0 && random.nextInt(4) > 0) {
-                            flying.add(new Flying(
+                                allRouters,
+                                held -> held * LIMIT.evenPart(allRouters));
+                        if (share >= 0 && random.nextInt(4) > 0) {
+                            inFlight.add(new InFlight(
                                     clock[0] + random.nextInt(500_000),
-                                    () -> c.share.granted(clock[0], "k", 1, number, part)));
+                                    () -> cell.share.granted(clock[0], "k", 1, number, share)));
                         }
                     }));
                 }
             }
-            double sum = grows.counted(now) + other.counted(now) + outside * LIMIT.evenPart(all);
-            most = Math.max(most, sum);
-            assertTrue(sum <= 100 * (1 + 1e-9), "the cells have lent " + sum + " of 100");
+            double sum = growing.counted(now) + other.counted(now) + outside * LIMIT.evenPart(allRouters);
+            highest = Math.max(highest, sum);
+            assertTrue(sum <= 100 * (1 + 1e-9), "the cells have granted " + sum + " of 100");
         }
-        assertTrue(most > 80, "they were lent something");
+        assertTrue(highest > 80, "the cells were granted most of the limit");
     }
 }
--- a/src/test/java/pumicemoor/fleet/verdicts/VerdictTableTest.java
+++ b/src/test/java/pumicemoor/fleet/verdicts/EjectionTableTest.java
@@ -13,37 +13,37 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
 
-/** Versions order verdicts, not the time at which they come. */
-class VerdictTableTest {
+/** Checks that versions order ejections, not the times at which they arrive. */
+class EjectionTableTest {
 
-    private static Ejection verdict(long version, boolean failing) {
+    private static Ejection ejection(long version, boolean failing) {
         return new Ejection(7, 0, version, failing, 1_000, 2, Cause.SILENT, 2, 0.5, "router-1");
     }
 
     @Property(tries = 200, seed = "21")
-    void whateverTheOrderTheNewestStands(@ForAll long seed) {
+    void newestVersionWinsInAnyOrderOfArrival(@ForAll long seed) {
         List<Ejection> all = new java.util.ArrayList<>(LongStream.rangeClosed(1, 9)
-                .mapToObj(v -> verdict(v, v % 2 == 0))
+                .mapToObj(version -> ejection(version, version % 2 == 0))
                 .toList());
         all.addAll(all);
         Collections.shuffle(all, new Random(seed));
         EjectionTable table = new EjectionTable();
         long newest = 0;
-        for (Ejection v : all) {
-            assertEquals(v.version() > newest, table.take(10, v, 5_000));
-            newest = Math.max(newest, v.version());
+        for (Ejection ejection : all) {
+            assertEquals(ejection.version() > newest, table.take(10, ejection, 5_000));
+            newest = Math.max(newest, ejection.version());
             assertEquals(newest, table.on(7).verdict().version());
         }
-        assertTrue(table.standing(10).isEmpty(), "version 9 lifts it");
+        assertTrue(table.standing(10).isEmpty(), "version 9 withdraws the ejection");
     }
 
     @Test
-    void itEndsByItselfAndOneThatStandsTooLongIsNotTaken() {
+    void ejectionExpiresAndOneThatLastsTooLongIsRejected() {
         EjectionTable table = new EjectionTable();
-        assertFalse(table.take(0, verdict(4, true), 999), "longer than any verdict stands");
-        assertTrue(table.take(0, verdict(4, true), 1_000));
+        assertFalse(table.take(0, ejection(4, true), 999), "lasts longer than the maximum");
+        assertTrue(table.take(0, ejection(4, true), 1_000));
         assertEquals(1, table.standing(999).size());
         assertTrue(table.standing(1_000).isEmpty());
-        assertFalse(table.take(1_000, verdict(4, true), 1_000), "its own version again");
+        assertFalse(table.take(1_000, ejection(4, true), 1_000), "same version again");
     }
 }
