--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -32,70 +32,71 @@
 import pumicemoor.fleet.membership.RouterRecord;
 
 /**
- * One router's part in a fleet of cells: the level of its cell, and the level of all cells' delegates where it is one.
- * It owns which cell that is (the root's name, and how many bits of the hash of a router's name tell its parts apart),
- * when a cell is split, who is a delegate, and how routers of a cell find one another. What is lent, judged and voted is
- * decided by the two levels; no bound of theirs rests on agreement about cells.
+ * A router's participation in a fleet that is divided into cells: it runs the level of its own cell and, while it is a
+ * delegate, the upper level that the delegates of all cells form. It owns the choice of the cell (a root's name, and how
+ * many leading bits of the hash of a router's name separate the root's cells), the split of a cell that is too large, the
+ * choice of delegates, and the discovery of the other routers of a cell. Leases, ejections and votes are decided by the
+ * two levels; none of their bounds relies on routers agreeing about cells.
  */
 public final class CellFleet implements FleetParticipant {
 
-    /** Cells' periods between delegates: the way between regions is longer. */
+    /** The gossip period of the upper level in periods of a cell: packets between regions take longer. */
     public static final int UPPER_PERIOD = 5;
 
-    private static final int UPPER_MOST = 8_192; // delegates in the table
-    private static final int SETTLING = 24; // periods in a cell before a router counts itself among its delegates
-    private static final int OVER = 10; // periods that a cell is over its bound before it is split
-    private static final int MOVING = 2; // leases, from the first word of a split until its grantor itself moves
-    private static final int TOLD = 16; // routers that are told of a split, a period
-    private static final int FIRST_WAIT = 2; // periods until a join is sent again, doubled each time
-    private static final int LAST_WAIT = 64; // periods, between joins that only look for what was missed
-    private static final int JOINS = 64; // answered or passed on, a period
-    private static final int OPEN_JOINS = 16; // whose answers are taken
+    private static final int MAX_UPPER_ROUTERS = 8_192; // delegates in the membership table of the upper level
+    private static final int SETTLING_PERIODS = 24; // in a cell before a router may become a delegate or split the cell
+    private static final int OVERSIZE_PERIODS = 10; // that a cell is over its bound before it is split
+    private static final int MOVE_DELAY_LEASES = 2; // from the first message of a split until the grantor itself moves
+    private static final int SPLIT_MESSAGES_PER_PERIOD = 16;
+    private static final int FIRST_JOIN_WAIT_PERIODS = 2; // until a join is sent again, doubled each time
+    private static final int LAST_JOIN_WAIT_PERIODS = 64; // between joins that only look for routers that were missed
+    private static final int MAX_JOINS_PER_PERIOD = 64; // answered or forwarded
+    private static final int MAX_OPEN_JOINS = 16; // whose answers are accepted
 
     private final FleetSetup setup;
-    private final CellSetup cells;
+    private final CellSetup cellSetup;
     private final String name;
     private final String address;
-    private final long period;
+    private final long period; // of the cell, microseconds
     private final long instance;
     private final Random random;
-    private final PacketCodec joins;
+    private final PacketCodec joinCodec;
     private final List<String> cellSeeds = new ArrayList<>();
     private final List<String> upperSeeds = new ArrayList<>();
     private final List<Datagram> outbox = new ArrayList<>();
-    private final List<LogEvent> notices = new ArrayList<>();
+    private final List<LogEvent> logEvents = new ArrayList<>();
     private final Deque<Long> openJoins = new ArrayDeque<>();
     private final Map<String, Long> dropped = new TreeMap<>();
     private Map<Long, Listed> members = Map.of();
     private Fleet cell;
-    private Fleet upper; // null for none: this router is no delegate
-    private int depth;
-    private int wantedDepth; // over depth where the cell is being split
+    private Fleet upper; // null unless this router is a delegate
+    private int depth; // bits of the hash that identify the cell
+    private int targetDepth; // greater than depth while the cell is being split
     private long now;
     private long inCellSince;
     private long checkAt;
     private long joinAt;
-    private int joinWait = FIRST_WAIT;
-    private int seed;
-    private long number;
+    private int joinWait = FIRST_JOIN_WAIT_PERIODS; // periods
+    private int nextSeed;
+    private long lastNumber; // of the packets sent
     private int joinsTaken;
-    private int told;
-    private long overSince = Long.MAX_VALUE;
+    private int splitMessages;
+    private long oversizeSince = Long.MAX_VALUE;
     private long moveAt = Long.MAX_VALUE;
-    private long sent;
-    private long sentBytes;
-    private long heard;
+    private long packetsSent;
+    private long bytesSent;
+    private long packetsReceived;
 
-    /** Starts at this time (Unix microseconds); the setup has cells. */
-    public CellFleet(FleetSetup setup, long time, long seed) {
+    /** Starts the participation at this time (Unix microseconds); the setup must have cells. */
+    public CellFleet(FleetSetup setup, long time, long randomSeed) {
         this.setup = setup;
-        this.cells = setup.cells().orElseThrow();
+        this.cellSetup = setup.cells().orElseThrow();
         this.name = setup.membership().name();
         this.address = setup.membership().address();
         this.period = setup.membership().period();
-        this.random = new Random(seed);
+        this.random = new Random(randomSeed);
         this.instance = Math.max(1, (time / 1_000 << 20) | random.nextInt(1 << 20));
-        this.joins = new PacketCodec(setup.cluster() + "/join");
+        this.joinCodec = new PacketCodec(setup.cluster() + "/join");
         this.now = time;
         this.inCellSince = time;
         this.checkAt = time + 1 + (long) (random.nextDouble() * period);
@@ -103,11 +104,11 @@
         this.cell = newCell();
     }
 
-    // ---- names ----------------------------------------------------------------------------------------
+    // ---- names ---------------------------------------------------------------------------------------
 
-    /** A router's name as it stands behind its root's on the level above: cut to a hash where both are too long. */
+    /** Returns what follows the root in a router's name on the upper level: its own name, or a hash if both are too long. */
     private String label(String router) {
-        return cells.root().length() + 1 + router.length() <= PacketCodec.LONGEST_NAME
+        return cellSetup.root().length() + 1 + router.length() <= PacketCodec.LONGEST_NAME
                 ? router
                 : Long.toHexString(Hashes.of(router));
     }
@@ -120,32 +121,41 @@
         return upperName.substring(upperName.indexOf('.') + 1);
     }
 
-    private static int common(String label, String other) {
+    private static int commonPrefixBits(String label, String other) {
         return Long.numberOfLeadingZeros(Hashes.of(label) ^ Hashes.of(other));
     }
 
-    private boolean shares(String router, int bits) {
-        return common(label(router), label(name)) >= bits;
+    private boolean sharesPrefix(String router, int bits) {
+        return commonPrefixBits(label(router), label(name)) >= bits;
     }
 
-    private String bits(int count) {
-        StringBuilder bits = new StringBuilder();
-        for (int i = 0; i < count; i++) {
-            bits.append(Hashes.of(label(name)) >>> (63 - i) & 1);
+    private String hashPrefix(int bits) {
+        StringBuilder prefix = new StringBuilder();
+        for (int i = 0; i < bits; i++) {
+            prefix.append(Hashes.of(label(name)) >>> (63 - i) & 1);
         }
-        return bits.toString();
+        return prefix.toString();
     }
 
-    /** The name of this router's cell: its root, and the bits that tell the cell from the root's others. */
+    /** Returns the name of this router's cell: its root, and the bits that tell the cell from the root's other cells. */
     public String cellName() {
-        return depth == 0 ? cells.root() : cells.root() + "/" + bits(depth);
+        return depth == 0 ? cellSetup.root() : cellSetup.root() + "/" + hashPrefix(depth);
     }
 
-    private FleetSetup level(String cluster, String as, List<String> seeds, long every, int most) {
-        Membership.Setup m = setup.membership();
+    private FleetSetup levelSetup(
+            String cluster, String nameThere, List<String> seeds, long periodMicros, int maxRouters) {
+        Membership.Setup membership = setup.membership();
         return new FleetSetup(
                 cluster,
-                new Membership.Setup(as, address, seeds, every, m.indirect(), m.fanout(), m.remember(), most),
+                new Membership.Setup(
+                        nameThere,
+                        address,
+                        seeds,
+                        periodMicros,
+                        membership.indirect(),
+                        membership.fanout(),
+                        membership.remember(),
+                        maxRouters),
                 setup.size(),
                 setup.times(),
                 setup.limits(),
@@ -154,14 +164,14 @@
 
     private Fleet newCell() {
         return Fleet.ofCell(
-                level(setup.cluster() + "/" + cellName(), name, cellSeeds, period, 4 * cells.most() + 64),
-                setup.cluster() + "/" + cells.root(),
+                levelSetup(setup.cluster() + "/" + cellName(), name, cellSeeds, period, 4 * cellSetup.most() + 64),
+                setup.cluster() + "/" + cellSetup.root(),
                 now,
                 random.nextLong(),
                 instance);
     }
 
-    // ---- what comes in --------------------------------------------------------------------------------
+    // ---- input ---------------------------------------------------------------------------------------
 
     @Override
     public void receive(long time, byte[] bytes) {
@@ -169,22 +179,22 @@
         long cluster = PacketCodec.cluster(bytes);
         if (upper != null && cluster == upper.cluster()) {
             upper.receive(now, bytes);
-        } else if (cluster == joins.cluster()) {
-            heardJoin(bytes);
+        } else if (cluster == joinCodec.cluster()) {
+            receiveDiscovery(bytes);
         } else {
             cell.receive(now, bytes);
         }
-        meet();
+        exchangeLevels();
     }
 
-    private void meet() {
+    private void exchangeLevels() {
         if (upper != null) {
             cell.meet(now, upper);
         }
     }
 
-    private void drop(String what) {
-        dropped.merge(what, 1L, Long::sum);
+    private void countDropped(String reason) {
+        dropped.merge(reason, 1L, Long::sum);
     }
 
     @Override
@@ -198,14 +208,14 @@
     }
 
     @Override
-    public void reportDemand(LimitDemand wanted) {
-        cell.reportDemand(wanted);
+    public void reportDemand(LimitDemand demand) {
+        cell.reportDemand(demand);
     }
 
     @Override
-    public void reportHealth(long time, MemberHealthReport judged) {
+    public void reportHealth(long time, MemberHealthReport report) {
         now = Math.max(now, time);
-        cell.reportHealth(now, judged);
+        cell.reportHealth(now, report);
     }
 
     @Override
@@ -217,7 +227,7 @@
         }
     }
 
-    // ---- time -----------------------------------------------------------------------------------------
+    // ---- time ----------------------------------------------------------------------------------------
 
     @Override
     public long nextDue() {
@@ -232,28 +242,31 @@
         if (upper != null) {
             upper.advance(now);
         }
-        meet();
+        exchangeLevels();
         if (now >= checkAt) {
             checkAt = now + period;
             joinsTaken = 0;
-            delegate();
-            split();
-            join();
+            updateDelegateRole();
+            advanceSplit();
+            sendJoinIfDue();
         }
     }
 
-    /** Becomes a delegate or ceases to be one: not before the cell is known, nor while its shares can be counted on. */
-    private void delegate() {
-        boolean settled = now >= inCellSince + SETTLING * period;
-        boolean among = cell.among(cells.delegates());
-        if (upper == null && settled && among) {
+    /**
+     * Becomes a delegate or ceases to be one. Both wait until this router has been in its cell for the settling time, and
+     * it ceases only once no share that it leased for the cell can be counted on any more.
+     */
+    private void updateDelegateRole() {
+        boolean settled = now >= inCellSince + SETTLING_PERIODS * period;
+        boolean chosen = cell.among(cellSetup.delegates());
+        if (upper == null && settled && chosen) {
             upper = Fleet.ofDelegates(
-                    level(
+                    levelSetup(
                             setup.cluster() + "/^",
-                            cells.root() + "." + label(name),
+                            cellSetup.root() + "." + label(name),
                             upperSeeds,
                             UPPER_PERIOD * period,
-                            UPPER_MOST),
+                            MAX_UPPER_ROUTERS),
                     now,
                     random.nextLong(),
                     instance,
@@ -261,77 +274,78 @@
             upper.updateMembers(now, members);
             cell.setAbove(upper);
             joinAt = now;
-            joinWait = FIRST_WAIT;
-            notice("this router is a delegate of cell " + cellName(), Map.of("cell", cellName(), "delegate", true));
-        } else if (upper != null && settled && !among && upper.sharesOver(now)) {
+            joinWait = FIRST_JOIN_WAIT_PERIODS;
+            log("this router is a delegate of cell " + cellName(), Map.of("cell", cellName(), "delegate", true));
+        } else if (upper != null && settled && !chosen && upper.sharesOver(now)) {
             upper.leave(now);
-            fetch(upper);
+            collectOutput(upper);
             cell.setAbove(null);
             upper = null;
-            notice(
+            log(
                     "this router is no delegate of cell " + cellName() + " any more",
                     Map.of("cell", cellName(), "delegate", false));
         }
     }
 
-    private void notice(String text, Map<String, Object> figures) {
-        notices.add(new LogEvent(text, figures));
+    private void log(String text, Map<String, Object> fields) {
+        logEvents.add(new LogEvent(text, fields));
     }
 
-    private void fetch(Fleet level) {
+    private void collectOutput(Fleet level) {
         outbox.addAll(level.takePackets());
-        notices.addAll(level.takeLogEvents());
+        logEvents.addAll(level.takeLogEvents());
     }
 
-    // ---- splits ---------------------------------------------------------------------------------------
+    // ---- splits --------------------------------------------------------------------------------------
 
-    /** The grantor of a cell over its bound tells its routers, round by round, and moves last. */
-    private void split() {
+    /** As the grantor of a cell over its bound, tells some of its routers of the split each period, and moves last. */
+    private void advanceSplit() {
         if (!cell.grants()) {
-            overSince = Long.MAX_VALUE;
+            oversizeSince = Long.MAX_VALUE;
             moveAt = Long.MAX_VALUE;
-            wantedDepth = depth;
+            targetDepth = depth;
             return;
         }
         List<RouterRecord> living = cell.living();
-        boolean over = living.size() + 1 > cells.most() && depth < PacketCodec.MOST_DEPTH;
-        overSince = over ? Math.min(overSince, now) : Long.MAX_VALUE;
-        if (over
-                && wantedDepth == depth
-                && now >= inCellSince + SETTLING * period
-                && now - overSince >= OVER * period) {
-            wantedDepth = Math.min(PacketCodec.MOST_DEPTH, depth + bitsFor(living.size() + 1));
-            notice(
-                    "cell " + cellName() + " is split: it has " + (living.size() + 1) + " routers of " + cells.most(),
-                    Map.of("cell", cellName(), "routers", living.size() + 1, "depth", wantedDepth));
-        }
-        if (wantedDepth <= depth) {
+        boolean oversize = living.size() + 1 > cellSetup.most() && depth < PacketCodec.MOST_DEPTH;
+        oversizeSince = oversize ? Math.min(oversizeSince, now) : Long.MAX_VALUE;
+        if (oversize
+                && targetDepth == depth
+                && now >= inCellSince + SETTLING_PERIODS * period
+                && now - oversizeSince >= OVERSIZE_PERIODS * period) {
+            targetDepth = Math.min(PacketCodec.MOST_DEPTH, depth + bitsFor(living.size() + 1));
+            log(
+                    "cell " + cellName() + " is being split: it has " + (living.size() + 1) + " routers, over the bound of "
+                            + cellSetup.most(),
+                    Map.of("cell", cellName(), "routers", living.size() + 1, "depth", targetDepth));
+        }
+        if (targetDepth <= depth) {
             return;
         }
         if (moveAt == Long.MAX_VALUE) {
-            moveAt = now + MOVING * setup.times().lease();
+            moveAt = now + MOVE_DELAY_LEASES * setup.times().lease();
         }
-        for (int i = 0; i < Math.min(TOLD, living.size()); i++) {
-            send(living.get(told++ % living.size()).address(), new Place(0, wantedDepth, List.of(), List.of()));
+        for (int i = 0; i < Math.min(SPLIT_MESSAGES_PER_PERIOD, living.size()); i++) {
+            send(living.get(splitMessages++ % living.size()).address(), new Place(0, targetDepth, List.of(), List.of()));
         }
         if (now >= moveAt || living.isEmpty()) {
-            move(wantedDepth, List.of());
+            moveToDepth(targetDepth, List.of());
         }
     }
 
-    /** By how many bits so many routers are told apart until no part is over the bound, as far as hashes are even. */
+    /** Returns how many more bits split this many routers into cells within the bound, if the hashes spread them evenly. */
     private int bitsFor(int routers) {
         int bits = 1;
-        while (routers >> bits > cells.most()) {
+        while (routers >> bits > cellSetup.most()) {
             bits++;
         }
         return bits;
     }
 
-    /** Goes to the part of its cell that shares so many bits; the leases and books stay, for they name processes. */
-    private void move(int to, List<String> seeds) {
+    /** Moves to the cell of this depth; leases and lease tables are kept, since they identify processes and not cells. */
+    private void moveToDepth(int newDepth, List<String> seeds) {
         List<String> known = new ArrayList<>(cell.living().stream()
-                .filter(n -> shares(n.name(), to))
+                .filter(n -> sharesPrefix(n.name(), newDepth))
                 .map(RouterRecord::address)
                 .toList());
         Collections.shuffle(known, random);
@@ -339,143 +353,144 @@
         cellSeeds.clear();
         cellSeeds.addAll(seeds);
         cellSeeds.addAll(known.subList(0, Math.min(PacketCodec.PLACES, known.size())));
-        depth = to;
-        wantedDepth = to;
+        depth = newDepth;
+        targetDepth = newDepth;
         inCellSince = now;
-        overSince = Long.MAX_VALUE;
+        oversizeSince = Long.MAX_VALUE;
         moveAt = Long.MAX_VALUE;
-        joinAt = now + FIRST_WAIT * period;
-        joinWait = FIRST_WAIT;
+        joinAt = now + FIRST_JOIN_WAIT_PERIODS * period;
+        joinWait = FIRST_JOIN_WAIT_PERIODS;
         old.leave(now);
-        fetch(old);
+        collectOutput(old);
         cell = newCell();
         cell.succeed(old);
         if (upper != null) {
             cell.setAbove(upper);
             upper.setBelow(cell);
         }
-        notice("this router is in cell " + cellName() + " now", Map.of("cell", cellName(), "depth", depth));
+        log("this router is in cell " + cellName() + " now", Map.of("cell", cellName(), "depth", depth));
     }
 
-    // ---- finding one another --------------------------------------------------------------------------
+    // ---- discovery -----------------------------------------------------------------------------------
 
-    private boolean lonely() {
+    private boolean isIsolated() {
         return cell.living().isEmpty() || upper != null && upper.living().isEmpty();
     }
 
-    /** Asks the seeds in turn for its cell while it knows nobody, and now and then for what was missed. */
-    private void join() {
-        if (lonely() && joinWait == LAST_WAIT) {
-            joinWait = LAST_WAIT / 2;
+    /** Sends a join when due: often to the seeds in turn while it knows no other router, rarely to find missed routers. */
+    private void sendJoinIfDue() {
+        if (isIsolated() && joinWait == LAST_JOIN_WAIT_PERIODS) {
+            joinWait = LAST_JOIN_WAIT_PERIODS / 2;
         }
         if (now < joinAt) {
             return;
         }
         joinAt = now + (long) (joinWait * period * (0.5 + random.nextDouble()));
-        joinWait = lonely() ? Math.min(LAST_WAIT / 2, 2 * joinWait) : LAST_WAIT;
-        if (!lonely() && !cell.grants()) {
+        joinWait = isIsolated() ? Math.min(LAST_JOIN_WAIT_PERIODS / 2, 2 * joinWait) : LAST_JOIN_WAIT_PERIODS;
+        if (!isIsolated() && !cell.grants()) {
             return;
         }
         List<String> seeds = setup.membership().seeds();
         if (!seeds.isEmpty()) {
-            ask(seeds.get(Math.floorMod(seed++, seeds.size())));
+            sendJoin(seeds.get(Math.floorMod(nextSeed++, seeds.size())));
         }
         if (upper != null) {
-            nearest(label(name), -1, cell.living()).ifPresent(n -> ask(n.address()));
+            nearestDelegate(label(name), -1, cell.living()).ifPresent(n -> sendJoin(n.address()));
         }
     }
 
-    private void ask(String to) {
+    private void sendJoin(String to) {
         if (!to.equals(address)) {
-            openJoins.add(send(to, new Join(cells.root(), depth, 0)));
-            if (openJoins.size() > OPEN_JOINS) {
+            openJoins.add(send(to, new Join(cellSetup.root(), depth, 0)));
+            if (openJoins.size() > MAX_OPEN_JOINS) {
                 openJoins.remove();
             }
         }
     }
 
-    /** Of the delegates of this root the one that shares the longest prefix with a router, longer than some bits. */
-    private Optional<RouterRecord> nearest(String router, int bits, List<RouterRecord> without) {
-        return nearest(cells.root(), router, bits, without);
+    /** Returns the delegate of this root with the longest hash prefix in common with a router, if longer than minBits. */
+    private Optional<RouterRecord> nearestDelegate(String routerLabel, int minBits, List<RouterRecord> excluded) {
+        return nearestDelegate(cellSetup.root(), routerLabel, minBits, excluded);
     }
 
-    private Optional<RouterRecord> nearest(String root, String router, int bits, List<RouterRecord> without) {
+    private Optional<RouterRecord> nearestDelegate(
+            String root, String routerLabel, int minBits, List<RouterRecord> excluded) {
         return upper.living().stream()
                 .filter(n -> rootOf(n.name()).equals(root)
-                        && common(labelOf(n.name()), router) > bits
-                        && without.stream().noneMatch(c -> c.address().equals(n.address())))
-                .max(Comparator.comparingInt(n -> common(labelOf(n.name()), router)));
+                        && commonPrefixBits(labelOf(n.name()), routerLabel) > minBits
+                        && excluded.stream().noneMatch(c -> c.address().equals(n.address())))
+                .max(Comparator.comparingInt(n -> commonPrefixBits(labelOf(n.name()), routerLabel)));
     }
 
     private long send(String to, Body body) {
-        put(to, new Packet(cell.self(), ++number, body, List.of(), List.of()));
-        return number;
+        enqueue(to, new Packet(cell.self(), ++lastNumber, body, List.of(), List.of()));
+        return lastNumber;
     }
 
-    private void put(String to, Packet packet) {
-        byte[] bytes = joins.write(packet);
-        sent++;
-        sentBytes += bytes.length;
+    private void enqueue(String to, Packet packet) {
+        byte[] bytes = joinCodec.write(packet);
+        packetsSent++;
+        bytesSent += bytes.length;
         outbox.add(new Datagram(to, bytes));
     }
 
-    private void heardJoin(byte[] bytes) {
+    private void receiveDiscovery(byte[] bytes) {
         Packet packet;
         try {
-            packet = joins.read(bytes, Membership.lastIncarnation(now));
+            packet = joinCodec.read(bytes, Membership.lastIncarnation(now));
         } catch (BadPacketException e) {
-            drop(e.getMessage().toLowerCase(java.util.Locale.ROOT));
+            countDropped(e.getMessage().toLowerCase(java.util.Locale.ROOT));
             return;
         }
-        heard++;
-        if (packet.from().name().equals(name) || ++joinsTaken > JOINS) {
-            drop(packet.from().name().equals(name) ? "duplicate-names" : "joins-limited");
-        } else if (packet.body() instanceof Join j) {
-            joins(packet, j);
-        } else if (packet.body() instanceof Place p) {
-            placed(packet.from(), p);
+        packetsReceived++;
+        if (packet.from().name().equals(name) || ++joinsTaken > MAX_JOINS_PER_PERIOD) {
+            countDropped(packet.from().name().equals(name) ? "duplicate-names" : "joins-limited");
+        } else if (packet.body() instanceof Join join) {
+            receiveJoin(packet, join);
+        } else if (packet.body() instanceof Place place) {
+            receivePlace(packet.from(), place);
         }
     }
 
-    private void joins(Packet packet, Join j) {
+    private void receiveJoin(Packet packet, Join join) {
         RouterRecord from = packet.from();
-        if (j.root().equals(cells.root()) && shares(from.name(), depth)) {
+        if (join.root().equals(cellSetup.root()) && sharesPrefix(from.name(), depth)) {
             List<String> known = new ArrayList<>(
                     cell.living().stream().map(RouterRecord::address).toList());
             Collections.shuffle(known, random);
             known.add(0, address);
-            put(
+            enqueue(
                     from.address(),
                     new Packet(
                             cell.self(),
-                            ++number,
+                            ++lastNumber,
                             new Place(
                                     packet.number(),
                                     depth,
                                     known.subList(0, Math.min(PacketCodec.PLACES, known.size())),
-                                    delegates()),
+                                    delegateAddresses()),
                             List.of(),
                             List.of()));
-            if (j.depth() > depth) {
-                wantedDepth = Math.max(wantedDepth, depth + 1); // the deeper one stays: cells are never joined again
+            if (join.depth() > depth) {
+                targetDepth = Math.max(targetDepth, depth + 1); // the deeper cell wins: cells are never merged
             }
             return;
         }
-        if (j.hops() < PacketCodec.MOST_HOPS) {
+        if (join.hops() < PacketCodec.MOST_HOPS) {
             Optional<RouterRecord> next = upper == null
                     ? cell.first(1).stream().findFirst()
-                    : nearest(
-                            j.root(),
+                    : nearestDelegate(
+                            join.root(),
                             label(from.name()),
-                            j.root().equals(cells.root()) ? common(label(name), label(from.name())) : -1,
+                            join.root().equals(cellSetup.root()) ? commonPrefixBits(label(name), label(from.name())) : -1,
                             List.of());
             next.filter(n -> !n.address().equals(address) && !n.address().equals(from.address()))
-                    .ifPresent(n -> put(
-                            n.address(),
+                    .ifPresent(recipient -> enqueue(
+                            recipient.address(),
                             new Packet(
                                     from,
                                     packet.number(),
-                                    new Join(j.root(), j.depth(), j.hops() + 1),
+                                    new Join(join.root(), join.depth(), join.hops() + 1),
                                     List.of(),
                                     List.of())));
         }
@@ -484,42 +499,42 @@
         }
     }
 
-    private List<String> delegates() {
-        return cell.first(cells.delegates()).stream().map(RouterRecord::address).toList();
+    private List<String> delegateAddresses() {
+        return cell.first(cellSetup.delegates()).stream().map(RouterRecord::address).toList();
     }
 
-    private void placed(RouterRecord from, Place p) {
-        if (p.join() == 0) {
+    private void receivePlace(RouterRecord from, Place place) {
+        if (place.join() == 0) {
             RouterRecord grantor = cell.first(1).get(0);
-            if (p.depth() > depth && grantor.name().equals(from.name()) && grantor.instance() == from.instance()) {
-                move(p.depth(), List.of());
+            if (place.depth() > depth && grantor.name().equals(from.name()) && grantor.instance() == from.instance()) {
+                moveToDepth(place.depth(), List.of());
             }
             return;
         }
-        if (!openJoins.contains(p.join())) {
-            drop("unasked-places");
+        if (!openJoins.contains(place.join())) {
+            countDropped("unasked-places");
             return;
         }
-        p.delegates().forEach(d -> remember(upperSeeds, d));
-        if (p.depth() > depth && cell.living().isEmpty()) {
-            move(p.depth(), p.cell());
-        } else if (p.depth() > depth && cell.grants()) {
-            wantedDepth = Math.max(wantedDepth, depth + 1);
-        } else if (p.depth() == depth) {
-            p.cell().forEach(a -> remember(cellSeeds, a));
+        place.delegates().forEach(d -> rememberSeed(upperSeeds, d));
+        if (place.depth() > depth && cell.living().isEmpty()) {
+            moveToDepth(place.depth(), place.cell());
+        } else if (place.depth() > depth && cell.grants()) {
+            targetDepth = Math.max(targetDepth, depth + 1);
+        } else if (place.depth() == depth) {
+            place.cell().forEach(a -> rememberSeed(cellSeeds, a));
         }
     }
 
-    private void remember(List<String> seeds, String one) {
-        if (!one.equals(address) && !seeds.contains(one)) {
-            seeds.add(one);
+    private void rememberSeed(List<String> seeds, String seed) {
+        if (!seed.equals(address) && !seeds.contains(seed)) {
+            seeds.add(seed);
             if (seeds.size() > PacketCodec.PLACES) {
                 seeds.remove(0);
             }
         }
     }
 
-    // ---- what goes out and what can be seen -----------------------------------------------------------
+    // ---- output and state ----------------------------------------------------------------------------
 
     @Override
     public int routers() {
@@ -560,15 +575,15 @@
     @Override
     public List<Event> takeEvents() {
         if (upper != null) {
-            upper.takeEvents(); // the decisions go by what the cell tells
+            upper.takeEvents(); // discarded: the decision module acts on the events of the cell
         }
         return cell.takeEvents();
     }
 
     @Override
     public List<LogEvent> takeLogEvents() {
-        List<LogEvent> all = new ArrayList<>(notices);
-        notices.clear();
+        List<LogEvent> all = new ArrayList<>(logEvents);
+        logEvents.clear();
         all.addAll(cell.takeLogEvents());
         if (upper != null) {
             all.addAll(upper.takeLogEvents());
@@ -581,28 +596,28 @@
         Map<String, String> fields = new LinkedHashMap<>(cell.fields());
         fields.put("fleet-cell", cellName());
         fields.put("fleet-delegate", upper == null ? "no" : "yes");
-        dropped.forEach((what, count) -> add(fields, "fleet-dropped-" + what, count));
-        add(fields, "fleet-packets-out", sent);
-        add(fields, "fleet-bytes-out", sentBytes);
-        add(fields, "fleet-packets-in", heard);
+        dropped.forEach((reason, count) -> addCounter(fields, "fleet-dropped-" + reason, count));
+        addCounter(fields, "fleet-packets-out", packetsSent);
+        addCounter(fields, "fleet-bytes-out", bytesSent);
+        addCounter(fields, "fleet-packets-in", packetsReceived);
         if (upper != null) {
-            Map<String, String> above = upper.fields();
-            fields.put("fleet-keeper", above.get("fleet-keeper"));
-            fields.put("fleet-delegates", above.get("fleet-living"));
-            fields.put("fleet-upper-grantor", above.get("fleet-grantor"));
-            above.forEach((key, value) -> {
+            Map<String, String> upperFields = upper.fields();
+            fields.put("fleet-keeper", upperFields.get("fleet-keeper"));
+            fields.put("fleet-delegates", upperFields.get("fleet-living"));
+            fields.put("fleet-upper-grantor", upperFields.get("fleet-grantor"));
+            upperFields.forEach((key, value) -> {
                 if (key.startsWith("fleet-dropped-")
                         || key.equals("fleet-packets-out")
                         || key.equals("fleet-bytes-out")
                         || key.equals("fleet-packets-in")) {
-                    add(fields, key, Long.parseLong(value));
+                    addCounter(fields, key, Long.parseLong(value));
                 }
             });
         }
         return fields;
     }
 
-    private static void add(Map<String, String> fields, String key, long more) {
+    private static void addCounter(Map<String, String> fields, String key, long more) {
         fields.merge(key, Long.toString(more), (a, b) -> Long.toString(Long.parseLong(a) + Long.parseLong(b)));
     }
 
@@ -621,9 +636,9 @@
     }
 
     private static Map<String, Object> withLevel(Map<String, Object> row, String level) {
-        Map<String, Object> with = new LinkedHashMap<>();
-        with.put("level", level);
-        with.putAll(row);
-        return with;
+        Map<String, Object> copy = new LinkedHashMap<>();
+        copy.put("level", level);
+        copy.putAll(row);
+        return copy;
     }
 }
