--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -33,10 +33,10 @@
 
 /**
  * A router's participation in a fleet that is divided into cells: it runs the level of its own cell and, while it is a
- * delegate, the upper level that the delegates of all cells form. It owns the choice of the cell (a root's name, and how
- * many leading bits of the hash of a router's name separate the root's cells), the split of a cell that is too large, the
- * choice of delegates, and the discovery of the other routers of a cell. Leases, ejections and votes are decided by the
- * two levels; none of their bounds relies on routers agreeing about cells.
+ * delegate, the upper level that the delegates of all cells form. It owns the choice of the cell (a root's name, and
+ * how many leading bits of the hash of a router's name separate the root's cells), the split of a cell that is too
+ * large, the choice of delegates, and the discovery of the other routers of a cell. Leases, ejections and votes are
+ * decided by the two levels; none of their bounds relies on routers agreeing about cells.
  */
 public final class CellFleet implements FleetParticipant {
 
@@ -104,9 +104,12 @@
         this.cell = newCell();
     }
 
-    // ---- names ---------------------------------------------------------------------------------------
+    // ---- names ----------------------------------------------------------------------------------------
 
-    /** Returns what follows the root in a router's name on the upper level: its own name, or a hash if both are too long. */
+    /**
+     * Returns what follows the root in a router's name on the upper level: its own name, or a hash if both are too
+     * long.
+     */
     private String label(String router) {
         return cellSetup.root().length() + 1 + router.length() <= PacketCodec.LONGEST_NAME
                 ? router
@@ -137,7 +140,9 @@
         return prefix.toString();
     }
 
-    /** Returns the name of this router's cell: its root, and the bits that tell the cell from the root's other cells. */
+    /**
+     * Returns the name of this router's cell: its root, and the bits that tell the cell from the root's other cells.
+     */
     public String cellName() {
         return depth == 0 ? cellSetup.root() : cellSetup.root() + "/" + hashPrefix(depth);
     }
@@ -171,7 +176,7 @@
                 instance);
     }
 
-    // ---- input ---------------------------------------------------------------------------------------
+    // ---- input ----------------------------------------------------------------------------------------
 
     @Override
     public void receive(long time, byte[] bytes) {
@@ -227,7 +232,7 @@
         }
     }
 
-    // ---- time ----------------------------------------------------------------------------------------
+    // ---- time -----------------------------------------------------------------------------------------
 
     @Override
     public long nextDue() {
@@ -253,8 +258,8 @@
     }
 
     /**
-     * Becomes a delegate or ceases to be one. Both wait until this router has been in its cell for the settling time, and
-     * it ceases only once no share that it leased for the cell can be counted on any more.
+     * Becomes a delegate or ceases to be one. Both wait until this router has been in its cell for the settling time,
+     * and it ceases only once no share that it leased for the cell can be counted on any more.
      */
     private void updateDelegateRole() {
         boolean settled = now >= inCellSince + SETTLING_PERIODS * period;
@@ -296,7 +301,7 @@
         logEvents.addAll(level.takeLogEvents());
     }
 
-    // ---- splits --------------------------------------------------------------------------------------
+    // ---- splits ---------------------------------------------------------------------------------------
 
     /** As the grantor of a cell over its bound, tells some of its routers of the split each period, and moves last. */
     private void advanceSplit() {
@@ -333,7 +338,9 @@
         }
     }
 
-    /** Returns how many more bits split this many routers into cells within the bound, if the hashes spread them evenly. */
+    /**
+     * Returns how many more bits split this many routers into cells within the bound, if the hashes spread them evenly.
+     */
     private int bitsFor(int routers) {
         int bits = 1;
         while (routers >> bits > cellSetup.most()) {
@@ -342,7 +349,9 @@
         return bits;
     }
 
-    /** Moves to the cell of this depth; leases and lease tables are kept, since they identify processes and not cells. */
+    /**
+     * Moves to the cell of this depth; leases and lease tables are kept, since they identify processes and not cells.
+     */
     private void moveToDepth(int newDepth, List<String> seeds) {
         List<String> known = new ArrayList<>(cell.living().stream()
                 .filter(n -> sharesPrefix(n.name(), newDepth))
@@ -371,13 +380,15 @@
         log("this router is in cell " + cellName() + " now", Map.of("cell", cellName(), "depth", depth));
     }
 
-    // ---- discovery -----------------------------------------------------------------------------------
+    // ---- discovery ------------------------------------------------------------------------------------
 
     private boolean isIsolated() {
         return cell.living().isEmpty() || upper != null && upper.living().isEmpty();
     }
 
-    /** Sends a join when due: often to the seeds in turn while it knows no other router, rarely to find missed routers. */
+    /**
+     * Sends a join when due: often to the seeds in turn while it knows no other router, rarely to find missed routers.
+     */
     private void sendJoinIfDue() {
         if (isIsolated() && joinWait == LAST_JOIN_WAIT_PERIODS) {
             joinWait = LAST_JOIN_WAIT_PERIODS / 2;
@@ -408,7 +419,9 @@
         }
     }
 
-    /** Returns the delegate of this root with the longest hash prefix in common with a router, if longer than minBits. */
+    /**
+     * Returns the delegate of this root with the longest hash prefix in common with a router, if longer than minBits.
+     */
     private Optional<RouterRecord> nearestDelegate(String routerLabel, int minBits, List<RouterRecord> excluded) {
         return nearestDelegate(cellSetup.root(), routerLabel, minBits, excluded);
     }
@@ -534,7 +547,7 @@
         }
     }
 
-    // ---- output and state ----------------------------------------------------------------------------
+    // ---- output and state -----------------------------------------------------------------------------
 
     @Override
     public int routers() {
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * A cell's share of one limit, held by the cell's grantor: a lease from the upper level, for the number of routers in the
- * grantor's lease table at the time of the request. Routers that entered the table since add their even shares, those
- * that left it take theirs away. It owns the lease and the number of routers it was requested for; it must never grant
- * leases itself.
+ * A cell's share of one limit, held by the cell's grantor: a lease from the upper level, for the number of routers in
+ * the grantor's lease table at the time of the request. Routers that entered the table since add their even shares,
+ * those that left it take theirs away. It owns the lease and the number of routers it was requested for; it must never
+ * grant leases itself.
  */
 public final class CellShare {
 
@@ -40,7 +40,9 @@
         return lease.until();
     }
 
-    /** Whether the upper level can't count on this share any more: its lease and the shrink time after it have ended. */
+    /**
+     * Whether the upper level can't count on this share any more: its lease and the shrink time after it have ended.
+     */
     public boolean over(long now) {
         return now >= lease.until() + upperTimes.shrink();
     }
@@ -51,8 +53,8 @@
     }
 
     /**
-     * Records a request for this many routers and returns the number of the grant in force to send with it (0 if there is
-     * none from this grantor), or -1 if no request may be sent yet.
+     * Records a request for this many routers and returns the number of the grant in force to send with it (0 if there
+     * is none from this grantor), or -1 if no request may be sent yet.
      */
     public long asks(long now, String name, long instance, long number, int routers) {
         long grantNumber = lease.asks(now, name, instance, number);
@@ -65,7 +67,9 @@
         return grantNumber;
     }
 
-    /** Applies a grant; returns false if it is too late, a duplicate, older than the one in force or above the limit. */
+    /**
+     * Applies a grant; returns false if it is too late, a duplicate, older than the one in force or above the limit.
+     */
     public boolean granted(long now, String name, long instance, long number, double share) {
         Integer routers = requestedRouters.get(number);
         if (routers == null || !lease.granted(now, name, instance, number, share)) {
@@ -78,8 +82,8 @@
     }
 
     /**
-     * Returns what the cell's routers may spend together throughout a lease that is granted now, where held routers are in
-     * the lease table of the cell's grantor and the fleet has this many routers.
+     * Returns what the cell's routers may spend together throughout a lease that is granted now, where held routers are
+     * in the lease table of the cell's grantor and the fleet has this many routers.
      */
     public double pool(long now, int held, int routers) {
         double evenShare = limit().evenPart(routers);
--- a/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
+++ b/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
@@ -3,8 +3,8 @@
 import pumicemoor.RouterApi.LimitMeasure;
 
 /**
- * A limit on what all routers of the fleet together may spend at one member, in units of the measure. Some measures count
- * things that can't be divided (requests in flight, for instance); their shares are whole numbers.
+ * A limit on what all routers of the fleet together may spend at one member, in units of the measure. Some measures
+ * count things that can't be divided (requests in flight, for instance); their shares are whole numbers.
  */
 public record FleetLimit(String name, long member, LimitMeasure measure, double amount) {
 
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -5,8 +5,8 @@
 
 /**
  * The holder's side of a lease: what one router may spend of one limit. It owns the lease, the requests without an
- * answer, and the fallback after a lease has expired: for the shrink time the lower of the leased and the even share, so
- * that the grantor can first reduce the others' shares, then the even share. A lease lasts from when its request was
+ * answer, and the fallback after a lease has expired: for the shrink time the lower of the leased and the even share,
+ * so that the grantor can first reduce the others' shares, then the even share. A lease lasts from when its request was
  * sent, and a grant for an older request than that of the lease in force changes nothing, so late, duplicated and
  * reordered grants never add up.
  */
@@ -71,8 +71,8 @@
 
     /**
      * Records a request to a grantor and returns the number of the grant in force to send with it (0 if there is none
-     * from this grantor), or -1 if this grantor may not be asked yet: a grantor other than the last is asked only when the
-     * last one no longer counts on the lease.
+     * from this grantor), or -1 if this grantor may not be asked yet: a grantor other than the last is asked only when
+     * the last one no longer counts on the lease.
      */
     public long asks(long now, String name, long instance, long number) {
         boolean sameGrantor = grantor.equals(name) && grantorInstance == instance;
@@ -86,7 +86,9 @@
         return sameGrantor && now < expiresAt ? grantNumber : 0;
     }
 
-    /** Applies a grant; returns false if it is too late, a duplicate, older than the one in force or above the limit. */
+    /**
+     * Applies a grant; returns false if it is too late, a duplicate, older than the one in force or above the limit.
+     */
     public boolean granted(long now, String name, long instance, long number, double share) {
         Long sentAt = requestSentAt.remove(number);
         boolean sameGrantor = grantor.equals(name) && grantorInstance == instance;
--- a/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
@@ -8,10 +8,10 @@
 
 /**
  * The grantor's table of leases on one limit, from which follows what is left to grant. Every router of the fleet that
- * holds no lease of this grantor counts with its even share, which is what it may spend without a lease, wherever it is; a
- * holder of leases counts with the largest that may still be in force at it. So the sum stays within the limit whatever
- * the grantor can't observe. A holder may represent several routers, a cell: it counts with as many even shares, and at
- * least with what the table of its own grantor counts.
+ * holds no lease of this grantor counts with its even share, which is what it may spend without a lease, wherever it
+ * is; a holder of leases counts with the largest that may still be in force at it. So the sum stays within the limit
+ * whatever the grantor can't observe. A holder may represent several routers, a cell: it counts with as many even
+ * shares, and at least with what the table of its own grantor counts.
  */
 public final class LeaseBook {
 
@@ -20,15 +20,15 @@
     private record Grant(long number, int routers, double amount, long expiresAt) {}
 
     /**
-     * The sender of a request: its name and process instance, the number of the request, the number of the request whose
-     * grant is in force at it (0 for none), and how many routers it represents.
+     * The sender of a request: its name and process instance, the number of the request, the number of the request
+     * whose grant is in force at it (0 for none), and how many routers it represents.
      */
     public record Asker(String name, long instance, long number, long holds, int routers) {}
 
     /** Gives what the holders in a table may spend together, by the number of routers that they represent. */
-    public interface Pool {
+    public interface PoolSize {
 
-        double of(int routers);
+        double forRouters(int routers);
     }
 
     private static final class Holder {
@@ -41,9 +41,9 @@
         final List<Grant> grants = new ArrayList<>();
 
         /**
-         * Returns the most that this holder may be spending. A grant may not have reached it: unless one that it confirmed
-         * is still in force, it may be using its even share. Where it represents more routers now than in the request of a
-         * grant, it may be using that grant plus the even shares of the added routers.
+         * Returns the most that this holder may be spending. A grant may not have reached it: unless one that it
+         * confirmed is still in force, it may be using its even share. Where it represents more routers now than in the
+         * request of a grant, it may be using that grant plus the even shares of the added routers.
          */
         double maxSpend(double evenShare) {
             boolean leased = false;
@@ -103,9 +103,9 @@
     }
 
     /**
-     * Answers a request with a share of the limit, or with -1 if a newer request of that router was answered before. holds
-     * is the number of the request whose grant is in force at the router, 0 for none; then the router counts with its even
-     * share until a request confirms a lease.
+     * Answers a request with a share of the limit, or with -1 if a newer request of that router was answered before.
+     * holds is the number of the request whose grant is in force at the router, 0 for none; then the router counts with
+     * its even share until a request confirms a lease.
      */
     public double ask(
             long now, String router, long instance, long number, long holds, double demand, double inUse, int routers) {
@@ -119,7 +119,7 @@
     }
 
     /** Answers a request of a holder that may represent several routers and counts at least with inUse. */
-    public double ask(long now, Asker asker, double demand, double inUse, int routers, Pool pool) {
+    public double ask(long now, Asker asker, double demand, double inUse, int routers, PoolSize pool) {
         expire(now);
         Holder holder = holders.computeIfAbsent(asker.name(), name -> new Holder());
         if (holder.instance != asker.instance()) {
@@ -139,7 +139,7 @@
         // a confirmed lease that is not in the table has expired here: its holder may be using its even share by now
         holder.confirmedGrant = holder.grants.stream().anyMatch(g -> g.number() == asker.holds()) ? asker.holds() : 0;
         holder.grants.removeIf(g -> g.number() < holder.confirmedGrant);
-        double share = shareOf(holder, routers, Math.min(limit.amount(), pool.of(held())));
+        double share = shareOf(holder, routers, Math.min(limit.amount(), pool.forRouters(held())));
         holder.grants.add(new Grant(asker.number(), asker.routers(), share, now + times.lease()));
         return share;
     }
@@ -151,9 +151,9 @@
     }
 
     /**
-     * Returns the holder's max-min fair share of the pool, weighted by the routers that each holder represents: a holder
-     * whose demand is below the fair level gets its whole demand, and the others divide the rest evenly by router. If the
-     * pool covers every demand, the remainder is divided evenly too.
+     * Returns the holder's max-min fair share of the pool, weighted by the routers that each holder represents: a
+     * holder whose demand is below the fair level gets its whole demand, and the others divide the rest evenly by
+     * router. If the pool covers every demand, the remainder is divided evenly too.
      */
     private double fairShare(Holder asker, double pool) {
         List<Holder> byDemand = new ArrayList<>(holders.values());
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Returns the times of a router in a cell. The table of its cell's grantor drops its lease one guard after the lease
-     * has ended, the upper level knows of it at most one upper lease and one upper guard later, and then the other cells'
-     * shares and the leases of their routers end.
+     * Returns the times of a router in a cell. The table of its cell's grantor drops its lease one guard after the
+     * lease has ended, the upper level knows of it at most one upper lease and one upper guard later, and then the
+     * other cells' shares and the leases of their routers end.
      */
     public LeaseTimes inCells() {
         LeaseTimes upper = ofCells();
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -10,15 +10,15 @@
 import java.util.stream.Collectors;
 
 /**
- * The outlier ejection policy of the leader: decides from the routers' failure reports which members are ejected. It owns
- * the latest report of each router and the slots of ejected members: a slot becomes free only when no router can still
- * act on the ejection that took it.
+ * The outlier ejection policy of the leader: decides from the routers' failure reports which members are ejected. It
+ * owns the latest report of each router and the slots of ejected members: a slot becomes free only when no router can
+ * still act on the ejection that took it.
  */
 public final class EjectionPolicy {
 
     /**
-     * The largest share of a tier that may be ejected at once, the number of routers that must report a member, how long
-     * an ejection lasts, and how much longer its slot stays taken (both microseconds).
+     * The largest share of a tier that may be ejected at once, the number of routers that must report a member, how
+     * long an ejection lasts, and how much longer its slot stays taken (both microseconds).
      */
     public record Rules(double mostOut, int witnesses, long hold, long guard) {}
 
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -20,7 +20,9 @@
 
     private final Map<Long, Held> byMember = new TreeMap<>();
 
-    /** Applies a decision that is newer than the known one and lasts at most as long as given; returns whether it did. */
+    /**
+     * Applies a decision that is newer than the known one and lasts at most as long as given; returns whether it did.
+     */
     public boolean take(long now, Ejection ejection, long maxMicros) {
         Held held = byMember.get(ejection.member());
         if (!Ejection.isValidVersion(ejection.version())
@@ -56,7 +58,10 @@
         return ended;
     }
 
-    /** Removes decisions that ended this long ago (microseconds): no packet with an older version is still in flight then. */
+    /**
+     * Removes decisions that ended this long ago (microseconds): no packet with an older version is still in flight
+     * then.
+     */
     public void forget(long now, long ageMicros) {
         byMember.values().removeIf(h -> now - h.until() > ageMicros);
     }
--- a/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
@@ -19,93 +19,95 @@
 import pumicemoor.fleet.cells.VirtualCells.Router;
 
 /**
- * Votes as they go over the wire, which is what the rule of one keeper rests on: no router promises itself to two within
- * three leases, and no cell's grantor speaks for more routers than have promised themselves to it for the time that it
- * promises itself.
+ * Checks the votes in the packets sent, which guarantee that there is at most one leader: no router votes for two
+ * grantors within three lease times, and no cell's grantor claims the votes of more routers than are bound to it for as
+ * long as its own vote on the upper level lasts.
  */
 class CellBackingTest {
 
-    private static final long BOUND = 3 * TIMES.lease();
-    private static final long UPPER = 2 * TIMES.lease();
+    private static final long VOTE_MICROS = 3 * TIMES.lease();
+    private static final long UPPER_VOTE_MICROS = 2 * TIMES.lease();
 
-    private record Promise(Router to, long toStarted, long at) {}
+    private record Vote(Router grantor, long grantorStartedAt, long votedAt) {}
 
-    private static final class Wire {
+    private static final class VoteChecker {
         final VirtualCells fleet;
-        final PacketCodec above = new PacketCodec(CLUSTER + "/^");
-        final Map<Router, Promise> promises = new HashMap<>();
-        long asks;
-        int most;
+        final PacketCodec upperCodec = new PacketCodec(CLUSTER + "/^");
+        final Map<Router, Vote> votes = new HashMap<>();
+        long upperVotes;
+        int maxBacking;
 
-        Wire(VirtualCells fleet) {
+        VoteChecker(VirtualCells fleet) {
             this.fleet = fleet;
         }
 
-        void sent(Router from, Datagram d) {
-            PacketCodec cell = new PacketCodec(CLUSTER + "/" + from.cell());
-            long cluster = PacketCodec.cluster(d.bytes());
+        void packetSent(Router from, Datagram datagram) {
+            PacketCodec cellCodec = new PacketCodec(CLUSTER + "/" + from.cell());
+            long cluster = PacketCodec.cluster(datagram.bytes());
             Router to = fleet.routers.stream()
-                    .filter(r -> r.address.equals(d.address()))
+                    .filter(r -> r.address.equals(datagram.address()))
                     .findFirst()
                     .orElse(null);
-            if (to != null && cluster == cell.cluster()) {
-                if (read(cell, d).body() instanceof Packet.Ask a && a.vote()) {
-                    promise(from, to);
+            if (to != null && cluster == cellCodec.cluster()) {
+                if (read(cellCodec, datagram).body() instanceof Packet.Ask ask && ask.vote()) {
+                    checkVote(from, to);
                 }
-            } else if (cluster == above.cluster() && read(above, d).body() instanceof Packet.CellAsk a && a.vote()) {
-                asks++;
-                most = Math.max(most, a.backing());
-                long bound = promises.entrySet().stream()
+            } else if (cluster == upperCodec.cluster()
+                    && read(upperCodec, datagram).body() instanceof Packet.CellAsk ask
+                    && ask.vote()) {
+                upperVotes++;
+                maxBacking = Math.max(maxBacking, ask.backing());
+                long bound = votes.entrySet().stream()
                         .filter(e -> e.getKey() != from
-                                && e.getValue().to() == from
-                                && e.getValue().toStarted() == from.startedAt
-                                && e.getValue().at() + BOUND > fleet.now + UPPER)
+                                && e.getValue().grantor() == from
+                                && e.getValue().grantorStartedAt() == from.startedAt
+                                && e.getValue().votedAt() + VOTE_MICROS > fleet.now + UPPER_VOTE_MICROS)
                         .count();
                 assertTrue(
-                        a.backing() <= bound + 1,
-                        () -> from + " speaks for " + a.backing() + " routers, " + bound
-                                + " and itself are bound to it for long enough");
+                        ask.backing() <= bound + 1,
+                        () -> from + " claims the votes of " + ask.backing() + " routers, " + bound
+                                + " other routers are bound to it for long enough");
             }
         }
 
-        private void promise(Router from, Router to) {
-            Promise before = promises.put(from, new Promise(to, to.startedAt, fleet.now));
+        private void checkVote(Router from, Router to) {
+            Vote previous = votes.put(from, new Vote(to, to.startedAt, fleet.now));
             assertTrue(
-                    before == null || before.to() == to || fleet.now >= before.at() + BOUND,
-                    () -> from + " promises itself to " + to + " while bound to " + before.to());
+                    previous == null || previous.grantor() == to || fleet.now >= previous.votedAt() + VOTE_MICROS,
+                    () -> from + " votes for " + to + " while bound to " + previous.grantor());
             assertTrue(
-                    fleet.now >= from.startedAt + BOUND,
-                    () -> from + " votes though it may not know whom it voted for");
+                    fleet.now >= from.startedAt + VOTE_MICROS,
+                    () -> from + " votes though it can't know for which grantor it voted before its restart");
         }
 
-        private Packet read(PacketCodec codec, Datagram d) {
+        private Packet read(PacketCodec codec, Datagram datagram) {
             try {
-                return codec.read(d.bytes(), Long.MAX_VALUE / 2);
+                return codec.read(datagram.bytes(), Long.MAX_VALUE / 2);
             } catch (BadPacketException e) {
-                throw new AssertionError(from(d), e);
+                throw new AssertionError(unreadable(datagram), e);
             }
         }
 
-        private static String from(Datagram d) {
-            return "a packet to " + d.address() + " can't be read";
+        private static String unreadable(Datagram datagram) {
+            return "a packet to " + datagram.address() + " can't be read";
         }
     }
 
     @Property(tries = 5, seed = "5701", shrinking = ShrinkingMode.OFF)
-    void nobodyPromisesTwiceAndNoGrantorSpeaksForMoreThanAreBound(@ForAll long seed) {
+    void noRouterVotesTwiceAndNoGrantorClaimsMoreVotesThanAreBound(@ForAll long seed) {
         Random random = new Random(seed);
         VirtualCells fleet = new VirtualCells(22, 5, 2, LimitMeasure.PER_SECOND, 1_000, seed);
         fleet.add("a", 0, 9);
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 8);
-        Wire wire = new Wire(fleet);
-        fleet.sends = wire::sent;
+        VoteChecker checker = new VoteChecker(fleet);
+        fleet.packetListener = checker::packetSent;
         fleet.startAll();
         fleet.run(30 * SECOND);
         for (int i = 0; i < 20; i++) {
             CellSchedulesTest.change(fleet, random, seed % 2 == 0);
             fleet.run((long) (random.nextDouble() * 4 * SECOND));
         }
-        assertTrue(wire.asks > 100 && wire.most > 2, () -> wire.asks + " asks, for " + wire.most + " at most");
+        assertTrue(checker.upperVotes > 100 && checker.maxBacking > 2, () -> checker.upperVotes + " votes, backed by " + checker.maxBacking + " at most");
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
@@ -19,41 +19,41 @@
 import pumicemoor.fleet.cells.VirtualCells.Router;
 
 /**
- * One fault of cells at a time, on purpose: who grants dies on either level, a cell is split, cut off, restarted, or
- * hears nothing from above. The bounds are watched at every instant (VirtualCells); none of these starts a process
- * anew but where it says so, so that the limit itself is the bound.
+ * Checks one fault of a fleet of cells at a time: a grantor of either level dies, or a cell is split, cut off,
+ * restarted or receives nothing from the upper level. VirtualCells checks the bounds at every instant; a test restarts
+ * processes only where it says so, so that otherwise the limit itself is the bound.
  */
 class CellFaultsTest {
 
     private static final double LIMIT = 1_000;
     private static final int SIZE = 24;
-    private static final int MOST = 6;
+    private static final int MAX_CELL_ROUTERS = 6;
 
-    /** 24 routers in three roots of two regions: cells a/.. of 10, b of 5, c/.. of 9; the given root wants all. */
-    private static VirtualCells fleet(long seed, LimitMeasure measure, String wanting) {
-        VirtualCells fleet = new VirtualCells(SIZE, MOST, 2, measure, LIMIT, seed);
+    /** Starts 24 routers in three roots of two regions (10 in a, 5 in b, 9 in c); one root demands the whole limit. */
+    private static VirtualCells newFleet(long seed, LimitMeasure measure, String demandingRoot) {
+        VirtualCells fleet = new VirtualCells(SIZE, MAX_CELL_ROUTERS, 2, measure, LIMIT, seed);
         fleet.add("a", 0, 10);
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 9);
-        want(fleet, wanting);
+        setDemand(fleet, demandingRoot);
         fleet.startAll();
         fleet.run(50 * SECOND);
         return fleet;
     }
 
-    /** All demand is in one root from now on. */
-    private static void want(VirtualCells fleet, String root) {
+    /** Moves all demand to one root. */
+    private static void setDemand(VirtualCells fleet, String root) {
         fleet.routers.forEach(r ->
-                fleet.want(r, r.root.equals(root) ? 2 * LIMIT / fleet.of(root).size() : 0));
+                fleet.setDemand(r, r.root.equals(root) ? 2 * LIMIT / fleet.inRoot(root).size() : 0));
     }
 
     private static String root(long seed) {
         return List.of("a", "b", "c").get((int) Math.floorMod(seed, 3));
     }
 
-    private static void assertHas(VirtualCells fleet, String root, double share) {
-        double has = fleet.spent(fleet.of(root));
-        assertTrue(has > share * LIMIT, () -> root + " wants all and has " + has + " of " + LIMIT);
+    private static void assertSpendable(VirtualCells fleet, String root, double share) {
+        double spendable = fleet.spendable(fleet.inRoot(root));
+        assertTrue(spendable > share * LIMIT, () -> root + " demands the whole limit and may spend " + spendable + " of " + LIMIT);
     }
 
     private static void assertSettledAfter(VirtualCells fleet, long time) {
@@ -65,44 +65,44 @@
     @EnumSource(
             value = LimitMeasure.class,
             names = {"PER_SECOND", "IN_FLIGHT"})
-    void whatOneCellDoesNotWantTheOthersGet(LimitMeasure measure) {
-        VirtualCells fleet = fleet(7, measure, "b");
+    void unusedSharesMoveToTheCellsWithDemand(LimitMeasure measure) {
+        VirtualCells fleet = newFleet(7, measure, "b");
         assertSettled(fleet);
-        assertTrue(fleet.cells().size() >= 5, () -> "cells over the bound are split: " + fleet.cells());
+        assertTrue(fleet.cells().size() >= 5, () -> "cells over the bound must be split: " + fleet.cells());
         for (String root : List.of("b", "c", "a", "b")) {
-            want(fleet, root);
+            setDemand(fleet, root);
             fleet.run(30 * SECOND);
-            assertHas(fleet, root, 0.8);
+            assertSpendable(fleet, root, 0.8);
         }
     }
 
-    /** Even parts of less than two: what can't be divided isn't lent twice. */
+    /** Even shares below two: an indivisible unit must not be granted twice. */
     @Property(tries = 3, seed = "5401", shrinking = ShrinkingMode.OFF)
-    void smallPartsThatAreWholeStayWithinTheLimit(@ForAll long seed) {
+    void smallWholeNumberSharesStayWithinTheLimit(@ForAll long seed) {
         Random random = new Random(seed);
         VirtualCells fleet = new VirtualCells(16, 5, 2, LimitMeasure.IN_FLIGHT, 16 + random.nextInt(24), seed);
         fleet.add("a", 0, 9);
         fleet.add("b", 1, 7);
         fleet.startAll();
         for (int i = 0; i < 15; i++) {
-            fleet.routers.forEach(r -> fleet.want(r, random.nextInt(3) == 0 ? random.nextInt(20) : 0));
+            fleet.routers.forEach(r -> fleet.setDemand(r, random.nextInt(3) == 0 ? random.nextInt(20) : 0));
             fleet.upperLoss = i % 4 == 3 ? 0.7 : 0;
             fleet.run(6 * SECOND);
         }
         assertEquals(List.of(), fleet.disagreements());
-        assertTrue(fleet.spent() >= 16, () -> "spends " + fleet.spent());
+        assertTrue(fleet.spendable() >= 16, () -> "the fleet may spend " + fleet.spendable());
     }
 
     @Property(tries = 3, seed = "5402", shrinking = ShrinkingMode.OFF)
-    void aCellsGrantorDies(@ForAll long seed) {
+    void cellRecoversFromTheDeathOfItsGrantor(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
+        VirtualCells fleet = newFleet(seed, LimitMeasure.PER_SECOND, root(seed));
         for (int i = 0; i < 5; i++) {
             String root = i == 0 ? root(seed) : root(random.nextInt(3));
             fleet.kill(fleet.grantorOf(
-                    fleet.of(root).stream().filter(r -> r.running).findFirst().orElseThrow()));
+                    fleet.inRoot(root).stream().filter(r -> r.running).findFirst().orElseThrow()));
             if (i == 2) {
-                want(fleet, root(random.nextInt(3)));
+                setDemand(fleet, root(random.nextInt(3)));
             }
             fleet.run((long) (random.nextDouble() * 25 * SECOND));
         }
@@ -110,36 +110,38 @@
     }
 
     @Property(tries = 3, seed = "5403", shrinking = ShrinkingMode.OFF)
-    void theUpperGrantorDies(@ForAll long seed) {
+    void upperLevelRecoversFromTheDeathOfItsGrantor(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
+        VirtualCells fleet = newFleet(seed, LimitMeasure.PER_SECOND, root(seed));
         for (int i = 0; i < 4; i++) {
             fleet.kill(fleet.upperGrantor());
             if (i % 2 == 1) {
-                want(fleet, root(random.nextInt(3)));
+                setDemand(fleet, root(random.nextInt(3)));
             }
             fleet.run((long) (random.nextDouble() * 30 * SECOND));
         }
         assertSettledAfter(fleet, 75 * SECOND);
     }
 
-    /** It falls silent instead of dying, comes back with what it held, and finds another in its place. */
+    /**
+     * A grantor falls silent instead of dying, comes back with its old leases, and finds that another has replaced it.
+     */
     @Property(tries = 3, seed = "5404", shrinking = ShrinkingMode.OFF)
-    void grantorsOfBothLevelsFallSilentAndComeBack(@ForAll long seed) {
+    void grantorsOfBothLevelsReturnAfterSilence(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
+        VirtualCells fleet = newFleet(seed, LimitMeasure.PER_SECOND, root(seed));
         for (int i = 0; i < 6; i++) {
-            Router one = i % 2 == 0
+            Router router = i % 2 == 0
                     ? fleet.upperGrantor()
-                    : fleet.grantorOf(fleet.of(root(random.nextInt(3))).get(0));
+                    : fleet.grantorOf(fleet.inRoot(root(random.nextInt(3))).get(0));
             long time = (long) (random.nextDouble() * 40 * SECOND);
             if (random.nextBoolean()) {
-                fleet.pause(one, time);
+                fleet.pause(router, time);
             } else {
-                fleet.cut = (a, b) -> a == one || b == one;
+                fleet.cut = (a, b) -> a == router || b == router;
             }
             if (random.nextBoolean()) {
-                want(fleet, root(random.nextInt(3)));
+                setDemand(fleet, root(random.nextInt(3)));
             }
             fleet.run(time);
             fleet.cut = (a, b) -> false;
@@ -148,124 +150,129 @@
         assertSettledAfter(fleet, 90 * SECOND);
     }
 
-    /** Four more routers join a root of six, whose cell is at its bound, while it holds nearly all or nearly nothing. */
+    /**
+     * Four routers join a root of six, whose cell is at its bound, while it holds nearly all of the limit or very
+     * little.
+     */
     @Property(tries = 4, seed = "5405", shrinking = ShrinkingMode.OFF)
-    void aCellIsSplitWhileItsShareIsFarFromItsEvenPart(@ForAll long seed) {
+    void cellIsSplitWhileItsShareIsFarFromItsEvenShare(@ForAll long seed) {
         Random random = new Random(seed);
-        boolean above = seed % 2 == 0;
-        VirtualCells fleet = new VirtualCells(SIZE, MOST, 1 + random.nextInt(3), LimitMeasure.PER_SECOND, LIMIT, seed);
+        boolean aboveEven = seed % 2 == 0;
+        VirtualCells fleet = new VirtualCells(SIZE, MAX_CELL_ROUTERS, 1 + random.nextInt(3), LimitMeasure.PER_SECOND, LIMIT, seed);
         fleet.add("a", 0, 6);
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 9);
-        List<Router> more = new ArrayList<>();
+        List<Router> added = new ArrayList<>();
         fleet.startAll();
-        want(fleet, above ? "a" : "c");
+        setDemand(fleet, aboveEven ? "a" : "c");
         fleet.run(60 * SECOND);
-        assertEquals(1, fleet.of("a").stream().map(Router::cell).distinct().count(), "not yet split");
-        assertHas(fleet, above ? "a" : "c", 0.7);
-        more.addAll(fleet.add("a", 0, 4));
-        for (Router r : more) {
-            fleet.start(r);
-            fleet.want(r, above ? LIMIT : 0);
+        assertEquals(1, fleet.inRoot("a").stream().map(Router::cell).distinct().count(), "must not be split yet");
+        assertSpendable(fleet, aboveEven ? "a" : "c", 0.7);
+        added.addAll(fleet.add("a", 0, 4));
+        for (Router router : added) {
+            fleet.start(router);
+            fleet.setDemand(router, aboveEven ? LIMIT : 0);
             fleet.run((long) (random.nextDouble() * 3 * SECOND));
         }
         fleet.run((long) (random.nextDouble() * 30 * SECOND));
-        want(fleet, above ? "c" : "a");
+        setDemand(fleet, aboveEven ? "c" : "a");
         fleet.run(60 * SECOND);
-        assertTrue(fleet.of("a").stream().map(Router::cell).distinct().count() > 1, "split");
-        assertHas(fleet, above ? "c" : "a", 0.7);
+        assertTrue(fleet.inRoot("a").stream().map(Router::cell).distinct().count() > 1, "must be split");
+        assertSpendable(fleet, aboveEven ? "c" : "a", 0.7);
         assertSettledAfter(fleet, 20 * SECOND);
     }
 
     @Property(tries = 2, seed = "5406", shrinking = ShrinkingMode.OFF)
-    void aRegionIsCutOffForThreeMinutesAndJoined(@ForAll long seed) {
-        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
+    void regionIsCutOffForThreeMinutesAndReconnected(@ForAll long seed) {
+        VirtualCells fleet = newFleet(seed, LimitMeasure.PER_SECOND, root(seed));
         fleet.cut = (a, b) -> a.region != b.region;
         fleet.run(60 * SECOND);
-        want(fleet, root(seed + 1));
+        setDemand(fleet, root(seed + 1));
         for (int i = 0; i < 4; i++) {
             fleet.run(30 * SECOND);
-            double far = fleet.spent(fleet.of("c"));
-            double near = fleet.spent() - far;
-            assertTrue(far <= LIMIT * 9 / SIZE * (1 + 1e-9) && far > 0.85 * LIMIT * 9 / SIZE, () -> "cut off: " + far);
+            double far = fleet.spendable(fleet.inRoot("c"));
+            double near = fleet.spendable() - far;
+            assertTrue(far <= LIMIT * 9 / SIZE * (1 + 1e-9) && far > 0.85 * LIMIT * 9 / SIZE, () -> "region that is cut off: " + far);
             assertTrue(
                     near <= LIMIT * 15 / SIZE * (1 + 1e-9) && near > 0.85 * LIMIT * 15 / SIZE,
-                    () -> "the rest: " + near);
+                    () -> "remaining routers: " + near);
         }
         fleet.cut = (a, b) -> false;
         assertSettledAfter(fleet, 90 * SECOND);
-        assertHas(fleet, root(seed + 1), 0.7);
+        assertSpendable(fleet, root(seed + 1), 0.7);
     }
 
-    /** All at once, then one after another; that many processes were started anew. */
+    /** All at once, then one after another; the bound allows for that many restarted processes. */
     @Property(tries = 2, seed = "5407", shrinking = ShrinkingMode.OFF)
-    void allRoutersOfACellAreRestarted(@ForAll long seed) {
+    void cellRecoversFromARestartOfAllItsRouters(@ForAll long seed) {
         Random random = new Random(seed);
-        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
+        VirtualCells fleet = newFleet(seed, LimitMeasure.PER_SECOND, root(seed));
         List<Router> cell = fleet.cells().values().stream()
                 .filter(c -> c.get(0).root.equals(root(seed)))
                 .findFirst()
                 .orElseThrow();
         cell.forEach(fleet::start);
         fleet.run((long) ((20 + random.nextDouble() * 30) * SECOND));
-        for (Router r : cell) {
-            fleet.kill(r);
+        for (Router router : cell) {
+            fleet.kill(router);
             fleet.run((long) (random.nextDouble() * 4 * SECOND));
-            fleet.start(r);
+            fleet.start(router);
         }
         assertSettledAfter(fleet, 100 * SECOND);
-        assertHas(fleet, root(seed), 0.7);
+        assertSpendable(fleet, root(seed), 0.7);
     }
 
-    /** A whole root at once and for good: its even parts are nobody's, and the others don't count on them. */
+    /** A whole root dies at once and for good: its even shares stay unused, and the others must not count on them. */
     @Test
-    void aRootThatIsGoneLeavesTheOthersTheirParts() {
-        VirtualCells fleet = fleet(11, LimitMeasure.PER_SECOND, "c");
-        fleet.of("c").forEach(fleet::kill);
-        want(fleet, "b");
+    void deadRootLeavesTheOthersTheirShares() {
+        VirtualCells fleet = newFleet(11, LimitMeasure.PER_SECOND, "c");
+        fleet.inRoot("c").forEach(fleet::kill);
+        setDemand(fleet, "b");
         fleet.run(90 * SECOND);
         assertSettled(fleet);
-        assertTrue(fleet.spent() <= LIMIT * 15 / SIZE * (1 + 1e-9), () -> "spends " + fleet.spent());
-        assertHas(fleet, "b", 0.4);
+        assertTrue(fleet.spendable() <= LIMIT * 15 / SIZE * (1 + 1e-9), () -> "the fleet may spend " + fleet.spendable());
+        assertSpendable(fleet, "b", 0.4);
     }
 
     @Property(tries = 2, seed = "5408", shrinking = ShrinkingMode.OFF)
-    void theLevelAboveIsSilentForLongWhileTheCellsLive(@ForAll long seed) {
-        VirtualCells fleet = fleet(seed, LimitMeasure.PER_SECOND, root(seed));
+    void cellsFallBackToEvenSharesWhileTheUpperLevelIsSilent(@ForAll long seed) {
+        VirtualCells fleet = newFleet(seed, LimitMeasure.PER_SECOND, root(seed));
         fleet.upperLoss = 1;
         fleet.run(60 * SECOND);
         for (int i = 0; i < 3; i++) {
-            want(fleet, root(seed + i));
+            setDemand(fleet, root(seed + i));
             fleet.run(30 * SECOND);
             fleet.cells().forEach((name, cell) -> {
-                double even = LIMIT * cell.size() / SIZE;
-                double has = fleet.spent(cell);
-                assertTrue(has <= even * (1 + 1e-9) && has > 0.85 * even, () -> name + " has " + has + " for " + even);
+                double evenShare = LIMIT * cell.size() / SIZE;
+                double spendable = fleet.spendable(cell);
+                assertTrue(
+                        spendable <= evenShare * (1 + 1e-9) && spendable > 0.85 * evenShare,
+                        () -> name + " may spend " + spendable + " for " + evenShare);
             });
         }
         fleet.upperLoss = 0.5;
         fleet.run(30 * SECOND);
         fleet.upperLoss = 0;
-        want(fleet, root(seed));
+        setDemand(fleet, root(seed));
         assertSettledAfter(fleet, 60 * SECOND);
-        assertHas(fleet, root(seed), 0.8);
+        assertSpendable(fleet, root(seed), 0.8);
     }
 
     @Test
-    void whoIsCutOffAloneFallsBackToTheEvenPart() {
-        VirtualCells fleet = fleet(13, LimitMeasure.PER_SECOND, "b");
-        Router one = fleet.of("b").stream()
+    void isolatedRouterFallsBackToTheEvenShare() {
+        VirtualCells fleet = newFleet(13, LimitMeasure.PER_SECOND, "b");
+        Router router = fleet.inRoot("b").stream()
                 .filter(r -> fleet.grantorOf(r) != r)
                 .findFirst()
                 .orElseThrow();
-        assertTrue(one.share() > 2 * LIMIT / SIZE, () -> "has " + one.share());
-        fleet.cut = (a, b) -> a == one || b == one;
-        fleet.run(TIMES.lease() + VirtualCells.shrink());
-        fleet.run(40 * SECOND, () -> assertEquals(LIMIT / SIZE, one.share(), LIMIT / SIZE * 0.001));
+        assertTrue(router.share() > 2 * LIMIT / SIZE, () -> "may spend " + router.share());
+        fleet.cut = (a, b) -> a == router || b == router;
+        fleet.run(TIMES.lease() + VirtualCells.shrinkMicros());
+        fleet.run(40 * SECOND, () -> assertEquals(LIMIT / SIZE, router.share(), LIMIT / SIZE * 0.001));
     }
 
     @Test
-    void theStatedShrinkTimesAreThoseOfTheCode() {
-        assertEquals(VirtualCells.shrink(), TIMES.inCells().shrink());
+    void documentedShrinkTimeMatchesTheCode() {
+        assertEquals(VirtualCells.shrinkMicros(), TIMES.inCells().shrink());
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/CellSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellSchedulesTest.java
@@ -17,50 +17,50 @@
 import pumicemoor.fleet.cells.VirtualCells.Router;
 
 /**
- * Random schedules of deaths, restarts, pauses, joins, cuts of zones and regions, one-way cuts, loss, doubling and
- * reordering in a fleet of cells that are split: the stated bounds hold at every instant (VirtualCells), and after the
- * last fault all find their cells, agree and share the limit.
+ * Runs random schedules of deaths, restarts, pauses, joins, partitions between zones and regions, one-way partitions,
+ * packet loss, duplication and reordering in a fleet of cells that are split. VirtualCells checks that the documented
+ * bounds hold at every instant; after the last fault all routers must find their cells, agree and share the limit.
  */
 class CellSchedulesTest {
 
     private static final double LIMIT = 1_000;
 
     @Property(tries = 8, seed = "5101", shrinking = ShrinkingMode.OFF)
-    void theBoundsHoldWhateverFails(@ForAll long seed) {
-        play(seed, LimitMeasure.PER_SECOND, true);
+    void boundsHoldUnderRandomFaults(@ForAll long seed) {
+        runSchedule(seed, LimitMeasure.PER_SECOND, true);
     }
 
-    /** Nothing is started anew, so the sum of all parts never passes the limit itself. */
+    /** No process is restarted, so the sum of all shares must never exceed the limit itself. */
     @Property(tries = 5, seed = "5102", shrinking = ShrinkingMode.OFF)
-    void withoutRestartsTheLimitItselfHolds(@ForAll long seed) {
-        play(seed, LimitMeasure.PER_SECOND, false);
+    void limitHoldsUnderRandomFaultsWithoutRestarts(@ForAll long seed) {
+        runSchedule(seed, LimitMeasure.PER_SECOND, false);
     }
 
     @Property(tries = 5, seed = "5103", shrinking = ShrinkingMode.OFF)
-    void partsThatAreWholeAddUpToo(@ForAll long seed) {
-        play(seed, LimitMeasure.IN_FLIGHT, seed % 2 == 0);
+    void boundsHoldForWholeNumberShares(@ForAll long seed) {
+        runSchedule(seed, LimitMeasure.IN_FLIGHT, seed % 2 == 0);
     }
 
-    private static void play(long seed, LimitMeasure measure, boolean restarts) {
+    private static void runSchedule(long seed, LimitMeasure measure, boolean restarts) {
         Random random = new Random(seed);
         int regions = 1 + random.nextInt(3);
         List<Integer> zones = new ArrayList<>(); // routers in each; the region is the index modulo regions
         for (int i = 0; i < regions + random.nextInt(2); i++) {
             zones.add(2 + random.nextInt(8));
         }
-        int spare = random.nextInt(5); // that join later
-        int n = zones.stream().mapToInt(z -> z).sum() + spare;
-        VirtualCells fleet = new VirtualCells(n, 4 + random.nextInt(3), 1 + random.nextInt(3), measure, LIMIT, seed);
+        int lateRouters = random.nextInt(5); // added now, started by a later change
+        int size = zones.stream().mapToInt(z -> z).sum() + lateRouters;
+        VirtualCells fleet = new VirtualCells(size, 4 + random.nextInt(3), 1 + random.nextInt(3), measure, LIMIT, seed);
         for (int i = 0; i < zones.size(); i++) {
             fleet.add("zone" + i, i % regions, zones.get(i));
         }
         fleet.startAll();
-        for (int i = 0; i < spare; i++) {
+        for (int i = 0; i < lateRouters; i++) {
             int zone = random.nextInt(zones.size());
             fleet.add("zone" + zone, zone % regions);
         }
         fleet.loss = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
-        fleet.doubled = random.nextInt(3) == 0 ? 0.3 : 0;
+        fleet.duplicated = random.nextInt(3) == 0 ? 0.3 : 0;
         fleet.jitter = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
         fleet.run((long) (random.nextDouble() * 40 * SECOND));
         for (int i = 0; i < 24; i++) {
@@ -71,18 +71,18 @@
         assertSettled(fleet);
     }
 
-    /** One random fault, the end of one, or other demand. */
+    /** Makes one random change: starts or ends a fault, or changes demand or health reports. */
     static void change(VirtualCells fleet, Random random, boolean restarts) {
         List<Router> routers = fleet.routers;
-        Router one = routers.get(random.nextInt(routers.size()));
+        Router router = routers.get(random.nextInt(routers.size()));
         switch (random.nextInt(15)) {
-            case 0 -> kill(fleet, one, restarts);
+            case 0 -> kill(fleet, router, restarts);
             case 1 -> {
-                if (!one.running && (restarts || one.startedAt == 0)) {
-                    fleet.start(one);
+                if (!router.running && (restarts || router.startedAt == 0)) {
+                    fleet.start(router);
                 }
             }
-            case 2 -> fleet.pause(one, (long) (random.nextDouble() * 12 * SECOND));
+            case 2 -> fleet.pause(router, (long) (random.nextDouble() * 12 * SECOND));
             case 3 -> {
                 Set<Router> side = new HashSet<>(routers);
                 side.removeIf(r -> random.nextBoolean());
@@ -91,47 +91,47 @@
             case 4 -> {
                 var before = fleet.cut;
                 Router other = routers.get(random.nextInt(routers.size()));
-                fleet.cut = (a, b) -> before.test(a, b) || a == one && b == other;
+                fleet.cut = (a, b) -> before.test(a, b) || a == router && b == other;
             }
             case 5 -> fleet.cut = (a, b) -> a.region != b.region;
-            case 6 -> fleet.cut = (a, b) -> (a.root.equals(one.root)) != (b.root.equals(one.root));
+            case 6 -> fleet.cut = (a, b) -> (a.root.equals(router.root)) != (b.root.equals(router.root));
             case 7, 8 -> fleet.cut = (a, b) -> false;
-            case 9 -> fleet.want(one, random.nextInt(3) == 0 ? 0 : random.nextDouble() * LIMIT);
-            case 10 -> fleet.of(one.root).forEach(r -> fleet.want(r, random.nextDouble() * LIMIT));
+            case 9 -> fleet.setDemand(router, random.nextInt(3) == 0 ? 0 : random.nextDouble() * LIMIT);
+            case 10 -> fleet.inRoot(router.root).forEach(r -> fleet.setDemand(r, random.nextDouble() * LIMIT));
             case 11 -> fleet.upperLoss = random.nextInt(2) == 0 ? 0 : random.nextDouble();
             case 12 -> {
-                if (fleet.acts(one)) {
-                    fleet.pause(fleet.grantorOf(one), (long) (random.nextDouble() * 12 * SECOND));
+                if (fleet.isActive(router)) {
+                    fleet.pause(fleet.grantorOf(router), (long) (random.nextDouble() * 12 * SECOND));
                 }
             }
             case 13 -> {
                 if (restarts) {
-                    fleet.of(one.root).stream().filter(r -> r.running).forEach(fleet::start);
-                } else if (fleet.acts(one)) {
-                    kill(fleet, fleet.grantorOf(one), restarts);
+                    fleet.inRoot(router.root).stream().filter(r -> r.running).forEach(fleet::start);
+                } else if (fleet.isActive(router)) {
+                    kill(fleet, fleet.grantorOf(router), restarts);
                 }
             }
             default -> {
-                for (Router r : routers) {
-                    if (fleet.acts(r) && random.nextInt(3) > 0) {
-                        fleet.judge(r, VirtualCells.CACHES + random.nextInt(5), random.nextInt(4) > 0);
+                for (Router reporter : routers) {
+                    if (fleet.isActive(reporter) && random.nextInt(3) > 0) {
+                        fleet.reportHealth(reporter, VirtualCells.FIRST_CACHE + random.nextInt(5), random.nextInt(4) > 0);
                     }
                 }
             }
         }
     }
 
-    /** For good where nothing is started anew; then one of the seeds is left alive. */
-    private static void kill(VirtualCells fleet, Router one, boolean restarts) {
-        if (restarts || !fleet.lastSeed(one)) {
-            fleet.kill(one);
+    /** Kills a router, for good if restarts aren't allowed; then the last running seed is spared. */
+    private static void kill(VirtualCells fleet, Router router, boolean restarts) {
+        if (restarts || !fleet.isLastRunningSeed(router)) {
+            fleet.kill(router);
         }
     }
 
-    /** Ends all faults; who is dead is started again, where that is allowed. */
+    /** Ends all faults, starts routers that don't run where that is allowed, and waits until the fleet has settled. */
     private static void settle(VirtualCells fleet, boolean restarts) {
         fleet.cut = (a, b) -> false;
-        fleet.unpause();
+        fleet.endPauses();
         fleet.loss = 0;
         fleet.upperLoss = 0;
         fleet.jitter = 5 * MILLI;
@@ -141,12 +141,14 @@
         fleet.run(120 * SECOND);
     }
 
-    /** Every router has a cell of which all in it agree, the limit is shared out, and one keeps it where a majority runs. */
+    /**
+     * Asserts that all routers of a cell agree on it, the limit is granted, and there is one leader if a majority runs.
+     */
     static void assertSettled(VirtualCells fleet) {
         assertEquals(List.of(), fleet.disagreements());
-        double most = fleet.limit * fleet.running().size() / fleet.size;
-        assertTrue(fleet.spent() > 0.85 * most, () -> "they may spend only " + fleet.spent() + " of " + most);
+        double runningShare = fleet.limit * fleet.running().size() / fleet.size;
+        assertTrue(fleet.spendable() > 0.85 * runningShare, () -> "the running routers may spend only " + fleet.spendable() + " of " + runningShare);
         assertEquals(
-                2 * fleet.running().size() > fleet.size ? 1 : 0, fleet.keepers().size(), "keepers");
+                2 * fleet.running().size() > fleet.size ? 1 : 0, fleet.leaders().size(), "leaders");
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -22,7 +22,9 @@
 import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.RouterStatus;
 
-/** How a router finds its cell from any router of the cluster, and what joins and places do that nobody meant. */
+/**
+ * Checks how a router finds its cell from any router of the cluster, and that unexpected joins and places do no harm.
+ */
 class DiscoveryTest {
 
     private static final PacketCodec JOINS = new PacketCodec(CLUSTER + "/join");
@@ -31,7 +33,7 @@
     private VirtualCells fleet;
 
     @BeforeEach
-    void threeRoots() {
+    void startThreeRoots() {
         fleet = new VirtualCells(24, 6, 2, LimitMeasure.PER_SECOND, 1_000, 31);
         fleet.add("a", 0, 9);
         fleet.add("b", 0, 5);
@@ -45,126 +47,126 @@
         return new Packet(STRANGER, number, body, List.of(), List.of());
     }
 
-    private static long count(Router r, String field) {
-        return Long.parseLong(r.part.fields().getOrDefault("fleet-dropped-" + field, "0"));
+    private static long droppedPackets(Router router, String reason) {
+        return Long.parseLong(router.participant.fields().getOrDefault("fleet-dropped-" + reason, "0"));
     }
 
     @Test
-    void aSeedOfAnotherRootThatIsNoDelegateLeadsToTheCell() {
+    void seedInAnotherRootThatIsNoDelegateLeadsToTheCell() {
         Router seed =
-                fleet.of("b").stream().filter(r -> !r.delegate()).findFirst().orElseThrow();
+                fleet.inRoot("b").stream().filter(r -> !r.isDelegate()).findFirst().orElseThrow();
         fleet.seeds = List.of(seed.address);
         for (String root : List.of("c", "a")) {
-            Router one = fleet.add(root, root.equals("c") ? 1 : 0);
-            fleet.start(one);
+            Router router = fleet.add(root, root.equals("c") ? 1 : 0);
+            fleet.start(router);
             fleet.run(15 * SECOND);
-            assertTrue(one.cell().startsWith(root + "/"), one.cell());
+            assertTrue(router.cell().startsWith(root + "/"), router.cell());
             assertEquals(
-                    one.cellMates(),
-                    fleet.of(root).stream()
-                            .filter(r -> r != one && r.cell().equals(one.cell()))
+                    router.cellPeers(),
+                    fleet.inRoot(root).stream()
+                            .filter(r -> r != router && r.cell().equals(router.cell()))
                             .findFirst()
                             .orElseThrow()
-                            .cellMates());
+                            .cellPeers());
         }
         fleet.run(20 * SECOND);
         assertEquals(List.of(), fleet.disagreements());
     }
 
     @Test
-    void theFirstOfARootIsACellByItselfAndKnownAbove() {
-        fleet.seeds = List.of(fleet.of("b").get(4).address);
-        Router one = fleet.add("new-root", 1);
-        fleet.start(one);
+    void firstRouterOfARootFormsACellThatTheUpperLevelKnows() {
+        fleet.seeds = List.of(fleet.inRoot("b").get(4).address);
+        Router router = fleet.add("new-root", 1);
+        fleet.start(router);
         fleet.run(40 * SECOND);
-        assertEquals("new-root", one.cell());
+        assertEquals("new-root", router.cell());
         assertEquals(List.of(), fleet.disagreements());
         Router other = fleet.add("new-root", 1);
         fleet.start(other);
         fleet.run(40 * SECOND);
-        assertEquals(one.cellMates(), other.cellMates());
+        assertEquals(router.cellPeers(), other.cellPeers());
         assertEquals(List.of(), fleet.disagreements());
     }
 
     @Test
-    void oneLivingSeedIsEnough() {
+    void oneRunningSeedIsEnough() {
         fleet.seeds = List.of(
-                fleet.of("a").get(0).address,
-                fleet.of("a").get(1).address,
-                fleet.of("c").get(5).address);
-        fleet.kill(fleet.of("a").get(0));
-        fleet.kill(fleet.of("a").get(1));
-        Router one = fleet.add("b", 0);
-        fleet.start(one);
+                fleet.inRoot("a").get(0).address,
+                fleet.inRoot("a").get(1).address,
+                fleet.inRoot("c").get(5).address);
+        fleet.kill(fleet.inRoot("a").get(0));
+        fleet.kill(fleet.inRoot("a").get(1));
+        Router router = fleet.add("b", 0);
+        fleet.start(router);
         fleet.run(30 * SECOND);
-        assertEquals(6, one.cellMates().size());
+        assertEquals(6, router.cellPeers().size());
     }
 
     @Test
-    void placesThatNobodyAskedForMoveNobody() {
-        Router one = fleet.of("b").get(1);
-        long before = count(one, "unasked-places");
-        fleet.deliver(one, JOINS.write(packet(1, new Place(77, 3, List.of(STRANGER.address()), List.of()))));
-        assertEquals(before + 1, count(one, "unasked-places"));
-        fleet.deliver(one, JOINS.write(packet(2, new Place(0, 1, List.of(), List.of()))));
-        assertEquals("b", one.cell(), "only its grantor splits a cell");
-        Router grantor = fleet.grantorOf(one);
+    void unrequestedPlacesMoveNoRouter() {
+        Router router = fleet.inRoot("b").get(1);
+        long before = droppedPackets(router, "unasked-places");
+        fleet.deliver(router, JOINS.write(packet(1, new Place(77, 3, List.of(STRANGER.address()), List.of()))));
+        assertEquals(before + 1, droppedPackets(router, "unasked-places"));
+        fleet.deliver(router, JOINS.write(packet(2, new Place(0, 1, List.of(), List.of()))));
+        assertEquals("b", router.cell(), "only its grantor may split a cell");
+        Router grantor = fleet.grantorOf(router);
         RouterRecord older = new RouterRecord(grantor.name, grantor.address, 5, 5, RouterStatus.ALIVE);
         fleet.deliver(
-                one, JOINS.write(new Packet(older, 3, new Place(0, 1, List.of(), List.of()), List.of(), List.of())));
-        assertEquals("b", one.cell(), "and that by the process that is known");
+                router, JOINS.write(new Packet(older, 3, new Place(0, 1, List.of(), List.of()), List.of(), List.of())));
+        assertEquals("b", router.cell(), "and only as the process that is known");
         fleet.run(10 * SECOND);
         assertEquals(List.of(), fleet.disagreements());
     }
 
     @Test
-    void aJoinIsPassedOnSoOftenAndNotOftener() {
-        Router one =
-                fleet.of("b").stream().filter(r -> !r.delegate()).findFirst().orElseThrow();
+    void joinIsForwardedUpToTheMaximumNumberOfHops() {
+        Router router =
+                fleet.inRoot("b").stream().filter(r -> !r.isDelegate()).findFirst().orElseThrow();
         List<Packet> sent = new ArrayList<>();
-        fleet.sends = (from, d) -> {
-            if (from == one && PacketCodec.cluster(d.bytes()) == JOINS.cluster()) {
-                sent.add(read(d.bytes()));
+        fleet.packetListener = (from, datagram) -> {
+            if (from == router && PacketCodec.cluster(datagram.bytes()) == JOINS.cluster()) {
+                sent.add(read(datagram.bytes()));
             }
         };
-        fleet.deliver(one, JOINS.write(packet(9, new Join("c", 0, 0))));
+        fleet.deliver(router, JOINS.write(packet(9, new Join("c", 0, 0))));
         assertEquals(1, sent.size());
         assertEquals(new Join("c", 0, 1), sent.get(0).body());
-        assertEquals(STRANGER, sent.get(0).from(), "as who asked, so that the answer goes there");
+        assertEquals(STRANGER, sent.get(0).from(), "the sender stays the joining router, so that the answer goes there");
         assertEquals(9, sent.get(0).number());
         sent.clear();
-        fleet.deliver(one, JOINS.write(packet(10, new Join("c", 0, PacketCodec.MOST_HOPS))));
+        fleet.deliver(router, JOINS.write(packet(10, new Join("c", 0, PacketCodec.MOST_HOPS))));
         assertEquals(List.of(), sent);
     }
 
     @Test
-    void aJoinIsAnsweredByItsCellWithAddressesOfIt() {
-        Router one = fleet.of("b").get(0);
+    void cellAnswersAJoinWithAddressesOfItsRouters() {
+        Router router = fleet.inRoot("b").get(0);
         List<Packet> sent = new ArrayList<>();
-        fleet.sends = (from, d) -> {
-            if (from == one && d.address().equals(STRANGER.address())) {
-                sent.add(read(d.bytes()));
+        fleet.packetListener = (from, datagram) -> {
+            if (from == router && datagram.address().equals(STRANGER.address())) {
+                sent.add(read(datagram.bytes()));
             }
         };
-        fleet.deliver(one, JOINS.write(packet(11, new Join("b", 0, 1))));
+        fleet.deliver(router, JOINS.write(packet(11, new Join("b", 0, 1))));
         Place place = (Place) sent.get(0).body();
         assertEquals(11, place.join());
         assertEquals(0, place.depth());
-        assertTrue(place.cell().contains(one.address) && place.cell().size() == 5, place::toString);
+        assertTrue(place.cell().contains(router.address) && place.cell().size() == 5, place::toString);
         assertTrue(
                 place.cell().containsAll(place.delegates()) && place.delegates().size() == 2, place::toString);
-        assertTrue(fleet.of("b").stream().allMatch(r -> place.cell().contains(r.address)));
+        assertTrue(fleet.inRoot("b").stream().allMatch(r -> place.cell().contains(r.address)));
     }
 
     @Test
-    void aFloodOfJoinsIsBounded() {
-        Router one = fleet.of("b").get(0);
+    void answersToAFloodOfJoinsAreBounded() {
+        Router router = fleet.inRoot("b").get(0);
         long before = fleet.packets;
         for (int i = 0; i < 1_000; i++) {
-            fleet.deliver(one, JOINS.write(packet(100 + i, new Join("b", 0, 1))));
+            fleet.deliver(router, JOINS.write(packet(100 + i, new Join("b", 0, 1))));
         }
-        assertTrue(fleet.packets - before < 200, () -> "answers " + (fleet.packets - before));
-        assertTrue(count(one, "joins-limited") > 800);
+        assertTrue(fleet.packets - before < 200, () -> "packets sent: " + (fleet.packets - before));
+        assertTrue(droppedPackets(router, "joins-limited") > 800);
     }
 
     private static Packet read(byte[] bytes) {
@@ -175,30 +177,33 @@
         }
     }
 
-    /** Packets of a fleet under way, of both levels and of joins, with bytes changed, cut off or added. */
+    /**
+     * A delegate receives packets of a running fleet, of both levels and of discovery, with bytes changed, cut off or
+     * added.
+     */
     @Property(tries = 2, seed = "5601", shrinking = ShrinkingMode.OFF)
-    void packetsThatWereHarmedHarmNobody(@ForAll long seed) {
+    void corruptedPacketsAreDropped(@ForAll long seed) {
         Random random = new Random(seed);
-        threeRoots();
-        List<byte[]> seen = new ArrayList<>();
-        fleet.sends = (from, d) -> seen.add(d.bytes());
-        Router one = fleet.add("b", 0);
-        fleet.start(one);
+        startThreeRoots();
+        List<byte[]> recorded = new ArrayList<>();
+        fleet.packetListener = (from, datagram) -> recorded.add(datagram.bytes());
+        Router router = fleet.add("b", 0);
+        fleet.start(router);
         fleet.run(10 * SECOND);
-        fleet.sends = (from, d) -> {};
+        fleet.packetListener = (from, datagram) -> {};
         Router victim =
-                fleet.of("a").stream().filter(Router::delegate).findFirst().orElseThrow();
+                fleet.inRoot("a").stream().filter(Router::isDelegate).findFirst().orElseThrow();
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = seen.get(random.nextInt(seen.size())).clone();
+            byte[] bytes = recorded.get(random.nextInt(recorded.size())).clone();
             if (random.nextInt(4) == 0) {
                 bytes = java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length + 20));
             }
-            for (int k = random.nextInt(4); k > 0 && bytes.length > 12; k--) {
+            for (int changes = random.nextInt(4); changes > 0 && bytes.length > 12; changes--) {
                 bytes[12 + random.nextInt(bytes.length - 12)] = (byte) random.nextInt(256);
             }
-            victim.part.receive(fleet.now, bytes);
+            victim.participant.receive(fleet.now, bytes);
         }
-        victim.part.takePackets();
-        assertTrue(count(victim, "unreadable") + count(victim, "impossible") > 100, victim.part.fields()::toString);
+        victim.participant.takePackets();
+        assertTrue(droppedPackets(victim, "unreadable") + droppedPackets(victim, "impossible") > 100, victim.participant.fields()::toString);
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/MixedFleetTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/MixedFleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pumicemoor.fleet.cells.VirtualCells.CACHES;
+import static pumicemoor.fleet.cells.VirtualCells.FIRST_CACHE;
 import static pumicemoor.fleet.cells.VirtualCells.SECOND;
 
 import java.util.List;
@@ -13,13 +13,13 @@
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.cells.VirtualCells.Router;
 
-/** Routers of a flat fleet and routers in cells, of one cluster name on one network, as on the day of the change. */
+/** Checks routers of a flat fleet and routers in cells with the same cluster name, as during the migration to cells. */
 class MixedFleetTest {
 
     private static final double LIMIT = 1_000;
     private static final int SIZE = 24;
 
-    private static VirtualCells fleet(long seed) {
+    private static VirtualCells newFleet(long seed) {
         VirtualCells fleet = new VirtualCells(SIZE, 6, 2, LimitMeasure.PER_SECOND, LIMIT, seed);
         fleet.add("flat", 0, 8).forEach(r -> r.flat = true);
         fleet.add("a", 0, 9);
@@ -31,54 +31,54 @@
         return routers.stream().map(r -> r.name).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private static void assertBothAgree(VirtualCells fleet) {
+    private static void assertBothKindsAgree(VirtualCells fleet) {
         List<Router> flat = fleet.running().stream().filter(r -> r.flat).toList();
-        flat.forEach(r -> assertEquals(names(flat), r.cellMates(), r.name));
+        flat.forEach(r -> assertEquals(names(flat), r.cellPeers(), r.name));
         assertEquals(List.of(), fleet.disagreements());
     }
 
     @Test
-    void bothKindsOfOneClusterNameKeepTheLimitTogetherAndLeaveEachOtherAlone() {
-        VirtualCells fleet = fleet(23);
-        fleet.routers.forEach(r -> fleet.want(r, r.flat || r.root.equals("b") ? LIMIT : 0));
+    void flatAndCellRoutersOfOneClusterStayWithinTheLimitAndIgnoreEachOther() {
+        VirtualCells fleet = newFleet(23);
+        fleet.routers.forEach(r -> fleet.setDemand(r, r.flat || r.root.equals("b") ? LIMIT : 0));
         fleet.startAll();
         fleet.run(60 * SECOND);
-        assertBothAgree(fleet);
-        double flat = fleet.spent(fleet.of("flat"));
+        assertBothKindsAgree(fleet);
+        double flat = fleet.spendable(fleet.inRoot("flat"));
         assertTrue(flat <= LIMIT * 8 / SIZE * (1 + 1e-9) && flat > 0.85 * LIMIT * 8 / SIZE, () -> "flat " + flat);
-        double cells = fleet.spent() - flat;
+        double cells = fleet.spendable() - flat;
         assertTrue(
                 cells <= LIMIT * 16 / SIZE * (1 + 1e-9) && cells > 0.85 * LIMIT * 16 / SIZE, () -> "in cells " + cells);
         for (int i = 0; i < 20; i++) {
-            fleet.of("flat").forEach(r -> fleet.judge(r, CACHES + 1, true));
-            fleet.of("a").forEach(r -> fleet.judge(r, CACHES + 2, true));
+            fleet.inRoot("flat").forEach(r -> fleet.reportHealth(r, FIRST_CACHE + 1, true));
+            fleet.inRoot("a").forEach(r -> fleet.reportHealth(r, FIRST_CACHE + 2, true));
             fleet.run(SECOND);
         }
-        assertTrue(fleet.of("flat").stream().allMatch(r -> r.heardOut.isEmpty()), "eight of 24 are no majority");
-        assertTrue(fleet.of("b").stream().allMatch(r -> r.heardOut.keySet().equals(Set.of(CACHES + 2))));
-        long foreign = fleet.of("flat").stream()
-                .map(r -> r.part.fields().get("fleet-dropped-foreign"))
+        assertTrue(fleet.inRoot("flat").stream().allMatch(r -> r.firstEjectedAt.isEmpty()), "eight of 24 routers are no majority");
+        assertTrue(fleet.inRoot("b").stream().allMatch(r -> r.firstEjectedAt.keySet().equals(Set.of(FIRST_CACHE + 2))));
+        long foreign = fleet.inRoot("flat").stream()
+                .map(r -> r.participant.fields().get("fleet-dropped-foreign"))
                 .filter(n -> n != null)
                 .count();
-        assertTrue(foreign > 0, "some were heard and dropped");
+        assertTrue(foreign > 0, "flat routers must have received and dropped packets of routers in cells");
     }
 
-    /** Routers go over to cells one after another, each as a process started anew. */
+    /** Routers are restarted one after another, each with cells configured. */
     @Test
-    void routersGoOverToCellsOneAfterAnother() {
-        VirtualCells fleet = fleet(29);
+    void routersMigrateToCellsOneAfterAnother() {
+        VirtualCells fleet = newFleet(29);
         fleet.startAll();
         fleet.run(40 * SECOND);
-        for (Router r : fleet.of("flat")) {
-            fleet.kill(r);
+        for (Router router : fleet.inRoot("flat")) {
+            fleet.kill(router);
             fleet.run(2 * SECOND);
-            r.flat = false;
-            fleet.start(r);
+            router.flat = false;
+            fleet.start(router);
             fleet.run(6 * SECOND);
         }
-        fleet.routers.forEach(r -> fleet.want(r, r.root.equals("flat") ? LIMIT : 0));
+        fleet.routers.forEach(r -> fleet.setDemand(r, r.root.equals("flat") ? LIMIT : 0));
         fleet.run(80 * SECOND);
         CellSchedulesTest.assertSettled(fleet);
-        assertTrue(fleet.spent(fleet.of("flat")) > 0.7 * LIMIT, () -> "they have " + fleet.spent(fleet.of("flat")));
+        assertTrue(fleet.spendable(fleet.inRoot("flat")) > 0.7 * LIMIT, () -> "migrated routers may spend " + fleet.spendable(fleet.inRoot("flat")));
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -39,48 +39,48 @@
 import pumicemoor.fleet.verdicts.EjectionPolicy;
 
 /**
- * A fleet of cells in one process and in virtual time: routers in roots (zones) of regions over a network with delay by
- * distance that loses, doubles, reorders and cuts. It owns the queue of what happens next and the watch over the stated
- * bounds, which is kept at every instant at which something happens or a part or verdict ends by itself. It must never
- * help a router with what it could not know.
+ * Simulates a fleet of cells in one process and in virtual time: routers in roots (zones) of regions, and a network
+ * whose delay depends on distance and that loses, duplicates, reorders and cuts off packets. It owns the queue of
+ * scheduled events and checks the documented bounds at every instant at which an event happens or a share or ejection
+ * ends by itself. It must never give a router information that the router could not have.
  */
 final class VirtualCells {
 
-    static final long MILLI = 1_000;
-    static final long SECOND = 1_000_000;
+    static final long MILLI = 1_000; // microseconds
+    static final long SECOND = 1_000_000; // microseconds
     static final long PERIOD = 200 * MILLI;
     static final LeaseTimes TIMES = new LeaseTimes(3 * SECOND, 300 * MILLI);
-    static final EjectionPolicy.Rules VERDICTS = new EjectionPolicy.Rules(0.2, 2, 4 * SECOND, 2 * SECOND);
+    static final EjectionPolicy.Rules EJECTION_RULES = new EjectionPolicy.Rules(0.2, 2, 4 * SECOND, 2 * SECOND);
     static final long ORIGIN = 99;
-    static final long CACHES = 1_000; // the first cache's number
-    static final int TEN = 10; // caches
-    static final int MOST_OUT = 2; // of them, by the share in VERDICTS
+    static final long FIRST_CACHE = 1_000; // member number of the first cache
+    static final int CACHE_COUNT = 10;
+    static final int MAX_EJECTED = 2; // caches, by the share in EJECTION_RULES
     static final String CLUSTER = "test";
 
-    private static final int EXACT_EVERY = 10_000; // instants; between them the sum is kept by its changes
-    private static final int SEEDS = 3;
+    private static final int FULL_SUM_INSTANTS = 10_000; // between full sums, the total is updated by changes only
+    private static final int SEED_COUNT = 3;
     private static final double ROUNDING = 1e-9;
 
-    /** A router, and what its decisions were last told. */
+    /** A router, and the shares and ejections that its decision module last received. */
     final class Router {
         final String name;
         final String address;
         final String root;
         final int region;
-        boolean flat; // not in cells, though in this cluster
-        FleetParticipant part;
+        boolean flat; // in this cluster, but not in cells
+        FleetParticipant participant;
         boolean running;
         long pausedUntil;
         long startedAt;
-        double wanted;
-        List<LimitShare> allowances = List.of();
-        List<EjectedMember> out = List.of();
-        final Map<Long, Long> heardOut = new LinkedHashMap<>(); // when each member was first told out
-        final List<LogEvent> notices = new ArrayList<>();
-        private final List<byte[]> waiting = new ArrayList<>(); // packets that came while it was paused
+        double demand;
+        List<LimitShare> limitShares = List.of();
+        List<EjectedMember> ejected = List.of();
+        final Map<Long, Long> firstEjectedAt = new LinkedHashMap<>(); // when each member was first reported ejected
+        final List<LogEvent> logEvents = new ArrayList<>();
+        private final List<byte[]> receivedWhilePaused = new ArrayList<>();
         private long wakeAt = Long.MAX_VALUE;
-        private double counted;
-        private Set<Long> countedOut = Set.of();
+        private double countedShare; // as included in totalShare
+        private Set<Long> countedEjected = Set.of(); // as included in ejectionCounts
 
         private Router(int number, String root, int region) {
             this.name = root + "-" + number;
@@ -89,38 +89,41 @@
             this.region = region;
         }
 
-        /** What it may spend of the origin's limit now. */
+        /** Returns what it may spend of the origin's limit now. */
         double share() {
             return !running
                     ? 0
-                    : allowances.stream()
+                    : limitShares.stream()
                             .filter(a -> a.member() == ORIGIN)
                             .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.amountAfterExpiry())
                             .sum();
         }
 
-        /** The cell that it takes itself to be in. */
+        /** Returns the cell that it considers itself part of. */
         String cell() {
-            return part.fields().getOrDefault("fleet-cell", "");
+            return participant.fields().getOrDefault("fleet-cell", "");
         }
 
-        /** Whether it is a delegate of its cell, as it sees it. */
-        boolean delegate() {
-            return part.fields().getOrDefault("fleet-delegate", "no").equals("yes");
+        /** Whether it considers itself a delegate of its cell. */
+        boolean isDelegate() {
+            return participant.fields().getOrDefault("fleet-delegate", "no").equals("yes");
         }
 
-        /** The routers that it takes to be alive in its cell. */
-        Set<String> cellMates() {
-            return part.rows("members").orElseThrow().stream()
+        /** Returns the routers of its cell that it considers alive. */
+        Set<String> cellPeers() {
+            return participant.rows("members").orElseThrow().stream()
                     .filter(m -> !"upper".equals(m.get("level")))
                     .filter(m -> m.get("standing").equals("alive"))
                     .map(m -> (String) m.get("name"))
                     .collect(Collectors.toCollection(TreeSet::new));
         }
 
-        /** The routers that it takes to be alive in the level above, by their own names; none where it isn't there. */
-        Set<String> upperMates() {
-            return part.rows("members").orElseThrow().stream()
+        /**
+         * Returns the routers that it considers alive on the upper level, by their own names; empty if it isn't a
+         * delegate.
+         */
+        Set<String> upperPeers() {
+            return participant.rows("members").orElseThrow().stream()
                     .filter(m -> "upper".equals(m.get("level")))
                     .filter(m -> m.get("standing").equals("alive"))
                     .map(m -> (String) m.get("name"))
@@ -135,15 +138,15 @@
     }
 
     private enum Kind {
-        LOOK,
+        RECOUNT,
         PACKET,
         WAKE
     }
 
-    private record Due(long at, long order, Kind kind, Router router, byte[] bytes) implements Comparable<Due> {
+    private record Scheduled(long at, long order, Kind kind, Router router, byte[] bytes) implements Comparable<Scheduled> {
         @Override
-        public int compareTo(Due o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(Scheduled other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
 
@@ -152,58 +155,58 @@
     final double limit;
     final LimitMeasure measure;
     final int size;
-    final int most;
+    final int maxCellRouters;
     final int delegates;
     long now = 1_790_000_000L * SECOND;
-    double loss;
-    double upperLoss; // of packets between delegates of the level above
-    double doubled;
-    long jitter = 2 * MILLI;
+    double loss; // share of packets lost
+    double upperLoss; // share of packets lost between delegates on the upper level
+    double duplicated; // share of packets
+    long jitter = 2 * MILLI; // microseconds, largest random delay
     BiPredicate<Router, Router> cut = (a, b) -> false;
-    BiConsumer<Router, Datagram> sends = (from, packet) -> {}; // is shown each packet as it leaves
-    List<String> seeds =
-            List.of(); // addresses that routers are started with; the first of each root where there are none
+    BiConsumer<Router, Datagram> packetListener = (from, packet) -> {}; // called with each packet as it is sent
+    // addresses that routers are started with; if empty, the first routers of the roots
+    List<String> seeds = List.of();
     long packets;
     long bytes;
-    int offices; // times that a router took office as keeper
-    double highest; // sum of all parts seen at any instant
+    int leaderTerms; // times that a router became leader
+    double highestTotal; // of all shares at any instant
     private final Map<String, Router> byAddress = new HashMap<>();
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+    private final PriorityQueue<Scheduled> queue = new PriorityQueue<>();
     private final Map<Long, Fleet.Listed> members = new LinkedHashMap<>();
-    private final Deque<Long> startedAnew = new ArrayDeque<>();
-    private final Map<Long, Integer> outAt = new TreeMap<>(); // at how many routers each member is out
-    private final long above = Hashes.of(CLUSTER + "/^");
-    private double total;
+    private final Deque<Long> restartTimes = new ArrayDeque<>();
+    private final Map<Long, Integer> ejectionCounts = new TreeMap<>(); // routers that eject each member
+    private final long upperCluster = Hashes.of(CLUSTER + "/^");
+    private double totalShare;
     private long lastTerm;
-    private int startedSinceOffice;
-    private String lastKeeper = "";
+    private int startedSinceLeader;
+    private String lastLeader = "";
     private long instants;
     private long order;
 
-    VirtualCells(int size, int most, int delegates, LimitMeasure measure, double limit, long seed) {
+    VirtualCells(int size, int maxCellRouters, int delegates, LimitMeasure measure, double limit, long seed) {
         this.random = new Random(seed);
         this.limit = limit;
         this.measure = measure;
         this.size = size;
-        this.most = most;
+        this.maxCellRouters = maxCellRouters;
         this.delegates = delegates;
         members.put(ORIGIN, new Fleet.Listed("origin", Role.ORIGIN, 0));
-        for (int i = 0; i < TEN; i++) {
-            members.put(CACHES + i, new Fleet.Listed("box-" + i, Role.CACHE, 0));
+        for (int i = 0; i < CACHE_COUNT; i++) {
+            members.put(FIRST_CACHE + i, new Fleet.Listed("box-" + i, Role.CACHE, 0));
         }
     }
 
     // ---- routers --------------------------------------------------------------------------------------
 
-    /** A router that is not yet started. */
+    /** Adds a router without starting it. */
     Router add(String root, int region) {
-        Router r = new Router(routers.size(), root, region);
-        routers.add(r);
-        byAddress.put(r.address, r);
-        return r;
+        Router router = new Router(routers.size(), root, region);
+        routers.add(router);
+        byAddress.put(router.address, router);
+        return router;
     }
 
-    /** So many routers in a root. */
+    /** Adds this many routers in a root without starting them. */
     List<Router> add(String root, int region, int count) {
         List<Router> added = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -216,378 +219,389 @@
         routers.forEach(this::start);
     }
 
-    /** Starts a router; where it ran before it is a process started anew. */
-    void start(Router r) {
-        if (r.startedAt > 0) {
-            startedAnew.add(now);
+    /** Starts a router; one that ran before is restarted as a new process. */
+    void start(Router router) {
+        if (router.startedAt > 0) {
+            restartTimes.add(now);
         }
-        startedSinceOffice++;
+        startedSinceLeader++;
         Membership.Setup membership =
-                new Membership.Setup(r.name, r.address, seeds(), PERIOD, 3, 2, 600 * SECOND, 2_000);
+                new Membership.Setup(router.name, router.address, seeds(), PERIOD, 3, 2, 600 * SECOND, 2_000);
         FleetSetup setup = new FleetSetup(
                 CLUSTER,
                 membership,
                 size,
                 TIMES,
                 List.of(new LimitRule("origin", FleetSetup.Scope.ORIGIN, "", measure, limit)),
-                Optional.of(VERDICTS),
+                Optional.of(EJECTION_RULES),
                 Optional.empty(),
-                r.flat ? Optional.empty() : Optional.of(new CellSetup(r.root, most, delegates)));
-        r.part = r.flat ? new Fleet(setup, now, random.nextLong()) : new CellFleet(setup, now, random.nextLong());
-        r.running = true;
-        r.startedAt = now;
-        r.pausedUntil = 0;
-        r.waiting.clear();
-        r.heardOut.clear();
-        r.out = List.of();
-        r.allowances = List.of();
-        r.wakeAt = Long.MAX_VALUE;
-        r.part.updateMembers(now, members);
-        fetch(r);
-    }
-
-    /** Any three routers of the cluster: the first of each of the first roots, then others. */
+                router.flat ? Optional.empty() : Optional.of(new CellSetup(router.root, maxCellRouters, delegates)));
+        router.participant = router.flat ? new Fleet(setup, now, random.nextLong()) : new CellFleet(setup, now, random.nextLong());
+        router.running = true;
+        router.startedAt = now;
+        router.pausedUntil = 0;
+        router.receivedWhilePaused.clear();
+        router.firstEjectedAt.clear();
+        router.ejected = List.of();
+        router.limitShares = List.of();
+        router.wakeAt = Long.MAX_VALUE;
+        router.participant.updateMembers(now, members);
+        collectOutput(router);
+    }
+
+    /** Returns up to three routers of the cluster: the first router of each root, then others. */
     private List<String> seeds() {
         if (!seeds.isEmpty()) {
             return seeds;
         }
-        Map<String, String> first = new LinkedHashMap<>();
-        routers.forEach(r -> first.putIfAbsent(r.root, r.address));
-        Set<String> all = new LinkedHashSet<>(first.values());
-        routers.forEach(r -> all.add(r.address));
-        return all.stream().limit(SEEDS).toList();
+        Map<String, String> firstOfRoot = new LinkedHashMap<>();
+        routers.forEach(router -> firstOfRoot.putIfAbsent(router.root, router.address));
+        Set<String> all = new LinkedHashSet<>(firstOfRoot.values());
+        routers.forEach(router -> all.add(router.address));
+        return all.stream().limit(SEED_COUNT).toList();
     }
 
-    /** Whether no other of those that all are started with runs: who knows nobody finds nobody without one. */
-    boolean lastSeed(Router r) {
-        return seeds().stream().map(byAddress::get).noneMatch(s -> s != r && s.running);
+    /** Whether no other seed runs: a router that knows no other can't find any without a running seed. */
+    boolean isLastRunningSeed(Router router) {
+        return seeds().stream().map(byAddress::get).noneMatch(seed -> seed != router && seed.running);
     }
 
-    void kill(Router r) {
-        r.running = false;
-        r.wakeAt = Long.MAX_VALUE;
-        count(r);
+    void kill(Router router) {
+        router.running = false;
+        router.wakeAt = Long.MAX_VALUE;
+        recount(router);
     }
 
-    void pause(Router r, long time) {
-        r.pausedUntil = now + time;
-        wake(r, r.pausedUntil);
+    void pause(Router router, long time) {
+        router.pausedUntil = now + time;
+        scheduleWake(router, router.pausedUntil);
     }
 
     /** Ends all pauses. */
-    void unpause() {
-        routers.stream().filter(r -> r.running && r.pausedUntil > now).forEach(r -> {
-            r.pausedUntil = now;
-            wake(r, now + 1);
+    void endPauses() {
+        routers.stream().filter(router -> router.running && router.pausedUntil > now).forEach(router -> {
+            router.pausedUntil = now;
+            scheduleWake(router, now + 1);
         });
     }
 
-    boolean acts(Router r) {
-        return r.running && now >= r.pausedUntil;
+    boolean isActive(Router router) {
+        return router.running && now >= router.pausedUntil;
     }
 
     List<Router> running() {
-        return routers.stream().filter(r -> r.running).toList();
+        return routers.stream().filter(router -> router.running).toList();
     }
 
-    List<Router> of(String root) {
-        return routers.stream().filter(r -> r.root.equals(root)).toList();
+    List<Router> inRoot(String root) {
+        return routers.stream().filter(router -> router.root.equals(root)).toList();
     }
 
-    void want(Router r, double wanted) {
-        r.wanted = wanted;
+    void setDemand(Router router, double demand) {
+        router.demand = demand;
     }
 
-    void judge(Router r, long member, boolean failing) {
-        r.part.reportHealth(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
-        fetch(r);
+    void reportHealth(Router router, long member, boolean failing) {
+        router.participant.reportHealth(now, new MemberHealthReport(member, failing, true, 2, 0.5, now + SECOND));
+        collectOutput(router);
     }
 
-    /** The router that those of the same cell report to, as this one sees it. */
-    Router grantorOf(Router r) {
-        String name = r.part.fields().get("fleet-grantor");
+    /** Returns the grantor of a router's cell, as that router sees it. */
+    Router grantorOf(Router router) {
+        String name = router.participant.fields().get("fleet-grantor");
         return routers.stream().filter(o -> o.name.equals(name)).findFirst().orElseThrow();
     }
 
     // ---- time -----------------------------------------------------------------------------------------
 
-    /** Lives on, watching the bounds at every instant. */
+    /** Advances the simulation by this time, checking the bounds at every instant. */
     void run(long time) {
         run(time, () -> {});
     }
 
-    /** Lives on, watching the bounds at every instant and calling back at each. */
-    void run(long time, Runnable watch) {
+    /** Advances the simulation by this time, checking the bounds and running a check of the caller at every instant. */
+    void run(long time, Runnable check) {
         long end = now + time;
-        long began = packets;
+        long packetsBefore = packets;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
             now = Math.max(now, queue.peek().at());
             while (!queue.isEmpty() && queue.peek().at() <= now) {
-                live(queue.poll());
+                process(queue.poll());
             }
-            if (packets - began > 1_000L * routers.size() * (1 + time / SECOND)) {
-                throw new AssertionError("a storm of packets: " + packets);
+            if (packets - packetsBefore > 1_000L * routers.size() * (1 + time / SECOND)) {
+                throw new AssertionError("too many packets for this time: " + packets);
             }
-            watchBounds();
-            watch.run();
+            checkBounds();
+            check.run();
         }
         now = end;
     }
 
-    private void live(Due due) {
-        Router r = due.router();
-        if (!r.running) {
+    private void process(Scheduled event) {
+        Router router = event.router();
+        if (!router.running) {
             return;
         }
-        switch (due.kind()) {
-            case LOOK -> count(r);
+        switch (event.kind()) {
+            case RECOUNT -> recount(router);
             case PACKET -> {
-                if (now < r.pausedUntil) {
-                    r.waiting.add(due.bytes());
+                if (now < router.pausedUntil) {
+                    router.receivedWhilePaused.add(event.bytes());
                 } else {
-                    r.part.receive(now, due.bytes());
-                    fetch(r);
+                    router.participant.receive(now, event.bytes());
+                    collectOutput(router);
                 }
             }
             case WAKE -> {
-                if (due.at() != r.wakeAt) {
-                    return; // it is due at another time by now
+                if (event.at() != router.wakeAt) {
+                    return; // it was rescheduled since
                 }
-                if (r.pausedUntil > 0 && !r.waiting.isEmpty() && random.nextBoolean()) {
-                    r.part.advance(now); // after a pause timers may come before or after what waits
+                if (router.pausedUntil > 0 && !router.receivedWhilePaused.isEmpty() && random.nextBoolean()) {
+                    router.participant.advance(now); // after a pause, timers may fire before or after waiting packets
                 }
-                r.waiting.forEach(b -> r.part.receive(now, b));
-                r.waiting.clear();
-                r.part.reportDemand(new LimitDemand(ORIGIN, measure, r.wanted, 0));
-                r.part.advance(now);
-                fetch(r);
+                router.receivedWhilePaused.forEach(b -> router.participant.receive(now, b));
+                router.receivedWhilePaused.clear();
+                router.participant.reportDemand(new LimitDemand(ORIGIN, measure, router.demand, 0));
+                router.participant.advance(now);
+                collectOutput(router);
             }
         }
     }
 
-    private void fetch(Router r) {
-        r.part.takePackets().forEach(d -> send(r, d));
-        boolean told = false;
-        for (Event e : r.part.takeEvents()) {
-            told = true;
-            if (e instanceof LimitSharesUpdate a) {
-                r.allowances = a.shares();
-                a.shares().stream().filter(x -> x.expiresAt() < Long.MAX_VALUE).forEach(x -> look(r, x.expiresAt()));
-            } else if (e instanceof EjectionsUpdate v) {
-                r.out = v.ejected();
-                v.ejected().forEach(o -> {
-                    r.heardOut.putIfAbsent(o.member(), now);
-                    look(r, o.until());
+    private void collectOutput(Router router) {
+        router.participant.takePackets().forEach(d -> send(router, d));
+        boolean changed = false;
+        for (Event e : router.participant.takeEvents()) {
+            changed = true;
+            if (e instanceof LimitSharesUpdate update) {
+                router.limitShares = update.shares();
+                update.shares().stream()
+                        .filter(s -> s.expiresAt() < Long.MAX_VALUE)
+                        .forEach(s -> scheduleRecount(router, s.expiresAt()));
+            } else if (e instanceof EjectionsUpdate update) {
+                router.ejected = update.ejected();
+                update.ejected().forEach(ejected -> {
+                    router.firstEjectedAt.putIfAbsent(ejected.member(), now);
+                    scheduleRecount(router, ejected.until());
                 });
             }
         }
-        if (told) {
-            count(r);
+        if (changed) {
+            recount(router);
         }
-        for (LogEvent n : r.part.takeLogEvents()) {
-            r.notices.add(n);
-            if (Boolean.TRUE.equals(n.fields().get("keeper"))) {
-                tookOffice(r, (long) n.fields().get("term"));
+        for (LogEvent logEvent : router.participant.takeLogEvents()) {
+            router.logEvents.add(logEvent);
+            if (Boolean.TRUE.equals(logEvent.fields().get("keeper"))) {
+                becameLeader(router, (long) logEvent.fields().get("term"));
             }
         }
-        wake(r, Math.max(r.pausedUntil, Math.max(now + 1, r.part.nextDue())));
+        scheduleWake(router, Math.max(router.pausedUntil, Math.max(now + 1, router.participant.nextDue())));
     }
 
-    private void look(Router r, long at) {
-        queue.add(new Due(at, order++, Kind.LOOK, r, null));
+    private void scheduleRecount(Router router, long at) {
+        queue.add(new Scheduled(at, order++, Kind.RECOUNT, router, null));
     }
 
-    private void wake(Router r, long at) {
-        if (at != r.wakeAt) {
-            r.wakeAt = at;
-            queue.add(new Due(at, order++, Kind.WAKE, r, null));
+    private void scheduleWake(Router router, long at) {
+        if (at != router.wakeAt) {
+            router.wakeAt = at;
+            queue.add(new Scheduled(at, order++, Kind.WAKE, router, null));
         }
     }
 
     // ---- the network ----------------------------------------------------------------------------------
 
-    private void send(Router from, Datagram d) {
-        sends.accept(from, d);
+    private void send(Router from, Datagram datagram) {
+        packetListener.accept(from, datagram);
         packets++;
-        bytes += d.bytes().length;
-        Router to = byAddress.get(d.address());
-        double lost = ofLevelAbove(d.bytes()) ? Math.max(loss, upperLoss) : loss;
-        if (to == null || cut.test(from, to) || random.nextDouble() < lost) {
+        bytes += datagram.bytes().length;
+        Router to = byAddress.get(datagram.address());
+        double lossHere = isUpperLevel(datagram.bytes()) ? Math.max(loss, upperLoss) : loss;
+        if (to == null || cut.test(from, to) || random.nextDouble() < lossHere) {
             return;
         }
-        for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-            long delay = distance(from, to) + (long) (random.nextDouble() * jitter);
-            queue.add(new Due(now + delay, order++, Kind.PACKET, to, d.bytes()));
+        for (int copies = random.nextDouble() < duplicated ? 2 : 1; copies > 0; copies--) {
+            long delay = latency(from, to) + (long) (random.nextDouble() * jitter);
+            queue.add(new Scheduled(now + delay, order++, Kind.PACKET, to, datagram.bytes()));
         }
     }
 
-    private static long distance(Router from, Router to) {
+    private static long latency(Router from, Router to) {
         return from.root.equals(to.root) ? 300 : from.region == to.region ? 2 * MILLI : 40 * MILLI;
     }
 
-    /** Whether a packet is of the level above, by the cluster that it names. */
-    private boolean ofLevelAbove(byte[] packet) {
-        return packet.length > 12 && ByteBuffer.wrap(packet).getLong(4) == above;
+    /** Whether a packet belongs to the upper level, by the cluster in its header. */
+    private boolean isUpperLevel(byte[] packet) {
+        return packet.length > 12 && ByteBuffer.wrap(packet).getLong(4) == upperCluster;
     }
 
-    // ---- what is watched ------------------------------------------------------------------------------
+    // ---- checked state --------------------------------------------------------------------------------
 
-    /** How long after its lease a router keeps to the lower of it and the even part: g + g2 + 2 D2 + D, as stated. */
-    static long shrink() {
+    /**
+     * Returns how long after its lease a router keeps to the lower of the leased and the even share, in microseconds:
+     * the documented g + g2 + 2 D2 + D, where D and g are lease time and guard of a router, D2 and g2 those of a cell.
+     */
+    static long shrinkMicros() {
         long upperLease = 2 * TIMES.lease();
         long upperGuard = 4 * TIMES.guard();
         return TIMES.guard() + upperGuard + 2 * upperLease + TIMES.lease();
     }
 
-    private void count(Router r) {
-        double share = r.share();
-        total += share - r.counted;
-        r.counted = share;
-        Set<Long> out = !r.running
+    private void recount(Router router) {
+        double share = router.share();
+        totalShare += share - router.countedShare;
+        router.countedShare = share;
+        Set<Long> ejected = !router.running
                 ? Set.of()
-                : r.out.stream()
-                        .filter(o -> now < o.until())
+                : router.ejected.stream()
+                        .filter(e -> now < e.until())
                         .map(EjectedMember::member)
                         .collect(Collectors.toSet());
-        if (!out.equals(r.countedOut)) {
-            r.countedOut.forEach(m -> outAt.merge(m, -1, (a, b) -> a + b == 0 ? null : a + b));
-            out.forEach(m -> outAt.merge(m, 1, Integer::sum));
-            r.countedOut = out;
+        if (!ejected.equals(router.countedEjected)) {
+            router.countedEjected.forEach(m -> ejectionCounts.merge(m, -1, (a, b) -> a + b == 0 ? null : a + b));
+            ejected.forEach(m -> ejectionCounts.merge(m, 1, Integer::sum));
+            router.countedEjected = ejected;
         }
-        if (r.running && share <= 0) {
-            throw new AssertionError(r.name + " is at zero at " + at());
+        if (router.running && share <= 0) {
+            throw new AssertionError(router.name + " has no share left at " + timestamp());
         }
     }
 
-    /** The most that all parts may add up to now. */
-    double bound() {
-        while (!startedAnew.isEmpty() && now - startedAnew.peek() >= 2 * shrink()) {
-            startedAnew.poll();
+    /**
+     * Returns the bound on the sum of all shares now: the limit, and an even share for each process restarted within
+     * twice the shrink time.
+     */
+    double totalBound() {
+        while (!restartTimes.isEmpty() && now - restartTimes.peek() >= 2 * shrinkMicros()) {
+            restartTimes.poll();
         }
-        return limit + startedAnew.size() * limit / size;
+        return limit + restartTimes.size() * limit / size;
     }
 
-    /** The largest number of routers that take themselves to be in one cell. */
+    /** Returns the largest number of routers that consider themselves part of the same cell. */
     int largestCell() {
         return cells().values().stream().mapToInt(List::size).max().orElse(0);
     }
 
-    /** The router that all cells' grantors report to, as most delegates see it. */
+    /** Returns the grantor of the upper level, as most delegates see it. */
     Router upperGrantor() {
-        Map<String, Long> seen = running().stream()
-                .filter(r -> !r.flat && r.delegate())
+        Map<String, Long> votes = running().stream()
+                .filter(router -> !router.flat && router.isDelegate())
                 .collect(Collectors.groupingBy(
-                        r -> r.part.fields().get("fleet-upper-grantor"), TreeMap::new, Collectors.counting()));
-        String first = seen.entrySet().stream()
+                        router -> router.participant.fields().get("fleet-upper-grantor"), TreeMap::new, Collectors.counting()));
+        String mostNamed = votes.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .orElseThrow()
                 .getKey();
-        String name = first.substring(first.indexOf('.') + 1);
+        String name = mostNamed.substring(mostNamed.indexOf('.') + 1);
         return routers.stream().filter(o -> o.name.equals(name)).findFirst().orElseThrow();
     }
 
-    /** Routers that say of themselves that they are the keeper. */
-    List<Router> keepers() {
+    /** Returns the running routers that consider themselves the leader. */
+    List<Router> leaders() {
         return running().stream()
-                .filter(r -> "yes".equals(r.part.fields().get("fleet-keeper")))
+                .filter(router -> "yes".equals(router.participant.fields().get("fleet-keeper")))
                 .toList();
     }
 
-    /** A packet for a router, from nowhere. */
+    /** Delivers a packet to a router directly, bypassing the network. */
     void deliver(Router to, byte[] packet) {
-        to.part.receive(now, packet);
-        fetch(to);
+        to.participant.receive(now, packet);
+        collectOutput(to);
     }
 
-    /** The sum of what all may spend now. */
-    double spent() {
+    /** Returns the sum of what all routers may spend now. */
+    double spendable() {
         return routers.stream().mapToDouble(Router::share).sum();
     }
 
-    double spent(List<Router> some) {
-        return some.stream().mapToDouble(Router::share).sum();
+    double spendable(List<Router> group) {
+        return group.stream().mapToDouble(Router::share).sum();
     }
 
-    /** The members that any running router keeps out now. */
-    Set<Long> outAnywhere() {
-        return outAt.keySet();
+    /** Returns the members that any running router ejects now. */
+    Set<Long> ejectedAnywhere() {
+        return ejectionCounts.keySet();
     }
 
-    private void watchBounds() {
-        if (instants++ % EXACT_EVERY == 0 || total > bound() * (1 + ROUNDING)) {
-            routers.forEach(this::count);
-            total = spent();
+    private void checkBounds() {
+        if (instants++ % FULL_SUM_INSTANTS == 0 || totalShare > totalBound() * (1 + ROUNDING)) {
+            routers.forEach(this::recount);
+            totalShare = spendable();
         }
-        highest = Math.max(highest, total);
-        if (total > bound() * (1 + ROUNDING)) {
-            throw new AssertionError("the fleet may spend " + total + " of " + bound() + " at " + at());
+        highestTotal = Math.max(highestTotal, totalShare);
+        if (totalShare > totalBound() * (1 + ROUNDING)) {
+            throw new AssertionError("the fleet may spend " + totalShare + " of " + totalBound() + " at " + timestamp());
         }
-        if (outAt.size() > MOST_OUT) {
-            throw new AssertionError("out are " + outAt.keySet() + " at " + at());
+        if (ejectionCounts.size() > MAX_EJECTED) {
+            throw new AssertionError("too many members are ejected: " + ejectionCounts.keySet() + " at " + timestamp());
         }
     }
 
     /**
-     * Terms rise from one process in office to the next, as long as those remember that both had the votes of: here,
-     * where less than a quarter of all were started since.
+     * Checks that the term rises from one leader process to the next, which holds as long as routers that voted for
+     * both remember it: here, where less than a quarter of all routers were started in between.
      */
-    private void tookOffice(Router r, long term) {
-        String process = r.name + " started at " + r.startedAt;
-        boolean remembered = 4 * startedSinceOffice < size;
-        startedSinceOffice = 0;
-        if (remembered && (term < lastTerm || term == lastTerm && !process.equals(lastKeeper))) {
-            throw new AssertionError(process + " takes office in term " + term + " after " + lastKeeper + " in "
-                    + lastTerm + " at " + at());
+    private void becameLeader(Router router, long term) {
+        String process = router.name + " started at " + router.startedAt;
+        boolean remembered = 4 * startedSinceLeader < size;
+        startedSinceLeader = 0;
+        if (remembered && (term < lastTerm || term == lastTerm && !process.equals(lastLeader))) {
+            throw new AssertionError(process + " becomes leader in term " + term + " after " + lastLeader + " in "
+                    + lastTerm + " at " + timestamp());
         }
         lastTerm = term;
-        lastKeeper = process;
-        offices++;
+        lastLeader = process;
+        leaderTerms++;
     }
 
-    private String at() {
+    private String timestamp() {
         return (now - 1_790_000_000L * SECOND) / MILLI + " ms";
     }
 
-    // ---- what all come to when nothing fails any more ---------------------------------------------------
+    // ---- agreement on cells -----------------------------------------------------------------------------
 
-    /** The running routers by the cell that each takes itself to be in. */
+    /** Returns the running routers by the cell that each considers itself part of. */
     Map<String, List<Router>> cells() {
         return running().stream()
-                .filter(r -> !r.flat)
+                .filter(router -> !router.flat)
                 .collect(Collectors.groupingBy(Router::cell, TreeMap::new, Collectors.toList()));
     }
 
-    /** What is wrong with the cells; empty where all have one, all of a cell agree on it and none is over its bound. */
+    /**
+     * Returns what is wrong with the cells: empty if all have one, all routers of a cell agree on it and none is too
+     * large.
+     */
     List<String> disagreements() {
         List<String> wrong = new ArrayList<>();
         Map<String, List<Router>> cells = cells();
         cells.forEach((cell, all) -> {
-            Set<String> names = all.stream().map(r -> r.name).collect(Collectors.toCollection(TreeSet::new));
+            Set<String> names = all.stream().map(router -> router.name).collect(Collectors.toCollection(TreeSet::new));
             if (cell.isEmpty()) {
                 wrong.add("without a cell: " + names);
             }
-            if (all.size() > most) {
-                wrong.add(cell + " has " + all.size() + " routers of " + most + " at most");
+            if (all.size() > maxCellRouters) {
+                wrong.add(cell + " has " + all.size() + " routers of " + maxCellRouters + " at most");
             }
-            if (all.stream().map(r -> r.root).distinct().count() != 1) {
+            if (all.stream().map(router -> router.root).distinct().count() != 1) {
                 wrong.add(cell + " has routers of several roots: " + names);
             }
             all.stream()
-                    .filter(r -> !r.cellMates().equals(names))
+                    .filter(router -> !router.cellPeers().equals(names))
                     .forEach(
-                            r -> wrong.add(r.name + " sees " + r.cellMates() + " in " + cell + ", where are " + names));
-            long told = all.stream().filter(Router::delegate).count();
-            if (told != Math.min(delegates, all.size())) {
-                wrong.add(cell + " has " + told + " delegates of " + delegates);
+                            router -> wrong.add(router.name + " sees " + router.cellPeers() + " in " + cell + ", which has " + names));
+            long delegateCount = all.stream().filter(Router::isDelegate).count();
+            if (delegateCount != Math.min(delegates, all.size())) {
+                wrong.add(cell + " has " + delegateCount + " delegates of " + delegates);
             }
         });
-        Set<String> above = running().stream()
-                .filter(r -> !r.flat && r.delegate())
-                .map(r -> r.name)
+        Set<String> upper = running().stream()
+                .filter(router -> !router.flat && router.isDelegate())
+                .map(router -> router.name)
                 .collect(Collectors.toCollection(TreeSet::new));
         running().stream()
-                .filter(r -> !r.flat && r.delegate() && !r.upperMates().equals(above))
-                .forEach(r -> wrong.add(r.name + " sees " + r.upperMates() + " above, where are " + above));
+                .filter(router -> !router.flat && router.isDelegate() && !router.upperPeers().equals(upper))
+                .forEach(router -> wrong.add(router.name + " sees " + router.upperPeers() + " on the upper level, which has " + upper));
         return wrong;
     }
 }
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -183,7 +183,9 @@
             this.share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         }
 
-        /** Returns the most that its routers may spend now: what it could grant at any time within their lease duration. */
+        /**
+         * Returns the most that its routers may spend now: what it could grant at any time within their lease duration.
+         */
         double maxSpend(long now, int allRouters) {
             grantable.add(new double[] {now, share.pool(now, routers, allRouters)});
             return max(grantable, now);
@@ -207,7 +209,10 @@
 
     private record InFlight(long arrivesAt, Runnable delivery) {}
 
-    /** Cells with abruptly changing demand and two competing upper grantors; requests and grants are lost, late and duplicated. */
+    /**
+     * Cells with abruptly changing demand and two competing upper grantors; requests and grants are lost, late and
+     * duplicated.
+     */
     @Property(tries = 80, seed = "5301", shrinking = ShrinkingMode.OFF)
     void sumOfCellSharesStaysWithinTheLimit(@ForAll long seed) {
         Random random = new Random(seed);
@@ -275,8 +280,8 @@
     }
 
     /**
-     * One cell that routers without leases join and one that demands all the rest, with one grantor. Requests and grants
-     * are lost and late, and the cells grant leases at random times, also between a request and its answer.
+     * One cell that routers without leases join and one that demands all the rest, with one grantor. Requests and
+     * grants are lost and late, and the cells grant leases at random times, also between a request and its answer.
      */
     @Property(tries = 200, seed = "5302", shrinking = ShrinkingMode.OFF)
     void sumOfGrantsStaysWithinTheLimitWhileACellGrows(@ForAll long seed) {
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.LimitMeasure;
 
-/** Checks holder and grantor of a lease separately: old, late and duplicated requests and grants must change nothing. */
+/**
+ * Checks holder and grantor of a lease separately: old, late and duplicated requests and grants must change nothing.
+ */
 class LeaseTest {
 
     private static final long SECOND = 1_000_000;
