--- a/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns how many holders have a lease of this grantor. */
-    public int holders() {
+    public int holderCount() {
         return holders.size();
     }
 
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -25,7 +25,7 @@
     private record RouterReport(long number, long expiresAt, List<FailureReport> failures) {}
 
     private final Rules rules;
-    private final Map<String, Report> reports = new HashMap<>();
+    private final Map<String, RouterReport> reports = new HashMap<>();
     private final Map<Long, Long> slotsTakenUntil = new HashMap<>(); // by member
     private final Map<Long, Long> renewAt = new HashMap<>();
 
@@ -92,7 +92,7 @@
                     table.standing(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
             byMember.entrySet().stream()
                     .filter(e -> failingMembers.contains(e.getKey()) && !ejected.contains(e.getKey()))
-                    .sorted(Comparator.comparingInt((Map.Entry<Long, List<FailureReport>> e) -> -count(e.getValue())))
+                    .sorted(Comparator.comparingInt((Map.Entry<Long, List<FailureReport>> e) -> -countReporters(e.getValue())))
                     .forEach(e -> {
                         if (hasFreeSlot(e.getKey(), tiers)) {
                             decisions.add(takeSlot(
@@ -183,7 +183,7 @@
     }
 
     /** Returns how many routers report each member now. */
-    public Map<Long, Long> accusers() {
+    public Map<Long, Long> reporterCounts() {
         return reports.values().stream()
                 .flatMap(r -> r.failures().stream())
                 .collect(Collectors.groupingBy(
@@ -191,7 +191,7 @@
     }
 
     /** Returns the members whose ejections take up a slot. */
-    public Set<Long> places() {
+    public Set<Long> takenSlots() {
         return Set.copyOf(slotsTakenUntil.keySet());
     }
 }
