--- a/src/main/java/pumicemoor/lab/CoordinatorStandIn.java
+++ b/src/main/java/pumicemoor/lab/CoordinatorStandIn.java
@@ -16,88 +16,88 @@
 import java.util.concurrent.ExecutorService;
 
 /**
- * The coordinator of an installation: tells numbered events as server-sent events, from the one asked for on,
- * each router after a delay of its own. It owns the list of what was told.
+ * Stand-in for the coordinator of an installation. Streams numbered events as server-sent events, starting after the
+ * router's Last-Event-ID, and delays each event at random for each router. It owns the list of published events.
  */
 final class CoordinatorStandIn implements AutoCloseable {
 
-    private static final long BEAT = 200; // milliseconds between looks at what is due
+    private static final long KEEPALIVE_MILLIS = 200; // between the comment lines of an idle stream
 
-    private record Event(long at, String data) {}
+    private record Event(long publishedAtMillis, String data) {}
 
     private final ServerSocket listener = new ServerSocket(0, 64, InetAddress.getByName("127.0.0.1"));
-    private final ExecutorService work;
-    private final int jitter;
+    private final ExecutorService executor;
+    private final int jitterMillis;
     private final Random random;
     private final List<Event> events = new ArrayList<>();
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private long lastPiece;
-    private volatile long answerDelay; // milliseconds between a router's question and the first byte of the stream
-    private volatile int resets; // connections still to be reset as soon as they ask
-
-    CoordinatorStandIn(ExecutorService work, int jitterMillis, long seed) throws IOException {
-        this.work = work;
-        this.jitter = jitterMillis;
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+    private long lastUpdateNumber;
+    private volatile long streamDelayMillis; // between a router's request and the first byte of the stream
+    private volatile int pendingResets; // number of connections still to be reset after their request
+
+    CoordinatorStandIn(ExecutorService executor, int jitterMillis, long seed) throws IOException {
+        this.executor = executor;
+        this.jitterMillis = jitterMillis;
         this.random = new Random(seed);
-        work.execute(this::accept);
+        executor.execute(this::accept);
     }
 
     String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** From now on it is crowded: each stream that is asked for begins so many milliseconds late. */
-    void answerLate(long millis) {
-        answerDelay = millis;
+    /** Delays the start of every stream requested from now on, as an overloaded coordinator does. */
+    void delayStreams(long millis) {
+        streamDelayMillis = millis;
     }
 
-    /** Resets all connections that are open now. */
+    /** Resets all open connections. */
     void resetOpen() throws IOException {
-        for (Socket socket : List.copyOf(open)) {
+        for (Socket socket : List.copyOf(openSockets)) {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    /** Resets so many of the next connections as soon as they have asked. */
+    /** Resets this many of the next connections as soon as their request has been read. */
     void resetNext(int connections) {
-        resets = connections;
+        pendingResets = connections;
     }
 
-    /** Tells an event, written as the fields behind its index. */
-    synchronized void tell(String fields) {
+    /** Publishes an event, given as the JSON fields that follow its index. */
+    synchronized void publish(String fields) {
         events.add(new Event(System.currentTimeMillis(), "{\"index\":" + (events.size() + 1) + "," + fields + "}"));
         notifyAll();
     }
 
-    /** Tells a piece of the hierarchy; from its announcement on all earlier news is certain. */
-    synchronized void piece(long number, String fields) {
-        lastPiece = number;
-        tell("\"shape\":{" + fields + "}");
+    /** Publishes a topology update; its announcement time also confirms all earlier updates. */
+    synchronized void publishTopologyUpdate(long updateNumber, String fields) {
+        lastUpdateNumber = updateNumber;
+        publish("\"shape\":{" + fields + "}");
     }
 
-    /** The fields of all events told so far, without their index. */
-    synchronized List<String> events() {
+    /** Returns the JSON fields of all events published so far, without their index. */
+    synchronized List<String> eventFields() {
         return events.stream()
                 .map(e -> e.data().substring(e.data().indexOf(',') + 1, e.data().length() - 1))
                 .toList();
     }
 
-    /** All that was told so far. */
-    synchronized List<String> known() {
+    /** Returns all events published so far as JSON objects. */
+    synchronized List<String> eventsAsJson() {
         return events.stream().map(Event::data).toList();
     }
 
-    /** Says that all pieces until now have been told. */
-    synchronized void certain() {
-        tell("\"shape\":{\"certain_ms\":" + System.currentTimeMillis() + ",\"piece\":" + lastPiece + "}");
+    /** Publishes that all topology updates up to now have been sent. */
+    synchronized void publishTopologyComplete() {
+        publish("\"shape\":{\"certain_ms\":" + System.currentTimeMillis() + ",\"piece\":" + lastUpdateNumber + "}");
     }
 
     private void accept() {
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
-                work.execute(() -> serve(socket));
+                executor.execute(() -> serve(socket));
             } catch (IOException e) {
                 return;
             }
@@ -105,60 +105,60 @@
     }
 
     private void serve(Socket socket) {
-        open.add(socket);
+        openSockets.add(socket);
         try (socket) {
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-            int last = 0;
+            int lastEventId = 0;
             for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
                 if (line.toLowerCase(java.util.Locale.ROOT).startsWith("last-event-id:")) {
-                    last = Integer.parseInt(
+                    lastEventId = Integer.parseInt(
                             line.substring(line.indexOf(':') + 1).trim());
                 }
             }
-            if (resetThis()) {
+            if (consumeReset()) {
                 socket.setSoLinger(true, 0);
                 return;
             }
-            Thread.sleep(answerDelay);
+            Thread.sleep(streamDelayMillis);
             OutputStream out = socket.getOutputStream();
             write(out, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n: hello\n\n");
             while (!listener.isClosed()) {
-                Event next = await(last);
+                Event next = awaitEvent(lastEventId);
                 if (next == null) {
                     write(out, ": \n\n");
                     continue;
                 }
-                int delay = jitter == 0 ? 0 : random.nextInt(jitter);
-                long wait = next.at() + delay - System.currentTimeMillis();
+                int delay = jitterMillis == 0 ? 0 : random.nextInt(jitterMillis);
+                long wait = next.publishedAtMillis() + delay - System.currentTimeMillis();
                 if (wait > 0) {
                     Thread.sleep(wait);
                 }
-                last++;
-                write(out, "id: " + last + "\ndata: " + next.data() + "\n\n");
+                lastEventId++;
+                write(out, "id: " + lastEventId + "\ndata: " + next.data() + "\n\n");
             }
         } catch (IOException e) {
-            // the router has left
+            // the router has closed the connection
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
-    private synchronized boolean resetThis() {
-        if (resets == 0) {
+    private synchronized boolean consumeReset() {
+        if (pendingResets == 0) {
             return false;
         }
-        resets--;
+        pendingResets--;
         return true;
     }
 
-    private synchronized Event await(int last) throws InterruptedException {
-        if (last >= events.size()) {
-            wait(BEAT);
+    private synchronized Event awaitEvent(int lastEventId) throws InterruptedException {
+        if (lastEventId >= events.size()) {
+            wait(KEEPALIVE_MILLIS);
         }
-        return last < events.size() ? events.get(last) : null;
+        return lastEventId < events.size() ? events.get(lastEventId) : null;
     }
 
     private static void write(OutputStream out, String text) throws IOException {
--- a/src/main/java/pumicemoor/lab/FaultNetwork.java
+++ b/src/main/java/pumicemoor/lab/FaultNetwork.java
@@ -16,124 +16,125 @@
 import java.util.stream.IntStream;
 
 /**
- * The network between router processes on loopback: each is reached at an address of this network, which passes packets
- * on, or loses, delays, doubles, reorders and cuts them, and counts them. It knows who sent by the port that a process listens on. It
- * owns its sockets and what is on its way, and must never read a packet.
+ * A faulty UDP network between router processes on loopback. Each process is reached at an address of this network,
+ * which forwards packets, or drops, delays, duplicates and reorders them, and counts them. The sender is identified by
+ * the port that its process listens on. This class owns its sockets and the packets in flight, and must never look into
+ * a packet.
  */
 final class FaultNetwork implements AutoCloseable {
 
-    private static final int LONGEST = 2_048;
+    private static final int MAX_PACKET_BYTES = 2_048;
 
-    private final List<DatagramSocket> doors = new ArrayList<>();
-    private final List<Integer> listens = new ArrayList<>();
-    private final ScheduledExecutorService flying = Executors.newScheduledThreadPool(2, r -> {
-        Thread t = new Thread(r, "fault-network");
-        t.setDaemon(true);
-        return t;
+    private final List<DatagramSocket> ingressSockets = new ArrayList<>();
+    private final List<Integer> listenPorts = new ArrayList<>();
+    private final ScheduledExecutorService deliveries = Executors.newScheduledThreadPool(2, task -> {
+        Thread thread = new Thread(task, "fault-network");
+        thread.setDaemon(true);
+        return thread;
     });
     private final Random random;
     private final AtomicLongArray
-            counts; // for each process: packets and bytes that it sent, packets and bytes that came
-    private volatile BiPredicate<Integer, Integer> cut = (from, to) -> false;
-    private volatile double loss;
-    private volatile double doubled;
-    private volatile int mostDelay; // milliseconds
+            counters; // for each process: packets sent, bytes sent, packets delivered, bytes delivered
+    private volatile BiPredicate<Integer, Integer> linkCut = (from, to) -> false;
+    private volatile double lossShare;
+    private volatile double duplicateShare;
+    private volatile int maxDelayMillis;
 
-    /** A network for so many processes; its draws come from the seed. */
+    /** Creates a network for a number of processes; all random draws come from the seed. */
     FaultNetwork(int processes, long seed) throws IOException {
         this.random = new Random(seed);
-        this.counts = new AtomicLongArray(4 * processes);
+        this.counters = new AtomicLongArray(4 * processes);
         for (int i = 0; i < processes; i++) {
-            doors.add(new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0)));
-            listens.add(FreePorts.take());
+            ingressSockets.add(new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0)));
+            listenPorts.add(FreePorts.allocate());
         }
         for (int i = 0; i < processes; i++) {
             int to = i;
-            Thread t = new Thread(() -> pass(to), "fault-network-" + i);
-            t.setDaemon(true);
-            t.start();
+            Thread thread = new Thread(() -> forward(to), "fault-network-" + i);
+            thread.setDaemon(true);
+            thread.start();
         }
     }
 
-    /** Where a process is to listen. */
-    String listen(int process) {
-        return "127.0.0.1:" + listens.get(process);
+    /** Returns the address that a process listens on. */
+    String listenAddress(int process) {
+        return "127.0.0.1:" + listenPorts.get(process);
     }
 
-    /** Where the others are to send what is for it. */
-    String advertise(int process) {
-        return "127.0.0.1:" + doors.get(process).getLocalPort();
+    /** Returns the address to which the other processes send packets for this one. */
+    String advertisedAddress(int process) {
+        return "127.0.0.1:" + ingressSockets.get(process).getLocalPort();
     }
 
-    /** Which ways are cut, each direction by itself. */
-    void cut(BiPredicate<Integer, Integer> ways) {
-        cut = ways;
+    /** Sets which links drop all packets; each direction (from, to) is tested separately. */
+    void cutLinks(BiPredicate<Integer, Integer> newLinkCut) {
+        linkCut = newLinkCut;
     }
 
-    /** What happens to packets: the shares lost and doubled, and up to how many milliseconds late they come. */
-    void weather(double lost, double twice, int late) {
-        loss = lost;
-        doubled = twice;
-        mostDelay = late;
+    /** Sets the shares of packets that are dropped and duplicated, and the maximum delay in milliseconds. */
+    void setImpairments(double newLossShare, double newDuplicateShare, int newMaxDelayMillis) {
+        lossShare = newLossShare;
+        duplicateShare = newDuplicateShare;
+        maxDelayMillis = newMaxDelayMillis;
     }
 
     private synchronized double draw() {
         return random.nextDouble();
     }
 
-    private void pass(int to) {
-        DatagramSocket door = doors.get(to);
-        byte[] buffer = new byte[LONGEST];
-        while (!door.isClosed()) {
+    private void forward(int to) {
+        DatagramSocket socket = ingressSockets.get(to);
+        byte[] buffer = new byte[MAX_PACKET_BYTES];
+        while (!socket.isClosed()) {
             try {
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
-                door.receive(packet);
-                int from = listens.indexOf(packet.getPort());
+                socket.receive(packet);
+                int from = listenPorts.indexOf(packet.getPort());
                 if (from >= 0) {
                     count(4 * from, packet.getLength());
                 }
-                if (from >= 0 && (cut.test(from, to) || draw() < loss)) {
+                if (from >= 0 && (linkCut.test(from, to) || draw() < lossShare)) {
                     continue;
                 }
                 byte[] bytes = java.util.Arrays.copyOf(buffer, packet.getLength());
-                for (int copies = draw() < doubled ? 2 : 1; copies > 0; copies--) {
-                    flying.schedule(
-                            () -> arrive(to, bytes), (long) (draw() * mostDelay * 1_000), TimeUnit.MICROSECONDS);
+                for (int copies = draw() < duplicateShare ? 2 : 1; copies > 0; copies--) {
+                    deliveries.schedule(
+                            () -> deliver(to, bytes), (long) (draw() * maxDelayMillis * 1_000), TimeUnit.MICROSECONDS);
                 }
             } catch (IOException e) {
-                // a door that was closed, or a process that is not there
+                // the socket was closed, or the process is not running
             }
         }
     }
 
-    private void count(int at, int bytes) {
-        counts.incrementAndGet(at);
-        counts.addAndGet(at + 1, bytes);
+    private void count(int index, int bytes) {
+        counters.incrementAndGet(index);
+        counters.addAndGet(index + 1, bytes);
     }
 
-    /** What a process sent and what came to it so far: packets and bytes out, packets and bytes in. */
-    long[] counted(int process) {
+    /** Returns the counters of a process: packets sent, bytes sent, packets delivered, bytes delivered. */
+    long[] trafficCounters(int process) {
         return IntStream.range(4 * process, 4 * process + 4)
-                .mapToLong(counts::get)
+                .mapToLong(counters::get)
                 .toArray();
     }
 
-    private void arrive(int to, byte[] bytes) {
+    private void deliver(int to, byte[] bytes) {
         count(4 * to + 2, bytes.length);
         try {
-            doors.get(to)
+            ingressSockets.get(to)
                     .send(new DatagramPacket(
                             bytes,
                             bytes.length,
-                            new InetSocketAddress(InetAddress.getByName("127.0.0.1"), listens.get(to))));
+                            new InetSocketAddress(InetAddress.getByName("127.0.0.1"), listenPorts.get(to))));
         } catch (IOException e) {
-            // lost, as packets are
+            // the packet is lost, as on a real network
         }
     }
 
     @Override
     public void close() {
-        doors.forEach(DatagramSocket::close);
-        flying.shutdownNow();
+        ingressSockets.forEach(DatagramSocket::close);
+        deliveries.shutdownNow();
     }
 }
--- a/src/main/java/pumicemoor/lab/FreePorts.java
+++ b/src/main/java/pumicemoor/lab/FreePorts.java
@@ -7,28 +7,29 @@
 import java.net.ServerSocket;
 
 /**
- * Ports on loopback for stand-ins and processes that listen later, or again after a restart. They lie under those that
- * the system gives to outgoing connections, and none is given twice, so that nobody takes one in the meantime.
+ * Allocates loopback ports for stand-ins and processes that listen later, or again after a restart. The ports lie below
+ * the range that the system uses for outgoing connections, and none is allocated again until the range wraps around, so
+ * that no other socket takes a port before its owner listens.
  */
 final class FreePorts {
 
-    private static final int FIRST = 15_000;
-    private static final int END = 32_000; // under the usual range for outgoing connections
+    private static final int FIRST_PORT = 15_000;
+    private static final int END_PORT = 32_000; // exclusive; below the usual range for outgoing connections
 
-    private static int next = FIRST + (int) (ProcessHandle.current().pid() * 37 % (END - FIRST));
+    private static int nextPort = FIRST_PORT + (int) (ProcessHandle.current().pid() * 37 % (END_PORT - FIRST_PORT));
 
     private FreePorts() {}
 
-    static synchronized int take() throws IOException {
+    static synchronized int allocate() throws IOException {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
-        for (int tries = 0; tries < END - FIRST; tries++) {
-            int port = next;
-            next = next + 1 < END ? next + 1 : FIRST;
+        for (int attempts = 0; attempts < END_PORT - FIRST_PORT; attempts++) {
+            int port = nextPort;
+            nextPort = nextPort + 1 < END_PORT ? nextPort + 1 : FIRST_PORT;
             try (ServerSocket tcp = new ServerSocket(port, 1, loopback);
                     DatagramSocket udp = new DatagramSocket(new InetSocketAddress(loopback, port))) {
                 return port;
             } catch (IOException e) {
-                // somebody has it
+                // the port is in use
             }
         }
         throw new IOException("no port is free on loopback");
--- a/src/main/java/pumicemoor/lab/LabConfig.java
+++ b/src/main/java/pumicemoor/lab/LabConfig.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** The platform's configuration for a router of the lab, as text; the events known are those told so far. */
+/** Builds a lab router's platform configuration as JSON; its known events are those published so far. */
 final class LabConfig {
 
     private LabConfig() {}
 
-    static String json(int number, String listen, Scenario scenario, String coordinator, List<String> known) {
-        return json("router-" + number, number, listen, scenario, coordinator, known);
+    static String json(int index, String listen, Scenario scenario, String coordinator, List<String> knownEvents) {
+        return json("router-" + index, index, listen, scenario, coordinator, knownEvents);
     }
 
     static String json(
-            String name, int number, String listen, Scenario scenario, String coordinator, List<String> known) {
-        long cold = scenario.change().cold() * 1_000L;
+            String name, int index, String listen, Scenario scenario, String coordinator, List<String> knownEvents) {
+        long coldMicros = scenario.change().cold() * 1_000L;
         return """
                 {"name":"%s","listen":"%s","seed":"%x","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
                  "coordinator":"%s","known":{"index":%d,"updates":[%s]},
@@ -36,16 +36,16 @@
                 .formatted(
                         name,
                         listen,
-                        scenario.seed() + number,
+                        scenario.seed() + index,
                         coordinator,
-                        known.size(),
-                        String.join(",", known),
-                        number,
+                        knownEvents.size(),
+                        String.join(",", knownEvents),
+                        index,
                         scenario.routers(),
                         scenario.deadlineMillis() * 1_000L,
                         scenario.deadlineMillis() * 1_000L,
-                        cold,
+                        coldMicros,
                         scenario.routers(),
-                        cold);
+                        coldMicros);
     }
 }
--- a/src/main/java/pumicemoor/lab/LabRun.java
+++ b/src/main/java/pumicemoor/lab/LabRun.java
@@ -18,33 +18,33 @@
 import pumicemoor.lab.Scenario.Way;
 
 /**
- * Plays one scenario: starts the stand-ins and the real program, lets clients ask and things happen, ends all and
- * makes the report. It owns the clock of the run and must never judge what it saw.
+ * Plays one scenario: starts the stand-ins and the real program, lets clients send requests, applies the scheduled
+ * events, stops everything and builds the report. It owns the clock of the run and must not evaluate the results.
  */
 public final class LabRun {
 
-    private static final long SETTLE = 1_500; // milliseconds, for the last answers
-    private static final int WARM = 3; // seconds of load before the scenario's own time begins
+    private static final long SETTLE_MILLIS = 1_500; // time for the last responses to arrive
+    private static final int WARM_UP_SECONDS = 3; // load before time 0 of the scenario
 
     private final Scenario scenario;
     private final Path folder;
     private final PrintStream progress;
-    private final Record record = new Record();
-    private final ExecutorService work = Executors.newCachedThreadPool(r -> {
-        Thread t = new Thread(r, "lab");
-        t.setDaemon(true);
-        return t;
+    private final RequestLog requestLog = new RequestLog();
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
+        Thread thread = new Thread(task, "lab");
+        thread.setDaemon(true);
+        return thread;
     });
     private final Map<String, MemberStandIn> members = new LinkedHashMap<>();
     private final List<RouterProcess> routers = new ArrayList<>();
-    private final List<Long> changes = new ArrayList<>(); // when a new hierarchy was told, milliseconds
+    private final List<Long> changeMillis = new ArrayList<>(); // announcements of new topologies, by the log's clock
     private CoordinatorStandIn coordinator;
     private Map<String, Map<String, Double>> hubs;
     private Map<String, Double> depot;
-    private long version = 1;
-    private long pieces;
+    private long topologyVersion = 1;
+    private long updateCount;
     private long generation = 1;
-    private long announced;
+    private long announcedAtMillis;
 
     private LabRun(Scenario scenario, Path folder, PrintStream progress) {
         this.scenario = scenario;
@@ -54,56 +54,59 @@
         this.depot = scenario.depot();
     }
 
-    /** Plays the scenario of a file, whichever kind it is, and gives back what was measured as tables for people. */
+    /** Plays the scenario in a file, with clients or with proxies, and returns the results as Markdown tables. */
     public static String table(Path scenario, String by, Path folder, PrintStream progress)
             throws IOException, InterruptedException {
-        Scenario read = Scenario.read(scenario);
-        return read.proxies() == null
+        Scenario parsed = Scenario.read(scenario);
+        return parsed.proxies() == null
                 ? play(scenario, by, folder, progress).markdown()
-                : ProxyRun.play(read, folder, progress).markdown();
+                : ProxyRun.play(parsed, folder, progress).markdown();
     }
 
-    /** Plays the scenario of a file, told in that way or, where null, in its own; all that it writes goes to the folder. */
+    /**
+     * Plays the scenario in a file and writes all output to the folder. Topology changes are announced by the given
+     * means (feed, file or restart), or as the scenario says if it is null.
+     */
     public static Report play(Path scenario, String by, Path folder, PrintStream progress)
             throws IOException, InterruptedException {
-        Scenario read = Scenario.read(scenario);
-        return play(by == null ? read : read.told(by), folder, progress);
+        Scenario parsed = Scenario.read(scenario);
+        return play(by == null ? parsed : parsed.withChangesBy(by), folder, progress);
     }
 
     static Report play(Scenario scenario, Path folder, PrintStream progress) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         if (scenario.proxies() != null) {
-            throw new IOException("the scenario is one of proxies");
+            throw new IOException("the scenario describes proxies, not clients");
         }
         LabRun run = new LabRun(scenario, folder, progress);
         try {
             return run.play();
         } finally {
-            run.end();
+            run.close();
         }
     }
 
     private Report play() throws IOException, InterruptedException {
-        long seconds = System.nanoTime();
-        add("origin", Kind.ORIGIN, 1);
+        long startNanos = System.nanoTime();
+        addMember("origin", Kind.ORIGIN, 1);
         List<String> hubNames = new ArrayList<>(hubs.keySet());
-        scenario.happenings().stream().filter(h -> h.hubs() != null).forEach(h -> h.hubs().keySet().stream()
-                .filter(n -> !hubNames.contains(n))
+        scenario.happenings().stream().filter(event -> event.hubs() != null).forEach(event -> event.hubs().keySet().stream()
+                .filter(name -> !hubNames.contains(name))
                 .forEach(hubNames::add));
         for (String hub : hubNames) {
-            add(hub, Kind.HUB, 1_000_000);
+            addMember(hub, Kind.HUB, 1_000_000);
         }
         for (int i = 1; i <= scenario.caches(); i++) {
-            add("box-" + i, Kind.CACHE, scenario.cacheHolds());
+            addMember("box-" + i, Kind.CACHE, scenario.cacheHolds());
         }
-        coordinator = new CoordinatorStandIn(work, scenario.change().jitter(), scenario.seed());
-        coordinator.tell(
-                list(true, members.values().stream().map(m -> line(m, "active")).toList()));
-        announced = System.currentTimeMillis() - 3_600_000;
+        coordinator = new CoordinatorStandIn(executor, scenario.change().jitter(), scenario.seed());
+        coordinator.publish(
+                endpointsJson(true, members.values().stream().map(member -> instanceJson(member, "active")).toList()));
+        announcedAtMillis = System.currentTimeMillis() - 3_600_000;
         for (int i = 0; i < scenario.routers(); i++) {
             RouterProcess router = new RouterProcess("router-" + i, folder, scenario.cpu());
             routers.add(router);
-            router.start(config(i), operator());
+            router.start(config(i), operatorYaml());
         }
         for (RouterProcess router : routers) {
             router.awaitReady();
@@ -114,49 +117,49 @@
                 routers.size(),
                 scenario.caches(),
                 hubNames.size(),
-                (System.nanoTime() - seconds) / 1e9);
+                (System.nanoTime() - startNanos) / 1e9);
         LoadClients clients = new LoadClients(
-                scenario, record, routers.stream().map(RouterProcess::address).toList());
-        long began = System.nanoTime();
-        List<Happening> due = new ArrayList<>(scenario.happenings());
-        due.sort(Comparator.comparingDouble(Happening::at));
+                scenario, requestLog, routers.stream().map(RouterProcess::address).toList());
+        long loadStartNanos = System.nanoTime();
+        List<Happening> pendingEvents = new ArrayList<>(scenario.happenings());
+        pendingEvents.sort(Comparator.comparingDouble(Happening::at));
         List<Runnable> repairs = new ArrayList<>();
-        List<Double> repairAt = new ArrayList<>();
-        long asked = 0;
-        int told = 0;
-        long warmed = 0;
-        for (double at = 0; at < WARM + scenario.seconds(); at = (System.nanoTime() - began) / 1e9) {
-            while (asked < at * scenario.rate()) {
-                clients.askNext();
-                asked++;
+        List<Double> repairSeconds = new ArrayList<>();
+        long sentRequests = 0;
+        int completeMessages = 0;
+        long warmUpEndMillis = 0;
+        for (double elapsedSeconds = 0; elapsedSeconds < WARM_UP_SECONDS + scenario.seconds(); elapsedSeconds = (System.nanoTime() - loadStartNanos) / 1e9) {
+            while (sentRequests < elapsedSeconds * scenario.rate()) {
+                clients.sendNext();
+                sentRequests++;
             }
-            if (warmed == 0 && at >= WARM) {
-                warmed = record.now();
+            if (warmUpEndMillis == 0 && elapsedSeconds >= WARM_UP_SECONDS) {
+                warmUpEndMillis = requestLog.nowMillis();
             }
-            if (!due.isEmpty() && at >= WARM + due.get(0).at()) {
-                happen(due.remove(0), at, repairs, repairAt);
+            if (!pendingEvents.isEmpty() && elapsedSeconds >= WARM_UP_SECONDS + pendingEvents.get(0).at()) {
+                applyEvent(pendingEvents.remove(0), elapsedSeconds, repairs, repairSeconds);
             }
             for (int i = 0; i < repairs.size(); i++) {
-                if (at >= repairAt.get(i)) {
+                if (elapsedSeconds >= repairSeconds.get(i)) {
                     repairs.remove(i).run();
-                    repairAt.remove(i--);
+                    repairSeconds.remove(i--);
                 }
             }
-            if (scenario.change().by() == Way.FEED && (int) (at * 5) > told) {
-                told = (int) (at * 5);
-                coordinator.certain();
+            if (scenario.change().by() == Way.FEED && (int) (elapsedSeconds * 5) > completeMessages) {
+                completeMessages = (int) (elapsedSeconds * 5);
+                coordinator.publishTopologyComplete();
             }
-            if ((int) at % 5 == 0 && at - (int) at < 0.002) {
+            if ((int) elapsedSeconds % 5 == 0 && elapsedSeconds - (int) elapsedSeconds < 0.002) {
                 progress.printf(
                         "  %2.0f s: %d asked, %d done%n",
-                        at, asked, clients.done().size());
+                        elapsedSeconds, sentRequests, clients.completed().size());
                 Thread.sleep(2);
             }
             Thread.sleep(1);
         }
-        for (int i = 0; i < SETTLE / 100; i++) {
+        for (int i = 0; i < SETTLE_MILLIS / 100; i++) {
             if (scenario.change().by() == Way.FEED) {
-                coordinator.certain();
+                coordinator.publishTopologyComplete();
             }
             Thread.sleep(100);
         }
@@ -165,79 +168,79 @@
             status.put("router-" + i, routers.get(i).status());
         }
         clients.finish();
-        return Report.of(scenario, record, clients.done(), changes, warmed, status, folder);
+        return Report.of(scenario, requestLog, clients.completed(), changeMillis, warmUpEndMillis, status, folder);
     }
 
-    private void add(String name, Kind kind, int holds) throws IOException {
-        members.put(name, new MemberStandIn(name, kind, holds, scenario.fillMillis(), record, members::get, work));
+    private void addMember(String name, Kind kind, int capacity) throws IOException {
+        members.put(name, new MemberStandIn(name, kind, capacity, scenario.fillMillis(), requestLog, members::get, executor));
     }
 
-    private void happen(Happening h, double at, List<Runnable> repairs, List<Double> repairAt)
+    private void applyEvent(Happening event, double elapsedSeconds, List<Runnable> repairs, List<Double> repairSeconds)
             throws IOException, InterruptedException {
-        if (h.hubs() != null || h.depot() != null) {
-            reshape(h);
+        if (event.hubs() != null || event.depot() != null) {
+            changeTopology(event);
         }
-        if (h.restart() != null) {
-            members.get(h.restart()).restart();
-            coordinator.tell(list(false, List.of(line(members.get(h.restart()), "active"))));
+        if (event.restart() != null) {
+            members.get(event.restart()).restart();
+            coordinator.publish(endpointsJson(false, List.of(instanceJson(members.get(event.restart()), "active"))));
         }
-        if (h.drain() != null) {
-            coordinator.tell(list(false, List.of(line(members.get(h.drain()), "leaving"))));
-            record.drained(h.drain());
+        if (event.drain() != null) {
+            coordinator.publish(endpointsJson(false, List.of(instanceJson(members.get(event.drain()), "leaving"))));
+            requestLog.drainStarted(event.drain());
         }
-        if (h.purge() != null) {
-            members.values().forEach(m -> m.purge(h.purge()));
-            coordinator.tell(
-                    "\"evict\":{\"ref\":\"" + h.purge() + "\",\"unix_ms\":" + System.currentTimeMillis() + "}");
+        if (event.purge() != null) {
+            members.values().forEach(member -> member.purge(event.purge()));
+            coordinator.publish(
+                    "\"evict\":{\"ref\":\"" + event.purge() + "\",\"unix_ms\":" + System.currentTimeMillis() + "}");
         }
-        if (h.fault() != null) {
-            MemberStandIn member = members.get(h.fault().member());
-            member.faultMillis = h.fault().millis();
-            member.fault = h.fault().kind();
+        if (event.fault() != null) {
+            MemberStandIn member = members.get(event.fault().member());
+            member.faultMillis = event.fault().millis();
+            member.fault = event.fault().kind();
             repairs.add(() -> {
                 member.fault = "";
                 member.faultMillis = 0;
             });
-            repairAt.add(at + h.fault().seconds());
+            repairSeconds.add(elapsedSeconds + event.fault().seconds());
         }
-        if (h.killRouter() != null) {
-            RouterProcess router = routers.get(h.killRouter());
+        if (event.killRouter() != null) {
+            RouterProcess router = routers.get(event.killRouter());
             router.kill();
-            router.start(config(h.killRouter()), operator());
+            router.start(config(event.killRouter()), operatorYaml());
         }
     }
 
-    private void reshape(Happening h) throws IOException, InterruptedException {
-        Map<String, Map<String, Double>> old = hubs;
+    private void changeTopology(Happening event) throws IOException, InterruptedException {
+        Map<String, Map<String, Double>> oldHubs = hubs;
         Map<String, Double> oldDepot = depot;
-        String before = shapeYaml("before", 2);
-        hubs = h.hubs() == null ? hubs : new TreeMap<>(h.hubs());
-        depot = h.depot() == null ? depot : h.depot();
-        version++;
-        announced = System.currentTimeMillis();
-        changes.add(record.now());
+        String previousTopology = topologyYaml("before", 2);
+        hubs = event.hubs() == null ? hubs : new TreeMap<>(event.hubs());
+        depot = event.depot() == null ? depot : event.depot();
+        topologyVersion++;
+        announcedAtMillis = System.currentTimeMillis();
+        changeMillis.add(requestLog.nowMillis());
         switch (scenario.change().by()) {
-            case FEED -> tellPieces(old, oldDepot);
+            case FEED -> publishTopologyUpdates(oldHubs, oldDepot);
             case FILE -> {
                 for (RouterProcess router : routers) {
-                    Files.writeString(router.operatorFile(), operator() + before);
-                    router.hangUp();
+                    Files.writeString(router.operatorFile(), operatorYaml() + previousTopology);
+                    router.reload();
                 }
             }
             case RESTART -> {
-                announced = 0;
-                String shape = operator();
-                work.execute(() -> roll(shape));
+                announcedAtMillis = 0;
+                String operatorFile = operatorYaml();
+                executor.execute(() -> restartOneByOne(operatorFile));
             }
         }
     }
 
-    /** Restarts one router after the other with a new shape, as an operator without a plan would. */
-    private void roll(String operator) {
+    /** Restarts the routers one after the other with a new topology, as an operator without a change plan would. */
+    private void restartOneByOne(String operatorFile) {
         try {
             for (int i = 0; i < routers.size(); i++) {
                 routers.get(i).terminate();
-                routers.get(i).start(config(i), operator);
+                routers.get(i).start(config(i), operatorFile);
                 routers.get(i).awaitReady();
             }
         } catch (IOException e) {
@@ -247,98 +250,98 @@
         }
     }
 
-    private void tellPieces(Map<String, Map<String, Double>> old, Map<String, Double> oldDepot) {
-        List<String> told = new ArrayList<>();
+    private void publishTopologyUpdates(Map<String, Map<String, Double>> oldHubs, Map<String, Double> oldDepot) {
+        List<String> updates = new ArrayList<>();
         hubs.forEach((hub, parents) -> {
-            if (!parents.equals(old.get(hub))) {
-                told.add("\"unit\":\"" + hub + "\",\"kind\":\"hub\",\"parents\":" + json(parents));
+            if (!parents.equals(oldHubs.get(hub))) {
+                updates.add("\"unit\":\"" + hub + "\",\"kind\":\"hub\",\"parents\":" + json(parents));
             }
         });
         if (!depot.equals(oldDepot)) {
-            told.add("\"unit\":\"home\",\"kind\":\"depot\",\"parents\":" + json(depot));
+            updates.add("\"unit\":\"home\",\"kind\":\"depot\",\"parents\":" + json(depot));
         }
-        old.keySet().stream()
+        oldHubs.keySet().stream()
                 .filter(hub -> !hubs.containsKey(hub))
-                .forEach(hub -> told.add("\"unit\":\"" + hub + "\",\"kind\":\"hub\",\"removed\":true"));
-        for (String piece : told) {
-            pieces++;
-            coordinator.piece(
-                    pieces,
-                    "\"piece\":" + pieces + ",\"version\":" + version + ",\"pieces\":" + told.size()
-                            + ",\"announced_ms\":" + announced + "," + piece);
+                .forEach(hub -> updates.add("\"unit\":\"" + hub + "\",\"kind\":\"hub\",\"removed\":true"));
+        for (String update : updates) {
+            updateCount++;
+            coordinator.publishTopologyUpdate(
+                    updateCount,
+                    "\"piece\":" + updateCount + ",\"version\":" + topologyVersion + ",\"pieces\":" + updates.size()
+                            + ",\"announced_ms\":" + announcedAtMillis + "," + update);
         }
     }
 
     private static String json(Map<String, Double> parents) {
         return parents.entrySet().stream()
-                .map(e -> "\"" + e.getKey() + "\":" + e.getValue())
+                .map(entry -> "\"" + entry.getKey() + "\":" + entry.getValue())
                 .collect(Collectors.joining(",", "{", "}"));
     }
 
-    private String list(boolean whole, List<String> lines) {
-        return "\"endpoints\":{\"generation\":" + generation++ + ",\"reset\":" + whole + ",\"instances\":["
-                + String.join(",", lines) + "]}";
+    private String endpointsJson(boolean complete, List<String> instances) {
+        return "\"endpoints\":{\"generation\":" + generation++ + ",\"reset\":" + complete + ",\"instances\":["
+                + String.join(",", instances) + "]}";
     }
 
-    private static String line(MemberStandIn m, String lifecycle) {
-        return "{\"instanceId\":\"" + m.name + "\",\"hostPort\":\"" + m.address() + "\",\"zone\":\""
-                + (m.kind == Kind.CACHE ? "home" : "hub") + "\",\"machineType\":\""
-                + m.kind.name().toLowerCase(java.util.Locale.ROOT) + "\",\"lifecycle\":\"" + lifecycle
+    private static String instanceJson(MemberStandIn member, String lifecycle) {
+        return "{\"instanceId\":\"" + member.name + "\",\"hostPort\":\"" + member.address() + "\",\"zone\":\""
+                + (member.kind == Kind.CACHE ? "home" : "hub") + "\",\"machineType\":\""
+                + member.kind.name().toLowerCase(java.util.Locale.ROOT) + "\",\"lifecycle\":\"" + lifecycle
                 + "\",\"weight\":8,\"startedAtMs\":"
-                + m.startedAt + "}";
+                + member.startedAtMillis + "}";
     }
 
-    static String activeLine(MemberStandIn m) {
-        return line(m, "active");
+    static String activeInstanceJson(MemberStandIn member) {
+        return instanceJson(member, "active");
     }
 
-    private String operator() {
-        Scenario.Change c = scenario.change();
-        return "hierarchy:\n  news: " + (c.by() == Way.FEED ? "feed" : "file") + "\n  lead-ms: " + c.lead()
-                + "\n  move-ms: " + c.move() + "\n  gap-ms: " + c.gap() + "\n"
-                + (c.by() == Way.FEED ? "  last-piece: " + pieces + "\n" : "") + shapeYaml("shape", 2);
+    private String operatorYaml() {
+        Scenario.Change change = scenario.change();
+        return "hierarchy:\n  news: " + (change.by() == Way.FEED ? "feed" : "file") + "\n  lead-ms: " + change.lead()
+                + "\n  move-ms: " + change.move() + "\n  gap-ms: " + change.gap() + "\n"
+                + (change.by() == Way.FEED ? "  last-piece: " + updateCount + "\n" : "") + topologyYaml("shape", 2);
     }
 
-    private String shapeYaml(String key, int indent) {
-        String in = " ".repeat(indent);
-        StringBuilder text = new StringBuilder(in + key + ":\n" + in + "  version: " + version + "\n");
-        if (announced > 0) {
-            text.append(in)
+    private String topologyYaml(String key, int indent) {
+        String padding = " ".repeat(indent);
+        StringBuilder text = new StringBuilder(padding + key + ":\n" + padding + "  version: " + topologyVersion + "\n");
+        if (announcedAtMillis > 0) {
+            text.append(padding)
                     .append("  announced: ")
-                    .append(java.time.Instant.ofEpochMilli(announced))
+                    .append(java.time.Instant.ofEpochMilli(announcedAtMillis))
                     .append('\n');
         }
-        text.append(in).append("  allow-skips: true\n").append(in).append("  origin: origin\n");
-        text.append(in).append("  hubs:\n");
-        hubs.forEach((hub, parents) -> text.append(in)
+        text.append(padding).append("  allow-skips: true\n").append(padding).append("  origin: origin\n");
+        text.append(padding).append("  hubs:\n");
+        hubs.forEach((hub, parents) -> text.append(padding)
                 .append("    ")
                 .append(hub)
                 .append(": {fill-from: ")
                 .append(json(parents).replace(":", ": "))
                 .append("}\n"));
-        text.append(in)
+        text.append(padding)
                 .append("  depots:\n")
-                .append(in)
+                .append(padding)
                 .append("    home: {fill-from: ")
                 .append(json(depot).replace(":", ": "))
                 .append("}\n");
         return text.toString();
     }
 
-    /** The platform's configuration for one router; the events known are those told so far. */
-    private String config(int number) {
-        List<String> known = coordinator.known();
-        return LabConfig.json(number, routers.get(number).address(), scenario, coordinator.address(), known);
+    /** Builds the platform's configuration for one router; its known events are those published so far. */
+    private String config(int index) {
+        List<String> knownEvents = coordinator.eventsAsJson();
+        return LabConfig.json(index, routers.get(index).address(), scenario, coordinator.address(), knownEvents);
     }
 
-    private void end() throws IOException {
+    private void close() throws IOException {
         routers.forEach(RouterProcess::close);
-        for (MemberStandIn m : members.values()) {
-            m.close();
+        for (MemberStandIn member : members.values()) {
+            member.close();
         }
         if (coordinator != null) {
             coordinator.close();
         }
-        work.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/pumicemoor/lab/LoadClients.java
+++ b/src/main/java/pumicemoor/lab/LoadClients.java
@@ -18,12 +18,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Clients that ask at a steady rate whatever is answered, over a few connections to each router, and write down
- * how every single request ended. A router that is away is tried again; what it owed counts as lost.
+ * Open-loop load generator: sends requests at a steady rate regardless of the responses, over two connections to each
+ * router, and records the result of every request. It reconnects to a router that is down; requests that were open on
+ * a lost connection count as lost.
  */
 final class LoadClients implements AutoCloseable {
 
-    /** How a request ended for its client. */
+    /** Result of a request for its client. */
     enum End {
         SERVED,
         REFUSED,
@@ -33,58 +34,63 @@
         LATE
     }
 
-    /** One request: when it was asked (milliseconds since the clients began), how it ended, how long that took. */
-    record Done(long at, End end, long micros) {}
+    /** One completed request: when it was sent (by the clock of the log), its result, and the time that it took. */
+    record RequestResult(long sentAtMillis, End end, long micros) {}
 
-    private static final int REQUEST = 7;
-    private static final int ANSWER = 8;
-    private static final int CLOSE = 3;
-    private static final long GRACE = 300; // milliseconds past the deadline before an answer is late
+    private static final int REQUEST_FRAME = 7;
+    private static final int RESPONSE_FRAME = 8;
+    private static final int CLOSE_FRAME = 3;
+    private static final long LATE_GRACE_MILLIS = 300; // past the deadline before a response counts as late
+    private static final long RECONNECT_INTERVAL_NANOS = 20_000_000L;
+    private static final int CONNECT_TIMEOUT_MILLIS = 200;
+    private static final int MAX_OPEN_PER_CONNECTION = 30;
 
-    private final Record record;
+    private final RequestLog requestLog;
     private final Scenario scenario;
-    private final List<Line> lines = new ArrayList<>();
-    private final List<Done> done = new ArrayList<>();
+    private final List<Connection> connections = new ArrayList<>();
+    private final List<RequestResult> results = new ArrayList<>();
     private final Random random;
-    private long calls;
+    private long sentRequests;
 
-    LoadClients(Scenario scenario, Record record, List<String> routers) {
+    LoadClients(Scenario scenario, RequestLog requestLog, List<String> routers) {
         this.scenario = scenario;
-        this.record = record;
+        this.requestLog = requestLog;
         this.random = new Random(scenario.seed());
         for (String router : routers) {
-            lines.add(new Line(router));
-            lines.add(new Line(router));
+            connections.add(new Connection(router));
+            connections.add(new Connection(router));
         }
     }
 
-    private synchronized void done(Done d) {
-        done.add(d);
+    private synchronized void addResult(RequestResult result) {
+        results.add(result);
     }
 
-    synchronized List<Done> done() {
-        return List.copyOf(done);
+    synchronized List<RequestResult> completed() {
+        return List.copyOf(results);
     }
 
-    /** Asks for one object, on a line to a router that is there; an object low in number is asked for more often. */
-    void askNext() {
+    /**
+     * Requests one object over a usable connection, if there is one; objects of a lower rank are requested more often.
+     */
+    void sendNext() {
         int rank = (int) (scenario.objects() * Math.pow(random.nextDouble(), 2));
         String object = String.format("%016x", 0x9e3779b97f4a7c15L * (rank + 1));
-        Line line = lines.get((int) (calls++ % lines.size()));
-        for (int i = 0; i < lines.size() && !line.usable(); i++) {
-            line = lines.get((lines.indexOf(line) + 1) % lines.size());
+        Connection connection = connections.get((int) (sentRequests++ % connections.size()));
+        for (int i = 0; i < connections.size() && !connection.ensureUsable(); i++) {
+            connection = connections.get((connections.indexOf(connection) + 1) % connections.size());
         }
-        line.ask(object);
+        connection.send(object);
     }
 
-    /** How many are open. */
-    int open() {
-        return lines.stream().mapToInt(l -> l.open.size()).sum();
+    /** Returns the number of open requests on all connections. */
+    int openRequests() {
+        return connections.stream().mapToInt(connection -> connection.openRequests.size()).sum();
     }
 
-    /** Counts what is still open long after its deadline as lost. */
+    /** Closes all connections and counts the requests that are still open as lost. */
     void finish() {
-        lines.forEach(Line::end);
+        connections.forEach(Connection::close);
     }
 
     @Override
@@ -92,55 +98,56 @@
         finish();
     }
 
-    private record Open(long at, long nanos) {}
+    private record OpenRequest(long sentAtMillis, long startNanos) {}
 
-    /** One connection, opened again when it has ended. */
-    private final class Line {
+    /** A connection to a router that is opened again after it has closed. */
+    private final class Connection {
         private final InetSocketAddress address;
-        private volatile Map<Integer, Open> open = new ConcurrentHashMap<>(); // of this connection
+        // of the current socket, by stream
+        private volatile Map<Integer, OpenRequest> openRequests = new ConcurrentHashMap<>();
         private Socket socket;
         private DataOutputStream out;
-        private int streams;
-        private long tryAt;
+        private int lastStream;
+        private long lastConnectNanos;
         private volatile boolean draining;
 
-        Line(String address) {
+        Connection(String address) {
             int colon = address.lastIndexOf(':');
             this.address =
                     new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
         }
 
-        private synchronized boolean usable() {
-            if ((socket == null || socket.isClosed() || draining) && System.nanoTime() - tryAt > 20_000_000L) {
-                tryAt = System.nanoTime();
+        private synchronized boolean ensureUsable() {
+            if ((socket == null || socket.isClosed() || draining) && System.nanoTime() - lastConnectNanos > RECONNECT_INTERVAL_NANOS) {
+                lastConnectNanos = System.nanoTime();
                 try {
-                    Socket fresh = new Socket();
-                    fresh.setTcpNoDelay(true);
-                    fresh.connect(address, 200);
-                    socket = fresh;
-                    streams = 0;
+                    Socket newSocket = new Socket();
+                    newSocket.setTcpNoDelay(true);
+                    newSocket.connect(address, CONNECT_TIMEOUT_MILLIS);
+                    socket = newSocket;
+                    lastStream = 0;
                     draining = false;
-                    out = new DataOutputStream(fresh.getOutputStream());
-                    Map<Integer, Open> mine = new ConcurrentHashMap<>();
-                    open = mine;
-                    Thread reader = new Thread(() -> read(fresh, mine), "lab-client");
+                    out = new DataOutputStream(newSocket.getOutputStream());
+                    Map<Integer, OpenRequest> requests = new ConcurrentHashMap<>();
+                    openRequests = requests;
+                    Thread reader = new Thread(() -> readResponses(newSocket, requests), "lab-client");
                     reader.setDaemon(true);
                     reader.start();
                 } catch (IOException e) {
                     socket = null;
                 }
             }
-            return socket != null && !socket.isClosed() && !draining && open.size() < 30;
+            return socket != null && !socket.isClosed() && !draining && openRequests.size() < MAX_OPEN_PER_CONNECTION;
         }
 
-        synchronized void ask(String object) {
-            long at = record.now();
-            if (!usable()) {
-                done(new Done(at, End.LOST, 0));
+        synchronized void send(String object) {
+            long sentAtMillis = requestLog.nowMillis();
+            if (!ensureUsable()) {
+                addResult(new RequestResult(sentAtMillis, End.LOST, 0));
                 return;
             }
-            int stream = ++streams;
-            open.put(stream, new Open(at, System.nanoTime()));
+            int stream = ++lastStream;
+            openRequests.put(stream, new OpenRequest(sentAtMillis, System.nanoTime()));
             try {
                 Map<String, String> fields = new LinkedHashMap<>();
                 fields.put("op", "file");
@@ -150,57 +157,57 @@
                 fields.put("lot", "1");
                 ByteArrayOutputStream bytes = new ByteArrayOutputStream();
                 DataOutputStream frame = new DataOutputStream(bytes);
-                frame.writeByte(REQUEST);
+                frame.writeByte(REQUEST_FRAME);
                 frame.writeInt(stream);
                 frame.writeByte(fields.size());
-                for (Map.Entry<String, String> f : fields.entrySet()) {
-                    frame.writeByte(f.getKey().length());
-                    frame.writeBytes(f.getKey());
-                    frame.writeShort(f.getValue().length());
-                    frame.write(f.getValue().getBytes(StandardCharsets.US_ASCII));
+                for (Map.Entry<String, String> field : fields.entrySet()) {
+                    frame.writeByte(field.getKey().length());
+                    frame.writeBytes(field.getKey());
+                    frame.writeShort(field.getValue().length());
+                    frame.write(field.getValue().getBytes(StandardCharsets.US_ASCII));
                 }
                 out.writeInt(bytes.size());
                 bytes.writeTo(out);
                 out.flush();
             } catch (IOException e) {
-                lose(open);
+                countLost(openRequests);
             }
         }
 
-        private void read(Socket from, Map<Integer, Open> mine) {
-            try (from) {
+        private void readResponses(Socket source, Map<Integer, OpenRequest> requests) {
+            try (source) {
                 Set<Integer> answered = new HashSet<>();
-                DataInputStream in = new DataInputStream(new BufferedInputStream(from.getInputStream()));
+                DataInputStream in = new DataInputStream(new BufferedInputStream(source.getInputStream()));
                 while (true) {
                     int length = in.readInt();
                     int type = in.readUnsignedByte();
                     int stream = in.readInt();
                     byte[] payload = in.readNBytes(length - 5);
-                    if (type == CLOSE) {
+                    if (type == CLOSE_FRAME) {
                         draining = true;
-                    } else if (type == ANSWER) {
-                        answered(mine.remove(stream), answered.add(stream), payload[0]);
+                    } else if (type == RESPONSE_FRAME) {
+                        handleResponse(requests.remove(stream), answered.add(stream), payload[0]);
                     }
                 }
             } catch (IOException e) {
-                lose(mine);
+                countLost(requests);
             }
         }
 
-        private void answered(Open request, boolean first, int code) {
+        private void handleResponse(OpenRequest request, boolean first, int code) {
             if (request == null) {
-                done(new Done(record.now(), first ? End.LATE : End.TWICE, 0));
+                addResult(new RequestResult(requestLog.nowMillis(), first ? End.LATE : End.TWICE, 0));
                 return;
             }
-            long micros = (System.nanoTime() - request.nanos()) / 1_000;
-            boolean late = micros / 1_000 > scenario.deadlineMillis() + GRACE;
-            done(new Done(
-                    request.at(),
+            long micros = (System.nanoTime() - request.startNanos()) / 1_000;
+            boolean late = micros / 1_000 > scenario.deadlineMillis() + LATE_GRACE_MILLIS;
+            addResult(new RequestResult(
+                    request.sentAtMillis(),
                     late ? End.LATE : code == 1 ? End.SERVED : code == 0 ? End.REFUSED : End.FAILED,
                     micros));
         }
 
-        private synchronized void end() {
+        private synchronized void close() {
             if (socket != null) {
                 try {
                     socket.close();
@@ -208,14 +215,14 @@
                     // it was closed already
                 }
             }
-            lose(open);
+            countLost(openRequests);
         }
 
-        private void lose(Map<Integer, Open> mine) {
-            for (Integer stream : List.copyOf(mine.keySet())) {
-                Open lost = mine.remove(stream);
+        private void countLost(Map<Integer, OpenRequest> requests) {
+            for (Integer stream : List.copyOf(requests.keySet())) {
+                OpenRequest lost = requests.remove(stream);
                 if (lost != null) {
-                    done(new Done(lost.at(), End.LOST, 0));
+                    addResult(new RequestResult(lost.sentAtMillis(), End.LOST, 0));
                 }
             }
         }
--- a/src/main/java/pumicemoor/lab/MemberStandIn.java
+++ b/src/main/java/pumicemoor/lab/MemberStandIn.java
@@ -25,9 +25,9 @@
 import java.util.function.Function;
 
 /**
- * A cache, a hub or the origin on loopback. It holds objects, joins fills under way, fills from the member that
- * the request names and along the way that it names, passes on a marker of who was passed (as CDN-Loop does,
- * RFC 8586), and refuses what comes round. It owns its store, its faults and its lines of the record.
+ * Stand-in for a cache, a hub or the origin on loopback. It stores objects, joins fills in progress, fills along the
+ * path of members that the request names, passes on the list of members visited so far (as the CDN-Loop header of RFC
+ * 8586 does), and refuses a request that returns to it. It owns its store, its faults and its entries of the log.
  */
 final class MemberStandIn implements AutoCloseable {
 
@@ -37,8 +37,8 @@
         ORIGIN
     }
 
-    /** How a request ended here. */
-    enum End {
+    /** Result of a request at this member. */
+    enum LookupResult {
         HIT,
         FILLED,
         BY_ORIGIN,
@@ -48,67 +48,67 @@
         FAILED
     }
 
-    private static final long FILL_PATIENCE = 5_000; // milliseconds
+    private static final long FILL_TIMEOUT_MILLIS = 5_000;
     private static final byte[] BODY = "0123456789abcdef".repeat(64).getBytes(StandardCharsets.US_ASCII);
 
     final String name;
     final Kind kind;
-    private final Record record;
+    private final RequestLog requestLog;
     private final Function<String, MemberStandIn> members;
-    private final ExecutorService work;
+    private final ExecutorService executor;
     private final int fillMillis;
-    private final int holds;
+    private final int capacity;
     private final Map<String, Long> store;
-    private final Map<String, CompletableFuture<End>> filling = new HashMap<>();
+    private final Map<String, CompletableFuture<LookupResult>> fillsInProgress = new HashMap<>();
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private ServerSocket listener;
-    private CompletableFuture<Void> accepting; // done once nobody waits in the listener any more
+    private CompletableFuture<Void> accepting; // done once no thread waits in the listener any more
     private volatile int port;
     volatile String fault = "";
     volatile int faultMillis;
-    volatile long startedAt; // Unix milliseconds; 0 for long ago
+    volatile long startedAtMillis; // since the Unix epoch; 0: long ago
 
     MemberStandIn(
             String name,
             Kind kind,
-            int holds,
+            int capacity,
             int fillMillis,
-            Record record,
+            RequestLog requestLog,
             Function<String, MemberStandIn> members,
-            ExecutorService work)
+            ExecutorService executor)
             throws IOException {
         this.name = name;
         this.kind = kind;
-        this.holds = holds;
+        this.capacity = capacity;
         this.fillMillis = fillMillis;
-        this.record = record;
+        this.requestLog = requestLog;
         this.members = members;
-        this.work = work;
+        this.executor = executor;
         this.store = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-                return size() > MemberStandIn.this.holds;
+                return size() > MemberStandIn.this.capacity;
             }
         };
-        this.port = FreePorts.take();
-        open();
+        this.port = FreePorts.allocate();
+        listen();
     }
 
-    private void open() throws IOException {
+    private void listen() throws IOException {
         listener = new ServerSocket();
         listener.setReuseAddress(true);
         listener.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), 256);
         port = listener.getLocalPort();
-        ServerSocket mine = listener;
-        CompletableFuture<Void> ended = new CompletableFuture<>();
-        accepting = ended;
-        work.execute(() -> {
+        ServerSocket current = listener;
+        CompletableFuture<Void> acceptEnded = new CompletableFuture<>();
+        accepting = acceptEnded;
+        executor.execute(() -> {
             try {
-                accept(mine);
+                accept(current);
             } finally {
-                ended.complete(null);
+                acceptEnded.complete(null);
             }
         });
     }
@@ -117,17 +117,17 @@
         return "127.0.0.1:" + port;
     }
 
-    /** Ends the process, as far as anyone can see, and starts it again with nothing. */
+    /** Simulates a process restart: closes all sockets, clears the store and listens again. */
     synchronized void restart() throws IOException {
         closeSockets();
         synchronized (store) {
             store.clear();
-            filling.values().forEach(f -> f.complete(End.FAILED));
-            filling.clear();
+            fillsInProgress.values().forEach(f -> f.complete(LookupResult.FAILED));
+            fillsInProgress.clear();
         }
-        startedAt = System.currentTimeMillis();
-        record.started(name);
-        open();
+        startedAtMillis = System.currentTimeMillis();
+        requestLog.restarted(name);
+        listen();
     }
 
     void purge(String object) {
@@ -137,17 +137,17 @@
     }
 
     /**
-     * Ends the listener and all connections. The system keeps the port for as long as a thread waits in the closed
-     * listener, so that is waited for: else a restart finds its own address in use. A connection may have been closed by
-     * its own thread a moment before, and is none the worse for it.
+     * Closes the listener and all connections. The system keeps the port for as long as a thread waits in the closed
+     * listener, so this method waits for that thread: otherwise a restart finds its own address in use. A connection
+     * may have been closed by its own thread a moment before; that is no error.
      */
     private void closeSockets() throws IOException {
         listener.close();
         accepting.join();
-        for (Socket s : connections) {
+        for (Socket connection : connections) {
             try {
-                s.setSoLinger(true, 0); // a reset, as when a process dies
-                s.close();
+                connection.setSoLinger(true, 0); // a reset, as when a process dies
+                connection.close();
             } catch (SocketException e) {
                 // closed already
             }
@@ -160,13 +160,13 @@
         closeSockets();
     }
 
-    private void accept(ServerSocket mine) {
-        while (!mine.isClosed()) {
+    private void accept(ServerSocket current) {
+        while (!current.isClosed()) {
             try {
-                Socket socket = mine.accept();
+                Socket socket = current.accept();
                 socket.setTcpNoDelay(true);
                 connections.add(socket);
-                work.execute(() -> serve(socket));
+                executor.execute(() -> serve(socket));
             } catch (IOException e) {
                 return; // closed
             }
@@ -177,13 +177,13 @@
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             OutputStream out = socket.getOutputStream();
-            for (String line = line(in); line != null; line = line(in)) {
+            for (String line = readLine(in); line != null; line = readLine(in)) {
                 String[] words = line.split(" ");
                 if (words[0].equals("NOOP")) {
                     write(out, words[1] + " well - 0\r\n\r\n", null);
                 } else if (words[0].equals("ASK")) {
                     in.readNBytes(Integer.parseInt(words[3]) + 2);
-                    work.execute(() -> answer(out, words[1], fields(words[2])));
+                    executor.execute(() -> respond(out, words[1], parseFields(words[2])));
                 }
             }
         } catch (IOException e) {
@@ -193,7 +193,7 @@
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b >= 0; b = in.read()) {
             if (b == '\n') {
@@ -204,20 +204,20 @@
         return null;
     }
 
-    private static Map<String, String> fields(String text) {
+    private static Map<String, String> parseFields(String text) {
         Map<String, String> fields = new HashMap<>();
         for (String pair : text.split(",")) {
-            int at = pair.indexOf('=');
-            if (at > 0) {
-                fields.put(pair.substring(0, at), pair.substring(at + 1));
+            int separator = pair.indexOf('=');
+            if (separator > 0) {
+                fields.put(pair.substring(0, separator), pair.substring(separator + 1));
             }
         }
         return fields;
     }
 
-    private void answer(OutputStream out, String id, Map<String, String> fields) {
+    private void respond(OutputStream out, String id, Map<String, String> fields) {
         String object = fields.get("item");
-        record.asked(name, "router", object);
+        requestLog.requestReceived(name, "router", object);
         try {
             switch (fault) {
                 case "silent" -> {
@@ -228,110 +228,112 @@
                     return;
                 }
                 case "breaking" -> {
-                    for (Socket s : connections) {
-                        s.close();
+                    for (Socket connection : connections) {
+                        connection.close();
                     }
                     return;
                 }
                 default -> sleep(faultMillis);
             }
-            List<String> way = new ArrayList<>();
+            List<String> fillPath = new ArrayList<>();
             if (fields.containsKey("miss")) {
-                way.add(fields.get("miss"));
+                fillPath.add(fields.get("miss"));
             }
             if (fields.containsKey("way")) {
-                way.addAll(Arrays.asList(fields.get("way").split("\\+")));
+                fillPath.addAll(Arrays.asList(fields.get("way").split("\\+")));
             }
-            boolean onlyHeld = Set.of(fields.getOrDefault("f", "").split("\\+")).contains("only-if-cached");
-            End end = get(object, way, onlyHeld, List.of());
-            String tell =
-                    switch (end) {
+            boolean cacheOnly = Set.of(fields.getOrDefault("f", "").split("\\+")).contains("only-if-cached");
+            LookupResult result = lookUp(object, fillPath, cacheOnly, List.of());
+            String answeredFrom =
+                    switch (result) {
                         case HIT -> "mem";
                         case FILLED -> "parent";
                         case BY_ORIGIN -> "origin";
                         case JOINED -> "shared";
                         default -> null;
                     };
-            if (tell != null) {
+            if (answeredFrom != null) {
                 write(
                         out,
-                        id + " data entity=" + object + ",issued=" + System.currentTimeMillis() + ",tell=" + tell + " "
+                        id + " data entity=" + object + ",issued=" + System.currentTimeMillis() + ",tell=" + answeredFrom + " "
                                 + BODY.length + "\r\n",
                         BODY);
-            } else if (end == End.ABSENT) {
+            } else if (result == LookupResult.ABSENT) {
                 write(out, id + " absent - 0\r\n\r\n", null);
             } else {
-                write(out, id + " failed tell=" + (end == End.LOOPED ? "denied" : "unreached") + " 0\r\n\r\n", null);
+                write(out, id + " failed tell=" + (result == LookupResult.LOOPED ? "denied" : "unreached") + " 0\r\n\r\n", null);
             }
         } catch (IOException e) {
-            // nobody waits any more
+            // the router has closed the connection
         }
     }
 
-    /** What this member does for whoever asks: gives what it holds, joins a fill, or fills along the way. */
-    End get(String object, List<String> way, boolean onlyHeld, List<String> passed) {
-        if (passed.contains(name)) {
-            record.circle(name, object, "came round: " + passed);
-            return End.LOOPED;
+    /**
+     * Handles a request of a router or a member: returns a stored object, joins a fill, or fills along the fill path.
+     */
+    LookupResult lookUp(String object, List<String> fillPath, boolean cacheOnly, List<String> visited) {
+        if (visited.contains(name)) {
+            requestLog.fillLoop(name, object, "came round: " + visited);
+            return LookupResult.LOOPED;
         }
         if (kind == Kind.ORIGIN) {
             sleep(fillMillis);
-            return End.BY_ORIGIN;
+            return LookupResult.BY_ORIGIN;
         }
-        CompletableFuture<End> mine = null;
-        CompletableFuture<End> joined;
+        CompletableFuture<LookupResult> ownFill = null;
+        CompletableFuture<LookupResult> fillInProgress;
         synchronized (store) {
             if (store.get(object) != null) {
-                return End.HIT;
+                return LookupResult.HIT;
             }
-            joined = filling.get(object);
-            if (joined == null && !onlyHeld && !(way.isEmpty() && kind == Kind.CACHE)) {
-                mine = new CompletableFuture<>();
-                filling.put(object, mine);
+            fillInProgress = fillsInProgress.get(object);
+            if (fillInProgress == null && !cacheOnly && !(fillPath.isEmpty() && kind == Kind.CACHE)) {
+                ownFill = new CompletableFuture<>();
+                fillsInProgress.put(object, ownFill);
             }
         }
-        if (joined != null) {
+        if (fillInProgress != null) {
             try {
-                End end = joined.get(FILL_PATIENCE, TimeUnit.MILLISECONDS);
-                return end == End.FILLED || end == End.BY_ORIGIN ? End.JOINED : end;
+                LookupResult result = fillInProgress.get(FILL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                return result == LookupResult.FILLED || result == LookupResult.BY_ORIGIN ? LookupResult.JOINED : result;
             } catch (java.util.concurrent.TimeoutException | java.util.concurrent.ExecutionException e) {
-                return End.FAILED;
+                return LookupResult.FAILED;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                return End.FAILED;
+                return LookupResult.FAILED;
             }
         }
-        if (mine == null) {
-            return End.ABSENT;
+        if (ownFill == null) {
+            return LookupResult.ABSENT;
         }
-        End end = fill(object, way, passed);
+        LookupResult result = fill(object, fillPath, visited);
         synchronized (store) {
-            if (filling.remove(object, mine) && (end == End.FILLED || end == End.BY_ORIGIN)) {
+            if (fillsInProgress.remove(object, ownFill) && (result == LookupResult.FILLED || result == LookupResult.BY_ORIGIN)) {
                 store.put(object, System.currentTimeMillis());
             }
         }
-        mine.complete(end);
-        return end;
+        ownFill.complete(result);
+        return result;
     }
 
-    private End fill(String object, List<String> way, List<String> passed) {
-        MemberStandIn source = members.apply(way.isEmpty() ? "origin" : way.get(0));
+    private LookupResult fill(String object, List<String> fillPath, List<String> visited) {
+        MemberStandIn source = members.apply(fillPath.isEmpty() ? "origin" : fillPath.get(0));
         if (source == null || source.fault.equals("silent") || source.fault.equals("breaking")) {
-            return End.FAILED;
+            return LookupResult.FAILED;
         }
-        List<String> marker = new ArrayList<>(passed);
-        marker.add(name);
-        record.asked(source.name, name, object);
-        record.waits(name, source.name, object);
+        List<String> visitedWithThis = new ArrayList<>(visited);
+        visitedWithThis.add(name);
+        requestLog.requestReceived(source.name, name, object);
+        requestLog.waitStarted(name, source.name, object);
         try {
             sleep(fillMillis);
-            // a sibling cache gives what it holds or is filling; a hub goes on along the rest of the way
-            End end = source.get(object, way.isEmpty() ? way : way.subList(1, way.size()), false, marker);
-            return end == End.BY_ORIGIN
-                    ? End.BY_ORIGIN
-                    : end == End.HIT || end == End.JOINED || end == End.FILLED ? End.FILLED : end;
+            // a sibling cache returns what it stores or is filling; a hub continues along the rest of the fill path
+            LookupResult result = source.lookUp(object, fillPath.isEmpty() ? fillPath : fillPath.subList(1, fillPath.size()), false, visitedWithThis);
+            return result == LookupResult.BY_ORIGIN
+                    ? LookupResult.BY_ORIGIN
+                    : result == LookupResult.HIT || result == LookupResult.JOINED || result == LookupResult.FILLED ? LookupResult.FILLED : result;
         } finally {
-            record.waitsNoMore(name, source.name, object);
+            requestLog.waitEnded(name, source.name, object);
         }
     }
 
--- a/src/main/java/pumicemoor/lab/ProcessRun.java
+++ b/src/main/java/pumicemoor/lab/ProcessRun.java
@@ -21,23 +21,27 @@
 import pumicemoor.lab.scale.ScaleConfig;
 
 /**
- * Measures what its fleet costs a router that is a process of its own, so that the figures of hollow routers can be held
- * against it: so many real programs on loopback, calm, without requests; then the same without a section 'fleet', whose
- * cost is taken off. It owns the processes of the run and must never judge what it measured.
+ * Measures what the fleet protocol costs a router that runs as a separate process, as a reference for the figures of
+ * simulated routers. It runs a number of real programs on loopback, idle and without requests, with a section 'fleet'
+ * and without one, and subtracts the cost of the latter. It owns the processes of the run and must not evaluate the
+ * results.
  */
 public final class ProcessRun {
 
-    private static final int MOST = 200; // processes
-    private static final long MOST_MEMORY = 12 << 20; // KiB that all may hold together
-    private static final int AT_ONCE = 16; // that start together
-    private static final int LOOKED_INTO = 6; // of each role, whose heap is counted
-    private static final int SEEDS = 3;
+    private static final int MAX_PROCESSES = 200;
+    private static final long MAX_TOTAL_MEMORY_KIB = 12 << 20; // resident memory of all processes
+    private static final int CONCURRENT_STARTS = 16;
+    private static final int HEAP_SAMPLES_PER_ROLE = 6; // routers of each role whose live heap is measured
+    private static final int MAX_SEEDS = 3;
 
-    /** What one size showed: the roles' costs with the fleet's own alone, the plain process without a fleet, and how it ran. */
+    /**
+     * Results for one fleet size: the costs of each role (those of the fleet alone, and those of the whole process),
+     * the costs of a process without a fleet, and the parameters of the run.
+     */
     public record Result(
             int routers, List<Sample> samples, Map<String, Double> without, Map<String, Object> parameters) {}
 
-    /** One process over the calm time: its role, and its figures in the units of their names. */
+    /** Measurement of one process while idle: its role and its figures, in the units that their names give. */
     private record Reading(String role, Map<String, Double> figures) {}
 
     private final ScaleConfig config;
@@ -52,12 +56,12 @@
         this.progress = progress;
     }
 
-    /** Measures each size of a file; leaves NAME-SIZE.json and .md in the folder and gives back the tables. */
+    /** Measures each size in the file, writes NAME-SIZE.json and NAME-SIZE.md to the folder, and returns the tables. */
     public static String table(Path file, Path folder, PrintStream progress) throws IOException, InterruptedException {
         ScaleConfig config = ScaleConfig.read(file);
         for (int size : config.routers()) {
-            if (size > MOST) {
-                throw new IOException(file + ": routers: " + size + " is not from 2 to " + MOST + ", as processes");
+            if (size > MAX_PROCESSES) {
+                throw new IOException(file + ": routers: " + size + " is not from 2 to " + MAX_PROCESSES + ", as processes");
             }
         }
         Files.createDirectories(folder);
@@ -77,52 +81,52 @@
     }
 
     private Result measure() throws IOException, InterruptedException {
-        List<Reading> without = play(false);
-        List<Reading> with = play(true);
-        Map<String, Double> plain = mean(without);
-        Map<String, List<Reading>> roles = new TreeMap<>(with.stream().collect(Collectors.groupingBy(Reading::role)));
+        List<Reading> readingsWithoutFleet = measureProcesses(false);
+        List<Reading> readingsWithFleet = measureProcesses(true);
+        Map<String, Double> meanWithoutFleet = mean(readingsWithoutFleet);
+        Map<String, List<Reading>> readingsByRole = new TreeMap<>(readingsWithFleet.stream().collect(Collectors.groupingBy(Reading::role)));
         List<Sample> samples = new ArrayList<>();
-        roles.forEach((role, readings) -> {
-            Map<String, Double> all = mean(readings);
+        readingsByRole.forEach((role, readings) -> {
+            Map<String, Double> means = mean(readings);
             Map<String, Double> figures = new LinkedHashMap<>();
             figures.put("routers", (double) readings.size());
-            all.forEach((name, value) -> {
-                if (!plain.containsKey(name)) {
+            means.forEach((name, value) -> {
+                if (!meanWithoutFleet.containsKey(name)) {
                     figures.put(name, value);
-                } else if (value >= 0 && plain.get(name) >= 0) {
-                    figures.put(name, value - plain.get(name));
+                } else if (value >= 0 && meanWithoutFleet.get(name) >= 0) {
+                    figures.put(name, value - meanWithoutFleet.get(name));
                     figures.put(name + ", whole process", value);
                 }
             });
             figures.put(
                     "worst router cpu ms/s, whole process",
                     readings.stream()
-                            .mapToDouble(r -> r.figures().get("cpu ms/s"))
+                            .mapToDouble(reading -> reading.figures().get("cpu ms/s"))
                             .max()
                             .orElse(0));
             samples.add(new Sample(role + ", calm, processes", size, figures));
         });
-        return new Result(size, samples, plain, parameters());
+        return new Result(size, samples, meanWithoutFleet, parameters());
     }
 
     private Map<String, Object> parameters() {
-        Map<String, Object> p = new LinkedHashMap<>();
-        p.put("settle s", config.settle());
-        p.put("calm s", config.seconds());
-        p.put("period ms", config.periodMillis());
-        p.put("lease ms", config.leaseMillis());
-        p.put("guard ms", config.guardMillis());
-        p.put("caches", config.caches());
-        p.put("limits", 1);
-        p.put("verdicts", config.verdicts());
-        p.put("loss", config.loss());
-        p.put("cells", config.cells() == null ? "none" : config.cells().toString());
-        p.put("zones", config.cells() == null ? 1 : zones());
-        p.put("cores of the machine", Runtime.getRuntime().availableProcessors());
-        p.put("virtual machine", String.join(" ", RouterProcess.TIGHT));
-        p.put("java", System.getProperty("java.version"));
-        p.put("processor time by", "/proc/PID/task/*/schedstat");
-        return p;
+        Map<String, Object> parameters = new LinkedHashMap<>();
+        parameters.put("settle s", config.settle());
+        parameters.put("calm s", config.seconds());
+        parameters.put("period ms", config.periodMillis());
+        parameters.put("lease ms", config.leaseMillis());
+        parameters.put("guard ms", config.guardMillis());
+        parameters.put("caches", config.caches());
+        parameters.put("limits", 1);
+        parameters.put("verdicts", config.verdicts());
+        parameters.put("loss", config.loss());
+        parameters.put("cells", config.cells() == null ? "none" : config.cells().toString());
+        parameters.put("zones", config.cells() == null ? 1 : zones());
+        parameters.put("cores of the machine", Runtime.getRuntime().availableProcessors());
+        parameters.put("virtual machine", String.join(" ", RouterProcess.SMALL_JVM_OPTIONS));
+        parameters.put("java", System.getProperty("java.version"));
+        parameters.put("processor time by", "/proc/PID/task/*/schedstat");
+        return parameters;
     }
 
     private int zones() {
@@ -131,27 +135,27 @@
 
     private static Map<String, Double> mean(List<Reading> readings) {
         Map<String, Double> mean = new LinkedHashMap<>();
-        readings.forEach(r -> r.figures()
+        readings.forEach(reading -> reading.figures()
                 .keySet()
-                .forEach(name -> mean.computeIfAbsent(name, n -> readings.stream()
-                        .filter(x -> x.figures().containsKey(n))
-                        .mapToDouble(x -> x.figures().get(n))
+                .forEach(name -> mean.computeIfAbsent(name, figure -> readings.stream()
+                        .filter(other -> other.figures().containsKey(figure))
+                        .mapToDouble(other -> other.figures().get(figure))
                         .average()
                         .orElse(0))));
         return mean;
     }
 
-    /** Starts all, waits, reads twice and ends all. */
-    private List<Reading> play(boolean fleet) throws IOException, InterruptedException {
-        Path logs = Files.createDirectories(folder.resolve("logs-" + size + (fleet ? "" : "-without")));
-        ExecutorService work = Executors.newCachedThreadPool(r -> {
-            Thread t = new Thread(r, "process-run");
-            t.setDaemon(true);
-            return t;
+    /** Starts all processes, waits until they have settled, measures them while idle, and stops them. */
+    private List<Reading> measureProcesses(boolean withFleet) throws IOException, InterruptedException {
+        Path logs = Files.createDirectories(folder.resolve("logs-" + size + (withFleet ? "" : "-without")));
+        ExecutorService executor = Executors.newCachedThreadPool(task -> {
+            Thread thread = new Thread(task, "process-run");
+            thread.setDaemon(true);
+            return thread;
         });
         List<MemberStandIn> members = new ArrayList<>();
         List<RouterProcess> routers = new ArrayList<>();
-        Record record = new Record();
+        RequestLog requestLog = new RequestLog();
         Scenario scenario = new Scenario(
                 config.name(),
                 config.seed(),
@@ -169,24 +173,24 @@
                 null,
                 null,
                 null);
-        CoordinatorStandIn coordinator = new CoordinatorStandIn(work, 0, config.seed());
+        CoordinatorStandIn coordinator = new CoordinatorStandIn(executor, 0, config.seed());
         try (FaultNetwork network = new FaultNetwork(size, config.seed())) {
-            network.weather(config.loss(), 0, 0);
-            members.add(new MemberStandIn("origin", Kind.ORIGIN, 1, 1, record, n -> null, work));
+            network.setImpairments(config.loss(), 0, 0);
+            members.add(new MemberStandIn("origin", Kind.ORIGIN, 1, 1, requestLog, name -> null, executor));
             for (int i = 0; i < config.caches(); i++) {
-                members.add(new MemberStandIn("cache-" + i, Kind.CACHE, 1, 1, record, n -> null, work));
+                members.add(new MemberStandIn("cache-" + i, Kind.CACHE, 1, 1, requestLog, name -> null, executor));
             }
-            coordinator.tell("\"endpoints\":{\"generation\":1,\"reset\":true,\"instances\":["
-                    + members.stream().map(LabRun::activeLine).collect(Collectors.joining(",")) + "]}");
-            long began = System.nanoTime();
+            coordinator.publish("\"endpoints\":{\"generation\":1,\"reset\":true,\"instances\":["
+                    + members.stream().map(LabRun::activeInstanceJson).collect(Collectors.joining(",")) + "]}");
+            long startNanos = System.nanoTime();
             for (int i = 0; i < size; i++) {
-                RouterProcess r = new RouterProcess(name(i), logs, null, RouterProcess.TIGHT);
-                routers.add(r);
-                r.start(
-                        LabConfig.json(name(i), i, r.address(), scenario, coordinator.address(), coordinator.known()),
-                        "log: {format: json}\n" + (fleet ? section(i, network) : ""));
-                if (i % AT_ONCE == AT_ONCE - 1 || i == size - 1) {
-                    for (RouterProcess started : routers.subList(i / AT_ONCE * AT_ONCE, i + 1)) {
+                RouterProcess router = new RouterProcess(routerName(i), logs, null, RouterProcess.SMALL_JVM_OPTIONS);
+                routers.add(router);
+                router.start(
+                        LabConfig.json(routerName(i), i, router.address(), scenario, coordinator.address(), coordinator.eventsAsJson()),
+                        "log: {format: json}\n" + (withFleet ? fleetSection(i, network) : ""));
+                if (i % CONCURRENT_STARTS == CONCURRENT_STARTS - 1 || i == size - 1) {
+                    for (RouterProcess started : routers.subList(i / CONCURRENT_STARTS * CONCURRENT_STARTS, i + 1)) {
                         started.awaitReady();
                     }
                 }
@@ -196,44 +200,44 @@
                     Locale.ROOT,
                     "%d processes %s a fleet ready after %.1f s%n",
                     size,
-                    fleet ? "with" : "without",
-                    (System.nanoTime() - began) / 1e9);
+                    withFleet ? "with" : "without",
+                    (System.nanoTime() - startNanos) / 1e9);
             Thread.sleep((long) (config.settle() * 1_000));
             checkMemory(routers);
-            return calm(routers, network, fleet);
+            return measureIdle(routers, network, withFleet);
         } finally {
             routers.forEach(RouterProcess::close);
-            for (MemberStandIn m : members) {
-                m.close();
+            for (MemberStandIn member : members) {
+                member.close();
             }
             coordinator.close();
-            work.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    private static String name(int i) {
-        return String.format("router-%05d", i);
+    private static String routerName(int index) {
+        return String.format("router-%05d", index);
     }
 
     private void checkMemory(List<RouterProcess> routers) throws IOException {
-        long all = routers.stream().mapToLong(RouterProcess::residentKiB).sum();
-        progress.printf(Locale.ROOT, "they hold %.2f GB%n", all / 1e6 * 1.024);
-        if (all > MOST_MEMORY) {
+        long totalKiB = routers.stream().mapToLong(RouterProcess::residentKiB).sum();
+        progress.printf(Locale.ROOT, "they hold %.2f GB%n", totalKiB / 1e6 * 1.024);
+        if (totalKiB > MAX_TOTAL_MEMORY_KIB) {
             throw new IOException(
-                    "routers: " + size + " processes hold " + all / 1_024 + " MiB, over " + MOST_MEMORY / 1_024);
+                    "routers: " + size + " processes hold " + totalKiB / 1_024 + " MiB, over " + MAX_TOTAL_MEMORY_KIB / 1_024);
         }
     }
 
-    private String section(int i, FaultNetwork network) {
+    private String fleetSection(int i, FaultNetwork network) {
         String cells = config.cells() == null
                 ? ""
                 : "  cells: {root: zone-" + i * zones() / size + ", most: "
                         + config.cells().most() + ", delegates: "
                         + config.cells().delegates() + "}\n";
-        return "fleet:\n  cluster: scale\n  listen: " + network.listen(i) + "\n  advertise: " + network.advertise(i)
+        return "fleet:\n  cluster: scale\n  listen: " + network.listenAddress(i) + "\n  advertise: " + network.advertisedAddress(i)
                 + "\n  seeds: ["
-                + IntStream.range(0, Math.min(SEEDS, size))
-                        .mapToObj(network::advertise)
+                + IntStream.range(0, Math.min(MAX_SEEDS, size))
+                        .mapToObj(network::advertisedAddress)
                         .collect(Collectors.joining(", "))
                 + "]\n  size: " + size + "\n  period-ms: " + config.periodMillis() + "\n  lease-ms: "
                 + config.leaseMillis()
@@ -242,66 +246,66 @@
                 + (config.verdicts() ? "  verdicts: {most-out: 0.2, witnesses: 2}\n" : "") + cells;
     }
 
-    /** Two readings of all, the calm time between them. */
-    private List<Reading> calm(List<RouterProcess> routers, FaultNetwork network, boolean fleet)
+    /** Reads the counters of all processes at the start and the end of the idle period. */
+    private List<Reading> measureIdle(List<RouterProcess> routers, FaultNetwork network, boolean withFleet)
             throws IOException, InterruptedException {
         List<Map<String, String>> statusBefore =
                 routers.stream().map(RouterProcess::status).toList();
-        List<long[]> countedBefore = new ArrayList<>();
-        List<Map<String, Long>> timesBefore = new ArrayList<>();
-        List<Long> ticksBefore = new ArrayList<>();
-        List<Long> at = new ArrayList<>();
+        List<long[]> trafficBefore = new ArrayList<>();
+        List<Map<String, Long>> cpuNanosBefore = new ArrayList<>();
+        List<Long> tickMillisBefore = new ArrayList<>();
+        List<Long> startNanos = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            countedBefore.add(network.counted(i));
-            timesBefore.add(routers.get(i).processorTimes());
-            ticksBefore.add(routers.get(i).processorMillis());
-            at.add(System.nanoTime());
+            trafficBefore.add(network.trafficCounters(i));
+            cpuNanosBefore.add(routers.get(i).threadCpuNanos());
+            tickMillisBefore.add(routers.get(i).processCpuMillis());
+            startNanos.add(System.nanoTime());
         }
         Thread.sleep((long) (config.seconds() * 1_000));
         List<Reading> readings = new ArrayList<>();
-        Map<String, Integer> looked = new TreeMap<>();
+        Map<String, Integer> heapSamples = new TreeMap<>();
         for (int i = 0; i < size; i++) {
-            RouterProcess r = routers.get(i);
-            Map<String, Long> before = timesBefore.get(i);
-            Map<String, Long> after = r.processorTimes();
-            double seconds = (System.nanoTime() - at.get(i)) / 1e9;
-            double nanos = after.entrySet().stream()
-                    .mapToLong(e -> e.getValue() - before.getOrDefault(e.getKey(), 0L))
+            RouterProcess router = routers.get(i);
+            Map<String, Long> nanosBefore = cpuNanosBefore.get(i);
+            Map<String, Long> nanosAfter = router.threadCpuNanos();
+            double seconds = (System.nanoTime() - startNanos.get(i)) / 1e9;
+            double cpuNanos = nanosAfter.entrySet().stream()
+                    .mapToLong(entry -> entry.getValue() - nanosBefore.getOrDefault(entry.getKey(), 0L))
                     .sum();
-            Map<String, Double> f = new LinkedHashMap<>();
-            f.put("cpu ms/s", nanos / 1e6 / seconds);
-            f.put("cpu ms/s by ticks", (r.processorMillis() - ticksBefore.get(i)) / seconds);
-            f.put("resident KiB", (double) r.residentKiB());
+            Map<String, Double> figures = new LinkedHashMap<>();
+            figures.put("cpu ms/s", cpuNanos / 1e6 / seconds);
+            figures.put("cpu ms/s by ticks", (router.processCpuMillis() - tickMillisBefore.get(i)) / seconds);
+            figures.put("resident KiB", (double) router.residentKiB());
             String role = "no fleet";
-            if (fleet) {
-                long[] out = network.counted(i);
-                Map<String, String> status = r.status();
-                role = role(name(i), status);
-                f.put("bytes out/s", (out[1] - countedBefore.get(i)[1]) / seconds);
-                f.put("bytes in/s", (out[3] - countedBefore.get(i)[3]) / seconds);
-                f.put("packets out/s", (out[0] - countedBefore.get(i)[0]) / seconds);
-                f.put("packets in/s", (out[2] - countedBefore.get(i)[2]) / seconds);
-                f.put(
+            if (withFleet) {
+                long[] traffic = network.trafficCounters(i);
+                Map<String, String> status = router.status();
+                role = role(routerName(i), status);
+                figures.put("bytes out/s", (traffic[1] - trafficBefore.get(i)[1]) / seconds);
+                figures.put("bytes in/s", (traffic[3] - trafficBefore.get(i)[3]) / seconds);
+                figures.put("packets out/s", (traffic[0] - trafficBefore.get(i)[0]) / seconds);
+                figures.put("packets in/s", (traffic[2] - trafficBefore.get(i)[2]) / seconds);
+                figures.put(
                         "bytes out/s by the router's count",
-                        (count(status, "fleet-bytes-out") - count(statusBefore.get(i), "fleet-bytes-out")) / seconds);
-                f.put("living known", count(status, "fleet-living"));
+                        (statusNumber(status, "fleet-bytes-out") - statusNumber(statusBefore.get(i), "fleet-bytes-out")) / seconds);
+                figures.put("living known", statusNumber(status, "fleet-living"));
             }
-            readings.add(new Reading(role, f));
+            readings.add(new Reading(role, figures));
         }
-        for (int i = 0; i < size; i++) { // last, since it takes processor time: only what is held after a collection
-            if (looked.merge(readings.get(i).role(), 1, Integer::sum) <= LOOKED_INTO) {
+        for (int i = 0; i < size; i++) { // last: it collects garbage, which takes CPU time
+            if (heapSamples.merge(readings.get(i).role(), 1, Integer::sum) <= HEAP_SAMPLES_PER_ROLE) {
                 readings.get(i).figures().put("heap bytes", (double)
-                        routers.get(i).liveHeap());
+                        routers.get(i).liveHeapBytes());
             }
         }
         return readings;
     }
 
-    private static double count(Map<String, String> status, String field) {
+    private static double statusNumber(Map<String, String> status, String field) {
         return Double.parseDouble(status.getOrDefault(field, "NaN"));
     }
 
-    /** What a router is in its fleet, by what it says of itself; one that does several is the last of them. */
+    /** Returns the role of a router by its own status; a router with several roles gets the highest one. */
     private static String role(String name, Map<String, String> status) {
         boolean grantor = name.equals(status.get("fleet-grantor"));
         if (!status.containsKey("fleet-cell")) {
@@ -312,30 +316,30 @@
                 : grantor ? "cell grantor" : "yes".equals(status.get("fleet-delegate")) ? "delegate" : "member";
     }
 
-    private static String markdown(Result r) {
-        StringBuilder text = new StringBuilder("# " + r.routers() + " router processes, calm\n\n"
-                + r.parameters().entrySet().stream()
-                        .map(e -> e.getKey() + ": " + e.getValue())
+    private static String markdown(Result result) {
+        StringBuilder text = new StringBuilder("# " + result.routers() + " router processes, calm\n\n"
+                + result.parameters().entrySet().stream()
+                        .map(entry -> entry.getKey() + ": " + entry.getValue())
                         .collect(Collectors.joining("; "))
                 + "\n\n");
-        List<String> columns = r.samples().stream()
-                .flatMap(s -> s.figures().keySet().stream())
+        List<String> columns = result.samples().stream()
+                .flatMap(sample -> sample.figures().keySet().stream())
                 .distinct()
                 .toList();
         text.append("| figure, mean of the role | without a fleet |");
-        r.samples().forEach(s -> text.append(' ').append(s.role()).append(" |"));
+        result.samples().forEach(sample -> text.append(' ').append(sample.role()).append(" |"));
         text.append("\n| --- | --- |")
-                .append(" --- |".repeat(r.samples().size()))
+                .append(" --- |".repeat(result.samples().size()))
                 .append('\n');
-        for (String c : columns) {
+        for (String column : columns) {
             text.append("| ")
-                    .append(c)
+                    .append(column)
                     .append(" | ")
-                    .append(number(r.without().get(c.replace(", whole process", ""))))
+                    .append(formatNumber(result.without().get(column.replace(", whole process", ""))))
                     .append(" |");
-            r.samples()
-                    .forEach(s ->
-                            text.append(' ').append(number(s.figures().get(c))).append(" |"));
+            result.samples()
+                    .forEach(sample ->
+                            text.append(' ').append(formatNumber(sample.figures().get(column))).append(" |"));
             text.append('\n');
         }
         return text.append(
@@ -344,7 +348,7 @@
                 .toString();
     }
 
-    private static String number(Double value) {
+    private static String formatNumber(Double value) {
         return value == null ? "-" : String.format(Locale.ROOT, Math.abs(value) >= 100 ? "%.0f" : "%.3f", value);
     }
 }
--- a/src/main/java/pumicemoor/lab/ProxyRun.java
+++ b/src/main/java/pumicemoor/lab/ProxyRun.java
@@ -22,31 +22,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
-import pumicemoor.lab.ProxyStandIn.Done;
+import pumicemoor.lab.ProxyStandIn.CompletedCall;
 import pumicemoor.lab.ProxyStandIn.End;
 
 /**
- * Plays proxies that call the real program for each request while it is killed, ended and reloaded. What a call came to
- * is taken from the proxies' own record, what ran from that of the caches. A proxy asks again, once, for what was not
- * answered or broke, whether or not it has an effect: the program must know better.
+ * Plays proxies that call the real program for each request while it is killed, terminated and reloaded. The results of
+ * calls are taken from the proxies' own records, the requests that ran from those of the caches. A proxy retries once a
+ * call that was not answered or whose stream broke, whether or not the request has a side effect: the program itself
+ * must not let a side effect run twice.
  */
 final class ProxyRun {
 
-    private static final int ASK_AGAIN_AFTER = 150; // milliseconds
-    private static final long WARM = 4_000_000_000L; // nanoseconds, for the proxies' own code to be compiled
+    private static final int RETRY_DELAY_MILLIS = 150;
+    private static final long WARM_UP_NANOS = 4_000_000_000L; // until the proxies' own code is compiled
 
-    /** What was measured. */
+    /** Results of a run. */
     record Result(
             String name,
             Map<End, Long> ends,
             int callsPerMinute,
-            int mostAnswers,
-            int mostRunsOfAnEffect,
+            int maxAnswersPerCall,
+            int maxRunsOfOneEffect,
             int runs,
             long longestMillis,
-            int stillOpen,
-            int lateWhenWarm,
-            int mostOpen,
+            int openAtEnd,
+            int unansweredAfterWarmUp,
+            int maxOpenCalls,
             long idleMiB,
             long peakMiB,
             double medianMillis,
@@ -73,13 +74,13 @@
                     ended(End.REFUSED),
                     ended(End.FAILED),
                     ended(End.NOT_ANSWERED),
-                    lateWhenWarm,
+                    unansweredAfterWarmUp,
                     ended(End.BROKEN),
-                    stillOpen,
-                    mostAnswers,
-                    mostRunsOfAnEffect,
+                    openAtEnd,
+                    maxAnswersPerCall,
+                    maxRunsOfOneEffect,
                     runs,
-                    mostOpen,
+                    maxOpenCalls,
                     idleMiB,
                     peakMiB,
                     longestMillis,
@@ -92,12 +93,12 @@
     private final Scenario scenario;
     private final Path folder;
     private final PrintStream progress;
-    private final Map<String, Integer> effects = new HashMap<>(); // runs of requests with an effect, by id
-    private final Set<String> askedAgain = new HashSet<>();
+    private final Map<String, Integer> effectRuns = new HashMap<>(); // runs of requests with a side effect, by id
+    private final Set<String> retriedIds = new HashSet<>();
     private int runs;
-    private int turns;
-    private long began;
-    private int mostOpen;
+    private int iterations;
+    private long startNanos;
+    private int maxOpenCalls;
     private long idleMiB;
     private long peakMiB;
 
@@ -113,19 +114,19 @@
     }
 
     private Result play() throws IOException, InterruptedException {
-        Scenario.Proxies p = scenario.proxies();
-        ScheduledExecutorService work = Executors.newScheduledThreadPool(64, r -> {
-            Thread t = new Thread(r, "lab-proxy");
-            t.setDaemon(true);
-            return t;
+        Scenario.Proxies parameters = scenario.proxies();
+        ScheduledExecutorService executor = Executors.newScheduledThreadPool(64, task -> {
+            Thread thread = new Thread(task, "lab-proxy");
+            thread.setDaemon(true);
+            return thread;
         });
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
         }
         RouterProcess router = new RouterProcess("processor", folder, scenario.cpu());
-        String config = LabConfig.json(0, router.address(), scenario, "", known());
-        String operator =
+        String config = LabConfig.json(0, router.address(), scenario, "", knownEvents());
+        String operatorYaml =
                 """
                 processor:
                   listen: 127.0.0.1:%d
@@ -137,115 +138,115 @@
                     - {method: GET, path: "/file/(?P<object>.+)", class: file}
                     - {method: POST, path: "/booking/(?P<object>.+)", class: booking}
                 """
-                        .formatted(port, p.messageTimeout());
-        router.start("processor", config, operator);
+                        .formatted(port, parameters.messageTimeout());
+        router.start("processor", config, operatorYaml);
         awaitListening(port);
         idleMiB = router.residentMiB();
         List<ProxyStandIn> proxies = new ArrayList<>();
-        for (int i = 0; i < p.count(); i++) {
+        for (int i = 0; i < parameters.count(); i++) {
             proxies.add(new ProxyStandIn(
-                    "proxy-" + i, "127.0.0.1", port, p.messageTimeout(), this::ran, p.cacheMillis(), work));
+                    "proxy-" + i, "127.0.0.1", port, parameters.messageTimeout(), this::requestRan, parameters.cacheMillis(), executor));
         }
         Random random = new Random(scenario.seed());
-        TreeMap<Double, String> due = new TreeMap<>();
-        p.killAt().forEach(at -> due.put(at, "kill"));
-        p.endAt().forEach(at -> due.put(at, "end"));
-        p.reloadAt().forEach(at -> due.put(at, "reload"));
-        began = System.nanoTime();
-        int asked = 0;
-        for (double at = 0; at < scenario.seconds(); at = (System.nanoTime() - began) / 1e9) {
-            while (asked < at * scenario.rate()) {
-                ProxyStandIn proxy = proxies.get(asked % proxies.size());
-                boolean effect = random.nextDouble() < p.effectShare();
-                String object = effect ? "b" + asked : "o" + random.nextInt(scenario.objects());
+        TreeMap<Double, String> pendingActions = new TreeMap<>();
+        parameters.killAt().forEach(elapsedSeconds -> pendingActions.put(elapsedSeconds, "kill"));
+        parameters.endAt().forEach(elapsedSeconds -> pendingActions.put(elapsedSeconds, "end"));
+        parameters.reloadAt().forEach(elapsedSeconds -> pendingActions.put(elapsedSeconds, "reload"));
+        startNanos = System.nanoTime();
+        int sentCalls = 0;
+        for (double elapsedSeconds = 0; elapsedSeconds < scenario.seconds(); elapsedSeconds = (System.nanoTime() - startNanos) / 1e9) {
+            while (sentCalls < elapsedSeconds * scenario.rate()) {
+                ProxyStandIn proxy = proxies.get(sentCalls % proxies.size());
+                boolean sideEffect = random.nextDouble() < parameters.effectShare();
+                String object = sideEffect ? "b" + sentCalls : "o" + random.nextInt(scenario.objects());
                 proxy.call(
-                        (effect ? "b" : "r") + asked,
-                        effect ? "POST" : "GET",
-                        (effect ? "/booking/" : "/file/") + object,
+                        (sideEffect ? "b" : "r") + sentCalls,
+                        sideEffect ? "POST" : "GET",
+                        (sideEffect ? "/booking/" : "/file/") + object,
                         object,
                         1);
-                asked++;
+                sentCalls++;
             }
-            if (!due.isEmpty() && at >= due.firstKey()) {
-                String what = due.pollFirstEntry().getValue();
+            if (!pendingActions.isEmpty() && elapsedSeconds >= pendingActions.firstKey()) {
+                String action = pendingActions.pollFirstEntry().getValue();
                 progress.printf(
                         "  %4.1f s: %s with %d calls open%n",
-                        at, what, proxies.stream().mapToInt(ProxyStandIn::open).sum());
-                happen(what, router, config, operator);
+                        elapsedSeconds, action, proxies.stream().mapToInt(ProxyStandIn::openCalls).sum());
+                applyEvent(action, router, config, operatorYaml);
             }
-            askAgain(proxies, work);
-            mostOpen = Math.max(
-                    mostOpen, proxies.stream().mapToInt(ProxyStandIn::open).sum());
-            if (++turns % 200 == 0) {
+            retryUnanswered(proxies, executor);
+            maxOpenCalls = Math.max(
+                    maxOpenCalls, proxies.stream().mapToInt(ProxyStandIn::openCalls).sum());
+            if (++iterations % 200 == 0) {
                 peakMiB = Math.max(peakMiB, router.residentMiB());
             }
             Thread.sleep(1);
         }
-        int open = 0;
+        int openCalls = 0;
         for (ProxyStandIn proxy : proxies) {
-            open += proxy.awaitQuiet(scenario.deadlineMillis() + 2_000L) ? 0 : proxy.open();
+            openCalls += proxy.awaitIdle(scenario.deadlineMillis() + 2_000L) ? 0 : proxy.openCalls();
         }
-        Result result = result(proxies, asked, open);
+        Result result = result(proxies, sentCalls, openCalls);
         proxies.forEach(ProxyStandIn::close);
         router.close();
-        work.shutdownNow();
+        executor.shutdownNow();
         Files.writeString(folder.resolve("report.md"), result.markdown());
         return result;
     }
 
-    /** What was not answered or broke is asked for once more under the same id, as proxies with a retry policy do. */
-    private void askAgain(List<ProxyStandIn> proxies, ScheduledExecutorService work) {
+    /** Retries unanswered and broken calls once under the same id, as proxies with a retry policy do. */
+    private void retryUnanswered(List<ProxyStandIn> proxies, ScheduledExecutorService executor) {
         for (ProxyStandIn proxy : proxies) {
-            for (Done d : proxy.takeUnanswered()) {
-                if (askedAgain.add(d.id())) {
-                    boolean effect = d.id().startsWith("b");
-                    work.schedule(
+            for (CompletedCall call : proxy.takeUnanswered()) {
+                if (retriedIds.add(call.id())) {
+                    boolean sideEffect = call.id().startsWith("b");
+                    executor.schedule(
                             () -> proxy.call(
-                                    d.id(),
-                                    effect ? "POST" : "GET",
-                                    (effect ? "/booking/" : "/file/") + d.id(),
-                                    d.id(),
+                                    call.id(),
+                                    sideEffect ? "POST" : "GET",
+                                    (sideEffect ? "/booking/" : "/file/") + call.id(),
+                                    call.id(),
                                     2),
-                            ASK_AGAIN_AFTER,
+                            RETRY_DELAY_MILLIS,
                             TimeUnit.MILLISECONDS);
                 }
             }
         }
     }
 
-    private synchronized boolean ran(String cache, String object, String id, Map<String, String> told) {
+    private synchronized boolean requestRan(String cache, String object, String id, Map<String, String> responseHeaders) {
         runs++;
         if (object.startsWith("b")) {
-            effects.merge(id, 1, Integer::sum);
+            effectRuns.merge(id, 1, Integer::sum);
         }
         return true;
     }
 
-    private void happen(String what, RouterProcess router, String config, String operator)
+    private void applyEvent(String action, RouterProcess router, String config, String operatorYaml)
             throws IOException, InterruptedException {
-        switch (what) {
+        switch (action) {
             case "kill" -> {
                 router.kill();
-                router.start("processor", config, operator);
+                router.start("processor", config, operatorYaml);
             }
             case "end" -> {
-                Thread ending = new Thread(() -> {
+                Thread terminator = new Thread(() -> {
                     try {
                         router.terminate();
-                        router.start("processor", config, operator);
+                        router.start("processor", config, operatorYaml);
                     } catch (IOException e) {
                         progress.println("  not started again: " + e.getMessage());
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                ending.setDaemon(true);
-                ending.start();
+                terminator.setDaemon(true);
+                terminator.start();
             }
             default -> {
                 Files.writeString(
-                        router.operatorFile(), operator + "    - {path: \"/new/(?P<object>.+)\", class: file}\n");
-                router.hangUp();
+                        router.operatorFile(), operatorYaml + "    - {path: \"/new/(?P<object>.+)\", class: file}\n");
+                router.reload();
             }
         }
     }
@@ -259,39 +260,39 @@
                 Thread.sleep(50);
             }
         }
-        throw new IOException("the program does not listen on port " + port);
+        throw new IOException("the program does not accept connections on port " + port);
     }
 
-    private List<String> known() {
-        List<String> lines = new ArrayList<>();
+    private List<String> knownEvents() {
+        List<String> instances = new ArrayList<>();
         for (int i = 1; i <= Math.max(2, scenario.caches()); i++) {
-            lines.add(line("box-" + i, "home", "cache", 9_100 + i));
+            instances.add(instanceJson("box-" + i, "home", "cache", 9_100 + i));
         }
-        lines.add(line("hub-a", "hub", "hub", 9_201));
-        lines.add(line("hub-b", "hub", "hub", 9_202));
-        lines.add(line("origin", "hub", "origin", 9_301));
+        instances.add(instanceJson("hub-a", "hub", "hub", 9_201));
+        instances.add(instanceJson("hub-b", "hub", "hub", 9_202));
+        instances.add(instanceJson("origin", "hub", "origin", 9_301));
         return List.of("{\"index\":1,\"endpoints\":{\"generation\":1,\"reset\":true,\"instances\":["
-                + lines.stream().collect(Collectors.joining(",")) + "]}}");
+                + instances.stream().collect(Collectors.joining(",")) + "]}}");
     }
 
-    private static String line(String name, String zone, String kind, int port) {
+    private static String instanceJson(String name, String zone, String kind, int port) {
         return "{\"instanceId\":\"" + name + "\",\"hostPort\":\"127.0.0.1:" + port + "\",\"zone\":\"" + zone
                 + "\",\"machineType\":\"" + kind + "\",\"lifecycle\":\"active\",\"weight\":20000,\"startedAtMs\":0}";
     }
 
-    private Result result(List<ProxyStandIn> proxies, int asked, int open) {
+    private Result result(List<ProxyStandIn> proxies, int sentCalls, int openCalls) {
         Map<End, Long> ends = new HashMap<>();
         Histogram served = new Histogram(60_000_000, 3);
-        long longest = 0;
-        int late = 0;
+        long longestMicros = 0;
+        int unanswered = 0;
         for (ProxyStandIn proxy : proxies) {
-            for (Done d : proxy.done()) {
-                ends.merge(d.end(), 1L, Long::sum);
-                longest = Math.max(longest, d.micros());
-                boolean warm = d.began() - began > WARM;
-                late += warm && d.end() == End.NOT_ANSWERED ? 1 : 0;
-                if (d.end() == End.SERVED && warm) {
-                    served.recordValue(Math.max(1, Math.min(60_000_000, d.micros())));
+            for (CompletedCall call : proxy.completed()) {
+                ends.merge(call.end(), 1L, Long::sum);
+                longestMicros = Math.max(longestMicros, call.micros());
+                boolean warmedUp = call.startNanos() - startNanos > WARM_UP_NANOS;
+                unanswered += warmedUp && call.end() == End.NOT_ANSWERED ? 1 : 0;
+                if (call.end() == End.SERVED && warmedUp) {
+                    served.recordValue(Math.max(1, Math.min(60_000_000, call.micros())));
                 }
             }
         }
@@ -299,14 +300,14 @@
             return new Result(
                     scenario.name(),
                     ends,
-                    (int) (asked / scenario.seconds() * 60),
-                    proxies.stream().mapToInt(ProxyStandIn::mostAnswers).max().orElse(0),
-                    effects.values().stream().mapToInt(i -> i).max().orElse(0),
+                    (int) (sentCalls / scenario.seconds() * 60),
+                    proxies.stream().mapToInt(ProxyStandIn::maxAnswersPerCall).max().orElse(0),
+                    effectRuns.values().stream().mapToInt(i -> i).max().orElse(0),
                     runs,
-                    longest / 1_000,
-                    open,
-                    late,
-                    mostOpen,
+                    longestMicros / 1_000,
+                    openCalls,
+                    unanswered,
+                    maxOpenCalls,
                     idleMiB,
                     peakMiB,
                     served.getValueAtPercentile(50) / 1e3,
--- a/src/main/java/pumicemoor/lab/ProxyStandIn.java
+++ b/src/main/java/pumicemoor/lab/ProxyStandIn.java
@@ -20,15 +20,16 @@
 import pumicemoor.extproc.proto.ProcessingResponse;
 
 /**
- * A proxy that calls an external processor as its published pages say: it sends a request's headers, waits its
- * message time-out and no longer, forwards to the cache that it is told, tells of the response, and ends the stream.
- * It owns its record of how every call ended and of what it sent; it never asks the processor for figures.
+ * Stand-in for a proxy that calls an external processor as the protocol's documentation describes: it sends the headers
+ * of a request, waits at most its message timeout, forwards the request to the cache named in the response, reports the
+ * cache's response, and ends the stream. It owns its records of completed calls and received answers, and never queries
+ * the processor's metrics.
  */
 public final class ProxyStandIn implements AutoCloseable {
 
-    private static final long RECONNECT = 100; // milliseconds between tries at a program that is away
+    private static final long RECONNECT_INTERVAL_MILLIS = 100; // between connection attempts to a program that is down
 
-    /** How a call ended for the proxy's own client. */
+    /** Result of a call for the client of the proxy. */
     public enum End {
         SERVED,
         REFUSED,
@@ -37,26 +38,31 @@
         BROKEN
     }
 
-    /** One call: its id, when it began (System.nanoTime), how it ended and after how long (microseconds). */
-    public record Done(String id, long began, End end, long micros) {}
+    /** One completed call: its id, its start (System.nanoTime), its result and its duration in microseconds. */
+    public record CompletedCall(String id, long startNanos, End end, long micros) {}
 
-    /** What a cache is asked for: by name, object and id; true where it served. */
+    /**
+     * The caches behind a proxy; a request names the cache, the object and the id, and returns whether it was served.
+     */
     public interface Caches {
-        boolean ask(String cache, String object, String id, Map<String, String> told);
+        boolean send(String cache, String object, String id, Map<String, String> setHeaders);
     }
 
     private final ManagedChannel channel;
     private final ExternalProcessorGrpc.ExternalProcessorStub stub;
-    private final long messageTimeout;
+    private final long messageTimeoutMillis;
     private final Caches caches;
     private final long cacheMillis;
-    private final ScheduledExecutorService work;
-    private final Map<String, Integer> answers = new HashMap<>(); // answers to request headers, by id
-    private final List<Done> done = new ArrayList<>();
-    private final List<Done> unanswered = new ArrayList<>();
-    private int open;
+    private final ScheduledExecutorService executor;
+    // responses to request headers, by id and attempt
+    private final Map<String, Integer> answersByAttempt = new HashMap<>();
+    private final List<CompletedCall> completed = new ArrayList<>();
+    private final List<CompletedCall> unanswered = new ArrayList<>();
+    private int openCalls;
 
-    /** A proxy with one connection; the message time-out and what a cache takes are in milliseconds. */
+    /**
+     * Creates a proxy with one connection; the message timeout and the response time of a cache are in milliseconds.
+     */
     public ProxyStandIn(
             String name,
             String host,
@@ -64,56 +70,56 @@
             long messageTimeoutMillis,
             Caches caches,
             long cacheMillis,
-            ScheduledExecutorService work) {
+            ScheduledExecutorService executor) {
         this.cacheMillis = cacheMillis;
         this.channel = NettyChannelBuilder.forAddress(host, port).usePlaintext().build();
-        Metadata who = new Metadata();
-        who.put(Metadata.Key.of("x-pumicemoor-caller", Metadata.ASCII_STRING_MARSHALLER), name);
+        Metadata callerHeader = new Metadata();
+        callerHeader.put(Metadata.Key.of("x-pumicemoor-caller", Metadata.ASCII_STRING_MARSHALLER), name);
         this.stub =
-                ExternalProcessorGrpc.newStub(channel).withInterceptors(MetadataUtils.newAttachHeadersInterceptor(who));
-        this.messageTimeout = messageTimeoutMillis;
+                ExternalProcessorGrpc.newStub(channel).withInterceptors(MetadataUtils.newAttachHeadersInterceptor(callerHeader));
+        this.messageTimeoutMillis = messageTimeoutMillis;
         this.caches = caches;
-        this.work = work;
-        work.scheduleAtFixedRate(channel::resetConnectBackoff, RECONNECT, RECONNECT, TimeUnit.MILLISECONDS);
+        this.executor = executor;
+        executor.scheduleAtFixedRate(channel::resetConnectBackoff, RECONNECT_INTERVAL_MILLIS, RECONNECT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Calls for one request; its end is written down whatever happens. */
+    /** Starts a call for one request; its result is recorded in every case. */
     public void call(String id, String method, String path, String object, int attempt) {
         synchronized (this) {
-            open++;
+            openCalls++;
         }
         new Call(id, object).begin(method, path, attempt);
     }
 
-    /** Waits until no call is open, at most so long; whether that came. */
-    public boolean awaitQuiet(long millis) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    /** Waits until no call is open, for at most the given time; returns whether that was reached. */
+    public boolean awaitIdle(long millis) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         synchronized (this) {
-            while (open > 0 && System.nanoTime() < end) {
+            while (openCalls > 0 && System.nanoTime() < deadlineNanos) {
                 wait(10);
             }
-            return open == 0;
+            return openCalls == 0;
         }
     }
 
-    public synchronized List<Done> done() {
-        return List.copyOf(done);
+    public synchronized List<CompletedCall> completed() {
+        return List.copyOf(completed);
     }
 
-    /** Those that were not answered or broke since this was last asked. */
-    public synchronized List<Done> takeUnanswered() {
-        List<Done> taken = List.copyOf(unanswered);
+    /** Returns the calls that were not answered or broke since the last invocation. */
+    public synchronized List<CompletedCall> takeUnanswered() {
+        List<CompletedCall> taken = List.copyOf(unanswered);
         unanswered.clear();
         return taken;
     }
 
-    /** The most answers that one call got to its request headers. */
-    public synchronized int mostAnswers() {
-        return answers.values().stream().mapToInt(i -> i).max().orElse(0);
+    /** Returns the highest number of responses to the request headers of one call. */
+    public synchronized int maxAnswersPerCall() {
+        return answersByAttempt.values().stream().mapToInt(i -> i).max().orElse(0);
     }
 
-    public synchronized int open() {
-        return open;
+    public synchronized int openCalls() {
+        return openCalls;
     }
 
     @Override
@@ -131,11 +137,11 @@
     private final class Call implements StreamObserver<ProcessingResponse> {
         private final String id;
         private final String object;
-        private String key;
-        private final long began = System.nanoTime();
+        private String attemptKey;
+        private final long startNanos = System.nanoTime();
         private StreamObserver<ProcessingRequest> out;
         private boolean answered;
-        private boolean over;
+        private boolean ended;
         private boolean cancelled;
 
         Call(String id, String object) {
@@ -144,7 +150,7 @@
         }
 
         synchronized void begin(String method, String path, int attempt) {
-            key = id + "#" + attempt;
+            attemptKey = id + "#" + attempt;
             out = stub.process(this);
             out.onNext(ProcessingRequest.newBuilder()
                     .setRequestHeaders(HttpHeaders.newBuilder()
@@ -159,11 +165,11 @@
                                     "x-envoy-attempt-count",
                                     Integer.toString(attempt)))))
                     .build());
-            work.schedule(this::messageTimeUp, messageTimeout, TimeUnit.MILLISECONDS);
+            executor.schedule(this::onMessageTimeout, messageTimeoutMillis, TimeUnit.MILLISECONDS);
         }
 
-        private synchronized void messageTimeUp() {
-            if (!answered && !over) {
+        private synchronized void onMessageTimeout() {
+            if (!answered && !ended) {
                 end(End.NOT_ANSWERED);
                 cancelled = true;
                 out.onError(io.grpc.Status.CANCELLED.asException());
@@ -174,20 +180,20 @@
         public void onNext(ProcessingResponse response) {
             switch (response.getResponseCase()) {
                 case REQUEST_HEADERS -> {
-                    if (counted()) {
-                        Map<String, String> told = new HashMap<>();
+                    if (countAnswer()) {
+                        Map<String, String> setHeaders = new HashMap<>();
                         response.getRequestHeaders()
                                 .getResponse()
                                 .getHeaderMutation()
                                 .getSetHeadersList()
-                                .forEach(h -> told.put(
-                                        h.getHeader().getKey(),
-                                        h.getHeader().getRawValue().toStringUtf8()));
-                        work.schedule(() -> forward(told), cacheMillis, TimeUnit.MILLISECONDS);
+                                .forEach(option -> setHeaders.put(
+                                        option.getHeader().getKey(),
+                                        option.getHeader().getRawValue().toStringUtf8()));
+                        executor.schedule(() -> forward(setHeaders), cacheMillis, TimeUnit.MILLISECONDS);
                     }
                 }
                 case IMMEDIATE_RESPONSE -> {
-                    if (counted()) {
+                    if (countAnswer()) {
                         end(response.getImmediateResponse().getStatus().getCode() == 503 ? End.REFUSED : End.FAILED);
                     }
                 }
@@ -198,23 +204,23 @@
                     }
                 }
                 default -> {
-                    // no body was sent
+                    // no other response is expected, since no body was sent
                 }
             }
         }
 
-        private synchronized boolean counted() {
+        private synchronized boolean countAnswer() {
             answered = true;
             synchronized (ProxyStandIn.this) {
-                answers.merge(key, 1, Integer::sum);
+                answersByAttempt.merge(attemptKey, 1, Integer::sum);
             }
-            return !over;
+            return !ended;
         }
 
-        private void forward(Map<String, String> told) {
-            boolean served = caches.ask(told.get("x-pumicemoor-cache"), object, id, told);
+        private void forward(Map<String, String> setHeaders) {
+            boolean served = caches.send(setHeaders.get("x-pumicemoor-cache"), object, id, setHeaders);
             synchronized (this) {
-                if (over) {
+                if (ended) {
                     return;
                 }
                 if (!served) {
@@ -227,29 +233,29 @@
                                             Map.of(":status", served ? "200" : "503", "x-pumicemoor-note", "mem"))))
                             .build());
                 } catch (IllegalStateException e) {
-                    end(served ? End.SERVED : End.FAILED); // the processor has gone, the response is there
+                    end(served ? End.SERVED : End.FAILED); // the processor is gone, but the client has its response
                 }
             }
         }
 
         private synchronized void end(End end) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
+            ended = true;
             synchronized (ProxyStandIn.this) {
-                Done d = new Done(id, began, end, (System.nanoTime() - began) / 1_000);
-                done.add(d);
+                CompletedCall call = new CompletedCall(id, startNanos, end, (System.nanoTime() - startNanos) / 1_000);
+                completed.add(call);
                 if (end == End.BROKEN || end == End.NOT_ANSWERED) {
-                    unanswered.add(d);
+                    unanswered.add(call);
                 }
-                open--;
+                openCalls--;
                 ProxyStandIn.this.notifyAll();
             }
         }
 
         @Override
-        public synchronized void onError(Throwable t) {
+        public synchronized void onError(Throwable error) {
             if (!cancelled) {
                 end(End.BROKEN);
             }
--- a/src/main/java/pumicemoor/lab/Report.java
+++ b/src/main/java/pumicemoor/lab/Report.java
@@ -10,200 +10,205 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import pumicemoor.lab.LoadClients.Done;
 import pumicemoor.lab.LoadClients.End;
-import pumicemoor.lab.Record.Asked;
+import pumicemoor.lab.LoadClients.RequestResult;
+import pumicemoor.lab.RequestLog.ReceivedRequest;
 
 /**
- * What a run showed, from the stand-ins' records alone: how requests ended before, during and after each change,
- * what reached the origin, what went in a circle. It is written as Markdown and CSV; what the routers say of
- * themselves stands beside it and proves nothing.
+ * Results of a run, computed from the stand-ins' logs alone: the results of requests between and during topology
+ * changes, the fills at the origin, and fill loops. Written as Markdown and CSV; the status that the routers report is
+ * listed beside it but is no evidence.
  */
 public record Report(
         String name,
         List<Phase> phases,
         int changes,
-        int circles,
-        int mostFillsAtOrigin,
+        int fillLoops,
+        int maxFillsPerObjectAtOrigin,
         int fillsAtOrigin,
-        int askedAfterDrain,
-        double mostOfColdBudget,
+        int requestsAfterDrain,
+        double maxSlowStartLoad,
         Map<String, Map<String, String>> status,
         List<String> notes) {
 
-    private static final long DRAIN_GRACE = 1_100; // milliseconds: what the settings allow, and the network
-    private static final long LONGEST = 60_000_000; // microseconds in a histogram
+    private static final long DRAIN_GRACE_MILLIS = 1_100; // 1,000 ms that the settings allow, and the network delay
+    private static final long MAX_RECORDED_MICROS = 60_000_000; // highest value of a histogram
 
-    /** Requests asked within one part of the run. */
-    public record Phase(String name, long asked, Map<String, Long> ends, double medianMillis, double p99Millis) {
+    /** Results of the requests that were sent within one part of the run. */
+    public record Phase(String name, long requests, Map<String, Long> ends, double medianMillis, double p99Millis) {
 
-        /** How many ended so; 0 where none did. */
+        /** Returns the number of requests with this result. */
         public long ended(String end) {
             return ends.getOrDefault(end, 0L);
         }
 
-        /** Share of the requests that were served. */
+        /** Returns the share of the requests that were served. */
         public double served() {
-            return asked == 0 ? 0 : ended("served") / (double) asked;
+            return requests == 0 ? 0 : ended("served") / (double) requests;
         }
     }
 
     static Report of(
             Scenario scenario,
-            Record record,
-            List<Done> done,
+            RequestLog requestLog,
+            List<RequestResult> results,
             List<Long> changes,
-            long warmed,
+            long warmUpEndMillis,
             Map<String, Map<String, String>> status,
             Path folder)
             throws IOException {
-        Scenario.Change c = scenario.change();
-        long span = c.lead() + c.move() + c.gap();
+        Scenario.Change change = scenario.change();
+        long changeDurationMillis = change.lead() + change.move() + change.gap();
         List<Phase> phases = List.of(
-                phase("warming up", done.stream().filter(d -> d.at() < warmed).toList()),
+                phase("warming up", results.stream().filter(result -> result.sentAtMillis() < warmUpEndMillis).toList()),
                 phase(
                         "between changes",
-                        done.stream()
-                                .filter(d -> d.at() >= warmed
-                                        && changes.stream().noneMatch(at -> d.at() >= at && d.at() < at + span))
+                        results.stream()
+                                .filter(result -> result.sentAtMillis() >= warmUpEndMillis
+                                        && changes.stream().noneMatch(atMillis -> result.sentAtMillis() >= atMillis && result.sentAtMillis() < atMillis + changeDurationMillis))
                                 .toList()),
                 phase(
                         "during changes",
-                        done.stream()
-                                .filter(d -> d.at() >= warmed
-                                        && changes.stream().anyMatch(at -> d.at() >= at && d.at() < at + span))
+                        results.stream()
+                                .filter(result -> result.sentAtMillis() >= warmUpEndMillis
+                                        && changes.stream().anyMatch(atMillis -> result.sentAtMillis() >= atMillis && result.sentAtMillis() < atMillis + changeDurationMillis))
                                 .toList()));
-        List<Asked> asked = record.asked();
-        Map<String, Integer> fills = new HashMap<>(); // object and number of the change before it
+        List<ReceivedRequest> requests = requestLog.requests();
+        // by object and number of the last topology change or cold start
+        Map<String, Integer> fillCounts = new HashMap<>();
         List<String> notes = new ArrayList<>();
-        List<Long> cuts = new ArrayList<>(changes); // a hub that starts cold has lost its copies
-        record.starts().values().forEach(cuts::addAll);
+        List<Long> intervalStarts = new ArrayList<>(changes); // and restarts: a restarted hub has lost its copies
+        requestLog.restartMillis().values().forEach(intervalStarts::addAll);
         int atOrigin = 0;
-        for (Asked a : asked) {
-            if (a.member().equals("origin") && a.at() >= warmed) {
+        for (ReceivedRequest request : requests) {
+            if (request.member().equals("origin") && request.atMillis() >= warmUpEndMillis) {
                 atOrigin++;
-                long number = cuts.stream().filter(at -> at <= a.at()).count();
-                if (fills.merge(a.object() + "#" + number, 1, Integer::sum) == 2 && notes.size() < 20) {
-                    notes.add("filled twice at the origin in interval " + number + ": " + a.object() + ", again at "
-                            + a.at() + " ms by " + a.from());
+                long interval = intervalStarts.stream().filter(atMillis -> atMillis <= request.atMillis()).count();
+                if (fillCounts.merge(request.object() + "#" + interval, 1, Integer::sum) == 2 && notes.size() < 20) {
+                    notes.add("filled twice at the origin in interval " + interval + ": " + request.object() + ", again at "
+                            + request.atMillis() + " ms by " + request.sender());
                 }
             }
         }
-        record.circles().stream()
+        requestLog.fillLoops().stream()
                 .limit(20)
-                .forEach(x ->
-                        notes.add("circle at " + x.at() + " ms: " + x.member() + " " + x.object() + " " + x.how()));
-        int drained = (int) asked.stream()
-                .filter(a -> record.drainedAt().containsKey(a.member())
-                        && a.at() > record.drainedAt().get(a.member()) + DRAIN_GRACE)
+                .forEach(loop ->
+                        notes.add("circle at " + loop.atMillis() + " ms: " + loop.member() + " " + loop.object() + " " + loop.description()));
+        int afterDrain = (int) requests.stream()
+                .filter(request -> requestLog.drainStartMillis().containsKey(request.member())
+                        && request.atMillis() > requestLog.drainStartMillis().get(request.member()) + DRAIN_GRACE_MILLIS)
                 .count();
         Report report = new Report(
                 scenario.name(),
                 phases,
                 changes.size(),
-                record.circles().size(),
-                fills.values().stream().mapToInt(i -> i).max().orElse(0),
+                requestLog.fillLoops().size(),
+                fillCounts.values().stream().mapToInt(i -> i).max().orElse(0),
                 atOrigin,
-                drained,
-                coldest(scenario, record, asked),
+                afterDrain,
+                slowStartLoad(scenario, requestLog, requests),
                 status,
                 notes);
         Files.writeString(folder.resolve("report.md"), report.markdown());
         Files.writeString(folder.resolve("report.csv"), report.csv());
         StringBuilder events = new StringBuilder("ms,member,from,object\n");
-        asked.forEach(a -> events.append(a.at())
+        requests.forEach(request -> events.append(request.atMillis())
                 .append(',')
-                .append(a.member())
+                .append(request.member())
                 .append(',')
-                .append(a.from())
+                .append(request.sender())
                 .append(',')
-                .append(a.object())
+                .append(request.object())
                 .append('\n'));
         Files.writeString(folder.resolve("asked.csv"), events);
-        TreeMap<String, Long> bySecond = new TreeMap<>();
-        asked.forEach(a -> bySecond.merge(
-                String.format(Locale.ROOT, "%05d,%s,%s", a.at() / 1_000, a.member(), a.from()), 1L, Long::sum));
+        TreeMap<String, Long> requestsBySecond = new TreeMap<>();
+        requests.forEach(request -> requestsBySecond.merge(
+                String.format(Locale.ROOT, "%05d,%s,%s", request.atMillis() / 1_000, request.member(), request.sender()), 1L, Long::sum));
         StringBuilder seconds = new StringBuilder("second,member,from,asked\n");
-        bySecond.forEach(
+        requestsBySecond.forEach(
                 (key, count) -> seconds.append(key).append(',').append(count).append('\n'));
         Files.writeString(folder.resolve("seconds.csv"), seconds);
         return report;
     }
 
-    /** The largest part of what a cold hub is sure to bear in a second that one was sent, work counted by fills. */
-    private static double coldest(Scenario scenario, Record record, List<Asked> asked) {
-        double most = 0;
-        long cold = scenario.change().cold();
-        for (Map.Entry<String, List<Long>> e : record.starts().entrySet()) {
-            for (long start : e.getValue()) {
-                for (long at = start; at < start + cold; at += 250) {
-                    long from = at;
-                    long sent = asked.stream()
-                            .filter(a -> a.member().equals(e.getKey()) && a.at() >= from && a.at() < from + 1_000)
+    /**
+     * Returns the highest load of a restarted hub in any second of its slow start, as a share of the load that it is
+     * sure to handle; load is counted in fills.
+     */
+    private static double slowStartLoad(Scenario scenario, RequestLog requestLog, List<ReceivedRequest> requests) {
+        double max = 0;
+        long slowStartMillis = scenario.change().cold();
+        for (Map.Entry<String, List<Long>> entry : requestLog.restartMillis().entrySet()) {
+            for (long start : entry.getValue()) {
+                for (long atMillis = start; atMillis < start + slowStartMillis; atMillis += 250) {
+                    long windowStart = atMillis;
+                    long sent = requests.stream()
+                            .filter(request -> request.member().equals(entry.getKey()) && request.atMillis() >= windowStart && request.atMillis() < windowStart + 1_000)
                             .count();
-                    double share = 0.1 + 0.9 * Math.min(1, (at - start) / (double) cold);
-                    double bears = 2 * share * 8 * 1_000.0 / scenario.fillMillis(); // falls over past twice its share
-                    most = Math.max(most, sent / bears);
+                    double capacityShare = 0.1 + 0.9 * Math.min(1, (atMillis - start) / (double) slowStartMillis);
+                    // a hub is overloaded at more than twice its share
+                    double sustainableFills = 2 * capacityShare * 8 * 1_000.0 / scenario.fillMillis();
+                    max = Math.max(max, sent / sustainableFills);
                 }
             }
         }
-        return most;
+        return max;
     }
 
-    private static Phase phase(String name, List<Done> done) {
+    private static Phase phase(String name, List<RequestResult> results) {
         Map<String, Long> ends = new HashMap<>();
-        Histogram served = new Histogram(LONGEST, 3);
-        for (Done d : done) {
-            ends.merge(d.end().name().toLowerCase(Locale.ROOT), 1L, Long::sum);
-            if (d.end() == End.SERVED) {
-                served.recordValue(Math.min(LONGEST, Math.max(1, d.micros())));
+        Histogram served = new Histogram(MAX_RECORDED_MICROS, 3);
+        for (RequestResult result : results) {
+            ends.merge(result.end().name().toLowerCase(Locale.ROOT), 1L, Long::sum);
+            if (result.end() == End.SERVED) {
+                served.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(1, result.micros())));
             }
         }
         return new Phase(
-                name, done.size(), ends, served.getValueAtPercentile(50) / 1e3, served.getValueAtPercentile(99) / 1e3);
+                name, results.size(), ends, served.getValueAtPercentile(50) / 1e3, served.getValueAtPercentile(99) / 1e3);
     }
 
-    /** How many requests of all phases ended so. */
+    /** Returns the number of requests with this result in all phases. */
     public long ended(String end) {
-        return phases.stream().mapToLong(p -> p.ended(end)).sum();
+        return phases.stream().mapToLong(phase -> phase.ended(end)).sum();
     }
 
-    /** Tables for people. */
+    /** Returns the results as Markdown tables. */
     public String markdown() {
         StringBuilder text = new StringBuilder("# " + name + "\n\n"
                 + "| requests asked | count | served | refused | failed | lost | late | twice | median ms | p99 ms |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-        for (Phase p : phases) {
+        for (Phase phase : phases) {
             text.append(String.format(
                     Locale.ROOT,
                     "| %s | %d | %.4f | %d | %d | %d | %d | %d | %.1f | %.1f |%n",
-                    p.name(),
-                    p.asked(),
-                    p.served(),
-                    p.ended("refused"),
-                    p.ended("failed"),
-                    p.ended("lost"),
-                    p.ended("late"),
-                    p.ended("twice"),
-                    p.medianMillis(),
-                    p.p99Millis()));
+                    phase.name(),
+                    phase.requests(),
+                    phase.served(),
+                    phase.ended("refused"),
+                    phase.ended("failed"),
+                    phase.ended("lost"),
+                    phase.ended("late"),
+                    phase.ended("twice"),
+                    phase.medianMillis(),
+                    phase.p99Millis()));
         }
         text.append("\n| from the stand-ins' records | |\n| --- | --- |\n");
         text.append("| changes of the hierarchy | ").append(changes).append(" |\n");
         text.append("| fills in a circle, or waiting for themselves | ")
-                .append(circles)
+                .append(fillLoops)
                 .append(" |\n");
         text.append("| fills at the origin after warming up | ")
                 .append(fillsAtOrigin)
                 .append(" |\n");
         text.append("| most fills of one object at the origin between two changes or cold starts | ")
-                .append(mostFillsAtOrigin)
+                .append(maxFillsPerObjectAtOrigin)
                 .append(" |\n");
         text.append("| requests to a drained member after its grace | ")
-                .append(askedAfterDrain)
+                .append(requestsAfterDrain)
                 .append(" |\n");
         text.append(
-                String.format(Locale.ROOT, "| most of a cold hub's budget that was used | %.2f |%n", mostOfColdBudget));
+                String.format(Locale.ROOT, "| most of a cold hub's budget that was used | %.2f |%n", maxSlowStartLoad));
         notes.forEach(n -> text.append("\n- ").append(n));
         text.append("\nWhat the routers say of the hierarchy (no proof of anything):\n\n");
         status.forEach((router, fields) -> {
@@ -221,23 +226,23 @@
         return text.toString();
     }
 
-    /** The same figures for programs. */
+    /** Returns the results of the phases as CSV. */
     public String csv() {
         StringBuilder text = new StringBuilder("phase,asked,served,refused,failed,lost,late,twice,median_ms,p99_ms\n");
-        for (Phase p : phases) {
+        for (Phase phase : phases) {
             text.append(String.format(
                     Locale.ROOT,
                     "%s,%d,%d,%d,%d,%d,%d,%d,%.3f,%.3f%n",
-                    p.name(),
-                    p.asked(),
-                    p.ended("served"),
-                    p.ended("refused"),
-                    p.ended("failed"),
-                    p.ended("lost"),
-                    p.ended("late"),
-                    p.ended("twice"),
-                    p.medianMillis(),
-                    p.p99Millis()));
+                    phase.name(),
+                    phase.requests(),
+                    phase.ended("served"),
+                    phase.ended("refused"),
+                    phase.ended("failed"),
+                    phase.ended("lost"),
+                    phase.ended("late"),
+                    phase.ended("twice"),
+                    phase.medianMillis(),
+                    phase.p99Millis()));
         }
         return text.toString();
     }
--- a/src/main/java/pumicemoor/lab/RouterProcess.java
+++ b/src/main/java/pumicemoor/lab/RouterProcess.java
@@ -13,16 +13,18 @@
 import java.util.concurrent.TimeUnit;
 import pumicemoor.client.FrameClient;
 
-/** The real program as a process of its own, with a configuration and an operator's file that it is handed. */
+/** Runs the real program as a separate process with the given configuration and operator's file. */
 final class RouterProcess implements AutoCloseable {
 
-    private static final long READY_WITHIN = 30_000; // milliseconds
+    private static final long READY_TIMEOUT_MILLIS = 30_000;
 
-    /** A few processes at a time. */
-    static final List<String> ROOMY = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m");
+    /** JVM options for a run of a few processes. */
+    static final List<String> DEFAULT_JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m");
 
-    /** Dozens of processes: what deploy/balancer.toml starts a router with, without the archive of classes. */
-    static final List<String> TIGHT = List.of(
+    /**
+     * JVM options for dozens of processes: those of deploy/balancer.toml for a router, without the class data archive.
+     */
+    static final List<String> SMALL_JVM_OPTIONS = List.of(
             "-XX:+UseSerialGC",
             "-XX:-UsePerfData",
             "-XX:TieredStopAtLevel=1",
@@ -36,47 +38,47 @@
             "-Dio.netty.allocator.numHeapArenas=1",
             "-Dio.netty.allocator.maxOrder=6");
 
-    private static final int READY_ASKED = 1;
-    private static final int READY = 2;
+    private static final int READY_REQUEST_FRAME = 1;
+    private static final int READY_RESPONSE_FRAME = 2;
 
     private final String name;
     private final Path folder;
     private final int port;
     private final Integer cpu;
-    private final List<String> machine;
+    private final List<String> jvmOptions;
     private Map<String, String> environment = Map.of();
-    private boolean hangUpIgnored;
+    private boolean sighupIgnored;
     private Process process;
 
-    /** The cpu is that core alone, where the system has taskset; null for any. */
+    /** Binds the process to one core with taskset; a null cpu allows all cores. */
     RouterProcess(String name, Path folder, Integer cpu) throws IOException {
-        this(name, folder, cpu, ROOMY);
+        this(name, folder, cpu, DEFAULT_JVM_OPTIONS);
     }
 
-    /** The same with settings of the virtual machine of its own, ROOMY or TIGHT. */
-    RouterProcess(String name, Path folder, Integer cpu, List<String> machine) throws IOException {
+    /** As above, with JVM options of its own, for instance one of the two lists of this class. */
+    RouterProcess(String name, Path folder, Integer cpu, List<String> jvmOptions) throws IOException {
         this.name = name;
         this.cpu = cpu;
-        this.machine = machine;
+        this.jvmOptions = jvmOptions;
         this.folder = folder;
-        this.port = FreePorts.take();
+        this.port = FreePorts.allocate();
     }
 
     String address() {
         return "127.0.0.1:" + port;
     }
 
-    /** Its next starts find SIGHUP ignored, as under nohup. */
-    void ignoreHangUp() {
-        hangUpIgnored = true;
+    /** Makes all later starts inherit an ignored SIGHUP, as under nohup. */
+    void ignoreSighup() {
+        sighupIgnored = true;
     }
 
-    /** What its next starts find in their environment beyond what they inherit. */
-    void environment(Map<String, String> more) {
-        environment = Map.copyOf(more);
+    /** Sets environment variables that all later starts get in addition to the inherited ones. */
+    void setEnvironment(Map<String, String> variables) {
+        environment = Map.copyOf(variables);
     }
 
-    /** All that its starts have logged. */
+    /** Returns the file to which all starts append their output. */
     Path logFile() {
         return folder.resolve(name + ".log");
     }
@@ -89,25 +91,25 @@
         return folder.resolve(name + "-operator.yaml");
     }
 
-    /** Starts it and returns at once. */
+    /** Starts the process without waiting until it is ready. */
     void start(String config, String operator) throws IOException {
         start("serve", config, operator);
     }
 
-    void start(String verb, String config, String operator) throws IOException {
+    void start(String subcommand, String config, String operator) throws IOException {
         Path file = Files.writeString(configFile(), config);
         Files.writeString(operatorFile(), operator);
         List<String> command = new ArrayList<>(cpu == null ? List.of() : List.of("taskset", "-c", cpu.toString()));
-        if (hangUpIgnored) {
+        if (sighupIgnored) {
             command.addAll(List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         }
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(machine);
+        command.addAll(jvmOptions);
         command.addAll(List.of(
                 "-cp",
                 System.getProperty("java.class.path"),
                 "pumicemoor.cli.Main",
-                verb,
+                subcommand,
                 "--operator",
                 operatorFile().toString()));
         ProcessBuilder builder = new ProcessBuilder(command)
@@ -119,52 +121,52 @@
     }
 
     void awaitReady() throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_WITHIN);
-        while (System.nanoTime() < end && process.isAlive()) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
+        while (System.nanoTime() < deadlineNanos && process.isAlive()) {
             try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                if (client.ask(READY_ASKED, Map.of(), READY).code() == 1) {
+                if (client.ask(READY_REQUEST_FRAME, Map.of(), READY_RESPONSE_FRAME).code() == 1) {
                     return;
                 }
             } catch (IOException e) {
-                // it does not listen yet
+                // the process does not listen yet
             }
             Thread.sleep(50);
         }
-        throw new IOException("router " + name + " did not get ready; its log is " + folder.resolve(name + ".log"));
+        throw new IOException("router " + name + " did not become ready; its log is " + folder.resolve(name + ".log"));
     }
 
-    /** Its counters and state as it tells them, for people to read beside the record. */
+    /** Returns the counters and state that the router reports, to be read beside the stand-ins' log. */
     Map<String, String> status() {
         try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-            return client.ask(READY_ASKED, Map.of("counters", "1"), READY).fields();
+            return client.ask(READY_REQUEST_FRAME, Map.of("counters", "1"), READY_RESPONSE_FRAME).fields();
         } catch (IOException e) {
             return Map.of("status", e.toString());
         }
     }
 
-    /** Has it read its files again. */
-    void hangUp() throws IOException, InterruptedException {
+    /** Makes the process reload its files, by SIGHUP. */
+    void reload() throws IOException, InterruptedException {
         signal("HUP");
     }
 
-    /** Sends it a signal by name: STOP and CONT pause it and have it go on. */
+    /** Sends a signal by name; STOP and CONT pause and resume the process. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid())
                 .start()
                 .waitFor();
     }
 
-    /** What it holds of the machine's memory, as the system counts it; 0 where that is not told. */
+    /** Returns the resident memory in MiB as the system counts it; 0 if that is not available. */
     long residentMiB() {
         return residentKiB() / 1_024;
     }
 
-    /** The same in KiB (VmRSS). */
+    /** Returns the resident memory in KiB (VmRSS). */
     long residentKiB() {
         try {
             return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
-                    .filter(l -> l.startsWith("VmRSS:"))
-                    .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                    .filter(line -> line.startsWith("VmRSS:"))
+                    .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
                     .sum();
         } catch (IOException e) {
             return 0;
@@ -172,32 +174,32 @@
     }
 
     /**
-     * Processor time that each of its threads has had, in nanoseconds by thread number; empty where the system does not
-     * tell. Of two readings the difference counts for threads that are in both or new in the later one.
+     * Returns the CPU time of each thread in nanoseconds, by thread id; empty if the system does not report it. The CPU
+     * time between two readings is the difference for the threads that are in both or new in the later one.
      */
-    Map<String, Long> processorTimes() {
-        Map<String, Long> times = new HashMap<>();
+    Map<String, Long> threadCpuNanos() {
+        Map<String, Long> nanosByThread = new HashMap<>();
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path thread : threads) {
-                threadTime(thread).ifPresent(t -> times.put(thread.getFileName().toString(), t));
+                threadCpuTime(thread).ifPresent(nanos -> nanosByThread.put(thread.getFileName().toString(), nanos));
             }
         } catch (IOException e) {
-            // it has ended
+            // the process has ended
         }
-        return times;
+        return nanosByThread;
     }
 
-    private static Optional<Long> threadTime(Path thread) {
+    private static Optional<Long> threadCpuTime(Path thread) {
         try {
             return Optional.of(
                     Long.parseLong(Files.readString(thread.resolve("schedstat")).split(" ")[0]));
         } catch (IOException e) {
-            return Optional.empty(); // this thread has ended
+            return Optional.empty(); // the thread has ended
         }
     }
 
-    /** Processor time of the whole process in milliseconds, in ticks of 10 ms (/proc/PID/stat); -1 where not told. */
-    long processorMillis() {
+    /** Returns the CPU time of the process in milliseconds, in ticks of 10 ms (/proc/PID/stat); -1 if not available. */
+    long processCpuMillis() {
         try {
             String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -207,9 +209,9 @@
         }
     }
 
-    /** Bytes of its heap that are in use after a collection, which this has it make; -1 where it does not say. */
-    long liveHeap() throws IOException, InterruptedException {
-        Process asked = new ProcessBuilder(
+    /** Triggers a garbage collection and returns the bytes of live heap; -1 if the process does not report them. */
+    long liveHeapBytes() throws IOException, InterruptedException {
+        Process jcmd = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
                         "-J-Xmx32m",
                         "-J-XX:+UseSerialGC",
@@ -217,11 +219,11 @@
                         "GC.class_histogram")
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        asked.waitFor();
-        return said.lines()
-                .filter(l -> l.startsWith("Total"))
-                .mapToLong(l -> Long.parseLong(l.trim().split("\\s+")[2]))
+        String histogram = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        jcmd.waitFor();
+        return histogram.lines()
+                .filter(line -> line.startsWith("Total"))
+                .mapToLong(line -> Long.parseLong(line.trim().split("\\s+")[2]))
                 .findFirst()
                 .orElse(-1);
     }
--- a/src/main/java/pumicemoor/lab/Scenario.java
+++ b/src/main/java/pumicemoor/lab/Scenario.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * What is to be played, as a YAML file tells it. Times are seconds from when clients begin, rates a second. An
- * absent key takes the default that docs/lab.md names.
+ * A scenario to play, as read from a YAML file. Times are in seconds from the end of the clients' warm-up, or from the
+ * first call of the proxies; rates are per second. A missing key takes the default that docs/lab.md gives.
  */
 record Scenario(
         String name,
@@ -34,7 +34,7 @@
         Proxies proxies,
         Integer cpu) {
 
-    /** How changes of the hierarchy reach the routers. */
+    /** How topology changes reach the routers. */
     enum Way {
         @JsonProperty("feed")
         FEED,
@@ -44,7 +44,10 @@
         RESTART
     }
 
-    /** The times of a change in milliseconds, and how it is told; jitter delays each piece at random, to each router. */
+    /**
+     * Times of a topology change in milliseconds, and how it is announced. The jitter bounds the random delay of each
+     * coordinator event to each router.
+     */
     record Change(
             Way by,
             @JsonProperty("lead-ms") int lead,
@@ -54,8 +57,8 @@
             @JsonProperty("jitter-ms") int jitter) {}
 
     /**
-     * Proxies that call the program, in place of clients: how many, which share of the requests has an effect, their
-     * message time-out, the seconds at which the program is killed, asked to end, or has its file read again.
+     * Proxies that call the program in place of clients: their number, the share of requests with a side effect, their
+     * message timeout, and the seconds at which the program is killed, terminated, or reloads its file.
      */
     record Proxies(
             int count,
@@ -74,7 +77,10 @@
         }
     }
 
-    /** One thing that happens: a new hierarchy, a hub that restarts cold, or a fault of a member for a while. */
+    /**
+     * One scheduled event: a new topology, a member that restarts with an empty store, a drain, a purge, a temporary
+     * fault of a member, or a router that is killed and restarted.
+     */
     record Happening(
             double at,
             Map<String, Map<String, Double>> hubs,
@@ -85,7 +91,9 @@
             Fault fault,
             @JsonProperty("kill-router") Integer killRouter) {}
 
-    /** A member's fault: silent, slow (by so many milliseconds), refusing or breaking off. */
+    /**
+     * A fault of a member: silent, slow (by the given milliseconds), refusing, or breaking (closes its connections).
+     */
     record Fault(String member, String kind, double seconds, int millis) {}
 
     Scenario {
@@ -104,10 +112,10 @@
         happenings = happenings == null ? List.of() : happenings;
     }
 
-    /** The same, with changes told in another way: feed, file or restart. */
-    Scenario told(String by) throws IOException {
+    /** Returns a copy whose topology changes are announced by other means: feed, file or restart. */
+    Scenario withChangesBy(String by) throws IOException {
         try {
-            Change c = new Change(
+            Change newChange = new Change(
                     Way.valueOf(by.toUpperCase(Locale.ROOT)),
                     change.lead(),
                     change.move(),
@@ -125,14 +133,14 @@
                     cacheHolds,
                     fillMillis,
                     deadlineMillis,
-                    c,
+                    newChange,
                     hubs,
                     depot,
                     happenings,
                     proxies,
                     cpu);
         } catch (IllegalArgumentException e) {
-            throw new IOException("'" + by + "' is none of feed, file and restart", e);
+            throw new IOException("'" + by + "' is not one of feed, file and restart", e);
         }
     }
 
--- a/src/main/java/pumicemoor/lab/package-info.java
+++ b/src/main/java/pumicemoor/lab/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for all that a router talks to, and scenarios that play them on loopback against the real program:
- * caches, hubs, the origin, the coordinator, clients. Each keeps a record of its own of what reached it; reports
- * are made from those records alone. It must never be loaded by serving, nor reach past loopback.
+ * Test doubles ("stand-ins") for every peer of a router (caches, hubs, the origin, the coordinator and clients) and
+ * scenarios that run them on loopback against the real program. Each stand-in logs what it receives; reports are
+ * computed from these logs alone. The serving path must never load this package, and it must not send past loopback.
  */
 package pumicemoor.lab;
--- a/src/test/java/pumicemoor/lab/AcceptFailuresProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/AcceptFailuresProcessesTest.java
@@ -9,32 +9,35 @@
 import org.junit.jupiter.api.io.TempDir;
 import pumicemoor.client.FrameClient;
 
-/** A router process in which accept fails, by a library that the test builds and preloads. */
+/**
+ * Guards against a router that delays new connections after a failed accept. Every second accept call of the process
+ * fails as if no file descriptor were left, by a library that the test builds and preloads.
+ */
 class AcceptFailuresProcessesTest {
 
     private static final int CONNECTIONS = 20;
-    private static final long LONGEST_WAIT = 500; // milliseconds
+    private static final long MAX_RESPONSE_MILLIS = 500;
 
     @TempDir
     Path folder;
 
     @Test
-    void aFailedAcceptDoesNotKeepNewConnectionsWaitingForASecond() throws Exception {
+    void aFailedAcceptDoesNotDelayNewConnectionsByASecond() throws Exception {
         Path library = Preload.build(folder, "acceptfail.c");
         try (FleetRig rig = new FleetRig(folder, 1, 1, 50, "")) {
             RouterProcess router = rig.routers.get(0);
             router.kill();
-            router.environment(Map.of("LD_PRELOAD", library.toString()));
+            router.setEnvironment(Map.of("LD_PRELOAD", library.toString()));
             rig.start(0);
             router.awaitReady();
             String[] address = router.address().split(":");
             for (int i = 0; i < CONNECTIONS; i++) {
-                long began = System.nanoTime();
+                long startNanos = System.nanoTime();
                 try (FrameClient client = new FrameClient(address[0], Integer.parseInt(address[1]))) {
                     assertEquals(1, client.ask(1, Map.of(), 2).code());
                 }
-                long millis = (System.nanoTime() - began) / 1_000_000;
-                assertTrue(millis < LONGEST_WAIT, () -> "answered after " + millis + " ms");
+                long millis = (System.nanoTime() - startNanos) / 1_000_000;
+                assertTrue(millis < MAX_RESPONSE_MILLIS, () -> "response took " + millis + " ms");
             }
             assertTrue(Integer.parseInt(router.status().get("accept-failed")) >= CONNECTIONS / 2);
         }
--- a/src/test/java/pumicemoor/lab/CellProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/CellProcessesTest.java
@@ -17,25 +17,28 @@
 import pumicemoor.fleet.Bounds;
 
 /**
- * Processes of the program in three cells, with the fault network between them: a delegate is killed, a cell is split, a
- * cell's routers are all restarted. Judged by the stand-in members' own records. It sees a cell's grantor that lends out
- * the whole limit whatever its share is.
+ * Guards against limits that are exceeded in a fleet of three cells, for instance by a grantor of a cell that grants
+ * the whole limit instead of the cell's share. Processes of the program run with the fault network between them: a
+ * delegate is killed, a cell is split, and all routers of a cell are restarted. Checked by the logs of the stand-in
+ * members.
  */
 class CellProcessesTest {
 
-    private static final int EACH = 8;
+    private static final int ROUTERS_PER_CELL = 8;
     private static final int ROUTERS = 27;
-    private static final int AT_FIRST = 24; // the others join the third cell, which is too large then
-    private static final int MOST = 9;
+    // the others join the third cell later, which exceeds its maximum size then
+    private static final int INITIAL_ROUTERS = 24;
+    private static final int MAX_CELL_SIZE = 9;
     private static final int CACHES = 3;
-    private static final double TO_CACHE = 100;
-    private static final double TO_ORIGIN = 60;
-    private static final long BUCKET = 100_000; // microseconds, as the decisions have it
-    private static final long LEASE = 1_000; // milliseconds
-    private static final long GUARD = 100;
-    private static final long SHRINK = GUARD + 4 * GUARD + 2 * 2 * LEASE + LEASE; // docs/fleet-design.md, "Cells"
-    private static final long ANEW = 2 * SHRINK; // how long a process counts as started anew
-    private static final long SLACK = 500; // milliseconds, for stand-ins that write down late what came in time
+    private static final double CACHE_LIMIT = 100;
+    private static final double ORIGIN_LIMIT = 60;
+    private static final long BUCKET_MICROS = 100_000; // the token bucket of the limits
+    private static final long LEASE_MILLIS = 1_000;
+    private static final long GUARD_MILLIS = 100;
+    // docs/fleet-design.md, "Cells"
+    private static final long SHRINK_MILLIS = GUARD_MILLIS + 4 * GUARD_MILLIS + 2 * 2 * LEASE_MILLIS + LEASE_MILLIS;
+    private static final long RESTARTED_MILLIS = 2 * SHRINK_MILLIS; // how long a process counts as restarted
+    private static final long SLACK_MILLIS = 500; // for stand-ins that log late what arrived in time
     private static final List<String> ROOTS = List.of("west", "east", "south");
     private static final String FLEET =
             """
@@ -52,161 +55,163 @@
     @TempDir
     Path folder;
 
-    private final List<Long> restarts =
-            new ArrayList<>(); // when a process took the place of one that ended: milliseconds
+    private final List<Long> restartMillis = new ArrayList<>(); // times of process restarts
 
     private static String root(int router) {
-        return ROOTS.get(Math.min(router / EACH, ROOTS.size() - 1));
+        return ROOTS.get(Math.min(router / ROUTERS_PER_CELL, ROOTS.size() - 1));
     }
 
-    private static List<Integer> of(String root) {
+    private static List<Integer> routersOf(String root) {
         return IntStream.range(0, ROUTERS)
-                .filter(r -> root(r).equals(root))
+                .filter(router -> root(router).equals(root))
                 .boxed()
                 .toList();
     }
 
     private void restart(FleetRig rig, int router) throws Exception {
-        restarts.add(rig.record.now());
+        restartMillis.add(rig.requestLog.nowMillis());
         rig.start(router);
     }
 
     /**
-     * The bound for every stretch of time: the limit, a bucket for each process, and limit / size for each process started
-     * anew for as long as its predecessor's lease may be counted elsewhere.
+     * Checks the bound for every time window: the limit, a bucket for each process, and limit / size for each restarted
+     * process for as long as the lease of its predecessor may still be counted elsewhere.
      */
     private void assertKept(FleetRig rig, String member, double limit) {
-        long[] at = rig.cameTo(member);
-        for (long window : new long[] {3_000, 10_000, 200_000}) {
-            double worst = Double.NEGATIVE_INFINITY; // requests over the bound, of all stretches of this length
-            String where = "";
-            for (int from = 0, to = 0; to < at.length; to++) {
-                while (at[to] - at[from] > window) {
+        long[] receivedMillis = rig.receivedAtMillis(member);
+        for (long windowMillis : new long[] {3_000, 10_000, 200_000}) {
+            double maxExcess = Double.NEGATIVE_INFINITY; // requests over the bound, of all windows of this length
+            String description = "";
+            for (int from = 0, to = 0; to < receivedMillis.length; to++) {
+                while (receivedMillis[to] - receivedMillis[from] > windowMillis) {
                     from++;
                 }
-                long span = Math.min(window, at[to] - at[0]);
-                long begin = at[to] - span;
-                long end = at[to];
-                long anew = restarts.stream()
-                        .filter(s -> s <= end && s + ANEW >= begin)
+                long spanMillis = Math.min(windowMillis, receivedMillis[to] - receivedMillis[0]);
+                long beginMillis = receivedMillis[to] - spanMillis;
+                long endMillis = receivedMillis[to];
+                long restarted = restartMillis.stream()
+                        .filter(restart -> restart <= endMillis && restart + RESTARTED_MILLIS >= beginMillis)
                         .count();
-                double allowed = restarts.stream()
-                                .mapToLong(s -> Math.max(0, Math.min(end, s + ANEW) - Math.max(begin, s)))
+                double restartAllowance = restartMillis.stream()
+                                .mapToLong(restart -> Math.max(0, Math.min(endMillis, restart + RESTARTED_MILLIS) - Math.max(beginMillis, restart)))
                                 .sum()
                         / 1e3
                         * (Bounds.spent(limit, ROUTERS, 1) - limit);
-                double bound = Bounds.requests(limit, (span + SLACK) * 1_000, BUCKET, (int) (ROUTERS + anew)) + allowed;
-                if (to - from + 1 - bound > worst) {
-                    worst = to - from + 1 - bound;
-                    where = member + ": " + (to - from + 1) + " requests in " + span + " ms until " + end + ", bound "
+                double bound = Bounds.requests(limit, (spanMillis + SLACK_MILLIS) * 1_000, BUCKET_MICROS, (int) (ROUTERS + restarted)) + restartAllowance;
+                if (to - from + 1 - bound > maxExcess) {
+                    maxExcess = to - from + 1 - bound;
+                    description = member + ": " + (to - from + 1) + " requests in " + spanMillis + " ms until " + endMillis + ", bound "
                             + bound;
                 }
             }
-            assertTrue(worst <= 0, where);
+            assertTrue(maxExcess <= 0, description);
         }
     }
 
-    /** The routers by the cell that each says it is of; those that do not answer are in none. */
+    /** Returns the routers by the cell that each reports; those that do not respond are in none. */
     private static Map<String, Set<Integer>> cells(FleetRig rig) {
         Map<String, Set<Integer>> cells = new TreeMap<>();
-        for (int r = 0; r < ROUTERS; r++) {
-            String cell = rig.routers.get(r).status().get("fleet-cell");
+        for (int router = 0; router < ROUTERS; router++) {
+            String cell = rig.routers.get(router).status().get("fleet-cell");
             if (cell != null) {
-                cells.computeIfAbsent(cell, c -> new TreeSet<>()).add(r);
+                cells.computeIfAbsent(cell, c -> new TreeSet<>()).add(router);
             }
         }
         return cells;
     }
 
-    /** Whether so many routers are there, each knows just those of its own cell as alive, and lives by leases of all limits. */
-    private static boolean together(FleetRig rig, int routers) {
+    /**
+     * Returns whether this number of routers is up, and each knows exactly the routers of its own cell as alive and
+     * holds a lease of every limit.
+     */
+    private static boolean converged(FleetRig rig, int routers) {
         Map<String, Set<Integer>> cells = cells(rig);
         if (cells.values().stream().mapToInt(Set::size).sum() != routers) {
             return false;
         }
-        Map<Integer, Integer> size = new HashMap<>();
-        cells.values().forEach(c -> c.forEach(r -> size.put(r, c.size())));
-        return size.entrySet().stream().allMatch(e -> {
-            List<Map<String, Object>> limits = rig.rows(e.getKey(), "limits");
-            return rig.rows(e.getKey(), "members").stream()
-                                    .filter(m -> m.get("level").equals("cell")
-                                            && m.get("standing").equals("alive"))
+        Map<Integer, Integer> cellSizes = new HashMap<>();
+        cells.values().forEach(c -> c.forEach(router -> cellSizes.put(router, c.size())));
+        return cellSizes.entrySet().stream().allMatch(entry -> {
+            List<Map<String, Object>> limits = rig.rows(entry.getKey(), "limits");
+            return rig.rows(entry.getKey(), "members").stream()
+                                    .filter(member -> member.get("level").equals("cell")
+                                            && member.get("standing").equals("alive"))
                                     .count()
-                            == e.getValue()
+                            == entry.getValue()
                     && limits.size() == CACHES + 1
-                    && limits.stream().allMatch(l -> l.get("state").equals("leased"));
+                    && limits.stream().allMatch(limit -> limit.get("state").equals("leased"));
         });
     }
 
-    /** Plays until all are together; a slow machine takes longer, and no bound is on that. */
-    private static void awaitTogether(FleetRig rig, int routers) throws Exception {
-        for (int wait = 0; wait < 40 && !together(rig, routers); wait++) {
-            rig.play(0.5);
+    /** Sends load until the cells have converged; the time is not bounded, as a slow machine takes longer. */
+    private static void awaitConverged(FleetRig rig, int routers) throws Exception {
+        for (int attempt = 0; attempt < 40 && !converged(rig, routers); attempt++) {
+            rig.runLoad(0.5);
         }
         assertTrue(
-                together(rig, routers), () -> cells(rig) + " " + rig.rows(0, "members") + " " + rig.rows(0, "limits"));
+                converged(rig, routers), () -> cells(rig) + " " + rig.rows(0, "members") + " " + rig.rows(0, "limits"));
     }
 
     @Test
     void limitsHoldWhileADelegateDiesACellIsSplitAndACellIsRestarted() throws Exception {
-        try (FleetRig rig = FleetRig.ofMany(
+        try (FleetRig rig = FleetRig.ofSmallProcesses(
                         folder,
                         ROUTERS,
-                        AT_FIRST,
+                        INITIAL_ROUTERS,
                         CACHES,
                         600,
-                        r -> FLEET.replace("ROOT", root(r)),
-                        List.of(0, EACH, 2 * EACH));
+                        router -> FLEET.replace("ROOT", root(router)),
+                        List.of(0, ROUTERS_PER_CELL, 2 * ROUTERS_PER_CELL));
                 LoadClients west =
-                        rig.clientsOf(of("west").stream().map(rig.routers::get).toList())) {
-            awaitTogether(rig, AT_FIRST);
+                        rig.clientsOf(routersOf("west").stream().map(rig.routers::get).toList())) {
+            awaitConverged(rig, INITIAL_ROUTERS);
             assertEquals(3, cells(rig).size(), () -> "cells are " + cells(rig));
 
-            // all demand at one cell: the others' share comes to it through the level above
-            rig.play(6, List.of(west));
-            int before = rig.cameTo("box-0").length;
-            rig.play(3, List.of(west));
-            int used = rig.cameTo("box-0").length - before;
+            // all demand is at one cell: it gets the other cells' shares from the level above
+            rig.runLoad(6, List.of(west));
+            int countBefore = rig.receivedAtMillis("box-0").length;
+            rig.runLoad(3, List.of(west));
+            int requests = rig.receivedAtMillis("box-0").length - countBefore;
             assertTrue(
-                    used > 1.5 * 3 * TO_CACHE * EACH / ROUTERS,
-                    () -> "a cell with all the demand had " + used + " in 3 s");
+                    requests > 1.5 * 3 * CACHE_LIMIT * ROUTERS_PER_CELL / ROUTERS,
+                    () -> "requests to box-0 with all the demand at one cell: " + requests + " in 3 s");
 
-            // all demand everywhere, and the router to which the first cell reports is killed: it is a delegate
+            // demand at all cells; then the grantor of the first cell, which is a delegate, is killed
             String grantor = rig.routers.get(0).status().get("fleet-grantor");
             int delegate = Integer.parseInt(grantor.substring(grantor.indexOf('-') + 1));
-            assertTrue(of("west").contains(delegate), grantor);
+            assertTrue(routersOf("west").contains(delegate), grantor);
             assertEquals("yes", rig.routers.get(delegate).status().get("fleet-delegate"));
-            rig.play(2);
+            rig.runLoad(2);
             rig.routers.get(delegate).kill();
-            rig.play(5);
+            rig.runLoad(5);
             restart(rig, delegate);
 
-            // three join the third cell, which has more than it may then
-            for (int r = AT_FIRST; r < ROUTERS; r++) {
-                rig.start(r);
+            // three routers join the third cell, which exceeds its maximum size then
+            for (int router = INITIAL_ROUTERS; router < ROUTERS; router++) {
+                rig.start(router);
             }
-            rig.play(6);
-            awaitTogether(rig, ROUTERS);
-            Map<String, Set<Integer>> split = cells(rig);
+            rig.runLoad(6);
+            awaitConverged(rig, ROUTERS);
+            Map<String, Set<Integer>> cellsAfterSplit = cells(rig);
             assertTrue(
-                    split.size() >= 4 && split.values().stream().allMatch(c -> c.size() <= MOST),
-                    () -> "cells " + split);
+                    cellsAfterSplit.size() >= 4 && cellsAfterSplit.values().stream().allMatch(c -> c.size() <= MAX_CELL_SIZE),
+                    () -> "cells " + cellsAfterSplit);
 
-            // the second cell's routers are all started anew
-            for (int r : of("east")) {
-                rig.routers.get(r).kill();
+            // all routers of the second cell are restarted
+            for (int router : routersOf("east")) {
+                rig.routers.get(router).kill();
             }
-            for (int r : of("east")) {
-                restart(rig, r);
+            for (int router : routersOf("east")) {
+                restart(rig, router);
             }
-            rig.play(8);
-            awaitTogether(rig, ROUTERS);
+            rig.runLoad(8);
+            awaitConverged(rig, ROUTERS);
             for (int i = 0; i < CACHES; i++) {
-                assertKept(rig, "box-" + i, TO_CACHE);
+                assertKept(rig, "box-" + i, CACHE_LIMIT);
             }
-            assertKept(rig, "origin", TO_ORIGIN);
-            int all = rig.cameTo("box-0").length;
-            assertTrue(all > 0, "the limit is there to be used");
+            assertKept(rig, "origin", ORIGIN_LIMIT);
+            int received = rig.receivedAtMillis("box-0").length;
+            assertTrue(received > 0, "the cache received no requests");
         }
     }
 }
--- a/src/test/java/pumicemoor/lab/ClockStepProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/ClockStepProcessesTest.java
@@ -10,48 +10,51 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicemoor.lab.LoadClients.Done;
+import pumicemoor.lab.LoadClients.RequestResult;
 import pumicemoor.lab.LoadClients.End;
 
-/** A router process whose wall clock is stepped under load, by a library that the test builds and preloads. */
+/**
+ * Guards against a router that loses requests or forgets a drain when the wall clock is stepped. A library that the
+ * test builds and preloads steps the clock of the process under load.
+ */
 class ClockStepProcessesTest {
 
-    private static final long DRAIN_GRACE = 1_000; // milliseconds, of the settings in LabConfig
+    private static final long DRAIN_GRACE_MILLIS = 1_000; // stop-sending-within-us in LabConfig
     private static final String DRAINED = "box-1";
-    private static final double RATE = 50; // requests a second
+    private static final double REQUESTS_PER_SECOND = 50;
 
     @TempDir
     Path folder;
 
     @ParameterizedTest
     @ValueSource(ints = {5, -5, 3_600, -3_600})
-    void aStepOfTheWallClockCostsNoRequestAndKeepsDrains(int seconds) throws Exception {
+    void aWallClockStepLosesNoRequestAndKeepsDrains(int stepSeconds) throws Exception {
         Path library = Preload.build(folder, "clockstep.c");
-        Path step = Files.writeString(folder.resolve("step"), "0");
-        try (FleetRig rig = new FleetRig(folder, 1, 4, RATE, "")) {
+        Path stepFile = Files.writeString(folder.resolve("step"), "0");
+        try (FleetRig rig = new FleetRig(folder, 1, 4, REQUESTS_PER_SECOND, "")) {
             RouterProcess router = rig.routers.get(0);
             router.kill();
-            router.environment(Map.of("LD_PRELOAD", library.toString(), "CLOCK_STEP", step.toString()));
+            router.setEnvironment(Map.of("LD_PRELOAD", library.toString(), "CLOCK_STEP", stepFile.toString()));
             rig.start(0);
             router.awaitReady();
-            rig.play(2);
-            long begun = rig.record.now();
-            Files.writeString(step, Integer.toString(seconds));
-            rig.play(2);
+            rig.runLoad(2);
+            long stepMillis = rig.requestLog.nowMillis();
+            Files.writeString(stepFile, Integer.toString(stepSeconds));
+            rig.runLoad(2);
             rig.drain(DRAINED);
-            rig.play(3);
+            rig.runLoad(3);
             Thread.sleep(1_000);
-            long drained = rig.record.drainedAt().get(DRAINED);
-            List<Done> after = rig.clients.done().stream()
-                    .filter(d -> d.at() > begun - 500)
+            long drainStartMillis = rig.requestLog.drainStartMillis().get(DRAINED);
+            List<RequestResult> resultsAfterStep = rig.clients.completed().stream()
+                    .filter(result -> result.sentAtMillis() > stepMillis - 500)
                     .toList();
-            assertTrue(after.size() > 4 * RATE, () -> "only " + after.size() + " requests were asked");
+            assertTrue(resultsAfterStep.size() > 4 * REQUESTS_PER_SECOND, () -> "only " + resultsAfterStep.size() + " requests were sent");
             assertEquals(
-                    List.of(), after.stream().filter(d -> d.end() != End.SERVED).toList());
+                    List.of(), resultsAfterStep.stream().filter(result -> result.end() != End.SERVED).toList());
             assertEquals(
                     List.of(),
-                    rig.record.asked().stream()
-                            .filter(a -> a.member().equals(DRAINED) && a.at() > drained + DRAIN_GRACE)
+                    rig.requestLog.requests().stream()
+                            .filter(request -> request.member().equals(DRAINED) && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                             .toList());
         }
     }
