--- a/src/test/java/pumicemoor/lab/DrainProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/DrainProcessesTest.java
@@ -14,22 +14,23 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicemoor.lab.LoadClients.Done;
+import pumicemoor.lab.LoadClients.RequestResult;
 import pumicemoor.lab.LoadClients.End;
-import pumicemoor.lab.Record.Asked;
+import pumicemoor.lab.RequestLog.ReceivedRequest;
 
 /**
- * Every cache of a tier is taken out for work, under load, while the routers' processes are killed, paused and split;
- * judged by the stand-in caches' own records.
+ * Guards against a drain plan that takes too many caches of a tier out of service, or sends requests to a cache that is
+ * out. Every cache is drained for maintenance under load while router processes are killed, paused and partitioned.
+ * Checked by the logs of the stand-in caches.
  */
 class DrainProcessesTest {
 
     private static final int ROUTERS = 5;
     private static final int CACHES = 6;
-    private static final int AT_ONCE = 2;
-    private static final int SERVING = 4;
-    private static final double STEP = 0.2; // seconds between looks of the operator
-    private static final long WORK = 2_000; // milliseconds on each member
+    private static final int MAX_AT_ONCE = 2;
+    private static final int MIN_SERVING = 4;
+    private static final double STEP_SECONDS = 0.2; // between two polls of the operator
+    private static final long WORK_MILLIS = 2_000; // maintenance of each member
     private static final String FLEET =
             """
               period-ms: 100
@@ -41,55 +42,59 @@
     @TempDir
     Path folder;
 
-    /** One time that a member was out: from when a router first said so until its work was done, by the record's clock. */
-    private record Out(String member, long from, long to) {}
+    /** A period in which a member was out: from the first confirmation by a router to the end of its maintenance. */
+    private record Outage(String member, long startMillis, long endMillis) {}
 
-    /** The operator, or the program that stands in for one: goes by what any router shows as confirmed. */
+    /**
+     * Simulates an operator that starts the maintenance of a member as soon as any router shows it as confirmed out.
+     */
     private static final class Operator {
         private final FleetRig rig;
-        private final Map<String, Long> down = new HashMap<>(); // since when, by the record's clock
+        // start of maintenance, by the log's clock
+        private final Map<String, Long> maintenanceStartMillis = new HashMap<>();
         private final Map<String, Object> fences = new HashMap<>();
-        private final Set<String> toTell = new TreeSet<>();
-        private final Set<String> seen = new HashSet<>();
-        private final List<Out> outs = new ArrayList<>();
-        private final List<long[]> serving = new ArrayList<>(); // at milliseconds, so many caches
-        private int mostOut;
+        private final Set<String> doneToReport = new TreeSet<>();
+        private final Set<String> seenOutages = new HashSet<>();
+        private final List<Outage> outages = new ArrayList<>();
+        // pairs: time in milliseconds, number of caches in service
+        private final List<long[]> servingSamples = new ArrayList<>();
+        private int maxOut;
 
         Operator(FleetRig rig) {
             this.rig = rig;
         }
 
-        void look() throws Exception {
-            for (int r = 0; r < ROUTERS; r++) {
-                for (Map<String, Object> row : rig.rows(r, "drains")) {
+        void poll() throws Exception {
+            for (int router = 0; router < ROUTERS; router++) {
+                for (Map<String, Object> row : rig.rows(router, "drains")) {
                     String member = (String) row.get("member");
                     if (row.get("phase").equals("out")
                             && (Boolean) row.get("confirmed")
-                            && seen.add(member + row.get("fence"))) {
-                        assertTrue(down.put(member, rig.record.now()) == null, "it is out already");
+                            && seenOutages.add(member + row.get("fence"))) {
+                        assertTrue(maintenanceStartMillis.put(member, rig.requestLog.nowMillis()) == null, "the member is out already");
                         fences.put(member, row.get("fence"));
                     }
                     if (!row.get("phase").equals("out")
                             && ((Number) row.get("fence")).longValue()
                                     > ((Number) fences.getOrDefault(member, Long.MAX_VALUE)).longValue()) {
-                        toTell.remove(member);
+                        doneToReport.remove(member);
                     }
                 }
             }
-            mostOut = Math.max(mostOut, down.size());
-            serving.add(new long[] {rig.record.now(), CACHES - down.size()});
-            for (String member : List.copyOf(down.keySet())) {
-                if (rig.record.now() - down.get(member) >= WORK) {
-                    outs.add(new Out(member, down.remove(member), rig.record.now()));
+            maxOut = Math.max(maxOut, maintenanceStartMillis.size());
+            servingSamples.add(new long[] {rig.requestLog.nowMillis(), CACHES - maintenanceStartMillis.size()});
+            for (String member : List.copyOf(maintenanceStartMillis.keySet())) {
+                if (rig.requestLog.nowMillis() - maintenanceStartMillis.get(member) >= WORK_MILLIS) {
+                    outages.add(new Outage(member, maintenanceStartMillis.remove(member), rig.requestLog.nowMillis()));
                     rig.restart(member);
-                    toTell.add(member);
+                    doneToReport.add(member);
                 }
             }
-            for (String member : toTell) {
-                for (int r = 0; r < ROUTERS; r++) {
-                    if (!rig.away.contains(r)) {
+            for (String member : doneToReport) {
+                for (int router = 0; router < ROUTERS; router++) {
+                    if (!rig.unreachable.contains(router)) {
                         rig.command(
-                                r,
+                                router,
                                 Map.of(
                                         "drain",
                                         "done",
@@ -104,10 +109,10 @@
             }
         }
 
-        void play(double seconds) throws Exception {
-            for (double left = seconds; left > 0; left -= STEP) {
-                rig.play(STEP);
-                look();
+        void runLoad(double seconds) throws Exception {
+            for (double remainingSeconds = seconds; remainingSeconds > 0; remainingSeconds -= STEP_SECONDS) {
+                rig.runLoad(STEP_SECONDS);
+                poll();
             }
         }
     }
@@ -121,15 +126,15 @@
                 "members",
                 "box-0,box-1,box-2,box-3,box-4,box-5",
                 "max-at-once",
-                Integer.toString(AT_ONCE),
+                Integer.toString(MAX_AT_ONCE),
                 "min-serving",
-                Integer.toString(SERVING));
+                Integer.toString(MIN_SERVING));
     }
 
-    private static boolean ended(FleetRig rig, String id) {
-        for (int r = 0; r < ROUTERS; r++) {
-            if (rig.rows(r, "drain-requests").stream()
-                    .noneMatch(x -> x.get("id").equals(id) && x.get("state").equals("ended"))) {
+    private static boolean hasEnded(FleetRig rig, String id) {
+        for (int router = 0; router < ROUTERS; router++) {
+            if (rig.rows(router, "drain-requests").stream()
+                    .noneMatch(row -> row.get("id").equals(id) && row.get("state").equals("ended"))) {
                 return false;
             }
         }
@@ -137,107 +142,107 @@
     }
 
     @Test
-    void aTierIsMaintainedWhileRoutersDieAndSplit() throws Exception {
+    void aTierIsDrainedForMaintenanceWhileRoutersAreKilledAndPartitioned() throws Exception {
         try (FleetRig rig = new FleetRig(folder, ROUTERS, CACHES, 200, 1_000, FLEET)) {
             Operator operator = new Operator(rig);
-            operator.play(4);
-            for (Map<String, String> wrong : List.of(
+            operator.runLoad(4);
+            for (Map<String, String> invalidFields : List.of(
                     Map.of("max-at-once", "0"),
                     Map.of("max-at-once", "7"),
                     Map.of("min-serving", "7"),
                     Map.of("members", "box-9"),
                     Map.of("cluster", "another"))) {
                 Map<String, String> fields = new HashMap<>(request("9"));
-                fields.putAll(wrong);
-                String said = rig.command(1, fields);
+                fields.putAll(invalidFields);
+                String response = rig.command(1, fields);
                 assertTrue(
-                        said.startsWith("refused: " + wrong.keySet().iterator().next() + ": "), said);
+                        response.startsWith("refused: " + invalidFields.keySet().iterator().next() + ": "), response);
             }
             assertTrue(rig.command(3, request("a1")).startsWith("waits"));
-            operator.play(2);
-            assertTrue(rig.command(2, request("a1")).startsWith("waits")); // the same again, elsewhere
-            rig.network.cut((from, to) -> from < 2 != to < 2);
-            operator.play(5);
-            rig.network.cut((from, to) -> false);
-            rig.network.weather(0.2, 0.2, 60);
-            rig.away.add(4);
+            operator.runLoad(2);
+            assertTrue(rig.command(2, request("a1")).startsWith("waits")); // the same request again, at another router
+            rig.network.cutLinks((from, to) -> from < 2 != to < 2);
+            operator.runLoad(5);
+            rig.network.cutLinks((from, to) -> false);
+            rig.network.setImpairments(0.2, 0.2, 60);
+            rig.unreachable.add(4);
             rig.routers.get(4).kill();
-            operator.play(2);
-            rig.away.add(0);
-            long paused = rig.record.now();
+            operator.runLoad(2);
+            rig.unreachable.add(0);
+            long pausedMillis = rig.requestLog.nowMillis();
             rig.routers.get(0).signal("STOP");
-            operator.play(4);
+            operator.runLoad(4);
             rig.routers.get(0).signal("CONT");
-            long resumed = rig.record.now();
+            long resumedMillis = rig.requestLog.nowMillis();
             rig.start(4);
-            rig.network.weather(0, 0, 0);
-            operator.play(3);
-            rig.away.clear();
-            for (int wait = 0; wait < 300 && !(ended(rig, "a1") && operator.toTell.isEmpty()); wait++) {
-                operator.play(STEP); // a slow machine takes longer, and no bound is on that
+            rig.network.setImpairments(0, 0, 0);
+            operator.runLoad(3);
+            rig.unreachable.clear();
+            for (int attempt = 0; attempt < 300 && !(hasEnded(rig, "a1") && operator.doneToReport.isEmpty()); attempt++) {
+                operator.runLoad(STEP_SECONDS); // not bounded, as a slow machine takes longer
             }
-            assertTrue(ended(rig, "a1"), () -> rig.rows(1, "drains") + " " + rig.rows(1, "drain-requests"));
-            judge(rig, operator, paused, resumed);
+            assertTrue(hasEnded(rig, "a1"), () -> rig.rows(1, "drains") + " " + rig.rows(1, "drain-requests"));
+            assertDrainRulesKept(rig, operator, pausedMillis, resumedMillis);
         }
     }
 
-    /** Caches serving over time as a picture, the stretch marked in which a process was stopped. */
-    private static String plot(List<long[]> serving, long paused, long resumed) {
-        long from = serving.get(0)[0];
-        StringBuilder line = new StringBuilder();
-        serving.forEach(s -> line.append(line.isEmpty() ? "M" : "H")
-                .append(40 + (s[0] - from) / 40)
-                .append(line.length() < 9 ? " " : "V")
-                .append(170 - 20 * s[1])
+    /** Plots the number of serving caches over time as SVG; the time in which a process was stopped is grey. */
+    private static String plot(List<long[]> servingSamples, long pausedMillis, long resumedMillis) {
+        long from = servingSamples.get(0)[0];
+        StringBuilder path = new StringBuilder();
+        servingSamples.forEach(sample -> path.append(path.isEmpty() ? "M" : "H")
+                .append(40 + (sample[0] - from) / 40)
+                .append(path.length() < 9 ? " " : "V")
+                .append(170 - 20 * sample[1])
                 .append(' '));
         return "<svg xmlns='http://www.w3.org/2000/svg' width='%d' height='200' font-family='sans-serif' font-size='11'>"
-                        .formatted(80 + (serving.get(serving.size() - 1)[0] - from) / 40)
+                        .formatted(80 + (servingSamples.get(servingSamples.size() - 1)[0] - from) / 40)
                 + "<rect x='%d' y='30' width='%d' height='140' fill='#eee'/>"
-                        .formatted(40 + (paused - from) / 40, (resumed - paused) / 40)
+                        .formatted(40 + (pausedMillis - from) / 40, (resumedMillis - pausedMillis) / 40)
                 + "<text x='40' y='18'>caches that serve, of %d; at least %d; grey: one router stopped; 25 pixels a second</text>"
-                        .formatted(CACHES, SERVING)
+                        .formatted(CACHES, MIN_SERVING)
                 + "<path d='M40 %d H2000' stroke='#c00' stroke-dasharray='4'/><path d='%s' fill='none' stroke='#036'/>"
-                        .formatted(170 - 20 * SERVING, line.toString().strip())
+                        .formatted(170 - 20 * MIN_SERVING, path.toString().strip())
                 + "<text x='20' y='54'>6</text><text x='20' y='94'>4</text><text x='20' y='174'>0</text></svg>\n";
     }
 
-    private static void judge(FleetRig rig, Operator operator, long paused, long resumed) throws Exception {
-        Files.writeString(Path.of("target", "drain-serving.svg"), plot(operator.serving, paused, resumed));
-        assertEquals(CACHES, operator.outs.size(), () -> "each was out once: " + operator.outs);
-        assertEquals(CACHES, operator.outs.stream().map(Out::member).distinct().count());
-        assertTrue(operator.mostOut <= AT_ONCE, () -> operator.mostOut + " were out at once");
-        for (Out out : operator.outs) {
-            List<Asked> asked = rig.record.asked().stream()
-                    .filter(a -> a.member().equals(out.member()) && a.at() >= out.from() && a.at() < out.to())
+    private static void assertDrainRulesKept(FleetRig rig, Operator operator, long pausedMillis, long resumedMillis) throws Exception {
+        Files.writeString(Path.of("target", "drain-serving.svg"), plot(operator.servingSamples, pausedMillis, resumedMillis));
+        assertEquals(CACHES, operator.outages.size(), () -> "each cache is out exactly once: " + operator.outages);
+        assertEquals(CACHES, operator.outages.stream().map(Outage::member).distinct().count());
+        assertTrue(operator.maxOut <= MAX_AT_ONCE, () -> operator.maxOut + " caches were out at once");
+        for (Outage outage : operator.outages) {
+            List<ReceivedRequest> requests = rig.requestLog.requests().stream()
+                    .filter(request -> request.member().equals(outage.member()) && request.atMillis() >= outage.startMillis() && request.atMillis() < outage.endMillis())
                     .toList();
-            assertEquals(List.of(), asked, () -> "asked while it was out: " + out);
+            assertEquals(List.of(), requests, () -> "a cache received requests while it was out: " + outage);
         }
-        // the last request was made when all were back: they serve again
-        long last = operator.outs.stream().mapToLong(Out::to).max().orElseThrow();
-        rig.play(4);
+        // after the last maintenance, all caches serve again
+        long lastOutageEnd = operator.outages.stream().mapToLong(Outage::endMillis).max().orElseThrow();
+        rig.runLoad(4);
         assertEquals(
                 CACHES,
-                rig.record.asked().stream()
-                        .filter(a -> a.at() > last && a.member().startsWith("box-"))
-                        .map(Asked::member)
+                rig.requestLog.requests().stream()
+                        .filter(request -> request.atMillis() > lastOutageEnd && request.member().startsWith("box-"))
+                        .map(ReceivedRequest::member)
                         .distinct()
                         .count(),
-                "every cache is asked again");
+                "every cache receives requests again");
         Thread.sleep(2_000);
         rig.clients.finish();
-        List<Done> done = rig.clients.done();
+        List<RequestResult> results = rig.clients.completed();
         Map<End, Long> ends = new HashMap<>();
-        done.forEach(d -> ends.merge(d.end(), 1L, Long::sum));
-        // a process that is stopped answers nobody in time; all other answers come in time, and none twice
+        results.forEach(result -> ends.merge(result.end(), 1L, Long::sum));
+        // a stopped process cannot answer in time; all other responses arrive in time, and none arrives twice
         assertEquals(
                 0,
                 ends.getOrDefault(End.TWICE, 0L)
-                        + done.stream()
-                                .filter(d -> d.end() == End.LATE && (d.at() < paused - 1_500 || d.at() > resumed))
+                        + results.stream()
+                                .filter(result -> result.end() == End.LATE && (result.sentAtMillis() < pausedMillis - 1_500 || result.sentAtMillis() > resumedMillis))
                                 .count(),
                 ends::toString);
-        Files.writeString(Path.of("target", "drain-ends.txt"), ends + "\n" + operator.outs + "\n");
-        // what a killed or paused router owed may be lost: some moments of a fifth of the requests
-        assertTrue(ends.getOrDefault(End.SERVED, 0L) > 0.95 * done.size(), ends::toString);
+        Files.writeString(Path.of("target", "drain-ends.txt"), ends + "\n" + operator.outages + "\n");
+        // open requests of a killed or paused router may be lost: a fifth of the requests of a short time
+        assertTrue(ends.getOrDefault(End.SERVED, 0L) > 0.95 * results.size(), ends::toString);
     }
 }
--- a/src/test/java/pumicemoor/lab/FaultSoakTest.java
+++ b/src/test/java/pumicemoor/lab/FaultSoakTest.java
@@ -13,23 +13,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Three router processes under load, and a schedule of faults from a seed; -Dsoak.seeds=FIRST-LAST for other seeds. */
+/**
+ * Guards against broken rules under combinations of faults: three router processes under load, with a random schedule
+ * of faults from a seed. -Dsoak.seeds=FIRST-LAST selects other seeds.
+ */
 class FaultSoakTest {
 
     private static final int ROUTERS = 3;
     private static final int CACHES = 5;
-    private static final double RATE = 60; // requests a second
-    private static final double SECONDS = 16;
-    private static final long DRAIN_GRACE = 1_000; // milliseconds, of the settings in LabConfig
-    private static final long DEADLINE = 1_500; // milliseconds, of the scenario in FleetRig
-    private static final long SLOWEST_ANSWER = 150; // milliseconds of a crowded coordinator
+    private static final double REQUESTS_PER_SECOND = 60;
+    private static final double DURATION_SECONDS = 16;
+    private static final long DRAIN_GRACE_MILLIS = 1_000; // stop-sending-within-us in LabConfig
+    private static final long DEADLINE_MILLIS = 1_500; // of the scenario in FleetRig
+    private static final long MAX_STREAM_DELAY_MILLIS = 150; // of an overloaded coordinator
 
     private enum Fault {
         KILL,
         PAUSE,
-        HANG_UP,
+        RELOAD,
         RESET_STREAMS,
-        CROWD,
+        DELAY_STREAMS,
         DRAIN,
         RESTART_CACHE
     }
@@ -39,14 +42,14 @@
 
     private final List<String> schedule = new ArrayList<>();
     private final Set<String> draining = new LinkedHashSet<>();
-    private final SoakChecker checker = new SoakChecker(DRAIN_GRACE, DEADLINE);
+    private final SoakChecker checker = new SoakChecker(DRAIN_GRACE_MILLIS, DEADLINE_MILLIS);
     private FleetRig rig;
     private Random random;
-    private int down = -1; // the router that is not back yet
-    private int paused = -1;
-    private long backAt;
-    private long resumeAt;
-    private long activeAt;
+    private int restartingRouter = -1; // index of the killed router that is not ready yet, or -1
+    private int pausedRouter = -1; // index of the stopped router, or -1
+    private long readyCheckMillis;
+    private long resumeMillis;
+    private long drainEndMillis;
 
     static LongStream seeds() {
         String[] range = System.getProperty("soak.seeds", "1-3").split("-");
@@ -55,110 +58,110 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void allRulesHoldThroughAScheduleOfFaults(long seed) throws Exception {
+    void noRuleIsBrokenUnderARandomScheduleOfFaults(long seed) throws Exception {
         random = new Random(seed);
-        try (FleetRig opened = new FleetRig(folder, ROUTERS, CACHES, RATE, "")) {
+        try (FleetRig opened = new FleetRig(folder, ROUTERS, CACHES, REQUESTS_PER_SECOND, "")) {
             rig = opened;
-            rig.play(2);
-            long end = rig.record.now() + (long) (SECONDS * 1_000);
-            long nextFault = rig.record.now();
-            while (rig.record.now() < end) {
-                if (rig.record.now() >= nextFault) {
+            rig.runLoad(2);
+            long endMillis = rig.requestLog.nowMillis() + (long) (DURATION_SECONDS * 1_000);
+            long nextFaultMillis = rig.requestLog.nowMillis();
+            while (rig.requestLog.nowMillis() < endMillis) {
+                if (rig.requestLog.nowMillis() >= nextFaultMillis) {
                     inject(Fault.values()[random.nextInt(Fault.values().length)]);
-                    nextFault = rig.record.now() + 300 + random.nextInt(1_200);
+                    nextFaultMillis = rig.requestLog.nowMillis() + 300 + random.nextInt(1_200);
                 }
                 repair(false);
-                rig.play(0.05);
+                rig.runLoad(0.05);
             }
             repair(true);
-            rig.play(1);
-            Thread.sleep(2 * DEADLINE);
+            rig.runLoad(1);
+            Thread.sleep(2 * DEADLINE_MILLIS);
             assertEquals(
                     List.of(),
-                    checker.breaks(rig.record.asked(), rig.clients.done()),
+                    checker.violations(rig.requestLog.requests(), rig.clients.completed()),
                     () -> "seed " + seed + ", faults: " + schedule);
         }
     }
 
     private void inject(Fault fault) throws Exception {
-        long now = rig.record.now();
+        long nowMillis = rig.requestLog.nowMillis();
         int router = random.nextInt(ROUTERS);
         int cache = random.nextInt(CACHES);
-        long wait = random.nextInt(1_500);
-        boolean free = down < 0 && paused < 0;
+        long randomMillis = random.nextInt(1_500);
+        boolean noRouterDown = restartingRouter < 0 && pausedRouter < 0;
         switch (fault) {
             case KILL -> {
-                if (free) {
-                    note(fault, "router-" + router);
-                    checker.killed(now);
+                if (noRouterDown) {
+                    logFault(fault, "router-" + router);
+                    checker.routerKilled(nowMillis);
                     rig.routers.get(router).kill();
                     rig.start(router);
-                    down = router;
-                    backAt = now + 6_000;
+                    restartingRouter = router;
+                    readyCheckMillis = nowMillis + 6_000;
                 }
             }
             case PAUSE -> {
-                if (free) {
-                    note(fault, "router-" + router + " for " + (300 + wait));
+                if (noRouterDown) {
+                    logFault(fault, "router-" + router + " for " + (300 + randomMillis));
                     rig.routers.get(router).signal("STOP");
-                    paused = router;
-                    resumeAt = now + 300 + wait;
+                    pausedRouter = router;
+                    resumeMillis = nowMillis + 300 + randomMillis;
                 }
             }
-            case HANG_UP -> {
-                if (router != down) {
-                    note(fault, "router-" + router);
-                    rig.routers.get(router).hangUp();
+            case RELOAD -> {
+                if (router != restartingRouter) {
+                    logFault(fault, "router-" + router);
+                    rig.routers.get(router).reload();
                 }
             }
             case RESET_STREAMS -> {
-                note(fault, "all");
+                logFault(fault, "all");
                 rig.coordinator.resetOpen();
             }
-            case CROWD -> {
-                note(fault, "answers after " + wait % SLOWEST_ANSWER);
-                rig.coordinator.answerLate(wait % SLOWEST_ANSWER);
+            case DELAY_STREAMS -> {
+                logFault(fault, "streams start after " + randomMillis % MAX_STREAM_DELAY_MILLIS);
+                rig.coordinator.delayStreams(randomMillis % MAX_STREAM_DELAY_MILLIS);
                 rig.coordinator.resetOpen();
             }
             case DRAIN -> {
                 if (draining.isEmpty()) {
-                    note(fault, "box-" + cache);
+                    logFault(fault, "box-" + cache);
                     draining.add("box-" + cache);
-                    checker.drained("box-" + cache, rig.record.now());
+                    checker.drainStarted("box-" + cache, rig.requestLog.nowMillis());
                     rig.drain("box-" + cache);
-                    activeAt = now + 2_500 + wait;
+                    drainEndMillis = nowMillis + 2_500 + randomMillis;
                 }
             }
             case RESTART_CACHE -> {
                 if (!draining.contains("box-" + cache)) {
-                    note(fault, "box-" + cache);
+                    logFault(fault, "box-" + cache);
                     rig.restart("box-" + cache);
                 }
             }
         }
     }
 
-    /** Ends what has lasted for as long as it was to last, or all. */
+    /** Ends the faults whose time is over, or all. */
     private void repair(boolean all) throws Exception {
-        long now = rig.record.now();
-        if (paused >= 0 && (all || now >= resumeAt)) {
-            rig.routers.get(paused).signal("CONT");
-            paused = -1;
+        long nowMillis = rig.requestLog.nowMillis();
+        if (pausedRouter >= 0 && (all || nowMillis >= resumeMillis)) {
+            rig.routers.get(pausedRouter).signal("CONT");
+            pausedRouter = -1;
         }
-        if (down >= 0 && (all || now >= backAt)) {
-            rig.routers.get(down).awaitReady();
-            down = -1;
+        if (restartingRouter >= 0 && (all || nowMillis >= readyCheckMillis)) {
+            rig.routers.get(restartingRouter).awaitReady();
+            restartingRouter = -1;
         }
-        if (!draining.isEmpty() && (all || now >= activeAt)) {
+        if (!draining.isEmpty() && (all || nowMillis >= drainEndMillis)) {
             for (String member : draining) {
-                checker.active(member, rig.record.now());
+                checker.drainEnded(member, rig.requestLog.nowMillis());
                 rig.undrain(member);
             }
             draining.clear();
         }
     }
 
-    private void note(Fault fault, String what) {
-        schedule.add(rig.record.now() + " " + fault + " " + what);
+    private void logFault(Fault fault, String description) {
+        schedule.add(rig.requestLog.nowMillis() + " " + fault + " " + description);
     }
 }
--- a/src/test/java/pumicemoor/lab/FleetProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/FleetProcessesTest.java
@@ -15,15 +15,18 @@
 import org.junit.jupiter.api.io.TempDir;
 import pumicemoor.fleet.Bounds;
 
-/** Several processes of the program with faults between them, judged by the stand-in members' own records. */
+/**
+ * Guards against limits that are exceeded, and ejections that spread too slowly or to too many members, while processes
+ * of the program are killed, paused and partitioned and lose packets. Checked by the logs of the stand-in members.
+ */
 class FleetProcessesTest {
 
     private static final int ROUTERS = 6;
     private static final int CACHES = 5;
-    private static final double TO_CACHE = 60;
-    private static final double TO_ORIGIN = 40;
-    private static final double ACROSS = 30;
-    private static final long BUCKET = 100_000; // microseconds, as the decisions have it
+    private static final double CACHE_LIMIT = 60;
+    private static final double ORIGIN_LIMIT = 40;
+    private static final double ACROSS_ZONES_LIMIT = 30;
+    private static final long BUCKET_MICROS = 100_000; // the token bucket of the limits
     private static final String FLEET =
             """
               period-ms: 100
@@ -39,27 +42,27 @@
     @TempDir
     Path folder;
 
-    /** The bound for every stretch of time; the slack is for stand-ins that write down late what came in time. */
+    /** Checks the bound for every time window, with 500 ms for stand-ins that log late what arrived in time. */
     private static void assertKept(FleetRig rig, String member, double limit) {
-        long[] at = rig.cameTo(member);
-        for (long window : new long[] {3_000, 10_000, 100_000}) {
+        long[] receivedMillis = rig.receivedAtMillis(member);
+        for (long windowMillis : new long[] {3_000, 10_000, 100_000}) {
             double bound = Bounds.requests(
-                    limit, (Math.min(window, at[at.length - 1] - at[0]) + 500) * 1_000, BUCKET, ROUTERS);
-            int most = FleetRig.most(at, window);
-            assertTrue(most <= bound, () -> member + ": " + most + " requests in " + window + " ms, bound " + bound);
+                    limit, (Math.min(windowMillis, receivedMillis[receivedMillis.length - 1] - receivedMillis[0]) + 500) * 1_000, BUCKET_MICROS, ROUTERS);
+            int max = FleetRig.maxInWindow(receivedMillis, windowMillis);
+            assertTrue(max <= bound, () -> member + ": " + max + " requests in " + windowMillis + " ms, bound " + bound);
         }
     }
 
-    /** Whether all know all as alive, and each lives by a lease of every limit. */
-    private static boolean together(FleetRig rig) {
+    /** Returns whether all routers know all as alive, and each holds a lease of every limit. */
+    private static boolean converged(FleetRig rig) {
         for (int i = 0; i < ROUTERS; i++) {
             List<Map<String, Object>> limits = rig.rows(i, "limits");
             if (rig.rows(i, "members").stream()
-                                    .filter(m -> m.get("standing").equals("alive"))
+                                    .filter(member -> member.get("standing").equals("alive"))
                                     .count()
                             != ROUTERS
                     || limits.isEmpty()
-                    || !limits.stream().allMatch(l -> l.get("state").equals("leased"))) {
+                    || !limits.stream().allMatch(limit -> limit.get("state").equals("leased"))) {
                 return false;
             }
         }
@@ -67,98 +70,101 @@
     }
 
     @Test
-    void limitsHoldThroughSplitsDeathsPausesAndLoss() throws Exception {
+    void limitsHoldThroughPartitionsKillsPausesAndPacketLoss() throws Exception {
         try (FleetRig rig = new FleetRig(folder, ROUTERS, CACHES, 450, FLEET)) {
-            rig.play(5);
-            int before = rig.cameTo("box-0").length;
-            rig.play(4);
-            assertTrue(rig.cameTo("box-0").length - before > 0.3 * 4 * TO_CACHE, "the limit is there to be used");
-            rig.network.cut((from, to) -> from < 2 != to < 2);
-            rig.play(6);
+            rig.runLoad(5);
+            int countBefore = rig.receivedAtMillis("box-0").length;
+            rig.runLoad(4);
+            assertTrue(rig.receivedAtMillis("box-0").length - countBefore > 0.3 * 4 * CACHE_LIMIT, "the limit is hardly used");
+            rig.network.cutLinks((from, to) -> from < 2 != to < 2);
+            rig.runLoad(6);
             for (int i = 0; i < ROUTERS; i++) {
-                assertTrue(rig.rows(i, "limits").stream().allMatch(l -> ((Number) l.get("part")).doubleValue() > 0));
+                assertTrue(rig.rows(i, "limits").stream().allMatch(limit -> ((Number) limit.get("part")).doubleValue() > 0));
             }
-            rig.network.cut((from, to) -> false);
-            rig.network.weather(0.3, 0.2, 120);
+            rig.network.cutLinks((from, to) -> false);
+            rig.network.setImpairments(0.3, 0.2, 120);
             rig.routers.get(4).kill();
             rig.routers.get(1).signal("STOP");
-            rig.play(4);
+            rig.runLoad(4);
             rig.routers.get(1).signal("CONT");
             rig.start(4);
-            rig.network.cut((from, to) -> from == 3 && to != 3); // one way only
-            rig.play(4);
-            rig.network.cut((from, to) -> false);
-            rig.network.weather(0, 0, 0);
-            rig.play(8);
+            rig.network.cutLinks((from, to) -> from == 3 && to != 3); // one direction only
+            rig.runLoad(4);
+            rig.network.cutLinks((from, to) -> false);
+            rig.network.setImpairments(0, 0, 0);
+            rig.runLoad(8);
             for (int i = 0; i < CACHES; i++) {
-                assertKept(rig, "box-" + i, TO_CACHE);
+                assertKept(rig, "box-" + i, CACHE_LIMIT);
             }
-            // every object has 1 kB and comes from the origin alone, so that what crosses zones binds before its limit;
-            // answers under way when a bucket runs dry are taken for the mean, here exactly right
-            assertKept(rig, "origin", Math.min(TO_ORIGIN, ACROSS));
-            for (int wait = 0; wait < 40 && !together(rig); wait++) {
-                rig.play(0.5); // a slow machine takes longer, and no bound is on that
+            // every object has 1 kB and comes from the origin alone, so that the limit across zones binds before that of
+            // the origin; responses in flight when a bucket runs empty are counted at the mean size, here the exact size
+            assertKept(rig, "origin", Math.min(ORIGIN_LIMIT, ACROSS_ZONES_LIMIT));
+            for (int attempt = 0; attempt < 40 && !converged(rig); attempt++) {
+                rig.runLoad(0.5); // not bounded, as a slow machine takes longer
             }
-            assertTrue(together(rig), () -> rig.rows(0, "members") + " " + rig.rows(0, "limits"));
+            assertTrue(converged(rig), () -> rig.rows(0, "members") + " " + rig.rows(0, "limits"));
         }
     }
 
-    /** A verdict that all know in one version came to each within the bound of the first; the slack is for the machine. */
+    /**
+     * Checks that each ejection that all routers know in the same version reached all of them within the bound, with
+     * 500 ms for a slow machine; returns the number of such ejections.
+     */
     private static int assertSpread(FleetRig rig) {
-        Map<Object, List<Long>> heard = new HashMap<>(); // by version
-        for (int r = 0; r < ROUTERS; r++) {
-            rig.rows(r, "verdicts").stream().filter(v -> (Boolean) v.get("out")).forEach(v -> heard.computeIfAbsent(
-                            v.get("version"), k -> new ArrayList<>())
-                    .add(((Number) v.get("heard-at-ms")).longValue()));
+        Map<Object, List<Long>> receivedMillisByVersion = new HashMap<>(); // times of receipt, by version
+        for (int router = 0; router < ROUTERS; router++) {
+            rig.rows(router, "verdicts").stream().filter(row -> (Boolean) row.get("out")).forEach(row -> receivedMillisByVersion.computeIfAbsent(
+                            row.get("version"), k -> new ArrayList<>())
+                    .add(((Number) row.get("heard-at-ms")).longValue()));
         }
         List<List<Long>> all =
-                heard.values().stream().filter(at -> at.size() == ROUTERS).toList();
-        all.forEach(at -> assertTrue(
-                Collections.max(at) - Collections.min(at) <= Bounds.spread(ROUTERS) * 100 + 500, at::toString));
+                receivedMillisByVersion.values().stream().filter(receivedMillis -> receivedMillis.size() == ROUTERS).toList();
+        all.forEach(receivedMillis -> assertTrue(
+                Collections.max(receivedMillis) - Collections.min(receivedMillis) <= Bounds.spread(ROUTERS) * 100 + 500, receivedMillis::toString));
         return all.size();
     }
 
     @Test
-    void aFailingMemberIsOutEverywhereAndNeverMoreThanTheShare() throws Exception {
+    void allRoutersEjectAFailingMemberAndNeverMoreThanTheAllowedShare() throws Exception {
         try (FleetRig rig = new FleetRig(folder, ROUTERS, CACHES, 200, FLEET)) {
-            rig.play(5);
+            rig.runLoad(5);
             rig.members.stream()
-                    .filter(m -> m.name.equals("box-1") || m.name.equals("box-2"))
-                    .forEach(m -> m.fault = "silent");
-            Set<String> everOut = new HashSet<>();
-            int together = 0;
-            int knowing = 0;
-            int compared = 0;
+                    .filter(member -> member.name.equals("box-1") || member.name.equals("box-2"))
+                    .forEach(member -> member.fault = "silent");
+            Set<String> everEjected = new HashSet<>();
+            int maxEjected = 0;
+            int maxKnowing = 0;
+            int comparedEjections = 0;
             for (int i = 0; i < 24; i++) {
-                rig.network.cut(i >= 12 && i < 18 ? (from, to) -> from < 2 != to < 2 : (from, to) -> false);
-                rig.play(0.5);
-                Set<String> out = new HashSet<>();
-                int know = 0;
-                for (int r = 0; r < ROUTERS; r++) {
-                    Set<String> here = new HashSet<>();
-                    rig.rows(r, "verdicts").stream()
-                            .filter(v -> (Boolean) v.get("out"))
-                            .forEach(v -> here.add((String) v.get("member")));
-                    know += here.isEmpty() ? 0 : 1;
-                    out.addAll(here);
+                rig.network.cutLinks(i >= 12 && i < 18 ? (from, to) -> from < 2 != to < 2 : (from, to) -> false);
+                rig.runLoad(0.5);
+                Set<String> ejected = new HashSet<>();
+                int knowingNow = 0;
+                for (int router = 0; router < ROUTERS; router++) {
+                    Set<String> ejectedHere = new HashSet<>();
+                    rig.rows(router, "verdicts").stream()
+                            .filter(row -> (Boolean) row.get("out"))
+                            .forEach(row -> ejectedHere.add((String) row.get("member")));
+                    knowingNow += ejectedHere.isEmpty() ? 0 : 1;
+                    ejected.addAll(ejectedHere);
                 }
-                everOut.addAll(out);
-                compared += assertSpread(rig);
-                together = Math.max(together, out.size());
-                knowing = Math.max(knowing, know);
+                everEjected.addAll(ejected);
+                comparedEjections += assertSpread(rig);
+                maxEjected = Math.max(maxEjected, ejected.size());
+                maxKnowing = Math.max(maxKnowing, knowingNow);
             }
-            assertTrue(Set.of("box-1", "box-2").containsAll(everOut), () -> "out were " + everOut);
-            assertTrue(compared > 0, "some version was at all of them at once");
-            assertEquals(1, together, "one of five may be out");
-            assertEquals(ROUTERS, knowing, "every router knows the verdict");
-            rig.members.forEach(m -> m.fault = "");
+            assertTrue(Set.of("box-1", "box-2").containsAll(everEjected), () -> "ejected members: " + everEjected);
+            assertTrue(comparedEjections > 0, "no ejection was known to all routers in the same version");
+            assertEquals(1, maxEjected, "one of five members may be ejected");
+            assertEquals(ROUTERS, maxKnowing, "every router knows the ejection");
+            rig.members.forEach(member -> member.fault = "");
             for (int i = 0;
-                    i < 30 && (i == 0 || rig.rows(0, "verdicts").stream().anyMatch(v -> (Boolean) v.get("out")));
+                    i < 30 && (i == 0 || rig.rows(0, "verdicts").stream().anyMatch(row -> (Boolean) row.get("out")));
                     i++) {
-                rig.play(0.5);
+                rig.runLoad(0.5);
             }
             assertTrue(
-                    rig.rows(0, "verdicts").stream().noneMatch(v -> (Boolean) v.get("out")), "the evidence has ended");
+                    rig.rows(0, "verdicts").stream().noneMatch(row -> (Boolean) row.get("out")), "a member is still ejected after its fault has ended");
         }
     }
 }
--- a/src/test/java/pumicemoor/lab/FleetRig.java
+++ b/src/test/java/pumicemoor/lab/FleetRig.java
@@ -18,48 +18,51 @@
 import pumicemoor.lab.Scenario.Way;
 import pumicemoor.wire.Rows;
 
-/** Processes of the program with a fault network between them, before stand-in caches that keep their own record. */
+/**
+ * Test fixture: processes of the program with a fault network between them, in front of stand-in caches that log what
+ * they receive, with clients that send load.
+ */
 final class FleetRig implements AutoCloseable {
 
-    final Record record = new Record();
+    final RequestLog requestLog = new RequestLog();
     final FaultNetwork network;
     final List<RouterProcess> routers = new ArrayList<>();
     final List<MemberStandIn> members = new ArrayList<>();
     final LoadClients clients;
-    private final ExecutorService work = Executors.newCachedThreadPool(r -> {
-        Thread t = new Thread(r, "rig");
-        t.setDaemon(true);
-        return t;
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
+        Thread thread = new Thread(task, "rig");
+        thread.setDaemon(true);
+        return thread;
     });
     CoordinatorStandIn coordinator;
     private final Scenario scenario;
-    private final IntFunction<String> fleets; // the end of the section, by router; empty: no such section
+    private final IntFunction<String> fleetSections; // end of the section 'fleet', by router; empty: no such section
     private final List<Integer> seeds;
-    private final List<String> machine;
-    private final UnaryOperator<String>[] shapes; // of the configuration, by router, in turn
-    private static final UnaryOperator<String>[] NO_SHAPES = noShapes();
-    private final long began = System.nanoTime();
-    private long asked;
-    private double askedUntil;
+    private final List<String> jvmOptions;
+    private final UnaryOperator<String>[] configEdits; // edits of the configuration, assigned to the routers in turn
+    private static final UnaryOperator<String>[] NO_CONFIG_EDITS = noConfigEdits();
+    private final long startNanos = System.nanoTime();
+    private long sentRequests;
+    private double loadEndSeconds;
     private long generation = 1;
-    private final Map<Integer, Long> loggedBeforeStart = new HashMap<>(); // bytes, by router
+    private final Map<Integer, Long> loggedBeforeStart = new HashMap<>(); // bytes of log, by router
 
     @SafeVarargs
-    FleetRig(Path folder, int routerCount, int caches, double rate, String fleet, UnaryOperator<String>... shapes)
+    FleetRig(Path folder, int routerCount, int caches, double rate, String fleet, UnaryOperator<String>... configEdits)
             throws Exception {
-        this(folder, routerCount, caches, rate, 1, fleet, shapes);
+        this(folder, routerCount, caches, rate, 1, fleet, configEdits);
     }
 
-    /** One whose members take so many milliseconds to warm. */
+    /** Creates a rig whose members are in slow start for the given time in milliseconds. */
     @SafeVarargs
     FleetRig(
             Path folder,
             int routerCount,
             int caches,
             double rate,
-            int cold,
+            int slowStartMillis,
             String fleet,
-            UnaryOperator<String>... shapes)
+            UnaryOperator<String>... configEdits)
             throws Exception {
         this(
                 folder,
@@ -67,43 +70,46 @@
                 routerCount,
                 caches,
                 rate,
-                cold,
-                r -> fleet,
+                slowStartMillis,
+                router -> fleet,
                 routerCount < 2 ? List.of(0) : List.of(0, 1),
-                RouterProcess.ROOMY,
-                shapes);
+                RouterProcess.DEFAULT_JVM_OPTIONS,
+                configEdits);
     }
 
-    /** One of many small processes, of which the first so many are started here; each has its own end of the section. */
-    static FleetRig ofMany(
+    /**
+     * Creates a rig of many small processes and starts the first of them; each process has its own end of the section
+     * 'fleet'.
+     */
+    static FleetRig ofSmallProcesses(
             Path folder,
             int routerCount,
-            int started,
+            int startedCount,
             int caches,
             double rate,
-            IntFunction<String> fleets,
+            IntFunction<String> fleetSections,
             List<Integer> seeds)
             throws Exception {
         return new FleetRig(
-                folder, routerCount, started, caches, rate, 1, fleets, seeds, RouterProcess.TIGHT, NO_SHAPES);
+                folder, routerCount, startedCount, caches, rate, 1, fleetSections, seeds, RouterProcess.SMALL_JVM_OPTIONS, NO_CONFIG_EDITS);
     }
 
     private FleetRig(
             Path folder,
             int routerCount,
-            int started,
+            int startedCount,
             int caches,
             double rate,
-            int cold,
-            IntFunction<String> fleets,
+            int slowStartMillis,
+            IntFunction<String> fleetSections,
             List<Integer> seeds,
-            List<String> machine,
-            UnaryOperator<String>[] shapes)
+            List<String> jvmOptions,
+            UnaryOperator<String>[] configEdits)
             throws Exception {
-        this.fleets = fleets;
+        this.fleetSections = fleetSections;
         this.seeds = seeds;
-        this.machine = machine;
-        this.shapes = shapes;
+        this.jvmOptions = jvmOptions;
+        this.configEdits = configEdits;
         scenario = new Scenario(
                 "fleet",
                 3,
@@ -115,7 +121,7 @@
                 1_000,
                 2,
                 1_500,
-                new Change(Way.FEED, 1, 1, 1, cold, 1),
+                new Change(Way.FEED, 1, 1, 1, slowStartMillis, 1),
                 Map.of(),
                 Map.of(),
                 List.of(),
@@ -126,24 +132,24 @@
         for (int i = 0; i < caches; i++) {
             add("box-" + i, Kind.CACHE);
         }
-        coordinator = new CoordinatorStandIn(work, 0, 5);
-        coordinator.tell("\"endpoints\":{\"generation\":1,\"reset\":true,\"instances\":["
-                + members.stream().map(FleetRig::line).collect(Collectors.joining(",")) + "]}");
+        coordinator = new CoordinatorStandIn(executor, 0, 5);
+        coordinator.publish("\"endpoints\":{\"generation\":1,\"reset\":true,\"instances\":["
+                + members.stream().map(FleetRig::instanceJson).collect(Collectors.joining(",")) + "]}");
         for (int i = 0; i < routerCount; i++) {
-            routers.add(new RouterProcess("router-" + i, folder, null, machine));
+            routers.add(new RouterProcess("router-" + i, folder, null, jvmOptions));
         }
-        for (int i = 0; i < started; i++) {
+        for (int i = 0; i < startedCount; i++) {
             start(i);
         }
-        for (RouterProcess r : routers.subList(0, started)) {
-            r.awaitReady();
+        for (RouterProcess router : routers.subList(0, startedCount)) {
+            router.awaitReady();
         }
         clients = new LoadClients(
-                scenario, record, routers.stream().map(RouterProcess::address).toList());
+                scenario, requestLog, routers.stream().map(RouterProcess::address).toList());
     }
 
     @SafeVarargs
-    private static UnaryOperator<String>[] noShapes(UnaryOperator<String>... none) {
+    private static UnaryOperator<String>[] noConfigEdits(UnaryOperator<String>... none) {
         return none;
     }
 
@@ -153,87 +159,90 @@
                 kind,
                 scenario.cacheHolds(),
                 scenario.fillMillis(),
-                record,
-                n -> members.stream().filter(m -> m.name.equals(n)).findFirst().orElse(null),
-                work));
+                requestLog,
+                n -> members.stream().filter(member -> member.name.equals(n)).findFirst().orElse(null),
+                executor));
     }
 
-    private static String line(MemberStandIn m) {
-        return "{\"instanceId\":\"" + m.name + "\",\"hostPort\":\"" + m.address() + "\",\"zone\":\""
-                + (m.kind == Kind.CACHE ? "home" : "hub") + "\",\"machineType\":\""
-                + m.kind.name().toLowerCase()
-                + "\",\"lifecycle\":\"active\",\"weight\":8,\"startedAtMs\":" + m.startedAt + "}";
+    private static String instanceJson(MemberStandIn member) {
+        return "{\"instanceId\":\"" + member.name + "\",\"hostPort\":\"" + member.address() + "\",\"zone\":\""
+                + (member.kind == Kind.CACHE ? "home" : "hub") + "\",\"machineType\":\""
+                + member.kind.name().toLowerCase()
+                + "\",\"lifecycle\":\"active\",\"weight\":8,\"startedAtMs\":" + member.startedAtMillis + "}";
     }
 
     void start(int i) throws IOException {
         Path log = routers.get(i).logFile();
         loggedBeforeStart.put(i, Files.exists(log) ? Files.size(log) : 0L);
-        String fleet = fleets.apply(i);
-        String asked = seeds.stream().map(network::advertise).collect(Collectors.joining(", "));
+        String fleet = fleetSections.apply(i);
+        String seedAddresses = seeds.stream().map(network::advertisedAddress).collect(Collectors.joining(", "));
         String config =
-                LabConfig.json(i, routers.get(i).address(), scenario, coordinator.address(), coordinator.known());
+                LabConfig.json(i, routers.get(i).address(), scenario, coordinator.address(), coordinator.eventsAsJson());
         routers.get(i)
                 .start(
-                        shapes.length == 0 ? config : shapes[i % shapes.length].apply(config),
+                        configEdits.length == 0 ? config : configEdits[i % configEdits.length].apply(config),
                         fleet.isEmpty()
                                 ? "log: {format: json}\n"
-                                : "log: {format: json}\nfleet:\n  cluster: rig\n  listen: " + network.listen(i)
-                                        + "\n  advertise: " + network.advertise(i) + "\n  seeds: [" + asked
+                                : "log: {format: json}\nfleet:\n  cluster: rig\n  listen: " + network.listenAddress(i)
+                                        + "\n  advertise: " + network.advertisedAddress(i) + "\n  seeds: [" + seedAddresses
                                         + "]\n  size: "
                                         + scenario.routers() + "\n" + fleet);
     }
 
-    /** Waits until the log of a router has a line with this text behind all that it logged in earlier starts. */
+    /** Waits until a router has logged a line with this text since its latest start. */
     void awaitLogged(int router, String text) throws IOException, InterruptedException {
         Path log = routers.get(router).logFile();
         long before = Files.exists(log) ? loggedBeforeStart.getOrDefault(router, 0L) : 0;
-        long end = System.nanoTime() + 30_000_000_000L;
+        long deadlineNanos = System.nanoTime() + 30_000_000_000L;
         while (Files.readString(log).substring((int) before).lines().noneMatch(l -> l.contains(text))) {
-            if (System.nanoTime() > end) {
-                throw new IOException("router " + router + " did not log '" + text + "'");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IOException("router " + router + " did not log '" + text + "' within 30 s");
             }
             Thread.sleep(10);
         }
     }
 
-    /** A router's configuration names another coordinator, which knows what was told; the router is told nothing of it. */
-    void movesTo(int router, CoordinatorStandIn next) throws IOException {
-        coordinator.events().forEach(next::tell);
+    /**
+     * Changes the configuration file of a router to another coordinator, which gets all events published so far. The
+     * router is not notified.
+     */
+    void moveCoordinator(int router, CoordinatorStandIn next) throws IOException {
+        coordinator.eventFields().forEach(next::publish);
         Path file = routers.get(router).configFile();
         Files.writeString(file, Files.readString(file).replace(coordinator.address(), next.address()));
-        CoordinatorStandIn before = coordinator;
+        CoordinatorStandIn previous = coordinator;
         coordinator = next;
-        before.close();
+        previous.close();
     }
 
-    /** Tells all routers that a member drains. */
+    /** Publishes to all routers that a member drains. */
     void drain(String member) {
-        tell(line(member(member)).replace("active", "leaving"));
-        record.drained(member);
+        publishInstance(instanceJson(member(member)).replace("active", "leaving"));
+        requestLog.drainStarted(member);
     }
 
-    /** Tells all routers that a member takes requests again. */
+    /** Publishes to all routers that a member accepts requests again. */
     void undrain(String member) {
-        tell(line(member(member)));
+        publishInstance(instanceJson(member(member)));
     }
 
-    /** Starts a member anew, with nothing, and tells all routers. */
+    /** Restarts a member with an empty store and publishes that to all routers. */
     void restart(String member) throws IOException {
         member(member).restart();
-        tell(line(member(member)));
+        publishInstance(instanceJson(member(member)));
     }
 
     private MemberStandIn member(String name) {
         return members.stream().filter(x -> x.name.equals(name)).findFirst().orElseThrow();
     }
 
-    private void tell(String line) {
+    private void publishInstance(String instance) {
         generation++;
-        coordinator.tell(
-                "\"endpoints\":{\"generation\":" + generation + ",\"reset\":false,\"instances\":[" + line + "]}");
+        coordinator.publish(
+                "\"endpoints\":{\"generation\":" + generation + ",\"reset\":false,\"instances\":[" + instance + "]}");
     }
 
-    /** What a router says to an operator's command; empty where it does not answer. */
+    /** Returns a router's response to an operator's command; empty if it does not respond. */
     String command(int router, Map<String, String> fields) {
         String[] address = routers.get(router).address().split(":");
         try (FrameClient client = new FrameClient(address[0], Integer.parseInt(address[1]))) {
@@ -243,39 +252,39 @@
         }
     }
 
-    /** Clients of some routers alone. */
-    LoadClients clientsOf(List<RouterProcess> some) {
+    /** Creates clients that send to some of the routers only. */
+    LoadClients clientsOf(List<RouterProcess> selected) {
         return new LoadClients(
-                scenario, record, some.stream().map(RouterProcess::address).toList());
+                scenario, requestLog, selected.stream().map(RouterProcess::address).toList());
     }
 
-    /** Asks at the scenario's rate for so long, in seconds. */
-    void play(double seconds) throws InterruptedException {
-        play(seconds, List.of(clients));
+    /** Sends requests at the scenario's rate for the given time in seconds. */
+    void runLoad(double seconds) throws InterruptedException {
+        runLoad(seconds, List.of(clients));
     }
 
-    /** The same, the clients taking turns. */
-    void play(double seconds, List<LoadClients> turns) throws InterruptedException {
-        double end = (System.nanoTime() - began) / 1e9 + seconds;
-        askedUntil = Math.max(askedUntil, (System.nanoTime() - began) / 1e9);
-        double from = askedUntil;
-        long before = asked;
-        for (double at = from; at < end; at = (System.nanoTime() - began) / 1e9) {
-            while (asked - before < (at - from) * scenario.rate()) {
-                turns.get((int) (asked % turns.size())).askNext();
-                asked++;
+    /** As above, with several groups of clients that take turns. */
+    void runLoad(double seconds, List<LoadClients> groups) throws InterruptedException {
+        double endSeconds = (System.nanoTime() - startNanos) / 1e9 + seconds;
+        loadEndSeconds = Math.max(loadEndSeconds, (System.nanoTime() - startNanos) / 1e9);
+        double startSeconds = loadEndSeconds;
+        long sentBefore = sentRequests;
+        for (double elapsedSeconds = startSeconds; elapsedSeconds < endSeconds; elapsedSeconds = (System.nanoTime() - startNanos) / 1e9) {
+            while (sentRequests - sentBefore < (elapsedSeconds - startSeconds) * scenario.rate()) {
+                groups.get((int) (sentRequests % groups.size())).sendNext();
+                sentRequests++;
             }
             Thread.sleep(1);
         }
-        askedUntil = end;
+        loadEndSeconds = endSeconds;
     }
 
-    /** A paused or dead router is not asked: it would hold up whoever asks. */
-    final java.util.Set<Integer> away = new java.util.HashSet<>();
+    /** Paused or killed routers, which are not queried because a query would block its caller. */
+    final java.util.Set<Integer> unreachable = new java.util.HashSet<>();
 
-    /** What a router shows of a subject; empty where it does not answer. */
+    /** Returns the rows that a router shows for a subject; empty if it does not respond. */
     List<Map<String, Object>> rows(int router, String subject) {
-        if (away.contains(router)) {
+        if (unreachable.contains(router)) {
             return List.of();
         }
         String[] address = routers.get(router).address().split(":");
@@ -287,36 +296,38 @@
         }
     }
 
-    /** When requests came to a member, by its own record: milliseconds, fills counted at whom they are taken from. */
-    long[] cameTo(String member) {
-        return record.asked().stream()
-                .filter(a -> a.member().equals(member))
-                .mapToLong(Record.Asked::at)
+    /**
+     * Returns the times in milliseconds at which a member received requests; a fill counts at the member it reads from.
+     */
+    long[] receivedAtMillis(String member) {
+        return requestLog.requests().stream()
+                .filter(request -> request.member().equals(member))
+                .mapToLong(RequestLog.ReceivedRequest::atMillis)
                 .sorted()
                 .toArray();
     }
 
-    /** The most that came within any time of this length. */
-    static int most(long[] at, long window) {
-        int most = 0;
-        for (int from = 0, to = 0; to < at.length; to++) {
-            while (at[to] - at[from] > window) {
+    /** Returns the highest number of events within any window of this length. */
+    static int maxInWindow(long[] receivedMillis, long windowMillis) {
+        int max = 0;
+        for (int from = 0, to = 0; to < receivedMillis.length; to++) {
+            while (receivedMillis[to] - receivedMillis[from] > windowMillis) {
                 from++;
             }
-            most = Math.max(most, to - from + 1);
+            max = Math.max(max, to - from + 1);
         }
-        return most;
+        return max;
     }
 
     @Override
     public void close() throws Exception {
         routers.forEach(RouterProcess::close);
         clients.close();
-        for (MemberStandIn m : members) {
-            m.close();
+        for (MemberStandIn member : members) {
+            member.close();
         }
         coordinator.close();
         network.close();
-        work.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/test/java/pumicemoor/lab/IgnoredHangUpProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/IgnoredHangUpProcessesTest.java
@@ -10,41 +10,44 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router whose parent had it ignore SIGHUP, as nohup does, and whose coordinator moves. */
+/**
+ * Guards against a router that keeps its old coordinator because SIGHUP is ignored in its process, as under nohup: it
+ * must notice the change of its configuration file by itself.
+ */
 class IgnoredHangUpProcessesTest {
 
-    private static final long DRAIN_GRACE = 1_000; // milliseconds, of the settings in LabConfig
-    private static final long RELOAD_WITHIN = 1_000; // milliseconds
+    private static final long DRAIN_GRACE_MILLIS = 1_000; // stop-sending-within-us in LabConfig
+    private static final long RELOAD_MILLIS = 1_000;
     private static final String DRAINED = "box-1";
 
     @TempDir
     Path folder;
 
     @Test
-    void aNewCoordinatorIsFollowedByAProcessThatCannotBeSentSighup() throws Exception {
-        ExecutorService work = Executors.newCachedThreadPool();
+    void aProcessThatIgnoresSighupFollowsANewCoordinator() throws Exception {
+        ExecutorService executor = Executors.newCachedThreadPool();
         try (FleetRig rig = new FleetRig(folder, 1, 4, 200, "");
-                CoordinatorStandIn next = new CoordinatorStandIn(work, 0, 5)) {
+                CoordinatorStandIn next = new CoordinatorStandIn(executor, 0, 5)) {
             RouterProcess router = rig.routers.get(0);
             router.kill();
-            router.ignoreHangUp();
+            router.ignoreSighup();
             rig.start(0);
             router.awaitReady();
-            rig.play(1);
-            assertTrue(rig.cameTo(DRAINED).length > 0, "the cache is not used at all");
-            rig.movesTo(0, next);
-            Thread.sleep(RELOAD_WITHIN);
+            rig.runLoad(1);
+            assertTrue(rig.receivedAtMillis(DRAINED).length > 0, "the cache received no requests before its drain");
+            rig.moveCoordinator(0, next);
+            Thread.sleep(RELOAD_MILLIS);
             rig.drain(DRAINED);
-            rig.play(3);
-            long drained = rig.record.drainedAt().get(DRAINED);
+            rig.runLoad(3);
+            long drainStartMillis = rig.requestLog.drainStartMillis().get(DRAINED);
             assertEquals(
                     List.of(),
-                    rig.record.asked().stream()
-                            .filter(a -> a.member().equals(DRAINED) && a.at() > drained + DRAIN_GRACE)
+                    rig.requestLog.requests().stream()
+                            .filter(request -> request.member().equals(DRAINED) && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                             .toList());
             assertEquals("1", router.status().get("reloads"));
         } finally {
-            work.shutdownNow();
+            executor.shutdownNow();
         }
     }
 }
--- a/src/test/java/pumicemoor/lab/MemberStandInTest.java
+++ b/src/test/java/pumicemoor/lab/MemberStandInTest.java
@@ -8,26 +8,26 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.lab.MemberStandIn.Kind;
 
-/** A stand-in can be ended and started again whatever its threads are doing just then. */
+/** Guards against a stand-in whose restart finds its own address in use because a thread of it still holds a socket. */
 class MemberStandInTest {
 
-    private static final int RESTARTS = 400; // each alone failed once in four on a busy machine
+    private static final int RESTARTS = 400; // on a busy machine, one such restart alone failed once in four
 
     @Test
     void everyRestartFindsItsAddressFree() throws Exception {
-        ExecutorService work = Executors.newCachedThreadPool();
-        Record record = new Record();
-        try (MemberStandIn box = new MemberStandIn("box", Kind.CACHE, 10, 0, record, n -> null, work)) {
-            String[] address = box.address().split(":");
+        ExecutorService executor = Executors.newCachedThreadPool();
+        RequestLog requestLog = new RequestLog();
+        try (MemberStandIn cache = new MemberStandIn("box", Kind.CACHE, 10, 0, requestLog, n -> null, executor)) {
+            String[] address = cache.address().split(":");
             for (int i = 0; i < RESTARTS; i++) {
                 try (Socket client = new Socket(address[0], Integer.parseInt(address[1]))) {
                     client.getOutputStream().write("NOOP 1\r\n".getBytes());
-                } // its thread there ends at about the time of the restart
-                box.restart();
+                } // the thread of this connection ends at about the time of the restart
+                cache.restart();
             }
-            assertEquals(RESTARTS, record.starts().get("box").size());
+            assertEquals(RESTARTS, requestLog.restartMillis().get("box").size());
         } finally {
-            work.shutdownNow();
+            executor.shutdownNow();
         }
     }
 }
--- a/src/test/java/pumicemoor/lab/PausedRouterProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/PausedRouterProcessesTest.java
@@ -9,10 +9,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import pumicemoor.lab.LoadClients.End;
 
-/** A router process that is stopped for a while and finds requests before it and its coordinator's stream lost. */
+/**
+ * Guards against a router that, after a pause, forwards queued requests by an outdated list of members: it was stopped
+ * for a while, requests have arrived, its coordinator stream was reset, and a cache has begun to drain.
+ */
 class PausedRouterProcessesTest {
 
-    private static final long DRAIN_GRACE = 1_000; // milliseconds, of the settings in LabConfig
+    private static final long DRAIN_GRACE_MILLIS = 1_000; // stop-sending-within-us in LabConfig
     private static final String DRAINED = "box-1";
 
     @TempDir
@@ -21,29 +24,29 @@
     @Test
     void noRequestGoesToACacheThatDrainedWhileTheRouterWasPausedAndItsStreamWasReset() throws Exception {
         try (FleetRig rig = new FleetRig(folder, 1, 4, 40, "")) {
-            rig.play(2);
-            assertTrue(rig.cameTo(DRAINED).length > 0, "the cache is not used at all");
+            rig.runLoad(2);
+            assertTrue(rig.receivedAtMillis(DRAINED).length > 0, "the cache received no requests before its drain");
             RouterProcess router = rig.routers.get(0);
             router.signal("STOP");
             rig.coordinator.resetOpen();
             rig.drain(DRAINED);
             Thread.sleep(2_300);
             for (int i = 0; i < 6; i++) {
-                rig.clients.askNext();
+                rig.clients.sendNext();
             }
             router.signal("CONT");
-            rig.play(2);
+            rig.runLoad(2);
             Thread.sleep(500);
-            long drained = rig.record.drainedAt().get(DRAINED);
+            long drainStartMillis = rig.requestLog.drainStartMillis().get(DRAINED);
             assertEquals(
                     List.of(),
-                    rig.record.asked().stream()
-                            .filter(a -> a.member().equals(DRAINED) && a.at() > drained + DRAIN_GRACE)
+                    rig.requestLog.requests().stream()
+                            .filter(request -> request.member().equals(DRAINED) && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                             .toList());
             assertEquals(
                     List.of(),
-                    rig.clients.done().stream()
-                            .filter(d -> d.at() > drained && d.end() != End.SERVED && d.end() != End.REFUSED)
+                    rig.clients.completed().stream()
+                            .filter(result -> result.sentAtMillis() > drainStartMillis && result.end() != End.SERVED && result.end() != End.REFUSED)
                             .toList());
         }
     }
--- a/src/test/java/pumicemoor/lab/Preload.java
+++ b/src/test/java/pumicemoor/lab/Preload.java
@@ -8,27 +8,30 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Libraries of faults for processes under test, built by the system's C compiler; without one the test is not run. */
+/**
+ * Builds libraries that inject faults into processes under test (LD_PRELOAD), with the system's C compiler; without one
+ * the test is skipped.
+ */
 final class Preload {
 
     private Preload() {}
 
     static Path build(Path folder, String source) throws IOException, InterruptedException {
-        assumeTrue(compiler(), "not run: there is no C compiler to build " + source + " with");
+        assumeTrue(hasCompiler(), "not run: there is no C compiler to build " + source + " with");
         Path copy = folder.resolve(source);
-        try (InputStream in = Preload.class.getResourceAsStream(source)) {
-            Files.copy(in, copy);
+        try (InputStream input = Preload.class.getResourceAsStream(source)) {
+            Files.copy(input, copy);
         }
         Path library = folder.resolve(source.replace(".c", ".so"));
-        int failed = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), copy.toString())
+        int exitCode = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), copy.toString())
                 .inheritIO()
                 .start()
                 .waitFor();
-        assertEquals(0, failed, "the compiler's exit code");
+        assertEquals(0, exitCode, "the compiler's exit code");
         return library;
     }
 
-    private static boolean compiler() throws InterruptedException {
+    private static boolean hasCompiler() throws InterruptedException {
         try {
             return new ProcessBuilder("cc", "--version")
                             .redirectErrorStream(true)
--- a/src/test/java/pumicemoor/lab/ProcessRunTest.java
+++ b/src/test/java/pumicemoor/lab/ProcessRunTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The run of real processes beside hollow routers, at the smallest size; how much anything costs is not judged here. */
+/**
+ * Guards against wrong roles and figures in a measurement of real processes, at the smallest size; costs are not
+ * checked.
+ */
 class ProcessRunTest {
 
     @TempDir
@@ -29,41 +32,41 @@
     }
 
     @Test
-    void rolesAreReadAndThePlainProcessTakenOff() throws Exception {
+    void rolesAreReportedAndTheCostWithoutAFleetIsSubtracted() throws Exception {
         String table =
                 run("{name: small, routers: [3], settle: 2, seconds: 2, period-ms: 100, lease-ms: 1000, guard-ms: 100,"
                         + " caches: 1, loss: 0}");
         assertTrue(table.contains("# 3 router processes") && table.contains("| grantor, calm, processes |"), table);
-        JsonNode read =
+        JsonNode json =
                 new ObjectMapper().readTree(folder.resolve("out/small-3.json").toFile());
         Set<String> roles = new TreeSet<>();
-        for (JsonNode sample : read.get("samples")) {
+        for (JsonNode sample : json.get("samples")) {
             roles.add(sample.get("role").asText());
-            JsonNode f = sample.get("figures");
+            JsonNode figures = sample.get("figures");
             boolean grantor = sample.get("role").asText().startsWith("grantor");
-            assertEquals(grantor ? 1 : 2, f.get("routers").asInt());
-            assertEquals(3, f.get("living known").asInt());
-            for (String out : new String[] {
+            assertEquals(grantor ? 1 : 2, figures.get("routers").asInt());
+            assertEquals(3, figures.get("living known").asInt());
+            for (String figure : new String[] {
                 "bytes out/s", "packets out/s", "bytes in/s", "packets in/s", "bytes out/s by the router's count"
             }) {
-                assertTrue(f.get(out).asDouble() > 0, out + " in " + table);
+                assertTrue(figures.get(figure).asDouble() > 0, figure + " in " + table);
             }
             assertEquals(
-                    f.get("cpu ms/s").asDouble(),
-                    f.get("cpu ms/s, whole process").asDouble()
-                            - read.get("without").get("cpu ms/s").asDouble(),
+                    figures.get("cpu ms/s").asDouble(),
+                    figures.get("cpu ms/s, whole process").asDouble()
+                            - json.get("without").get("cpu ms/s").asDouble(),
                     1e-9);
-            assertTrue(f.get("heap bytes, whole process").asDouble() > 1e6, table);
-            assertTrue(f.get("resident KiB, whole process").asDouble() > 10_000, table);
+            assertTrue(figures.get("heap bytes, whole process").asDouble() > 1e6, table);
+            assertTrue(figures.get("resident KiB, whole process").asDouble() > 10_000, table);
         }
         assertEquals(Set.of("grantor, calm, processes", "member, calm, processes"), roles);
     }
 
     @Test
-    void moreProcessesThanTheMachineIsLentAreRefusedBeforeAnyStarts() {
-        String said = assertThrows(IOException.class, () -> run("{routers: [3, 201]}"))
+    void tooManyProcessesAreRejectedBeforeAnyStarts() {
+        String message = assertThrows(IOException.class, () -> run("{routers: [3, 201]}"))
                 .getMessage();
-        assertTrue(said.endsWith("run.yaml: routers: 201 is not from 2 to 200, as processes"), said);
+        assertTrue(message.endsWith("run.yaml: routers: 201 is not from 2 to 200, as processes"), message);
         assertTrue(assertThrows(IOException.class, () -> run("{sizes: [3]}"))
                 .getMessage()
                 .contains("sizes"));
--- a/src/test/java/pumicemoor/lab/ProxiesTest.java
+++ b/src/test/java/pumicemoor/lab/ProxiesTest.java
@@ -13,14 +13,17 @@
 import pumicemoor.lab.ProxyStandIn.End;
 import pumicemoor.lab.Scenario.Proxies;
 
-/** The program called by proxies, reloaded, killed and ended among calls; judged by proxies' and caches' records. */
+/**
+ * Guards against calls that hang, are answered twice, or run a side effect twice when the program is reloaded, killed
+ * or terminated during calls of proxies. Checked by the records of the proxies and the caches.
+ */
 class ProxiesTest {
 
     @TempDir
     Path folder;
 
     @Test
-    void noCallHangsOrIsAnsweredTwiceAndNoEffectRunsTwice() throws Exception {
+    void noCallHangsOrIsAnsweredTwiceAndNoSideEffectRunsTwice() throws Exception {
         Scenario scenario = new Scenario(
                 "proxies",
                 3,
@@ -39,12 +42,12 @@
                 new Proxies(2, 0.25, 250, 5, List.of(3.0), List.of(9.0), List.of(1.0)),
                 null);
         ProxyRun.Result result = ProxyRun.play(scenario, folder, new PrintStream(OutputStream.nullOutputStream()));
-        String all = result.markdown();
-        assertTrue(result.callsPerMinute() >= 6_000, all);
-        assertEquals(0, result.stillOpen(), all);
-        assertTrue(result.mostAnswers() <= 1, all);
-        assertEquals(1, result.mostRunsOfAnEffect(), all);
-        assertTrue(result.ended(End.SERVED) > 300, all);
-        assertTrue(result.longestMillis() <= 2_000 + 2_500, all);
+        String table = result.markdown();
+        assertTrue(result.callsPerMinute() >= 6_000, table);
+        assertEquals(0, result.openAtEnd(), table);
+        assertTrue(result.maxAnswersPerCall() <= 1, table);
+        assertEquals(1, result.maxRunsOfOneEffect(), table);
+        assertTrue(result.ended(End.SERVED) > 300, table);
+        assertTrue(result.longestMillis() <= 2_000 + 2_500, table);
     }
 }
--- a/src/test/java/pumicemoor/lab/SoakChecker.java
+++ b/src/test/java/pumicemoor/lab/SoakChecker.java
@@ -4,68 +4,69 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import pumicemoor.lab.LoadClients.Done;
+import pumicemoor.lab.LoadClients.RequestResult;
 import pumicemoor.lab.LoadClients.End;
 
 /**
- * Finds broken rules in what clients and caches have recorded, with bookkeeping of its own of what was told and done to
- * the routers. It knows nothing of the program. Times are milliseconds of the record.
+ * Finds violations of the rules in the logs of clients and caches. It keeps its own list of the drains that were
+ * published and of the routers that were killed, and does not depend on the program. Times are in milliseconds of the
+ * request log.
  */
 final class SoakChecker {
 
-    private static final long SLACK = 50; // milliseconds by which every limit on sockets is longer
+    private static final long SLACK_MILLIS = 50; // added to every time limit, for the sockets
 
-    private static final long STILL_AN_ANSWER = 500; // milliseconds past its time; later it is lost
+    private static final long LATE_RESPONSE_MILLIS = 500; // past the deadline; a later response counts as lost
 
-    private final long drainGrace;
-    private final long lostAfter;
-    private final Map<String, List<long[]>> drains = new TreeMap<>(); // from, until
-    private final List<Long> kills = new ArrayList<>();
+    private final long drainGraceMillis;
+    private final long lostAfterMillis;
+    private final Map<String, List<long[]>> drains = new TreeMap<>(); // pairs: start, end
+    private final List<Long> killMillis = new ArrayList<>();
 
-    /** The grace period after a drain, and the time that clients give a request. */
-    SoakChecker(long drainGrace, long deadline) {
-        this.drainGrace = drainGrace;
-        this.lostAfter = deadline + STILL_AN_ANSWER + SLACK;
+    /** Creates a checker with the grace period after the start of a drain and the deadline of the clients' requests. */
+    SoakChecker(long drainGraceMillis, long deadlineMillis) {
+        this.drainGraceMillis = drainGraceMillis;
+        this.lostAfterMillis = deadlineMillis + LATE_RESPONSE_MILLIS + SLACK_MILLIS;
     }
 
-    void drained(String member, long at) {
-        drains.computeIfAbsent(member, m -> new ArrayList<>()).add(new long[] {at, Long.MAX_VALUE});
+    void drainStarted(String member, long atMillis) {
+        drains.computeIfAbsent(member, key -> new ArrayList<>()).add(new long[] {atMillis, Long.MAX_VALUE});
     }
 
-    void active(String member, long at) {
-        List<long[]> all = drains.get(member);
-        all.get(all.size() - 1)[1] = at;
+    void drainEnded(String member, long atMillis) {
+        List<long[]> memberDrains = drains.get(member);
+        memberDrains.get(memberDrains.size() - 1)[1] = atMillis;
     }
 
-    void killed(long at) {
-        kills.add(at);
+    void routerKilled(long atMillis) {
+        killMillis.add(atMillis);
     }
 
-    /** A line for each break; empty where all rules were kept. */
-    List<String> breaks(List<Record.Asked> asked, List<Done> done) {
-        List<String> breaks = new ArrayList<>();
-        for (Record.Asked a : asked) {
-            for (long[] drain : drains.getOrDefault(a.member(), List.of())) {
-                if (a.at() > drain[0] + drainGrace + SLACK && a.at() < drain[1]) {
-                    breaks.add("drain: " + a + ", told at " + drain[0]);
+    /** Returns one line for each violation; empty if all rules were kept. */
+    List<String> violations(List<RequestLog.ReceivedRequest> requests, List<RequestResult> results) {
+        List<String> violations = new ArrayList<>();
+        for (RequestLog.ReceivedRequest request : requests) {
+            for (long[] drain : drains.getOrDefault(request.member(), List.of())) {
+                if (request.atMillis() > drain[0] + drainGraceMillis + SLACK_MILLIS && request.atMillis() < drain[1]) {
+                    violations.add("drain: " + request + ", published at " + drain[0]);
                 }
             }
         }
-        for (Done d : done) {
-            if (d.end() == End.TWICE || d.end() == End.LATE && tooLate(d) || d.end() == End.LOST && !mayBeLost(d)) {
-                breaks.add("answers: " + d);
+        for (RequestResult result : results) {
+            if (result.end() == End.TWICE || result.end() == End.LATE && tooLate(result) || result.end() == End.LOST && !mayBeLost(result)) {
+                violations.add("answers: " + result);
             }
         }
-        return breaks;
+        return violations;
     }
 
-    /** An answer that nobody had asked for has no time of its own. */
-    private boolean tooLate(Done d) {
-        return d.micros() == 0 || d.micros() / 1_000 > lostAfter;
+    /** A response to an unknown request has no response time and is always too late. */
+    private boolean tooLate(RequestResult result) {
+        return result.micros() == 0 || result.micros() / 1_000 > lostAfterMillis;
     }
 
-    /** What a killed process had taken is lost with it. */
-    private boolean mayBeLost(Done d) {
-        return kills.stream().anyMatch(k -> k >= d.at() - SLACK && k <= d.at() + lostAfter);
+    /** Requests that were open at a killed process may be lost. */
+    private boolean mayBeLost(RequestResult result) {
+        return killMillis.stream().anyMatch(kill -> kill >= result.sentAtMillis() - SLACK_MILLIS && kill <= result.sentAtMillis() + lostAfterMillis);
     }
 }
--- a/src/test/java/pumicemoor/lab/StaleStartProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/StaleStartProcessesTest.java
@@ -9,25 +9,28 @@
 import java.util.concurrent.Executors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicemoor.lab.LoadClients.Done;
+import pumicemoor.lab.LoadClients.RequestResult;
 import pumicemoor.lab.LoadClients.End;
 
-/** A process that is started anew while the coordinator's stream is late, under load between stand-ins. */
+/**
+ * Guards against a restarted router that forwards by an outdated list of members: a cache begins to drain during the
+ * restart, while the coordinator's stream is late or reset.
+ */
 class StaleStartProcessesTest {
 
-    private static final long DRAIN_GRACE = 1_000; // milliseconds, of the settings in LabConfig
+    private static final long DRAIN_GRACE_MILLIS = 1_000; // stop-sending-within-us in LabConfig
     private static final String DRAINED = "box-1";
-    private static final double RATE = 50; // requests a second
-    private static final long NEVER = 3_600_000; // milliseconds
+    private static final double REQUESTS_PER_SECOND = 50;
+    private static final long NEVER_MILLIS = 3_600_000; // longer than the test
 
     @TempDir
     Path folder;
 
     @Test
-    void noRequestGoesToACacheThatDrainsWhileTheRouterStartsAndTheCoordinatorIsCrowded() throws Exception {
-        try (FleetRig rig = new FleetRig(folder, 1, 4, RATE, "")) {
+    void noRequestGoesToACacheThatDrainsWhileTheRouterStartsAndTheCoordinatorIsOverloaded() throws Exception {
+        try (FleetRig rig = new FleetRig(folder, 1, 4, REQUESTS_PER_SECOND, "")) {
             restartDuringADrain(rig, () -> {
-                rig.coordinator.answerLate(2_500);
+                rig.coordinator.delayStreams(2_500);
                 rig.start(0);
             });
         }
@@ -35,7 +38,7 @@
 
     @Test
     void noRequestGoesToACacheThatDrainsWhileTheRouterStartsAndItsFirstStreamsAreReset() throws Exception {
-        try (FleetRig rig = new FleetRig(folder, 1, 4, RATE, "")) {
+        try (FleetRig rig = new FleetRig(folder, 1, 4, REQUESTS_PER_SECOND, "")) {
             restartDuringADrain(rig, () -> {
                 rig.coordinator.resetNext(20);
                 rig.start(0);
@@ -45,45 +48,45 @@
 
     @Test
     void aCoordinatorThatSighupNamesDuringTheStartIsFollowedBeforeTheRouterListens() throws Exception {
-        ExecutorService work = Executors.newCachedThreadPool();
-        try (FleetRig rig = new FleetRig(folder, 1, 4, RATE, "");
-                CoordinatorStandIn next = new CoordinatorStandIn(work, 0, 5)) {
+        ExecutorService executor = Executors.newCachedThreadPool();
+        try (FleetRig rig = new FleetRig(folder, 1, 4, REQUESTS_PER_SECOND, "");
+                CoordinatorStandIn next = new CoordinatorStandIn(executor, 0, 5)) {
             restartDuringADrain(rig, () -> {
-                rig.coordinator.answerLate(NEVER);
+                rig.coordinator.delayStreams(NEVER_MILLIS);
                 rig.start(0);
                 rig.awaitLogged(0, "is being followed");
-                rig.movesTo(0, next);
-                rig.routers.get(0).hangUp();
+                rig.moveCoordinator(0, next);
+                rig.routers.get(0).reload();
             });
             assertEquals("0", rig.routers.get(0).status().get("started-unsynced"));
         } finally {
-            work.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    /** What goes wrong as a router starts, and the start. */
-    private interface Start {
+    /** Injects a fault of the coordinator and starts the router. */
+    private interface FaultyStart {
         void run() throws Exception;
     }
 
-    private static void restartDuringADrain(FleetRig rig, Start start) throws Exception {
-        rig.play(2);
-        assertTrue(rig.cameTo(DRAINED).length > 0, "the cache is not used at all");
+    private static void restartDuringADrain(FleetRig rig, FaultyStart start) throws Exception {
+        rig.runLoad(2);
+        assertTrue(rig.receivedAtMillis(DRAINED).length > 0, "the cache received no requests before its drain");
         rig.routers.get(0).kill();
         start.run();
         rig.drain(DRAINED);
-        rig.play(9);
+        rig.runLoad(9);
         Thread.sleep(1_000);
-        long end = rig.record.now();
-        List<Done> last =
-                rig.clients.done().stream().filter(d -> d.at() > end - 3_000).toList();
-        assertTrue(last.size() > RATE, () -> "requests of the last seconds: " + last.size());
-        assertTrue(last.stream().allMatch(d -> d.end() == End.SERVED), "service is not back: " + last);
-        long drained = rig.record.drainedAt().get(DRAINED);
+        long endMillis = rig.requestLog.nowMillis();
+        List<RequestResult> lastResults =
+                rig.clients.completed().stream().filter(result -> result.sentAtMillis() > endMillis - 3_000).toList();
+        assertTrue(lastResults.size() > REQUESTS_PER_SECOND, () -> "requests of the last 3 seconds: " + lastResults.size());
+        assertTrue(lastResults.stream().allMatch(result -> result.end() == End.SERVED), "not all requests are served after the restart: " + lastResults);
+        long drainStartMillis = rig.requestLog.drainStartMillis().get(DRAINED);
         assertEquals(
                 List.of(),
-                rig.record.asked().stream()
-                        .filter(a -> a.member().equals(DRAINED) && a.at() > drained + DRAIN_GRACE)
+                rig.requestLog.requests().stream()
+                        .filter(request -> request.member().equals(DRAINED) && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                         .toList());
     }
 }
--- a/src/test/java/pumicemoor/lab/ReshapingTest.java
+++ b/src/test/java/pumicemoor/lab/TopologyChangesTest.java
@@ -15,46 +15,52 @@
 import pumicemoor.lab.Scenario.Happening;
 import pumicemoor.lab.Scenario.Way;
 
-/** The real program between stand-ins, reshaped again and again under load; judged by the stand-ins' records. */
-class ReshapingTest {
+/**
+ * Guards against fill loops, repeated fills at the origin and lost requests during topology changes: the real program
+ * runs between stand-ins under load while its topology changes twenty times. Checked by the stand-ins' logs.
+ */
+class TopologyChangesTest {
 
     private static final Map<String, Double> ORIGIN = Map.of("origin", 1.0);
 
     @TempDir
     Path folder;
 
-    private static Happening reshape(double at, Map<String, Map<String, Double>> hubs, Map<String, Double> depot) {
-        return new Happening(at, hubs, depot, null, null, null, null, null);
+    private static Happening topologyChange(double atSeconds, Map<String, Map<String, Double>> hubs, Map<String, Double> depot) {
+        return new Happening(atSeconds, hubs, depot, null, null, null, null, null);
     }
 
-    /** Twenty changes: hubs that change places, come, go, and start cold; a cache is drained among them. */
+    /**
+     * Returns twenty changes, in which hubs swap places, are added, are removed and restart with empty stores, and the
+     * drain of a cache.
+     */
     private static List<Happening> twentyChanges() {
-        List<Map<String, Map<String, Double>>> shapes = List.of(
+        List<Map<String, Map<String, Double>>> hubTopologies = List.of(
                 Map.of("hub-a", ORIGIN, "hub-b", Map.of("hub-a", 1.0)),
                 Map.of("hub-b", ORIGIN, "hub-a", Map.of("hub-b", 1.0)),
                 Map.of("hub-a", ORIGIN, "hub-b", ORIGIN, "hub-c", Map.of("hub-a", 1.0)),
                 Map.of("hub-c", ORIGIN, "hub-a", Map.of("hub-c", 1.0), "hub-b", Map.of("hub-a", 1.0)));
-        List<Map<String, Double>> depots = List.of(
+        List<Map<String, Double>> depotTopologies = List.of(
                 Map.of("hub-b", 1.0),
                 Map.of("hub-a", 1.0, "hub-b", 1.0),
                 Map.of("hub-b", 1.0, "hub-c", 1.0),
                 Map.of("hub-a", 1.0));
-        List<Happening> all = new ArrayList<>();
+        List<Happening> events = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            double at = 0.5 + 1.6 * i;
-            all.add(reshape(at, shapes.get(i % 4), depots.get(i % 4)));
+            double atSeconds = 0.5 + 1.6 * i;
+            events.add(topologyChange(atSeconds, hubTopologies.get(i % 4), depotTopologies.get(i % 4)));
             if (i % 5 == 2) {
-                all.add(new Happening(at + 0.8, null, null, "hub-a", null, null, null, null));
+                events.add(new Happening(atSeconds + 0.8, null, null, "hub-a", null, null, null, null));
             }
             if (i == 7) {
-                all.add(new Happening(at + 0.3, null, null, null, "box-2", null, null, null));
+                events.add(new Happening(atSeconds + 0.3, null, null, null, "box-2", null, null, null));
             }
         }
-        return all;
+        return events;
     }
 
     @Test
-    void twentyChangesUnderLoadMakeNoCircleAndAskTheOriginOnceAnObject() throws Exception {
+    void twentyTopologyChangesUnderLoadCauseNoFillLoopAndFillEachObjectOnceAtTheOrigin() throws Exception {
         Scenario scenario = new Scenario(
                 "twenty",
                 5,
@@ -73,13 +79,13 @@
                 null,
                 null);
         Report report = LabRun.play(scenario, folder, new PrintStream(OutputStream.nullOutputStream()));
-        String all = report.markdown();
+        String table = report.markdown();
         assertEquals(20, report.changes());
-        assertEquals(0, report.circles(), all);
-        assertTrue(report.mostFillsAtOrigin() <= 1, all);
-        assertEquals(0, report.askedAfterDrain(), all);
-        assertTrue(report.mostOfColdBudget() <= 1, all);
-        assertEquals(0, report.ended("lost") + report.ended("late") + report.ended("twice"), all);
-        report.status().forEach((router, fields) -> assertEquals("as-wanted", fields.get("hierarchy-stage"), all));
+        assertEquals(0, report.fillLoops(), table);
+        assertTrue(report.maxFillsPerObjectAtOrigin() <= 1, table);
+        assertEquals(0, report.requestsAfterDrain(), table);
+        assertTrue(report.maxSlowStartLoad() <= 1, table);
+        assertEquals(0, report.ended("lost") + report.ended("late") + report.ended("twice"), table);
+        report.status().forEach((router, fields) -> assertEquals("as-wanted", fields.get("hierarchy-stage"), table));
     }
 }
--- a/src/test/resources/pumicemoor/lab/acceptfail.c
+++ b/src/test/resources/pumicemoor/lab/acceptfail.c
@@ -1,4 +1,4 @@
-/* Preloaded into a process under test: every second accept fails as if no descriptor were left. */
+/* Preloaded into a process under test: every second accept call fails with EMFILE, as if no file descriptor were left. */
 #define _GNU_SOURCE
 #include <errno.h>
 #include <sys/socket.h>
--- a/src/test/resources/pumicemoor/lab/clockstep.c
+++ b/src/test/resources/pumicemoor/lab/clockstep.c
@@ -1,4 +1,4 @@
-/* Preloaded into a process under test: steps its wall clock by the seconds that the file CLOCK_STEP names holds. */
+/* Preloaded into a process under test: steps its wall clock by the number of seconds in the file that CLOCK_STEP names. */
 #define _GNU_SOURCE
 #include <stdio.h>
 #include <stdlib.h>
