--- a/src/main/java/pumicemoor/lab/FaultNetwork.java
+++ b/src/main/java/pumicemoor/lab/FaultNetwork.java
@@ -33,8 +33,7 @@
         return thread;
     });
     private final Random random;
-    private final AtomicLongArray
-            counters; // for each process: packets sent, bytes sent, packets delivered, bytes delivered
+    private final AtomicLongArray counters; // per process: packets sent, bytes sent, packets delivered, bytes delivered
     private volatile BiPredicate<Integer, Integer> linkCut = (from, to) -> false;
     private volatile double lossShare;
     private volatile double duplicateShare;
--- a/src/main/java/pumicemoor/lab/FreePorts.java
+++ b/src/main/java/pumicemoor/lab/FreePorts.java
@@ -16,6 +16,7 @@
     private static final int FIRST_PORT = 15_000;
     private static final int END_PORT = 32_000; // exclusive; below the usual range for outgoing connections
 
+    /** Starts at a port that depends on the process id, so that concurrent runs start at different ports. */
     private static int nextPort = FIRST_PORT + (int) (ProcessHandle.current().pid() * 37 % (END_PORT - FIRST_PORT));
 
     private FreePorts() {}
--- a/src/main/java/pumicemoor/lab/ProcessRun.java
+++ b/src/main/java/pumicemoor/lab/ProcessRun.java
@@ -292,7 +292,7 @@
             }
             readings.add(new Reading(role, figures));
         }
-        for (int i = 0; i < size; i++) { // last: it collects garbage, which takes CPU time
+        for (int i = 0; i < size; i++) { // last: a garbage collection takes CPU time; only live objects are counted
             if (heapSamples.merge(readings.get(i).role(), 1, Integer::sum) <= HEAP_SAMPLES_PER_ROLE) {
                 readings.get(i).figures().put("heap bytes", (double)
                         routers.get(i).liveHeapBytes());
--- a/src/test/java/pumicemoor/lab/CellProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/CellProcessesTest.java
@@ -32,7 +32,7 @@
     private static final int CACHES = 3;
     private static final double CACHE_LIMIT = 100;
     private static final double ORIGIN_LIMIT = 60;
-    private static final long BUCKET_MICROS = 100_000; // the token bucket of the limits
+    private static final long BUCKET_MICROS = 100_000; // size of the token bucket of a limit, as in the decision code
     private static final long LEASE_MILLIS = 1_000;
     private static final long GUARD_MILLIS = 100;
     // docs/fleet-design.md, "Cells"
@@ -143,7 +143,7 @@
         });
     }
 
-    /** Sends load until the cells have converged; the time is not bounded, as a slow machine takes longer. */
+    /** Sends load until the cells have converged; a slow machine takes longer, so the duration itself is not checked. */
     private static void awaitConverged(FleetRig rig, int routers) throws Exception {
         for (int attempt = 0; attempt < 40 && !converged(rig, routers); attempt++) {
             rig.runLoad(0.5);
--- a/src/test/java/pumicemoor/lab/DrainProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/DrainProcessesTest.java
@@ -179,7 +179,7 @@
             operator.runLoad(3);
             rig.unreachable.clear();
             for (int attempt = 0; attempt < 300 && !(hasEnded(rig, "a1") && operator.doneToReport.isEmpty()); attempt++) {
-                operator.runLoad(STEP_SECONDS); // not bounded, as a slow machine takes longer
+                operator.runLoad(STEP_SECONDS); // a slow machine takes longer, so the duration is not checked
             }
             assertTrue(hasEnded(rig, "a1"), () -> rig.rows(1, "drains") + " " + rig.rows(1, "drain-requests"));
             assertDrainRulesKept(rig, operator, pausedMillis, resumedMillis);
@@ -242,7 +242,7 @@
                                 .count(),
                 ends::toString);
         Files.writeString(Path.of("target", "drain-ends.txt"), ends + "\n" + operator.outages + "\n");
-        // open requests of a killed or paused router may be lost: a fifth of the requests of a short time
+        // open requests of a killed or paused router may be lost: a fifth of all requests for a short time
         assertTrue(ends.getOrDefault(End.SERVED, 0L) > 0.95 * results.size(), ends::toString);
     }
 }
--- a/src/test/java/pumicemoor/lab/FleetProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/FleetProcessesTest.java
@@ -26,7 +26,7 @@
     private static final double CACHE_LIMIT = 60;
     private static final double ORIGIN_LIMIT = 40;
     private static final double ACROSS_ZONES_LIMIT = 30;
-    private static final long BUCKET_MICROS = 100_000; // the token bucket of the limits
+    private static final long BUCKET_MICROS = 100_000; // size of the token bucket of a limit, as in the decision code
     private static final String FLEET =
             """
               period-ms: 100
@@ -100,7 +100,7 @@
             // the origin; responses in flight when a bucket runs empty are counted at the mean size, here the exact size
             assertKept(rig, "origin", Math.min(ORIGIN_LIMIT, ACROSS_ZONES_LIMIT));
             for (int attempt = 0; attempt < 40 && !converged(rig); attempt++) {
-                rig.runLoad(0.5); // not bounded, as a slow machine takes longer
+                rig.runLoad(0.5); // a slow machine takes longer, so the duration is not checked
             }
             assertTrue(converged(rig), () -> rig.rows(0, "members") + " " + rig.rows(0, "limits"));
         }
