--- a/src/test/java/pumicemoor/lab/FleetProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/FleetProcessesTest.java
@@ -96,8 +96,9 @@
             for (int i = 0; i < CACHES; i++) {
                 assertKept(rig, "box-" + i, CACHE_LIMIT);
             }
-            // every object has 1 kB and comes from the origin alone, so that the limit across zones binds before that of
-            // the origin; responses in flight when a bucket runs empty are counted at the mean size, here the exact size
+            // every object has 1 kB and comes from the origin alone, so that the limit across zones binds before that
+            // of the origin; responses in flight when a bucket runs empty are counted at the mean size, which is exact
+            // here
             assertKept(rig, "origin", Math.min(ORIGIN_LIMIT, ACROSS_ZONES_LIMIT));
             for (int attempt = 0; attempt < 40 && !converged(rig); attempt++) {
                 rig.runLoad(0.5); // a slow machine takes longer, so the duration is not checked
