--- a/src/main/java/pumicemoor/Hashes.java
+++ b/src/main/java/pumicemoor/Hashes.java
@@ -1,11 +1,11 @@
 package pumicemoor;
 
-/** Hashes of names, the same in every router and after every restart. */
+/** Hash functions for names, whose results are the same in every router and after every restart. */
 public final class Hashes {
 
     private Hashes() {}
 
-    /** The FNV-1a hash of the text's characters. */
+    /** Returns the 64-bit FNV-1a hash of a text, taken over its chars instead of bytes. */
     public static long fnv(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -21,7 +21,7 @@
         return mixed ^ (mixed >>> 31);
     }
 
-    /** A uniformly distributed hash of a name. */
+    /** Returns a uniformly distributed hash of a name. */
     public static long of(String name) {
         return mix(fnv(name));
     }
--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -35,7 +35,7 @@
     private static final int MAX_PEER_MESSAGES_PER_MINUTE = 12; // for one object
     private static final int MAX_PEER_MESSAGE_BYTES = 256;
     private static final double RETRY_TOKENS_PER_REQUEST = 0.2; // one token pays for one further attempt
-    /** Retry tokens that the routers of a location may save up together: the work of one cache. */
+    /** Retry tokens that all routers of a location together may save up; corresponds to the work of one cache. */
     private static final double RETRY_BURST_TOKENS = 40;
 
     private static final int MAX_ATTEMPTS = 7; // per request, cache-only lookups included
@@ -48,8 +48,8 @@
     private static final double FAILURE_RATE_GAIN = 0.15; // weight of the newest outcome in the failure rate
     private static final long BASE_EJECTION_MICROS = MICROS_PER_SECOND; // doubled with each further ejection
     private static final long MAX_EJECTION_MICROS = 8 * MICROS_PER_SECOND;
-    private static final long MIN_SILENCE_MICROS = 250 * MICROS_PER_MILLI; // silence counts after this at the earliest
-    private static final double SILENCE_MULTIPLE = 4; // multiple of the expected time that is added to it
+    private static final long MIN_SILENCE_MICROS = 250 * MICROS_PER_MILLI; // shortest silence that counts as a failure
+    private static final double SILENCE_MULTIPLE = 4; // times the expected time, added to that minimum
     private static final double MEAN_GAIN = 0.05; // weight of the newest value in moving averages
     /**
      * Each other router of the location adds this to the time over which this router's load is averaged, to stand
@@ -61,16 +61,16 @@
     /** Attempts that a location may have open at a member of unknown capacity. */
     private static final double INITIAL_LIMIT = 48;
 
-    private static final double INITIAL_LIMIT_PER_WEIGHT = 2; // the same where weights are known
-    /** A parent's initial limit over all locations, as a multiple of the limit by its weight. */
+    private static final double INITIAL_LIMIT_PER_WEIGHT = 2; // per unit of weight, where weights are known
+    /** Initial limit of a parent over all locations together, as a multiple of the limit by its weight. */
     private static final double PARENT_LIMIT_MULTIPLE = 2;
 
-    private static final double MIN_LIMIT = 2; // some attempts always go out, so that a recovery is noticed
+    private static final double MIN_LIMIT = 2; // some attempts are always allowed, so that a recovery is noticed
     private static final double LIMIT_CUT_FACTOR = 0.8; // applied to the limit when attempts come late
     private static final double LATE_SHARE_GAIN = 0.1; // weight of the newest attempt in the late share
     private static final double TOLERATED_LATE_SHARE = 0.2; // above this the limit is cut
     private static final double LARGE_REQUEST_RESERVE = 0.6; // share of a limit that the largest requests can't use
-    /** Load on the origin, and on each member of the fill path, of a fill that a parent may answer by itself. */
+    /** Load that a fill adds to the origin and to each member of the fill path when its source may hold a copy. */
     private static final double UPSTREAM_LOAD = 0.5;
 
     private static final int MAX_WAITERS_ROUTED = 8; // waiting requests that are routed again when an attempt ends
@@ -79,7 +79,7 @@
     private static final double THROUGHPUT_WINDOW_MICROS = 5 * MICROS_PER_SECOND;
     /** Assumed capacity, in transfers at a time, of a member in slow start whose capacity is not known. */
     private static final double SLOW_START_TRANSFERS = 3;
-    /** Such a member's assumed throughput, as a fraction of the mean of the warm members. */
+    /** Its assumed capacity as a fraction of the mean throughput of the warm members; the larger value is used. */
     private static final double SLOW_START_THROUGHPUT_FRACTION = 0.5;
 
     private static final double RETRY_AFTER_FRACTION = 0.5; // of the latency target, advised as retry-after
@@ -93,7 +93,7 @@
     private final Settings settings;
     private final boolean weighted;
     private final long tightestLatencyTarget;
-    private final int localRouters; // of this location; they behave alike, so this router's load stands for each
+    private final int localRouters; // at this location; they behave alike, so this router's load stands for each
     private final Random random;
     private final Map<Long, MemberState> members = new TreeMap<>();
     private List<MemberState> caches = List.of(); // ready caches of this location
@@ -101,7 +101,7 @@
     private MemberState origin;
     private Map<Long, FillSources> fillSources = Map.of(); // by member; empty: the listed parents and the origin
     private final Quotas quotas = new Quotas(QUOTA_BURST_MICROS);
-    private List<EjectedMember> ejections; // agreed by the fleet; null: no health reports are wanted either
+    private List<EjectedMember> ejections; // agreed by the fleet; null: there is no fleet that wants health reports
     private final Map<String, RequestState> requests = new LinkedHashMap<>();
     private final Map<String, ObjectHistory> objects = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
@@ -130,16 +130,16 @@
     private static final class MemberState {
         Member listing;
         boolean ready; // by the member list
-        double load; // of this router's open attempts, each with its share
-        double limit; // load that all routers of the location together may have here
+        double load; // sum of the loads that this router's open attempts add
+        double limit; // on the load of all routers of the location together
         double lateShare; // moving average of the share of late attempts
         double meanLoad; // moving average of load, as of loadUpdatedAt
         double failureRate; // moving average
         long loadUpdatedAt;
         long limitCutAt;
-        long limitReachedAt = Long.MIN_VALUE / 2; // when the limit last held a request up
+        long limitReachedAt = Long.MIN_VALUE / 2; // when a request last found this member full
         int openAttempts; // attempts with this member as their target
-        int reachingAttempts; // attempts that may reach this member in any place
+        int reachingAttempts; // attempts that may reach this member, also as source, on the fill path or as origin
         int consecutiveFailures;
         long lastAnswerAt;
         long connectionFailedAt;
@@ -147,7 +147,7 @@
         long ejectionMicros;
         long slowStartFrom;
         double throughput; // transfers served at a time, averaged, as of throughputUpdatedAt
-        double slowStartCredit; // budget left, as of creditUpdatedAt
+        double slowStartCredit; // budget left, in microseconds of work, as of creditUpdatedAt
         long throughputUpdatedAt;
         long creditUpdatedAt;
     }
@@ -160,7 +160,7 @@
         double workMicros; // time to send the answer at full rate
         double priority; // value per microsecond of work
         long sequence;
-        long latestStart; // started later, it can't be on time
+        long latestStart; // an attempt that starts later can't be on time
         long deadline;
         int attempts;
         int quickFailures;
@@ -168,8 +168,8 @@
         boolean closed;
         boolean streaming;
         boolean cacheMissed; // a cache-only lookup has found no copy
-        boolean parentMissed; // the same at the parent
-        boolean acceptStale; // a copy past its freshness, within the class's grace, will do
+        boolean parentMissed; // a lookup at the parent has found no copy either
+        boolean acceptStale; // a copy that is stale, but within the class's grace, is acceptable
         boolean retry; // the next attempt is a retry and takes a retry token
         final Map<Integer, Attempt> open = new TreeMap<>();
         final Set<Long> failedMembers = new HashSet<>();
@@ -180,10 +180,10 @@
         int number;
         MemberState target;
         MemberState source;
-        MemberState blamed; // the member last held responsible for its being late
+        MemberState blamed; // the member to which its lateness was last attributed
         long sentAt;
         long lateAfter;
-        long silentAfter; // from here on a member that has sent nothing counts as silent
+        long silentAfter; // from then on, a member that has sent nothing counts as silent
         boolean overdue;
         boolean cancelled;
         boolean expectHit;
@@ -193,7 +193,7 @@
         final Map<MemberState, Double> loadByMember = new LinkedHashMap<>();
     }
 
-    /** What is remembered of an object, or of a part of one. */
+    /** The known holders and the request count of an object, or of a part of one. */
     private static final class ObjectHistory {
         final List<Holder> holders = new ArrayList<>();
         int requestCount;
@@ -267,11 +267,11 @@
             MemberState member = members.get(listing.id());
             if (member == null || member.listing.started() != listing.started()) {
                 if (member != null) {
-                    member.ready = false; // what was known of the process before its restart is void
+                    member.ready = false; // state observed before the restart does not apply to the new process
                 }
                 member = new MemberState();
                 member.limit = weighted ? INITIAL_LIMIT_PER_WEIGHT * listing.weight() : INITIAL_LIMIT;
-                if (weighted && listing.role() == Role.PARENT) { // all locations share it
+                if (weighted && listing.role() == Role.PARENT) { // shared by all locations
                     member.limit *= PARENT_LIMIT_MULTIPLE * localRouters / Math.max(1, settings.routers());
                 }
                 member.limit = Math.max(MIN_LIMIT, member.limit);
@@ -424,8 +424,8 @@
     }
 
     /**
-     * Creates a fetch, which may fill. Objects requested once, and parts, are kept at a lower rank than objects that are
-     * requested again.
+     * Creates a fetch, which fills from the source unless that is the target itself. The copy is kept at a lower rank
+     * if the object was requested only once or is a part.
      */
     private Fetch newFetch(RequestState request, MemberState target, MemberState source, boolean onlyIfCached) {
         boolean kept = target.listing.role() == Role.CACHE && !request.requestClass.uncacheable();
@@ -448,8 +448,8 @@
     }
 
     /**
-     * Picks the hashed edge cache; while that is not usable, in slow start or full, a holder with capacity, else a
-     * cache that is at most half full.
+     * Picks the hashed edge cache. If that is not usable, full or without slow-start budget, picks a holder with
+     * capacity, else a cache that is at most half full.
      */
     private MemberState edgeCache(RequestState request) {
         List<MemberState> order = rendezvousOrder(caches, request.key, Map.of());
@@ -469,8 +469,9 @@
     }
 
     /**
-     * Picks the fill source: a remembered sibling, else the object's hashed parent, else the origin. A parent that is
-     * both late and full may be slow by itself, so what it can't take goes to another that is neither.
+     * Picks the fill source: a sibling that is known as a holder, else the object's hashed parent, else the origin.
+     * If the parent is both late and full, it may be the only slow one, so the request goes to another parent that is
+     * neither, if there is one.
      */
     private MemberState fillSource(RequestState request, MemberState edge) {
         Predicate<MemberState> usable = m ->
@@ -498,8 +499,9 @@
     }
 
     /**
-     * What a member may fill an object from, in the object's order: all listed parents, or the configured sources,
-     * previous or current first by whether the object has migrated.
+     * Returns the members that a child may fill an object from, in the object's order of preference: the listed
+     * parents, or the configured fill sources. Of these the current ones come first for an object that has migrated,
+     * the previous ones for any other.
      */
     private List<MemberState> rankedSources(MemberState child, String object) {
         FillSources sources = fillSourcesOf(child);
@@ -546,8 +548,8 @@
     }
 
     /**
-     * The members through which a source fills, in order, up to the origin. A migrated object first comes from its old
-     * home, where the source may fill from that.
+     * Returns the members through which a source fills, in order and without the origin. The first step is the
+     * object's home before the last change of the fill sources, if that is usable and one of the source's seeds.
      */
     private List<MemberState> fillPath(RequestState request, MemberState source, MemberState child) {
         List<MemberState> path = new ArrayList<>();
@@ -576,8 +578,9 @@
     }
 
     /**
-     * Whether a fill may wait for the fill of this holder. Where fill sources are configured, it may only wait for a
-     * cache that precedes it in the object's order, so that two caches never wait for each other.
+     * Whether an edge cache may fill from this holder, which may still be filling itself. Where fill sources are
+     * configured, a cache may wait only for the fill of a cache that precedes it in the object's order, so that two
+     * caches never wait for each other.
      */
     private boolean mayWaitForFill(RequestState request, MemberState edge, Holder holder) {
         List<MemberState> order = fillSources.isEmpty() || holder.heldSince >= 0
@@ -587,8 +590,9 @@
     }
 
     /**
-     * Whether a member has as much load of this location as it can serve in time. The more work a request is for its
-     * value, the sooner it finds a member full: a few large requests fill a link that would serve many small ones.
+     * Whether a member already has as much load from this location as it can serve in time, or this router's quota
+     * for it is used up. The lower the value of a request for its work, the sooner it finds a member full: a few large
+     * requests fill a link that would serve many small ones.
      */
     private boolean isFull(MemberState member, double addedLoad, RequestState request) {
         double small = request.priority / (request.priority + meanPriority);
@@ -650,7 +654,8 @@
             }
         }
         if (!attempt.loadByMember.keySet().stream().allMatch(m -> quotaAllows(m, request))) {
-            waitOrRefuse(request); // quotas count every member that it may reach in full, also where a hit is expected
+            // quotas count the attempt in full at each member that it may reach, even if a hit is expected
+            waitOrRefuse(request);
             return;
         }
         retryTokens -= request.retry ? 1 : 0;
@@ -689,7 +694,7 @@
         quotas.spend(member.listing.id());
     }
 
-    /** Records work that a member has served: that is what it can bear, however much it is sent. */
+    /** Updates a member's throughput: the work that it serves shows what it can bear, however much it is sent. */
     private void recordThroughput(MemberState member, RequestState request) {
         member.throughput = member.throughput * Math.exp((member.throughputUpdatedAt - now) / THROUGHPUT_WINDOW_MICROS)
                 + countedWork(member, request) / THROUGHPUT_WINDOW_MICROS;
@@ -722,7 +727,7 @@
         waiting.stream().limit(MAX_WAITERS_ROUTED).toList().forEach(this::route);
     }
 
-    /** Updates from an outcome which members hold the object, which are slow and which have failed. */
+    /** Records what an outcome shows: which members hold the object, are late or have failed. */
     private void recordOutcome(RequestState request, Attempt attempt, AttemptEnded event) {
         request.retry = true;
         if (event.outcome() == Outcome.OK) {
@@ -807,8 +812,8 @@
     }
 
     /**
-     * Counts an attempt as late against the member that its fill result names, else, once, against the likely cause:
-     * the cache, the source or the origin.
+     * Counts an attempt as late against the given member, which its fill result names. Without one, counts it against
+     * the likely cause, which is the target, the source or the origin, unless a member was blamed before.
      */
     private void recordLate(Attempt attempt, MemberState named) {
         boolean behindParent = settings.fills().fillReporting() == FillReporting.ALL
@@ -839,8 +844,9 @@
     }
 
     /**
-     * Adapts the limit of the load at a member, against overload of any kind: an attempt that was sent after the last
-     * cut and comes late, or not at all, cuts it; it rises slowly while it is reached and all attempts are on time.
+     * Adapts the limit on the load of a member, which guards against overload of any kind. An attempt on time raises
+     * the limit slowly if the limit was reached within the last second. An attempt that is late, or never answered,
+     * cuts it if it was sent after the last cut and too large a share of the attempts is late.
      */
     private void updateLimit(MemberState member, Attempt attempt, boolean late) {
         if (late && attempt.blamed == member) {
@@ -860,10 +866,11 @@
     }
 
     /**
-     * Handles an attempt whose target, or else whose source, has sent nothing since the attempt went out, whatever the
-     * cause, though it should have and others have answered. The request moves on to another member; two such
-     * failures in a row eject the silent one. While all sources are silent none of them is blamed, since the cause
-     * then lies upstream of them.
+     * Handles an attempt that has been open for too long, whatever the cause. The target is blamed if it has sent
+     * nothing since the attempt went out, although a hit was expected or the source has answered since; the source is
+     * blamed if it has sent nothing, but the target has, and other fills have succeeded. The attempt is cancelled, so
+     * that the request moves on to another member, and two such failures in a row eject the silent one. While all
+     * sources are silent none of them is blamed, since the cause then lies upstream of them.
      */
     private void handleSilence(RequestState request, Attempt attempt) {
         boolean targetSilent = attempt.target.lastAnswerAt < attempt.sentAt;
@@ -883,8 +890,9 @@
     }
 
     /**
-     * Records a failed request. A quick failure has cost little: the same member, which has the object, is tried
-     * again, and is avoided only once it fails most of its requests. A slow failure counts towards an ejection.
+     * Records a failed attempt. A quick failure costs little, so the request may try the same member, which has the
+     * object, again a few times; only a member that fails most of its requests is ejected. A slow failure counts as a
+     * consecutive failure, which leads to an ejection sooner.
      */
     private void recordFailure(RequestState request, Attempt attempt, MemberState member, long latency) {
         // each request counts once
@@ -906,7 +914,7 @@
         }
     }
 
-    /** Leaves a member alone for a while; one that was unresponsive is in slow start afterwards. */
+    /** Ejects a member, for longer each time; one that was unresponsive is in slow start afterwards. */
     private void eject(MemberState member, boolean unresponsive) {
         if (now < member.ejectedUntil) {
             return;
@@ -946,8 +954,8 @@
     }
 
     /**
-     * Sends the final answer at once: a refusal where the request can be repeated without harm, else a failure. A
-     * stale copy within the class's grace is tried first.
+     * Ends a request that can't be served in the ordinary way. First tries to serve a stale copy within the class's
+     * grace; else sends the final answer: a refusal if the client can repeat the request without harm, else a failure.
      */
     private void refuseOrFail(RequestState request) {
         MemberState edge = request.acceptStale
@@ -1015,7 +1023,7 @@
         history.holders.removeIf(h -> h.cache == cache);
     }
 
-    /** Whether a reference says that this cache holds a usable copy. */
+    /** Whether this cache is known to hold a valid copy. */
     private boolean holds(ObjectHistory history, RequestState request, MemberState cache) {
         return history.holders.stream().anyMatch(h -> h.cache == cache && h.heldSince >= 0 && isValid(h, request));
     }
@@ -1029,7 +1037,7 @@
                                         || now - holder.heldSince < request.requestClass.freshFor()));
     }
 
-    /** Sends a peer message that this cache holds the object. */
+    /** Sends other routers a peer message that this cache holds the object. */
     private void announceHolder(RequestState request, MemberState cache) {
         byte[] key = request.key.getBytes(StandardCharsets.UTF_8);
         ObjectHistory history = history(request);
@@ -1044,8 +1052,8 @@
             ByteBuffer payload = ByteBuffer.allocate(Long.BYTES + key.length)
                     .putLong(cache.listing.id())
                     .put(key);
-            // A message to the whole tier costs every router, but only the routers of this location use it. They are
-            // known by the messages that they have sent themselves.
+            // A message to all routers costs each of them, but only the routers of this location use it. They are
+            // known by the messages that they have sent; until all of them are, the message goes to all routers.
             Stream<Integer> recipients = localPeers.size() < localRouters - 1 ? Stream.of(-1) : localPeers.stream();
             recipients.forEach(peer -> actions.accept(new SendToPeer(peer, payload.array())));
         }
@@ -1071,9 +1079,9 @@
     }
 
     /**
-     * The greatest age of a copy that may be served. A copy from before a received purge never is; nor, while no
-     * heartbeats arrive, one from before a purge that counts as delivered though it was not received. 0 would mean any
-     * age.
+     * Returns the maximum age of a copy that may be served; 0 for any age. A copy from before a received purge is never
+     * served. While heartbeats are missing, neither is a copy older than PURGE_DELIVERY_MICROS: a purge that old counts
+     * as delivered to every router, though this one may not have received it.
      */
     private long maxAge(RequestState request) {
         long lastPurgedAt = purgedAt(request);
@@ -1088,8 +1096,8 @@
     }
 
     /**
-     * Whether a member may be sent attempts. A router that has ejected it tries it again itself, with one attempt at
-     * a time; all others follow the fleet's ejections.
+     * Whether a member may be sent attempts. A router that has ejected it itself tries it again after the ejection,
+     * one attempt at a time, until it answers; all other routers follow the fleet's ejections.
      */
     private boolean isUsable(MemberState member) {
         return member.ready
@@ -1099,7 +1107,7 @@
                         : ejections == null || ejections.stream().noneMatch(e -> e.covers(member.listing, now)));
     }
 
-    /** These members in the key's order by weighted rendezvous hashing. */
+    /** Returns the candidates in the order that weighted rendezvous hashing gives them for a key. */
     private List<MemberState> rendezvousOrder(
             Collection<MemberState> candidates, String key, Map<MemberState, Double> weights) {
         long hash = Hashes.fnv(key);
@@ -1116,10 +1124,10 @@
     }
 
     /**
-     * Whether a member can take this request as well, which is limited while it is in slow start. Each router earns its
-     * share of the load that the member can safely bear as time passes, and spends it by the work that it sends. A
-     * share far below one request is saved up until it allows one, from a random start, so that the routers don't all
-     * send at once.
+     * Whether a member is warm or its slow-start budget allows this request. As time passes, each router earns its
+     * share of the load that the member can safely bear, and it spends this credit on the work that it sends. A share
+     * far below one request is saved up until it allows one, from a random start, so that the routers don't all send
+     * at once.
      */
     private boolean slowStartAllows(MemberState member, RequestState request) {
         if (isWarm(member)) {
@@ -1165,7 +1173,7 @@
                                 .rampDuration();
     }
 
-    /** The mean throughput, in transfers at a time, with which the warm ones of these members serve this router. */
+    /** Returns the mean throughput of the warm candidates, in transfers that each serves this router at a time. */
     private double meanWarmThroughput(List<MemberState> candidates) {
         return candidates.stream()
                 .filter(m -> m.throughput > 0 && isWarm(m))
--- a/src/main/java/pumicemoor/Quota.java
+++ b/src/main/java/pumicemoor/Quota.java
@@ -5,24 +5,24 @@
 import pumicemoor.RouterApi.LimitShare;
 
 /**
- * Counts the use of one limit share and the demand for it: a token bucket for what is counted by the second. The
- * kilobytes that a request moves between zones are known only at its end; until then they are taken as the mean. This
- * class only counts; it must never decide whether a request is sent, queued or refused.
+ * Counts the use of one limit share and the demand for it, with a token bucket for rates. The kilobytes that a request
+ * moves between zones are known only at its end; until then the mean is assumed. This class only counts; it must never
+ * decide whether a request is sent, queued or refused.
  */
 final class Quota {
 
     private static final double MEAN_GAIN = 0.1; // weight of the newest value in the mean
 
-    private final double burstMicros; // time over which the bucket may save up
+    private final double burstMicros; // time for which the bucket may save up tokens
     private LimitShare share;
     private double tokens;
     private double demand;
-    private double meanKb; // that an attempt has moved between zones
-    private int openAttempts; // that may still move some
+    private double meanKb; // moved between zones by an attempt
+    private int openAttempts; // attempts that may still move data between zones
     private long refilledAt;
-    private long nextUncounted; // requests numbered below this entered the demand when they were first denied
+    private long nextUncounted; // a denied request with a lower number has already been counted
 
-    /** An empty bucket of this depth, which starts to fill now. */
+    /** Creates an empty bucket, which starts to fill now. */
     Quota(double burstMicros, LimitShare share, long now) {
         this.burstMicros = burstMicros;
         this.share = share;
@@ -39,7 +39,7 @@
         return share.measure();
     }
 
-    /** Fills the bucket up to now by the amount that was in force until now, and returns that amount. */
+    /** Adds the tokens earned since the last refill and returns the amount in force now. */
     private double refill(long now) {
         double amount = now < share.expiresAt() ? share.amount() : share.amountAfterExpiry();
         tokens = Math.min(
@@ -48,7 +48,7 @@
         return amount;
     }
 
-    /** Whether the share allows one more request, with this sequence number, while so many are in flight. */
+    /** Whether the share allows a request, given by its sequence number, in addition to those in flight. */
     boolean allows(long now, int inFlight, long request) {
         double amount = refill(now);
         boolean allowed = share.measure() == LimitMeasure.KB_PER_SECOND
@@ -71,15 +71,15 @@
     }
 
     void endAttempt(double kb) {
-        openAttempts = Math.max(0, openAttempts - 1); // an attempt from before the share arrived was not counted
+        openAttempts = Math.max(0, openAttempts - 1); // an attempt that began before the share arrived was not counted
         tokens -= kb;
         demand += kb;
         meanKb += kb > 0 ? (meanKb == 0 ? 1 : MEAN_GAIN) * (kb - meanKb) : 0;
     }
 
     /**
-     * Returns the demand since the last call: the requests or kilobytes, sent or denied, and, where the limit counts
-     * requests in flight, those of now.
+     * Returns the demand since the last call: the requests or kilobytes that were sent or denied. For limits on
+     * requests in flight, it is the number in flight now plus the requests that were denied.
      */
     LimitDemand takeDemand(int inFlight) {
         LimitDemand taken =
--- a/src/main/java/pumicemoor/Quotas.java
+++ b/src/main/java/pumicemoor/Quotas.java
@@ -11,14 +11,14 @@
 import pumicemoor.RouterApi.LimitShare;
 
 /**
- * Counts the use of all limit shares by member; empty where this router has none. This class only counts; it must never
- * decide whether a request is sent, queued or refused.
+ * Counts the use of all limit shares of this router, by member. A member without a share is not limited. This class
+ * only counts; it must never decide whether a request is sent, queued or refused.
  */
 final class Quotas {
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final double burstMicros; // time over which a bucket may save up
+    private final double burstMicros; // time for which a bucket may save up tokens
     private Map<Long, List<Quota>> byMember = Map.of();
     private long demandReportedAt;
 
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Whether a member's limits allow one more request, with this sequence number, while so many are in flight there;
-     * for a member in another zone, whether the limit of the traffic between zones allows it too.
+     * Whether a member's limits allow a request, given by its sequence number, in addition to those in flight there.
+     * For a member in another zone, the limit on the traffic between zones must allow it too.
      */
     boolean allows(long now, long member, boolean warm, int inFlight, long request, boolean inOtherZone) {
         return quotasOf(member).stream()
@@ -59,14 +59,14 @@
         quotasOf(member).forEach(Quota::spend);
     }
 
-    /** Counts a new attempt, where it may cross zones. */
+    /** Counts a new attempt if it may cross zones. */
     void beginAttempt(boolean mayCrossZones) {
         if (mayCrossZones) {
             quotasOf(LimitShare.ACROSS_ZONES).forEach(Quota::beginAttempt);
         }
     }
 
-    /** Counts the end of an attempt, with the kilobytes that it has moved between zones. */
+    /** Counts the end of an attempt that might cross zones, with the kilobytes that it has moved between them. */
     void endAttempt(boolean mayCrossZones, double kb) {
         if (mayCrossZones) {
             quotasOf(LimitShare.ACROSS_ZONES).forEach(q -> q.endAttempt(kb));
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the decision module: the settings that it gets at its start, the events that it receives and
- * the actions that it returns, independent of any protocol. Times are microseconds, sizes are kilobytes; a class,
- * a zone and a cell are numbers, the indexes of their entries in the settings.
+ * The interface of the decision module: the settings that it is created with, the events that it receives and the
+ * actions that it requests, independent of any protocol. Times are in microseconds, sizes in kilobytes. A class, a
+ * zone and a cell are given as numbers, the indexes of their entries in the settings.
  */
 public interface RouterApi {
 
@@ -16,7 +16,7 @@
 
     // ---- settings -------------------------------------------------------------------------------------
 
-    /** The configuration of a router, fixed from its start to its end. */
+    /** The configuration of a router, which does not change while it runs. */
     record Settings(
             int router,
             int routers,
@@ -73,7 +73,7 @@
             long staleGrace,
             double staleValue) {}
 
-    /** What this installation allows its routers. */
+    /** The limits of an installation on what its routers may do. */
     record Limits(
             int maxAttempts,
             int maxOpenRequests,
@@ -85,7 +85,7 @@
             long maxRetryAfter,
             long connectTimeout) {}
 
-    /** The figures of the rules that a router must keep; slow start has its own for caches and for parents. */
+    /** The parameters of the rules that a router must obey; slow start has separate ones for caches and parents. */
     record Rules(
             long answerSlack,
             long drainGrace,
@@ -97,8 +97,8 @@
             long askWithin) {}
 
     /**
-     * How a member that has just started gains capacity: it has the initial share at first and all of it after
-     * rampDuration. It fails when it gets more than overloadFactor times its current capacity.
+     * How the capacity of a member grows after its start: from initialShare of it to all of it after rampDuration. A
+     * member fails under a load of more than overloadFactor times its current capacity.
      */
     record SlowStart(double initialShare, long rampDuration, double overloadFactor) {}
 
@@ -131,14 +131,14 @@
             long originOverloadWindow,
             List<Double> linkKbPerSecond) {}
 
-    /** How load reports are obtained. */
+    /** How a router obtains load reports: not at all, by probes or with answers. */
     enum LoadReportSource {
         NONE,
         PROBE,
         ANSWER
     }
 
-    /** Load reports and the meaning of their two free fields. */
+    /** How load reports are obtained and what their two free fields mean. */
     record LoadReports(LoadReportSource source, List<String> fields) {}
 
     // ---- members --------------------------------------------------------------------------------------
@@ -150,7 +150,7 @@
         ORIGIN
     }
 
-    /** The state of a member by the member list. */
+    /** The state of a member according to the member list. */
     enum State {
         READY,
         DRAINING,
@@ -162,7 +162,7 @@
 
     // ---- events ---------------------------------------------------------------------------------------
 
-    /** An event that a router may receive. */
+    /** An event that the decision module may receive. */
     sealed interface Event
             permits MemberListUpdate,
                     FillSourcesUpdate,
@@ -178,7 +178,10 @@
                     DiscoveryHeartbeat,
                     PeerMessage {}
 
-    /** How a member list was obtained: as changes, whole, as saved before a start, or not at all. */
+    /**
+     * What a member list update contains: changes, the whole list, a list saved before a restart, or nothing because
+     * the list could not be obtained.
+     */
     enum MemberListKind {
         DELTA,
         SNAPSHOT,
@@ -197,16 +200,16 @@
 
     /**
      * The current fill sources of a member, and the previous ones, which serve the objects that have not migrated yet;
-     * reverting means that the objects that migrated last return first. Earlier are the sources before the last change,
-     * for as long as these are remembered. Seeds are the members that this one may fill from instead, for objects that
-     * were theirs.
+     * reverting means that the objects that migrated last return first. The earlier ones are those before the last
+     * change, for as long as they are remembered. Seeds are the members that this one may fill from instead, for
+     * objects whose home they were.
      */
     record FillSources(List<FillSource> current, List<FillSource> previous, List<FillSource> earlier, boolean reverting, List<Long> seeds) {}
 
     /**
-     * The fill sources by member, in place of the listed parents and the origin; under LOCATION those of the caches of
-     * this location that have none of their own. A member without any is filled from the listed parents and the origin,
-     * as are all members where the map is empty.
+     * The fill sources by member, which replace the listed parents and the origin. The entry under LOCATION applies to
+     * the caches of this location that have none of their own. A member without an entry is filled from the listed
+     * parents and the origin.
      */
     record FillSourcesUpdate(long version, Map<Long, FillSources> lists) implements Event {
         public static final long LOCATION = 0;
@@ -231,28 +234,28 @@
     }
 
     /**
-     * This router's share of a member's limit: an amount until it expires, and an amount for afterwards, in force where
-     * no further update arrives.
+     * This router's share of a member's limit: the amount until expiresAt, and the amount that applies afterwards if
+     * no further update has arrived.
      */
     record LimitShare(long member, LimitMeasure measure, double amount, long expiresAt, double amountAfterExpiry) {
 
-        /** Takes the place of a member id in the limit of all traffic between zones. */
+        /** Used as the member id in shares of the limit on all traffic between zones. */
         public static final long ACROSS_ZONES = 0;
     }
 
     /** All limit shares in force, in place of the previous ones; a member without a share is not limited. */
     record LimitSharesUpdate(List<LimitShare> shares) implements Event {}
 
-    /** A process of a member that all routers avoid until then, because some of them have reported it as failing. */
+    /** A process of a member that all routers avoid until the given time, since some have reported it as failing. */
     record EjectedMember(long member, long started, long until) {
 
-        /** Whether this process of this member is meant and the ejection has not expired. */
+        /** Whether this ejection applies to the given process of a member and has not expired. */
         public boolean covers(Member m, long now) {
             return member == m.id() && started == m.started() && now < until;
         }
     }
 
-    /** All ejections in force, in place of the previous ones. A router that receives these sends health reports. */
+    /** All ejections in force, in place of the previous ones. A router that receives any sends health reports. */
     record EjectionsUpdate(List<EjectedMember> ejected) implements Event {}
 
     /** A request; sizeKb 0 means that the size is not known. */
@@ -306,8 +309,8 @@
     }
 
     /**
-     * The end of an attempt; closed means that the request is over too. Load is empty when the answer had no load
-     * report; bodyKb is the size of the answer's body, 0 where it is not known.
+     * The end of an attempt; closed means that the request has ended too. Load is empty if the answer had no load
+     * report; bodyKb is the size of the answer's body, 0 if it is not known.
      */
     record AttemptEnded(
             String id,
@@ -322,7 +325,7 @@
             double bodyKb)
             implements Event {
 
-        /** The end of an attempt whose answer has no known size. */
+        /** Creates the end of an attempt whose answer has no known size. */
         public AttemptEnded(
                 String id,
                 int attempt,
@@ -355,8 +358,8 @@
     record Purged(String object, int group, long age) implements Event {}
 
     /**
-     * Every purge and list sent until now has been received. A router that never receives a heartbeat assumes that this
-     * always holds.
+     * Every purge and member list sent until now has been received. A router that has never received a heartbeat
+     * assumes that this always holds.
      */
     record DiscoveryHeartbeat() implements Event {}
 
@@ -365,7 +368,7 @@
 
     // ---- actions --------------------------------------------------------------------------------------
 
-    /** An action that a router may request. */
+    /** An action that the decision module may request. */
     sealed interface Action
             permits Lookup,
                     Fetch,
@@ -387,8 +390,8 @@
 
     /**
      * An attempt that names the source of a fill (the member itself for none), the rank at which the copy is
-     * kept (0 for not at all) and the greatest acceptable age of a copy (0 for the class's own bound). The fill path
-     * names, in order, the members that the source itself fills through; empty leaves that to the source.
+     * kept (0 for not at all) and the maximum acceptable age of a copy (0 for the class's own bound). The fill path
+     * names, in order, the members through which the source itself fills; if empty, the source chooses them.
      */
     record Fetch(
             String id,
@@ -404,7 +407,7 @@
             List<Long> fillPath)
             implements Action {
 
-        /** A fetch that leaves the fill path to the source. */
+        /** Creates a fetch that leaves the fill path to the source. */
         public Fetch(
                 String id,
                 long member,
@@ -420,7 +423,7 @@
         }
     }
 
-    /** Final answer: refused, and retrying is harmless; retryAfter 0 gives no advice. */
+    /** Final answer: refused, and a retry is harmless; retryAfter 0 means no advice on when to retry. */
     record Refuse(String id, long retryAfter) implements Action {}
 
     /** Final answer: failed, and the request may have been executed. */
@@ -447,10 +450,13 @@
     /** Requests the whole member list once. */
     record RequestMemberList() implements Action {}
 
-    /** The recent demand for a limit share, in the limit's measure, and how much of the share is in use. */
+    /** The demand for a limit share since the last report, in the limit's measure, and the requests in flight. */
     record LimitDemand(long member, LimitMeasure measure, double demand, double inUse) implements Action {}
 
-    /** This router has ejected a member until then, or found it healthy again; unresponsive: it sent nothing at all. */
+    /**
+     * This router has ejected a member until the given time, or found it healthy again; unresponsive means that the
+     * member sent nothing at all.
+     */
     record MemberHealthReport(long member, boolean failing, boolean unresponsive, int consecutiveFailures, double failureRate, long until)
             implements Action {}
 
--- a/src/main/java/pumicemoor/calls/CallRegistry.java
+++ b/src/main/java/pumicemoor/calls/CallRegistry.java
@@ -4,14 +4,16 @@
 import java.util.Map;
 
 /**
- * Remembers calls by their id, so that a request with side effects is not sent to a member twice. It owns a bounded
+ * A registry of calls by id, so that a request with side effects is not sent to a member twice. It owns a bounded
  * number of entries, one for each id of a request that must not run twice, from the call until long after its end; it
- * must not be used for other requests. It is empty after a start of the router, and therefore refuses a client retry
- * whose id it does not know: the request may have run.
+ * must not be used for other requests. Since it is empty after a start of the router, it refuses a client retry with an
+ * unknown id: the request may have run.
  */
 public final class CallRegistry {
 
-    /** The status of a call: an attempt may be under way, it has ended without having run, or it may have run. */
+    /**
+     * The status of a call: open, so an attempt may be running; ended without having run; or ended and may have run.
+     */
     private enum Status {
         OPEN,
         NOT_RUN,
@@ -34,8 +36,9 @@
     }
 
     /**
-     * Registers a call as open and returns true, or returns false if it must not be decided: because a call with the
-     * same id is open or may have run, or because it is a client retry with an unknown id.
+     * Registers a call as open and returns true. Returns false if the call must not be passed to the decision module
+     * because another call with the same id is open or may have run, or because it is a client retry with an unknown
+     * id.
      */
     public boolean mayBegin(long now, String id, boolean repeat) {
         evict(now);
@@ -77,7 +80,7 @@
     }
 
     /**
-     * Returns how many ids were evicted before the end of the retention time; if it grows, the capacity is too small.
+     * Returns the number of ids evicted before the end of the retention time; if it grows, the capacity is too small.
      */
     public long forgottenEarly() {
         return evictedEarly;
--- a/src/main/java/pumicemoor/calls/CallRules.java
+++ b/src/main/java/pumicemoor/calls/CallRules.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 
 /**
- * Maps the method, path and headers of a call to a request class, object, part and group by the operator's rules, of
- * which the first that matches applies. Patterns are matched by RE2 in time linear in the text, as paths come from
- * untrusted peers. It must never guess: a call that no rule matches is handled as the operator's file says.
+ * Maps the method, path and headers of a call to a request class, object, part and group. The first matching rule of
+ * the operator's file applies. RE2 matches the patterns in time linear in the text, since paths come from untrusted
+ * peers. It must never guess: a call that no rule matches is handled as the operator's file says.
  */
 public final class CallRules {
 
@@ -28,7 +28,7 @@
     }
 
     /**
-     * A rule. It matches a call by its method (null for any), by its path without the query, and by headers (keyed by
+     * A rule matches a call by its method (null for any), by its path without the query, and by headers (keyed by
      * lower-case name) that must have the given values. The named groups 'object', 'part' and 'group' of the pattern
      * extract these values from the path; without 'object' the whole path is the object. If groupHeader is not null,
      * the group comes from that header instead.
@@ -36,7 +36,7 @@
     public record Rule(
             String method, Pattern path, Map<String, String> headers, String requestClass, String groupHeader) {
 
-        /** Compiles a pattern; the message of the exception describes the syntax error. */
+        /** Compiles a pattern; the exception's message describes the syntax error. */
         public static Pattern pattern(String text) {
             try {
                 return Pattern.compile(text);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** The request class, object, part and group of a call; group -1 stands for none. */
+    /** The request class, object, part and group of a call; group -1 means none. */
     public record About(String requestClass, String object, int part, int group) {}
 
     private final List<Rule> rules;
--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * State machine of one stream on which another proxy makes a call: maps what arrives from the caller and from the
- * decision module to the actions that follow. It owns the state of the stream and nothing else. In whatever order
- * messages arrive, the caller receives at most one final answer, and the decision module receives either the end of
- * each announced attempt or the withdrawal of the request, once the caller no longer waits.
+ * The state machine of one stream on which another proxy makes a call. It maps each message from the caller or the
+ * decision module to the actions that have to follow, and owns the state of the stream and nothing else. In whatever
+ * order messages arrive, the caller receives at most one final answer, and the decision module receives at most one end
+ * of each announced attempt, and the withdrawal of the request if the caller no longer waits for it.
  */
 public final class CallState {
 
@@ -54,7 +54,7 @@
         /** Reports the end of the attempt to the decision module, as the caller reported it. */
         record End(int attempt) implements Act {}
 
-        /** Tells the decision module that the caller no longer waits. */
+        /** Reports to the decision module that the caller no longer waits. */
         record Withdraw() implements Act {}
 
         /** Completes the stream normally. */
@@ -91,7 +91,7 @@
 
     // ---- messages of the caller -----------------------------------------------------------------------
 
-    /** Takes a request that the decision module is to decide. */
+    /** Handles a request that goes to the decision module. */
     public List<Act> request() {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
@@ -101,7 +101,7 @@
         return List.of(new Act.Ask());
     }
 
-    /** Takes a request that the server answers without the decision module. */
+    /** Handles a request that the server answers without the decision module. */
     public List<Act> answered(Code code, long retryAfterMicros) {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
@@ -110,7 +110,7 @@
         return List.of(new Act.TellFinal(code, retryAfterMicros), new Act.Complete());
     }
 
-    /** Takes a request that no rule matches and that is passed through unchanged. */
+    /** Handles a request that no rule matches and that is passed through unchanged. */
     public List<Act> passed() {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
@@ -119,7 +119,7 @@
         return List.of(new Act.GoOn());
     }
 
-    /** Takes a client retry for which the decision module has an attempt ready: it is announced at once. */
+    /** Handles a client retry for which the decision module already has an attempt, which is announced at once. */
     public List<Act> adopt(int number) {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
@@ -129,12 +129,12 @@
         return named(number);
     }
 
-    /** Hands the open request over to the caller's next try, for which an attempt is ready; this stream drops it. */
+    /** Hands the open request over to the stream of the caller's next try, for which an attempt is ready. */
     public void detach() {
         openAtDecisions = false;
     }
 
-    /** Takes the end of the attempt of this number; -1 stands for the one announced last. */
+    /** Handles the end of the attempt with this number; -1 stands for the attempt announced last. */
     public List<Act> response(int number, boolean neverRan) {
         if (phase == Phase.NEW || phase == Phase.DECIDING) {
             return abort("a response before a member was named");
@@ -157,14 +157,14 @@
         return List.of(new Act.End(endedAttempt));
     }
 
-    /** Takes a body or trailers, which have no effect on the decision. */
+    /** Handles a body or trailers, which have no effect on the decision. */
     public List<Act> other() {
         return phase == Phase.NEW
                 ? abort("a body or trailers before the request")
                 : phase == Phase.OVER ? List.of() : List.of(new Act.GoOn());
     }
 
-    /** Takes the end of input: the caller sends nothing more. */
+    /** Handles the end of input: the caller sends nothing more. */
     public List<Act> halfClosed() {
         inputEnded = true;
         if (phase == Phase.DECIDING) {
@@ -173,35 +173,35 @@
         return end(phase != Phase.OVER);
     }
 
-    /** The caller has cancelled the stream, or its connection was lost. */
+    /** Handles the loss of the caller: it has cancelled the stream, or its connection was lost. */
     public List<Act> gone() {
         return end(false);
     }
 
-    /** The caller's message timeout is about to expire: refuses a request that is not decided yet. */
+    /** Handles the imminent end of a proxy's message timeout: refuses a request that is not yet decided. */
     public List<Act> messageTimeUp(long retryAfterMicros) {
         return phase == Phase.DECIDING && style == Style.PROXY ? sendFinal(Code.REFUSED, retryAfterMicros) : List.of();
     }
 
     // ---- messages of the decision module --------------------------------------------------------------
 
-    /** Takes an attempt that the decision module has chosen. */
+    /** Handles an attempt that the decision module has chosen. */
     public List<Act> named(int number) {
         if (phase == Phase.DECIDING || phase == Phase.NAMED && style == Style.REPORTER) {
             attempt = number;
             phase = Phase.NAMED;
             mayHaveRun = true;
             List<Act> acts = new ArrayList<>(List.of(new Act.TellName(number)));
-            if (inputEnded) { // the caller can no longer report its end
+            if (inputEnded) { // the caller can no longer report the attempt's end
                 acts.addAll(end(true));
             }
             return acts;
         }
-        // a proxy receives only one attempt, and this caller has had it or no longer waits
+        // either a proxy that has already received its one attempt, or a caller that no longer waits
         return withdraw();
     }
 
-    /** Takes the final answer of the decision module, which closes the request there. */
+    /** Handles the final answer of the decision module, which closes the request there. */
     public List<Act> decided(Code code, long retryAfterMicros) {
         openAtDecisions = false;
         attempt = -1; // an announced attempt has timed out: a response that still comes is passed through
--- a/src/main/java/pumicemoor/calls/FairAdmission.java
+++ b/src/main/java/pumicemoor/calls/FairAdmission.java
@@ -5,10 +5,11 @@
 import java.util.Map;
 
 /**
- * Admission control for calls: bounds the open calls, in all and per caller, and limits the rate of new calls with fair
- * shares. Each active caller earns tokens at an equal share of the rate; the unused rate collects in a common reserve,
- * from which callers that want more may take. So a caller that floods the router gets only what others leave unused. It
- * owns a small account for each caller, which is dropped after a time without calls; it must never look at a request.
+ * Admission control for calls: bounds the open calls, in total and per caller, and limits the rate of new calls with
+ * fair shares. Each active caller earns tokens at an equal share of the rate. The unused part of the rate collects in a
+ * common reserve, from which callers may take more than their share, so a caller that floods the router gets only what
+ * others leave unused. It owns a small account for each caller, which it drops after a time without calls; it must
+ * never look at a request.
  */
 public final class FairAdmission {
 
@@ -26,7 +27,8 @@
     private static final int EVICTION_CANDIDATES = 16;
 
     /**
-     * The bounds: open calls in all and of one caller, new calls a second in all, and whether callers get fair shares.
+     * The bounds: open calls in total and of one caller, new calls a second in total, and whether callers get fair
+     * shares.
      */
     public record Limits(int open, int openPerCaller, double rate, boolean fair) {}
 
@@ -62,7 +64,7 @@
         limits = next;
     }
 
-    /** Decides whether to admit a call of this caller. The end of an admitted call must be reported. */
+    /** Decides whether to admit a call of a caller. The end of an admitted call must be reported by {@link #ended}. */
     public Verdict admit(long now, String caller) {
         if (openCalls >= limits.open()) {
             return new Verdict(false, "open calls", (long) SECOND_MICROS);
@@ -104,7 +106,7 @@
         if (!limits.fair()) {
             return takeFromReserve();
         }
-        // the reserve bounds the calls of all callers; an account tells how many of them are the caller's own share
+        // the reserve bounds the calls of all callers together; the account shows the caller's own share of them
         double share = limits.rate() / activeCallers(now);
         account.tokens =
                 Math.min(Math.max(1, share * BURST_SECONDS), account.tokens + (now - account.refilledAt) / SECOND_MICROS * share);
@@ -128,8 +130,8 @@
     }
 
     /**
-     * Returns the number of callers with a recent call, counted again for a new caller and else ten times a second at
-     * most.
+     * Returns the number of callers with a recent call. It is counted again for each new caller, otherwise at most ten
+     * times a second.
      */
     private int activeCallers(long now) {
         if (now - activeCallersCountedAt > ACTIVE_MICROS / 10) {
--- a/src/main/java/pumicemoor/node/BoundedLog.java
+++ b/src/main/java/pumicemoor/node/BoundedLog.java
@@ -6,9 +6,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * A logger that writes a bounded number of lines a second, so that a peer that sends bad input can neither exhaust the
+ * A logger that writes a limited number of lines a second, so that a peer that sends bad input can neither exhaust the
  * router's CPU nor flood its log. It counts the suppressed lines and reports their number with the next line written.
- * It must never be used for what the router itself decides, nor in place of a counter.
+ * It must never be used for the router's own decisions, nor in place of a counter.
  */
 public final class BoundedLog {
 
@@ -25,14 +25,14 @@
         this.perSecond = perSecond;
     }
 
-    /** Logs a change in this router, under the same bound. Fields are passed to the log as key-value pairs. */
+    /** Logs a change at the given time (microseconds), under the same limit; fields become key-value pairs. */
     public void info(long now, String text, Map<String, Object> fields) {
         if (tryAcquire(now)) {
             write(log.atInfo(), text, fields);
         }
     }
 
-    /** Logs a warning at this time (microseconds), or counts it as suppressed. */
+    /** Logs a warning at the given time (microseconds), or counts it as suppressed. */
     public void warn(long now, String text) {
         if (tryAcquire(now)) {
             log.warn(format(), text, suppressed);
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Logs a warning with fields, which the log writes as key-value pairs so that programs can read them. */
+    /** Logs a warning with fields, which become key-value pairs so that programs can read them. */
     public void warn(long now, String text, Map<String, Object> fields) {
         if (tryAcquire(now)) {
             write(log.atWarn(), text, fields);
--- a/src/main/java/pumicemoor/node/Bytes.java
+++ b/src/main/java/pumicemoor/node/Bytes.java
@@ -1,8 +1,8 @@
 package pumicemoor.node;
 
 /**
- * A reference-counted message body on its way through the router. It exposes the reference count and the size only:
- * the body must never be read or changed here, so that it is passed on byte for byte.
+ * A reference-counted message body that passes through the router. It exposes only its size and operations on its
+ * reference count: the body must never be read or changed, so that it is passed on byte for byte.
  */
 public interface Bytes {
 
@@ -27,7 +27,7 @@
     /** Returns the size in bytes. */
     int size();
 
-    /** Adds a reference; the new holder has to release it. */
+    /** Adds a reference, which its holder has to release, and returns the body. */
     Bytes retain();
 
     /** Drops a reference. */
--- a/src/main/java/pumicemoor/node/CallFront.java
+++ b/src/main/java/pumicemoor/node/CallFront.java
@@ -4,8 +4,8 @@
 import pumicemoor.operator.OperatorConfig;
 
 /**
- * An additional server to which other proxies make calls for decisions; these proxies send the attempts themselves. All
- * methods are called on the event loop's thread. It must never make a decision about a request.
+ * A server on which other proxies call the router for decisions; the proxies send the attempts themselves. All methods
+ * are called on the event loop's thread. It must never make a decision about a request.
  */
 public interface CallFront {
 
@@ -21,7 +21,7 @@
     /** Applies a reloaded operator's file. */
     void applyOperatorConfig(OperatorConfig operator);
 
-    /** Accepts no new calls from now on; open calls continue. */
+    /** Stops accepting new calls; open calls continue. */
     void drain();
 
     /** Stops the server. */
--- a/src/main/java/pumicemoor/node/Counters.java
+++ b/src/main/java/pumicemoor/node/Counters.java
@@ -7,12 +7,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Counts what the router received, sent and answered since its start. The counts are for monitoring only; no decision
- * may depend on them. A single thread adds, any thread may read.
+ * Counts what the router has received, sent and answered since its start. The counts are for monitoring only; no
+ * decision may depend on them. Only one thread may add; any thread may read.
  */
 public final class Counters {
 
-    /** The counters; their names go out as metrics, in lower case with hyphens. */
+    /** The counters; their names are published as metrics, in lower case with hyphens. */
     public enum Name {
         CONNECTIONS,
         REQUESTS,
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -14,19 +14,19 @@
 import pumicemoor.fleet.drains.Drains;
 
 /**
- * Applies the fleet's drains to the member list for the decision module, where the fleet coordinates drains. A member
- * that is drained or out of service appears as draining; a member that has returned appears as just started. Until it
- * is known which members are drained, the list is held back. It owns the list as the coordinator reported it and the
- * list as the decision module has it; it must never decide which members are drained.
+ * Applies the fleet's drains to the member list that the decision module receives. It is used where the fleet
+ * coordinates drains. A member that is drained or out of service appears as draining, and one that has returned appears
+ * as just started. No list is passed on until it is known which members are drained. It owns the list as the
+ * coordinator reported it and the list as the decision module has it; it must never decide which members are drained.
  */
 final class DrainedMembers {
 
     private final Map<Long, Member> reported = new TreeMap<>();
-    private final Map<Long, Member> published = new TreeMap<>(); // as the decision module has them
+    private final Map<Long, Member> published = new TreeMap<>(); // as passed on to the decision module
     private Drains.View view = new Drains.View(false, Set.of(), Map.of());
     private long version;
 
-    /** Takes an update of the member list; returns the update for the decision module, if there is any. */
+    /** Applies an update of the member list and returns the resulting update for the decision module, if any. */
     Optional<MemberListUpdate> applyListUpdate(MemberListUpdate update) {
         version = update.version();
         if (update.kind() == MemberListKind.SNAPSHOT) {
@@ -48,7 +48,7 @@
         return view.settled() ? Optional.of(new MemberListUpdate(update.kind(), version, members)) : Optional.empty();
     }
 
-    /** Takes a new view of the drains; returns the update for the decision module, if there is any. */
+    /** Applies a new view of the drains and returns the resulting update for the decision module, if any. */
     Optional<MemberListUpdate> applyView(Drains.View next) {
         boolean firstView = next.settled() && !view.settled();
         view = next;
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -4,9 +4,9 @@
 import pumicemoor.operator.OperatorConfig;
 
 /**
- * An output of the {@link Reducer}: an instruction to the network layer. An effect is complete in itself: carrying it
- * out must never require a look into the reducer or leave a decision open. Whoever carries it out takes over ownership
- * of its body and has to release it.
+ * An output of the {@link Reducer}: an instruction to the network layer. An effect is complete in itself: it must be
+ * possible to execute it without access to the reducer and without a further decision. The code that executes an effect
+ * takes ownership of its body and has to release it.
  */
 public sealed interface Effect {
 
@@ -19,8 +19,8 @@
 
     /**
      * Writes a request to a member. Source null means that no source is named; maximum age 0 means the bound of the
-     * request class. The answer to a cacheable request carries the version of the copy. The fill path names the members
-     * from which the source in turn fills; on the platform it is always empty.
+     * request class. The answer to a cacheable request carries the version of the copy. The fill path names, in order,
+     * the members through which the source in turn fills; on the platform it is always empty.
      */
     record SendAttempt(
             long attempt,
@@ -45,9 +45,9 @@
             implements Effect {}
 
     /**
-     * Announces an attempt to the proxy that made the call of this number: the member and the parameters of the request
-     * to it. Source null means that no source is named; maximum age 0 means the bound of the request class. The key
-     * identifies the attempt in the input that reports its end.
+     * Announces an attempt to the proxy that made the call with this number: the member and the parameters of the
+     * request to it. Source null means that no source is named; maximum age 0 means the bound of the request class. The
+     * key identifies the attempt in the input that reports its end.
      */
     record AnnounceAttempt(
             long call,
@@ -74,11 +74,11 @@
      */
     record AbandonAttempt(long attempt, boolean notifyCache) implements Effect {}
 
-    /** Sends the one final answer to a request; retryAfterMillis 0 gives no advice when to retry. */
+    /** Sends the one final answer to a request; retryAfterMillis 0 means no advice on when to retry. */
     record Answer(long connection, int stream, Code code, boolean unchanged, long retryAfterMillis, Bytes body)
             implements Effect {}
 
-    /** Reports unusable input on a client connection, which counts against it; the answer is an effect of its own. */
+    /** Counts invalid input against a client connection; the answer to it is a separate effect. */
     record ReportProtocolError(long connection) implements Effect {}
 
     /** Closes the idle connections to a member. */
@@ -90,10 +90,10 @@
     /** Retires the connections to a removed member: they take no new attempts and are closed when idle. */
     record RetireConnections(String instance) implements Effect {}
 
-    /** Tells every client, including those that connect later, to send no new requests. */
+    /** Signals to every client, including those that connect later, to send no new requests. */
     record DrainClients() implements Effect {}
 
-    /** Opens the coordinator's stream at this address from the last applied event on, replacing any current stream. */
+    /** Opens the coordinator's stream at this address after the last applied event, replacing any current stream. */
     record FollowCoordinator(String coordinator) implements Effect {}
 
     /** Sends a packet to another router of the fleet. */
--- a/src/main/java/pumicemoor/node/HitCount.java
+++ b/src/main/java/pumicemoor/node/HitCount.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Counts how often each member recently answered from its own cache, over the current time window and the one before.
- * Times are microseconds.
+ * Counts how often each member has recently answered from its own cache, in the current time window and the one before.
+ * Times are in microseconds.
  */
 final class HitCount {
 
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -4,15 +4,15 @@
 import pumicemoor.operator.OperatorConfig;
 
 /**
- * An input of the {@link Reducer}: something that has happened to the router. Inputs state facts without interpreting
- * them. They must never hold a connection or another network object, only its number. The reducer takes over
- * ownership of a body with its input and has to release it.
+ * An input of the {@link Reducer}: something that has happened to the router, stated as a fact without interpretation.
+ * An input must never hold a connection or another network object, only its number. With an input, the reducer takes
+ * ownership of its body and has to release it.
  */
 public sealed interface Input {
 
     /**
-     * A client's request. The call is the id that the client gave it; the tag is the version of the copy that the
-     * client holds. Where the client sends none, the part is 0, the group -1 and the tag null.
+     * A client's request. The call is the id that the client gave the request; the tag is the version of the copy that
+     * the client holds. If the client does not send them, the part is 0, the group -1 and the tag null.
      */
     record Request(
             long connection,
@@ -28,7 +28,7 @@
             Bytes body)
             implements Input {
 
-        /** Returns this request with its time to live reduced by the microseconds for which it may have been unread. */
+        /** Returns this request with its time to live reduced by the time for which it may have waited unread. */
         public Request withUnreadDelay(long micros) {
             return new Request(
                     connection,
@@ -46,8 +46,8 @@
     }
 
     /**
-     * A request of another proxy, which sends the attempts itself: this router announces them to the proxy. The number
-     * is negative and takes the place of a client connection; the id is unique across callers.
+     * A request of another proxy, which sends the attempts itself once this router has announced them. The number is
+     * negative and takes the place of the connection number; the id is unique across callers.
      */
     record Call(
             long number,
@@ -77,15 +77,15 @@
     }
 
     /**
-     * A cache's complete answer. The note tells how the cache obtained the copy, null where the cache sends none; the
-     * load is the cache's load report, empty where it sends none.
+     * A cache's complete answer. The note says how the cache obtained the copy, or why it could not; null if the cache
+     * sends none. The load is the cache's load report, empty if it sends none.
      */
     record Answered(long attempt, AnswerStatus status, String note, Map<String, Double> load, Bytes body) implements Input {}
 
     /** The last byte of an attempt was written to the connection. */
     record Written(long attempt) implements Input {}
 
-    /** An attempt was not completely written, so that it never ran. */
+    /** An attempt was not completely written, so it never ran. */
     record NeverSent(long attempt) implements Input {}
 
     /**
@@ -93,19 +93,19 @@
      */
     record NoConnectionAvailable(long attempt) implements Input {}
 
-    /** The connection was lost after the attempt had been written completely, so that it may have run. */
+    /** The connection was lost after the attempt had been written completely, so it may have run. */
     record ConnectionLost(long attempt) implements Input {}
 
     /** An event of the coordinator, as JSON text. */
     record CoordinatorUpdate(String json) implements Input {}
 
-    /** The coordinator's stream delivered something, possibly only a comment: all earlier events have arrived. */
+    /** The coordinator's stream has delivered data, if only a comment, so all earlier events have arrived. */
     record CoordinatorHeartbeat() implements Input {}
 
     /** A packet from another router of the fleet, not yet decoded. */
     record FleetPacketReceived(byte[] bytes) implements Input {}
 
-    /** An operator's command, as fields, received from this machine; the reply goes out on the same stream. */
+    /** An operator's command, as fields, sent from this machine; the reply is sent on the same stream. */
     record Command(long connection, int stream, Map<String, String> fields) implements Input {}
 
     /**
@@ -114,7 +114,7 @@
      */
     record Reload(NodeConfig config, OperatorConfig operator, String problem) implements Input {}
 
-    /** The time of {@link Reducer#nextDue} has come. */
+    /** The time returned by {@link Reducer#nextDue} has been reached. */
     record TimerFired() implements Input {}
 
     /** Everything that clients had sent by the time of {@link Effect.CompleteClientReads} has been processed. */
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -25,10 +25,10 @@
 
     private static final int MAX_PORT = 65_535;
 
-    /** The fields that can only change with a restart; the others are either used at the start only or followed. */
+    /** The fields that can only change with a restart; the others are used only at the start or can be reloaded. */
     private static final List<String> RESTART_FIELDS = List.of("name", "listen", "limits", "settings");
 
-    /** The platform's resource limits and the connection settings; keepAlive in microseconds. */
+    /** The platform's resource limits and the connection settings; keepAlive is in microseconds. */
     public record Resources(int memoryMb, int sockets, long keepAlive, int multiplex) {}
 
     /** Parses the configuration; the exception names the invalid field. */
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -74,8 +74,8 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * Router time and wall clock agree if they differ by at most this. Clocks of different machines always differ a
-     * little, so that a reported start time is not corrected for less.
+     * The greatest difference between router time and wall clock at which a reported start time is used uncorrected:
+     * clocks of different machines always differ a little.
      */
     private static final long CLOCK_TOLERANCE_MICROS = 1_000_000;
 
@@ -111,22 +111,22 @@
     private final SettingsReader settingsReader;
     private final ResourceLimits limits;
     private final Counters counters;
-    private final Map<String, Request> requestsById = new HashMap<>(); // closed ones stay until their last attempt has ended
+    private final Map<String, Request> requestsById = new HashMap<>(); // closed ones until their last attempt ends
     private final Map<StreamKey, Request> unanswered = new LinkedHashMap<>();
     private final Map<String, Request> unansweredByClientId = new HashMap<>(); // key: the id that the client chose
     private final BoundedLog warningLog;
     private final Map<Long, Attempt> attemptsByKey = new HashMap<>();
     private final Map<Long, Endpoint> endpointsByMember = new HashMap<>();
-    private final Map<Long, Fleet.Listed> fleetMembers = new TreeMap<>(); // listed members, as the fleet needs them
+    private final Map<Long, Fleet.Listed> fleetMembers = new TreeMap<>(); // listed members, as passed to the fleet
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final Queue<Event> pendingEvents = new ArrayDeque<>();
     private Consumer<Effect> effectSink;
     private long now;
     private long wallNow; // the machine's wall clock, which may be stepped
-    private long lastNumber; // requests, attempts and timers share this sequence
+    private long lastNumber; // the last number given to a request, an attempt or a timer
     private long lastEventIndex;
-    private boolean synced; // caught up with the coordinator since the start, or the wait for that timed out
-    private long gapDetectedAfter = -1; // index of the event behind which the last gap was found
+    private boolean synced; // has caught up with the coordinator since the start, or has stopped waiting for that
+    private long gapDetectedAfter = -1; // index of the last event before the most recent gap; -1 for none
     private NodeConfig config;
     private OperatorConfig operatorConfig = OperatorConfig.NONE;
     private Optional<Hierarchy> hierarchy = Optional.empty();
@@ -169,7 +169,8 @@
     }
 
     /**
-     * A timer. The subject is, by kind, the token of the decision module, an attempt key or a request number; else 0.
+     * A timer. Depending on its kind, the subject is the token of the decision module, an attempt key, a request number
+     * or 0.
      */
     private record Timer(long dueAt, long sequence, TimerKind kind, long subject) implements Comparable<Timer> {
         @Override
@@ -180,7 +181,7 @@
         }
     }
 
-    /** A request that is still unanswered, or that has attempts under way. */
+    /** A request that is not yet answered or still has open attempts. */
     private static final class Request {
         Input.Request input;
         String id;
@@ -246,7 +247,7 @@
         now = Math.max(now, time);
         wallNow = wallTime;
         effectSink = effects;
-        if (fleetDue <= now) { // after a pause of the process, leases that expired meanwhile must not be used
+        if (fleetDue <= now) { // if the process was paused, leases that expired meanwhile must not be used
             advanceFleet();
         }
         if (input instanceof Input.Request request) {
@@ -293,7 +294,7 @@
             pendingEvents.add(new DiscoveryHeartbeat());
             markSynced();
         } else if (input instanceof Input.FleetPacketReceived packet) {
-            fleet.ifPresent(x -> x.receive(now, packet.bytes()));
+            fleet.ifPresent(f -> f.receive(now, packet.bytes()));
         } else if (input instanceof Input.Command command) {
             String reply = fleet.map(f -> f.handleCommand(now, command.fields()))
                     .orElse("refused: this router has no section 'fleet' in its operator's file");
@@ -434,7 +435,7 @@
     private void perform(Action action) {
         if (action instanceof Fetch fetch) {
             send(requestsById.get(fetch.id()), fetch);
-        } else if (action instanceof Lookup lookup) { // the member is its own source, so that nothing is filled
+        } else if (action instanceof Lookup lookup) { // with the member as its own source nothing is filled
             send(
                     requestsById.get(lookup.id()),
                     new Fetch(lookup.id(), lookup.member(), lookup.member(), 0, 0, false, false, false, false, lookup.timeout()));
@@ -550,7 +551,7 @@
     private void abandon(Attempt attempt) {
         counters.add(Name.QUITS);
         if (attempt.request.sentByProxy) {
-            return; // the proxy that sends it receives the next attempt or the final answer instead
+            return; // the proxy that sends the attempt receives the next one or the final answer instead
         }
         effectSink.accept(new Effect.AbandonAttempt(attempt.key, settings.limits().cancel()));
     }
@@ -616,7 +617,7 @@
         timers.add(new Timer(dueAt, ++lastNumber, kind, subject));
     }
 
-    /** Whether the subject of a timer has ended, so that the router need not wake up for it. */
+    /** Whether the subject of a timer has ended or has a newer timer, so that the router need not wake up for it. */
     private boolean isStale(Timer timer) {
         return switch (timer.kind()) {
             case ATTEMPT_TIMEOUT -> !attemptsByKey.containsKey(timer.subject());
@@ -658,7 +659,7 @@
         }
     }
 
-    /** Fails a request for which the decision module has given no answer in time. */
+    /** Fails a request that the decision module has not answered in time. */
     private void failOverdue(Request request) {
         if (request != null && answer(request, Code.FAILED, false, 0, Bytes.NONE)) {
             counters.add(Name.OVERDUE);
@@ -696,9 +697,9 @@
     }
 
     /**
-     * Whether all events up to the start of the coordinator's stream have been applied, or the wait for them timed
-     * out. Before that, decisions would rest on the member list of the configuration, which may be older than a grace
-     * period.
+     * Whether all events up to the start of the coordinator's stream have been applied, or the wait for them has timed
+     * out. Before that, decisions would be based on the member list in the configuration, which may be older than a
+     * grace period.
      */
     public boolean synced() {
         return synced;
@@ -722,7 +723,7 @@
         }
     }
 
-    /** Starts the router with the events in its configuration. */
+    /** Starts the router: applies the events in its configuration and sets the first timers. */
     public void known(long time, NodeConfig config, Consumer<Effect> effects) {
         now = time;
         wallNow = time;
@@ -749,8 +750,8 @@
     // ---- the hierarchy --------------------------------------------------------------------------------
 
     /**
-     * Applies the operator's file; called at most once, before the events of the configuration are applied. Without it
-     * there is neither a fleet nor a hierarchy.
+     * Applies the operator's file and creates the fleet participant and the hierarchy that it configures. Called at
+     * most once, before the events of the configuration are applied; without a call there is neither.
      */
     public void applyOperatorConfig(long time, OperatorConfig initial, String location, String name, long seed) {
         operatorConfig = initial;
@@ -768,7 +769,7 @@
                     return hitCount.recentHits(now, member);
                 }
             }));
-            drainedMembers = fleet.filter(FleetParticipant::coordinatesDrains).map(x -> new DrainedMembers());
+            drainedMembers = fleet.filter(FleetParticipant::coordinatesDrains).map(f -> new DrainedMembers());
         });
         initial.hierarchy().ifPresent(section -> {
             long slowStartMicros = settings.rules().parentSlowStart().rampDuration();
@@ -813,15 +814,15 @@
             return;
         }
         FleetParticipant participant = fleet.get();
-        // applies the drains before the decision module can send anything: the router must comply with what it reports
+        // apply drains before the decision module can send anything: the router has to act on the drains it reports
         participant.takeDrainView().flatMap(view -> drainedMembers.get().applyView(view)).ifPresent(pendingEvents::add);
         dispatchEvents();
         participant.advance(now);
         participant.takeDrainView().flatMap(view -> drainedMembers.get().applyView(view)).ifPresent(pendingEvents::add);
         pendingEvents.addAll(participant.takeEvents());
         dispatchEvents();
-        participant.takePackets().forEach(d -> effectSink.accept(new Effect.SendFleetPacket(d.address(), d.bytes())));
-        participant.takeLogEvents().forEach(n -> fleetLog.info(now, n.text(), n.fields()));
+        participant.takePackets().forEach(p -> effectSink.accept(new Effect.SendFleetPacket(p.address(), p.bytes())));
+        participant.takeLogEvents().forEach(e -> fleetLog.info(now, e.text(), e.fields()));
         long due = participant.nextDue();
         if (due != fleetDue) {
             addTimer(due, TimerKind.FLEET, 0);
@@ -829,7 +830,7 @@
         fleetDue = due;
     }
 
-    /** Returns the table of one fleet subject as JSON text; empty if there is no fleet or no such subject. */
+    /** Returns the fleet's table on one subject as JSON text; empty if there is no fleet or no such subject. */
     public Optional<String> rows(String subject) {
         return fleet.flatMap(f -> f.rows(subject)).map(Rows::json);
     }
@@ -845,7 +846,7 @@
         }
     }
 
-    /** Returns status fields of the hierarchy and the fleet, as far as the operator has enabled them. */
+    /** Returns the status fields, by name, of the hierarchy and the fleet if the operator has configured them. */
     public Map<String, String> state() {
         Map<String, String> state = new LinkedHashMap<>();
         hierarchy.ifPresent(h -> state.putAll(h.snapshot().fields()));
@@ -855,12 +856,13 @@
 
     /**
      * Applies a new operator's file and returns null, or returns the reason why it can't be applied. A running router
-     * follows a new topology, and a section 'processor' with the same 'listen' and 'tls'; not the other changes.
+     * applies a new topology, and a changed section 'processor' if its 'listen' and 'tls' are the same. It rejects a
+     * changed section 'fleet' and any other change of the section 'hierarchy'.
      */
     private String applyNewOperatorConfig(OperatorConfig next) {
         if (next.equals(operatorConfig)) {
             if (next.processor().isPresent()) {
-                // the certificate files that it names may have changed
+                // the certificate files that the section names may have changed
                 effectSink.accept(new Effect.ApplyOperatorConfig(next));
             }
             return null;
@@ -906,8 +908,8 @@
     }
 
     /**
-     * Applies a new configuration. A file that cannot be used, or that changes a field that a running router cannot
-     * follow, is rejected as a whole. Open requests are not affected.
+     * Applies a reloaded configuration and operator's file. If one of them is unusable, or changes a field that can't
+     * be changed while running, neither is applied. Open requests are not affected.
      */
     private void reload(Input.Reload reload) {
         String problem = reload.config() == null
@@ -929,8 +931,8 @@
     }
 
     /**
-     * Applies an event once and in order. On a gap it opens the coordinator's stream again from the last applied event,
-     * once per gap; if the missing event does not come then either, the later one is applied.
+     * Applies an event once and in order. On a gap, reopens the coordinator's stream from the last applied event, once
+     * per gap; if the missing event is not sent then either, applies the later one.
      */
     private void applyUpdate(Message update) throws WireException {
         long index = update.integer("index", lastEventIndex + 1);
@@ -947,7 +949,7 @@
         }
         lastEventIndex = index;
         counters.add(Name.UPDATES);
-        // each part is read on its own: an unreadable one does not affect the others
+        // the parts are read independently: an unreadable one does not affect the others
         applyPart(index, "evict", update, this::applyPurge);
         applyPart(index, "endpoints", update, this::applyMemberList);
         applyPart(index, "shape", update, shape -> applyTopologyMessage(TopologyMessage.read(shape)));
@@ -976,15 +978,15 @@
     }
 
     /**
-     * Returns how long ago a Unix time was. If the wall clock was stepped since the start, either clock may be wrong;
-     * the smaller age is the safe one: purges then cover more copies and members stay in slow start longer.
+     * Returns the time elapsed since a Unix time. If the wall clock was stepped since the start, either clock may be
+     * wrong. The smaller result is the safe one: purges then cover more copies, and members stay in slow start longer.
      */
     private long ageOf(long unixMicros) {
         return Math.max(0, Math.min(now, wallNow) - unixMicros);
     }
 
     /**
-     * Returns the start time of a member by this router's clock; 0 for long ago. It stays the same for as long as the
+     * Returns the start time of a member by this router's clock; 0 for long ago. The result does not change while the
      * coordinator reports the same start.
      */
     private long startTime(long member, long reportedStart) {
@@ -996,7 +998,7 @@
         return reportedStart == 0 || clocksAgree ? reportedStart : now - ageOf(reportedStart);
     }
 
-    /** An entry of a member list that could be read. */
+    /** A valid entry of a member list. */
     private record ListEntry(Member member, Endpoint endpoint) {}
 
     private ListEntry parseListEntry(Message entry) throws WireException {
@@ -1097,7 +1099,7 @@
         effectSink.accept(new Effect.RetireConnections(endpointsByMember.remove(member).instance()));
     }
 
-    /** Returns the FNV-1a hash of a member's name, an id that is the same at every router and after every restart. */
+    /** Returns the id of a member: the FNV-1a hash of its name, the same at every router and after every restart. */
     static long memberId(String instance) {
         long hash = 0xcbf29ce484222325L;
         for (byte b : instance.getBytes(StandardCharsets.UTF_8)) {
--- a/src/main/java/pumicemoor/node/RequestTrace.java
+++ b/src/main/java/pumicemoor/node/RequestTrace.java
@@ -7,8 +7,8 @@
 
 /**
  * Traces each request at level DEBUG under the id that its client gave it: its arrival, the start of each attempt with
- * the last coordinator event applied before the decision, the end of each attempt, and the final answer. It is off
- * unless the logger {@code pumicemoor.node.RequestTrace} is set to DEBUG; no decision may depend on it.
+ * the last coordinator event applied before that, the end of each attempt, and the final answer. It is off unless the
+ * logger {@code pumicemoor.node.RequestTrace} is set to DEBUG; no decision may depend on it.
  */
 final class RequestTrace {
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Traces the start of an attempt; the source is null if it names none, the event is the last one applied. */
+    /** Traces the start of an attempt; the source is null if nothing is filled, the event is the last one applied. */
     static void attemptStarted(String clientRequestId, int number, String target, String source, long lastEventIndex, long millisLeft) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -4,9 +4,9 @@
 import pumicemoor.RouterApi.Settings;
 
 /**
- * The sizes, counts and times that protect the router's own resources, computed once at start. It must never hold a
- * value that influences where a request goes: those belong to the decision module. Times are microseconds except where
- * noted, sizes are bytes.
+ * The sizes, counts and times that protect the router's own resources, computed once at the start. It must never hold a
+ * value that influences where a request goes: such values belong to the decision module. Times are in microseconds
+ * unless noted otherwise, sizes in bytes.
  */
 public record ResourceLimits(
         int openRequests, // open requests of the router
@@ -17,12 +17,12 @@
         int answerBytes, // largest body of an answer
         int lineBytes, // longest header line of an answer
         long bufferedBytes, // memory of all network buffers together
-        int clientBacklogBytes, // high water mark of the write buffer of a client connection
-        int lineBacklogBytes, // the same of a connection to a member
+        int clientBacklogBytes, // high-water mark of the write buffer of a client connection
+        int lineBacklogBytes, // high-water mark of the write buffer of a connection to a member
         long sweep, // interval of the checks for idle and dead connections
-        long clientFirst, // until the first request of a client, and until the rest of a frame
-        long clientIdle, // until a client connection without requests counts as idle
-        long clientLeave, // from telling an idle client to leave until its connection is closed
+        long clientFirst, // wait for the first request of a client, and for the rest of a frame
+        long clientIdle, // without requests until a client connection counts as idle
+        long clientLeave, // from the signal to an idle client to leave until its connection is closed
         long clientRelease, // delay before a released client connection is closed
         long clientStall, // for which a client may leave its answers unread
         int streamsKnown, // stream numbers remembered per client
@@ -36,7 +36,7 @@
         long connectTimeout, // for a connection to a member
         long unwritten, // until an attempt that is not completely written has failed
         long lineIdle, // until an idle connection to a member is closed
-        long lineAbandoned, // until one is closed whose answers no longer arrive
+        long lineAbandoned, // until a connection is closed on which answers no longer arrive
         long lineQuiet, // without data from a member that owes answers, until it is probed
         long lineDead, // until a probe that gets no reply closes the connection
         long idKept, // for which the id of an ended attempt is remembered on its connection
@@ -44,14 +44,14 @@
         long feedConnect, // for a connection to the coordinator
         long feedRetry, // mean delay before the coordinator stream is opened again
         long syncTime, // to catch up with the coordinator after the start
-        long requestHold, // for which requests wait for the coordinator after a stall
-        long heldUp, // between two turns of the event loop from which it counts as stalled
-        long answerGuard, // past its deadline until an unanswered request fails
-        long quietAfterTerm, // after SIGTERM during which the router does not exit even if no request is open
-        long lastAfterTerm, // after SIGTERM when all requests still open fail
+        long requestHold, // longest wait of requests for the coordinator after a stall
+        long heldUp, // between two iterations of the event loop for it to count as stalled
+        long answerGuard, // from its deadline until an unanswered request is failed
+        long quietAfterTerm, // shortest time from SIGTERM to the exit, even if no request is open
+        long lastAfterTerm, // from SIGTERM until all requests still open are failed
         int rehearsals, // requests of the rehearsal before the start
         long rehearsalTime, // longest duration of the rehearsal
-        int fleetLines // lines a second in each of the logs of the fleet and of endpoint changes
+        int fleetLines // lines a second of the fleet's log, and of the log of endpoint changes
         ) {
 
     private static final long MILLI_MICROS = 1_000;
@@ -67,9 +67,10 @@
     }
 
     /**
-     * Returns the limits for these resources and settings. Half of the descriptors are for clients, most of the rest
-     * for members. An attempt that is not completely written fails after the connect timeout, and well before the grace
-     * period of a drain or a purge that arrives meanwhile ends, so that it cannot be sent in breach of it.
+     * Returns the limits for the given resources and settings. Half of the descriptors are for clients, most of the
+     * rest for members. An attempt that is not completely written fails after no more than the connect timeout, and
+     * well before the grace period of a drain or purge that arrives meanwhile ends, so that it is never sent in
+     * violation of that.
      */
     public static ResourceLimits of(Settings settings, NodeConfig.Resources resources) {
         long connectTimeout = settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : SECOND_MICROS;
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -99,7 +99,7 @@
         assertEquals(ROUNDS, served);
         advance(60 * SECOND_MICROS);
         Map<String, Integer> sizes = tableSizes(logic);
-        assertTrue(sizes.remove("table") <= MAX_REMEMBERED_OBJECTS);
+        assertTrue(sizes.remove("objects") <= MAX_REMEMBERED_OBJECTS);
         sizes.forEach((name, size) -> assertTrue(size <= 3, "Logic." + name + " holds " + size));
         tableSizes(reducer).forEach((name, size) -> assertTrue(size <= 3, "Reducer." + name + " holds " + size));
     }
