--- a/src/main/java/pumicemoor/calls/CallRegistry.java
+++ b/src/main/java/pumicemoor/calls/CallRegistry.java
@@ -40,10 +40,10 @@
      * because another call with the same id is open or may have run, or because it is a client retry with an unknown
      * id.
      */
-    public boolean mayBegin(long now, String id, boolean repeat) {
+    public boolean mayBegin(long now, String id, boolean clientRetry) {
         evict(now);
         Status status = statusById.get(id);
-        if (status == null && repeat || status == Status.OPEN || status == Status.MAY_HAVE_RUN) {
+        if (status == null && clientRetry || status == Status.OPEN || status == Status.MAY_HAVE_RUN) {
             return false;
         }
         endedAt.remove(id);
--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -68,7 +68,7 @@
     private Phase phase = Phase.NEW;
     private int attempt = -1; // announced to the caller and not ended
     private boolean inputEnded;
-    private boolean openAtDecisions; // the decision module has the request and has not answered it
+    private boolean requestOpen; // the decision module has the request and has not answered it
     private boolean mayHaveRun;
 
     public CallState(Style style) {
@@ -80,8 +80,8 @@
     }
 
     /** Whether the request is still open at the decision module. */
-    public boolean openAtDecisions() {
-        return openAtDecisions;
+    public boolean requestOpen() {
+        return requestOpen;
     }
 
     /** Whether an attempt was announced and no report since has shown that it never ran. */
@@ -97,7 +97,7 @@
             return abort("a second request on a stream");
         }
         phase = Phase.DECIDING;
-        openAtDecisions = true;
+        requestOpen = true;
         return List.of(new Act.Ask());
     }
 
@@ -125,13 +125,13 @@
             return abort("a second request on a stream");
         }
         phase = Phase.DECIDING;
-        openAtDecisions = true;
+        requestOpen = true;
         return named(number);
     }
 
     /** Hands the open request over to the stream of the caller's next try, for which an attempt is ready. */
     public void detach() {
-        openAtDecisions = false;
+        requestOpen = false;
     }
 
     /** Handles the end of the attempt with this number; -1 stands for the attempt announced last. */
@@ -203,7 +203,7 @@
 
     /** Handles the final answer of the decision module, which closes the request there. */
     public List<Act> decided(Code code, long retryAfterMicros) {
-        openAtDecisions = false;
+        requestOpen = false;
         attempt = -1; // an announced attempt has timed out: a response that still comes is passed through
         if (phase == Phase.DECIDING || phase == Phase.NAMED && style == Style.REPORTER) {
             phase = Phase.OVER;
@@ -220,10 +220,10 @@
 
     private List<Act> withdraw() {
         attempt = -1;
-        if (!openAtDecisions) {
+        if (!requestOpen) {
             return List.of();
         }
-        openAtDecisions = false;
+        requestOpen = false;
         return List.of(new Act.Withdraw());
     }
 
--- a/src/main/java/pumicemoor/calls/FairAdmission.java
+++ b/src/main/java/pumicemoor/calls/FairAdmission.java
@@ -16,11 +16,11 @@
     /** The number of accounts above which the least recently active caller without open calls is dropped. */
     static final int MAX_CALLERS = 1_000;
 
-    private static final double SECOND_MICROS = 1_000_000;
+    private static final double MICROS_PER_SECOND = 1_000_000;
     private static final double BURST_SECONDS = 0.1; // of its share of the rate that a caller may accumulate
     private static final long IDLE_MICROS = 10_000_000; // until the account of a caller without open calls is dropped
     // callers with a call within this time share the rate
-    private static final double ACTIVE_MICROS = 1 * SECOND_MICROS;
+    private static final double ACTIVE_MICROS = 1 * MICROS_PER_SECOND;
     private static final double KEPT_RESERVE = 0.5; // share of the reserve that callers past their own share must leave
 
     /** The number of least recently active callers to examine for one to drop: some of them may have open calls. */
@@ -67,7 +67,7 @@
     /** Decides whether to admit a call of a caller. The end of an admitted call must be reported by {@link #ended}. */
     public Verdict admit(long now, String caller) {
         if (openCalls >= limits.open()) {
-            return new Verdict(false, "open calls", (long) SECOND_MICROS);
+            return new Verdict(false, "open calls", (long) MICROS_PER_SECOND);
         }
         Account account = accounts.get(caller);
         if (account == null) {
@@ -80,11 +80,11 @@
         account.lastCallAt = now;
         dropIdleAccount(now);
         if (account.openCalls >= limits.openPerCaller()) {
-            return new Verdict(false, "open calls of the caller", (long) SECOND_MICROS);
+            return new Verdict(false, "open calls of the caller", (long) MICROS_PER_SECOND);
         }
         if (!takeToken(now, account)) {
             double share = limits.fair() ? limits.rate() / activeCallers(now) : limits.rate();
-            return new Verdict(false, "rate", (long) Math.min(SECOND_MICROS, Math.max(1, SECOND_MICROS / share)));
+            return new Verdict(false, "rate", (long) Math.min(MICROS_PER_SECOND, Math.max(1, MICROS_PER_SECOND / share)));
         }
         account.openCalls++;
         openCalls++;
@@ -101,7 +101,7 @@
     }
 
     private boolean takeToken(long now, Account account) {
-        reserveTokens = Math.min(burstTokens(), reserveTokens + (now - reserveRefilledAt) / SECOND_MICROS * limits.rate());
+        reserveTokens = Math.min(burstTokens(), reserveTokens + (now - reserveRefilledAt) / MICROS_PER_SECOND * limits.rate());
         reserveRefilledAt = now;
         if (!limits.fair()) {
             return takeFromReserve();
@@ -109,7 +109,7 @@
         // the reserve bounds the calls of all callers together; the account shows the caller's own share of them
         double share = limits.rate() / activeCallers(now);
         account.tokens =
-                Math.min(Math.max(1, share * BURST_SECONDS), account.tokens + (now - account.refilledAt) / SECOND_MICROS * share);
+                Math.min(Math.max(1, share * BURST_SECONDS), account.tokens + (now - account.refilledAt) / MICROS_PER_SECOND * share);
         account.refilledAt = now;
         if (account.tokens >= 1 && reserveTokens >= 1) {
             account.tokens--;
--- a/src/main/java/pumicemoor/node/BoundedLog.java
+++ b/src/main/java/pumicemoor/node/BoundedLog.java
@@ -12,7 +12,7 @@
  */
 public final class BoundedLog {
 
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final Logger log;
     private final int perSecond;
@@ -48,8 +48,8 @@
     }
 
     private boolean tryAcquire(long now) {
-        if (now / SECOND_MICROS != currentSecond) {
-            currentSecond = now / SECOND_MICROS;
+        if (now / MICROS_PER_SECOND != currentSecond) {
+            currentSecond = now / MICROS_PER_SECOND;
             writtenThisSecond = 0;
         }
         boolean permitted = writtenThisSecond < perSecond;
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -24,7 +24,7 @@
             int group,
             String tag,
             long ttlMillis,
-            boolean repeat,
+            boolean clientRetry,
             Bytes body)
             implements Input {
 
@@ -40,7 +40,7 @@
                     group,
                     tag,
                     Math.max(0, ttlMillis - micros / 1_000),
-                    repeat,
+                    clientRetry,
                     body);
         }
     }
@@ -57,7 +57,7 @@
             int part,
             int group,
             long ttlMillis,
-            boolean repeat)
+            boolean clientRetry)
             implements Input {}
 
     /** The client cancelled the request on this stream. */
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -264,7 +264,7 @@
                             call.group(),
                             null,
                             call.ttlMillis(),
-                            call.repeat(),
+                            call.clientRetry(),
                             Bytes.NONE),
                     true);
         } else if (input instanceof Input.Answered answer) {
@@ -376,7 +376,7 @@
                     input.group(),
                     0,
                     request.deadline - now,
-                    input.repeat()));
+                    input.clientRetry()));
         }
     }
 
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -54,10 +54,10 @@
         int fleetLines // lines a second of the fleet's log, and of the log of endpoint changes
         ) {
 
-    private static final long MILLI_MICROS = 1_000;
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     // half of the time in which a restarted router must be ready
-    private static final long SYNC_MICROS = 5 * SECOND_MICROS;
+    private static final long SYNC_MICROS = 5 * MICROS_PER_SECOND;
     private static final int MIN_MEMBER_CONNECTIONS = 8;
     private static final int OTHER_DESCRIPTORS = 96; // kept for the coordinator and the process
 
@@ -73,7 +73,7 @@
      * violation of that.
      */
     public static ResourceLimits of(Settings settings, NodeConfig.Resources resources) {
-        long connectTimeout = settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : SECOND_MICROS;
+        long connectTimeout = settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : MICROS_PER_SECOND;
         long writeTimeout = Math.min(
                 connectTimeout,
                 Math.min(
@@ -84,7 +84,7 @@
                 .max()
                 .orElse(0);
         int maxOpenRequests = settings.limits().maxOpenRequests() > 0 ? settings.limits().maxOpenRequests() : 20_000;
-        long retryAfterMillis = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MILLI_MICROS : 0;
+        long retryAfterMillis = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MICROS_PER_MILLI : 0;
         return new ResourceLimits(
                 Math.min(maxOpenRequests, 8_192),
                 32,
@@ -96,15 +96,15 @@
                 resources.memoryMb() * 1_048_576L / 8,
                 1_048_576,
                 131_072,
-                200 * MILLI_MICROS,
-                1_800 * MILLI_MICROS,
-                5 * SECOND_MICROS,
-                SECOND_MICROS,
-                150 * MILLI_MICROS,
-                4 * SECOND_MICROS,
+                200 * MICROS_PER_MILLI,
+                1_800 * MICROS_PER_MILLI,
+                5 * MICROS_PER_SECOND,
+                MICROS_PER_SECOND,
+                150 * MICROS_PER_MILLI,
+                4 * MICROS_PER_SECOND,
                 256,
                 16,
-                Math.max(10 * longestDeadline, 60 * SECOND_MICROS),
+                Math.max(10 * longestDeadline, 60 * MICROS_PER_SECOND),
                 retryAfterMillis,
                 5,
                 memberConnections(resources.sockets()),
@@ -112,22 +112,22 @@
                 Math.max(1, resources.multiplex()),
                 connectTimeout,
                 writeTimeout,
-                resources.keepAlive() > 0 ? resources.keepAlive() * 4 / 5 : 10 * SECOND_MICROS,
-                resources.keepAlive() + 2 * longestDeadline + 10 * SECOND_MICROS,
-                300 * MILLI_MICROS,
-                500 * MILLI_MICROS,
-                longestDeadline + SECOND_MICROS,
-                1_600 * MILLI_MICROS,
-                500 * MILLI_MICROS,
-                100 * MILLI_MICROS,
+                resources.keepAlive() > 0 ? resources.keepAlive() * 4 / 5 : 10 * MICROS_PER_SECOND,
+                resources.keepAlive() + 2 * longestDeadline + 10 * MICROS_PER_SECOND,
+                300 * MICROS_PER_MILLI,
+                500 * MICROS_PER_MILLI,
+                longestDeadline + MICROS_PER_SECOND,
+                1_600 * MICROS_PER_MILLI,
+                500 * MICROS_PER_MILLI,
+                100 * MICROS_PER_MILLI,
                 SYNC_MICROS,
-                500 * MILLI_MICROS,
-                Math.min(60 * MILLI_MICROS, writeTimeout / 4),
-                settings.rules().answerSlack() + 20 * MILLI_MICROS,
-                720 * MILLI_MICROS,
-                Math.min(longestDeadline, 3 * SECOND_MICROS) + 450 * MILLI_MICROS,
+                500 * MICROS_PER_MILLI,
+                Math.min(60 * MICROS_PER_MILLI, writeTimeout / 4),
+                settings.rules().answerSlack() + 20 * MICROS_PER_MILLI,
+                720 * MICROS_PER_MILLI,
+                Math.min(longestDeadline, 3 * MICROS_PER_SECOND) + 450 * MICROS_PER_MILLI,
                 800,
-                6 * SECOND_MICROS,
+                6 * MICROS_PER_SECOND,
                 50);
     }
 }
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -33,7 +33,7 @@
     /** More requests than the initial limit (48) of a member of unknown capacity. */
     private static final int REQUESTS_ABOVE_INITIAL_LIMIT = 50;
 
-    /** A router that may send peer messages, in a location of this many routers, with three caches and two parents. */
+    /** Returns a router that may send peer messages, in a location of the given number of routers. */
     private static RouterHarness withPeerMessages(int localRouters) {
         RouterHarness router = new RouterHarness();
         router.peerMessages = true;
@@ -41,7 +41,7 @@
         return router.addFleet(3, 2).start();
     }
 
-    /** Requests this many objects of the fleet's one parent; returns all fetches that were sent. */
+    /** Sends the given number of requests, each for another object, and returns all fetches. */
     private static List<Fetch> requestMany(RouterHarness router, int requests) {
         List<Fetch> sent = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
@@ -370,7 +370,7 @@
                         .member());
     }
 
-    /** Guards against a new router that doesn't know sizes and takes transfers of the usual duration for overload. */
+    /** Guards against a new router that does not know sizes and mistakes transfers of usual duration for overload. */
     @Test
     void aNewRouterWithoutKnownSizesKeepsItsLimitsWhileTransfersTakeTheirUsualTime() {
         RouterHarness router = new RouterHarness().addFleet(1, 1).start();
@@ -386,7 +386,7 @@
         }
     }
 
-    /** If one parent alone is slow, its limit falls, not the origin's, and another parent takes what it can't. */
+    /** If only one parent is slow, its limit falls and not the origin's; another parent takes what it can't. */
     @Test
     void fillsBypassAParentThatAloneIsLateAndFull() {
         RouterHarness router = new RouterHarness().addFleet(1, 2).start();
@@ -466,7 +466,7 @@
                 .count();
     }
 
-    /** Caches and parents of high capacity in front of an origin of weight one. */
+    /** Returns a router with caches and parents of high capacity and an origin of weight one. */
     private static RouterHarness withHitsReportedOnly() {
         RouterHarness router = new RouterHarness().addFleet(16, 4);
         router.fillReporting = RouterApi.FillReporting.HIT_ONLY;
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -33,7 +33,7 @@
 
     private static final long MICROS_PER_MILLI = RouterHarness.MICROS_PER_MILLI;
     private static final long MICROS_PER_SECOND = RouterHarness.MICROS_PER_SECOND;
-    private static final double CACHE_TRANSFERS = 6; // at a time, that fit the link of a cache
+    private static final double CACHE_TRANSFERS = 6; // transfers that the link of a cache carries at a time
     private static final long TRANSFER_MICROS = 200 * MICROS_PER_MILLI;
     private static final int RESTARTED_CACHE = 1;
     private static final int RESTARTED_PARENT = 101;
@@ -65,7 +65,7 @@
         tasks.add(new ScheduledTask(now + delay, taskSequence++, task));
     }
 
-    /** Simulates a location of four caches under this load; the given members restart after ten seconds. */
+    /** Simulates a location of four caches under a load; the given members restart after ten seconds. */
     private void simulate(int localRouters, double load, double timeouts, List<Integer> restartedIds) {
         timeoutShare = timeouts;
         harness.localRouters = localRouters;
@@ -190,7 +190,7 @@
         assertTrue(sentAfterRestart > 40, "only " + sentAfterRestart + " requests in ten seconds");
     }
 
-    /** A drained cache gets nothing, and is in slow start when it is back, though it may be the same process. */
+    /** A drained cache gets no requests. After its return it is in slow start, though it may be the same process. */
     @ParameterizedTest
     @ValueSource(ints = {1, 12, 60})
     void aDrainedCacheGetsNothingAndThenWarmsWithoutOverload(int localRouters) {
@@ -216,7 +216,7 @@
         assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the budget in a window");
     }
 
-    /** Without any warm cache as reference the restarted ones still get requests, each within its budget. */
+    /** Without any warm cache as reference, the restarted ones still get requests, each within its budget. */
     @Test
     void aLocationWhoseCachesAllRestartIsNeitherOverloadedNorIdle() {
         simulate(12, 0.8, 0, List.of(1, 2, 3, 4));
@@ -233,7 +233,7 @@
         assertTrue(maxOpenAttempts <= 400, maxOpenAttempts + " attempts were open at four caches that answer nothing in time");
     }
 
-    /** A parent serves the routers of all locations, so its budget is divided among very many; it is sent fills. */
+    /** A parent is sent fills by the routers of all locations, so its budget is divided among very many of them. */
     @ParameterizedTest
     @ValueSource(ints = {2, 40, 240})
     void fillsOfHundredsOfRoutersWarmAParentWithoutOverloadingIt(int localRouters) {
--- a/src/test/java/pumicemoor/MixedConfigurationsTest.java
+++ b/src/test/java/pumicemoor/MixedConfigurationsTest.java
@@ -37,7 +37,7 @@
  * During a migration, routers of the old configuration (rough capacities, no peer messages, eight attempts) and of the
  * new one (unknown capacities, peer messages, six attempts) share the four caches of one location. Checks over all of
  * them: one final answer for each request, in time; no overload of a cache in slow start; no attempt to a draining
- * cache after the grace; and both kinds of routers served alike.
+ * cache after the grace; and the same service for both kinds of routers.
  */
 class MixedConfigurationsTest {
 
@@ -210,8 +210,8 @@
         assertTrue(maxBudgetUse <= 1, "used " + maxBudgetUse + " of the restarted cache's budget in a window");
         double oldServed = (double) served[0] / requested[0];
         double newServed = (double) served[1] / requested[1];
-        // once a cache drains, three caches, one of them in slow start, get 0.9 of the capacity of four: a third is
-        // refused, of both kinds alike
+        // once a cache drains, three caches, one of them in slow start, get a load of 0.9 of the capacity of four: a
+        // third of the requests is refused, equally for both kinds of routers
         assertTrue(oldServed > 0.6 && newServed > 0.6, "served " + oldServed + " and " + newServed);
         assertTrue(Math.abs(oldServed - newServed) < 0.1, "served " + oldServed + " and " + newServed);
     }
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -39,7 +39,7 @@
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.WeightMeaning;
 
-/** Simulates random but valid days and checks all five rules from outside, by the test's own records. */
+/** Simulates random but valid days and checks all five rules from outside, with records of its own. */
 class RandomDaysTest {
 
     private static final long MICROS_PER_MILLI = RouterHarness.MICROS_PER_MILLI;
@@ -327,7 +327,7 @@
         }
     }
 
-    /** Checks that in any window the router keeps to its share of the budget, plus one request for rounding. */
+    /** Checks that the router never exceeds its share of the budget in a window by more than one request (rounding). */
     private void checkSlowStart(Member member) {
         List<Long> sent = slowStartSends.get(member.id());
         boolean parent = member.role() == Role.PARENT;
--- a/src/test/java/pumicemoor/SourcesBenchmark.java
+++ b/src/test/java/pumicemoor/SourcesBenchmark.java
@@ -30,9 +30,9 @@
 import pumicemoor.RouterApi.FillSourcesUpdate;
 
 /**
- * Measures the decision time of one request, from its arrival to its end, with this many hubs: without configured fill
- * sources, or with a topology in which the location fills from four hubs and these from four others, at rest or in the
- * middle of a migration.
+ * Measures the time that the decision module takes for one request, from its arrival to its end, with a given number of
+ * hubs: without configured fill sources, or with a topology in which the location fills from four hubs and these from
+ * four others, either without a migration or in the middle of one.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -15,10 +15,10 @@
 import pumicemoor.calls.FairAdmission.Limits;
 import pumicemoor.calls.FairAdmission.Verdict;
 
-/** The rules that classify calls, the admission of calls, and the registry of calls that must not run twice. */
+/** Tests the rules that classify calls, their admission, and the registry of calls that must not run twice. */
 class AdmissionTest {
 
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     /**
      * Counts admitted calls over ten seconds at a total rate of 1,000 a second: nine callers make 100 calls a second
@@ -27,7 +27,7 @@
     private static Map<String, Integer> admittedUnderFlood(boolean fair) {
         FairAdmission admission = new FairAdmission(new Limits(100_000, 100_000, 1_000, fair));
         Map<String, Integer> admitted = new HashMap<>();
-        for (long at = 0; at < 10 * SECOND_MICROS; at += 1_000) {
+        for (long at = 0; at < 10 * MICROS_PER_SECOND; at += 1_000) {
             for (int caller = 0; caller < 10; caller++) {
                 boolean flood = caller == 0;
                 if (flood || (at / 1_000 + caller) % 10 == 0) {
@@ -54,7 +54,7 @@
     void theUnusedRateIsAvailableToBusyCallers() {
         FairAdmission admission = new FairAdmission(new Limits(100, 100, 1_000, true));
         int admitted = 0;
-        for (long at = 0; at < 10 * SECOND_MICROS; at += 500) {
+        for (long at = 0; at < 10 * MICROS_PER_SECOND; at += 500) {
             if (at % (100 * 1_000) == 0 && admission.admit(at, "quiet").admitted()) {
                 admission.ended("quiet");
             }
@@ -111,7 +111,7 @@
 
     @Test
     void aCallThatMayHaveRunIsNotAdmittedAgain() {
-        CallRegistry registry = new CallRegistry(3, 10 * SECOND_MICROS);
+        CallRegistry registry = new CallRegistry(3, 10 * MICROS_PER_SECOND);
         assertTrue(registry.mayBegin(0, "a", false));
         assertFalse(registry.mayBegin(0, "a", true), "a call with this id is open");
         registry.ended(1, "a", true);
@@ -122,10 +122,10 @@
         assertTrue(registry.mayBegin(4, "b", true), "the first call never ran");
         assertFalse(registry.mayBegin(4, "new", true), "a retry with an unknown id");
         registry.ended(5, "b", true);
-        assertFalse(registry.mayBegin(11 * SECOND_MICROS, "a", true), "the id has expired and is unknown");
+        assertFalse(registry.mayBegin(11 * MICROS_PER_SECOND, "a", true), "the id has expired and is unknown");
         for (int i = 0; i < 10; i++) {
-            assertTrue(registry.mayBegin(12 * SECOND_MICROS, "x" + i, false));
-            registry.ended(12 * SECOND_MICROS, "x" + i, true);
+            assertTrue(registry.mayBegin(12 * MICROS_PER_SECOND, "x" + i, false));
+            registry.ended(12 * MICROS_PER_SECOND, "x" + i, true);
         }
         assertTrue(registry.size() <= 3);
         assertTrue(registry.forgottenEarly() > 0);
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -17,20 +17,20 @@
 import pumicemoor.calls.CallState.Style;
 
 /**
- * The state machine of one stream under any order of messages, cancellations, timeouts, half-closes and decisions.
+ * Tests the state machine of a stream under any order of messages, cancellations, timeouts, half-closes and decisions.
  */
 class CallStateTest {
 
     /**
-     * A model of the decision module, which has an open request from Ask until its final answer or Withdraw; checks
-     * each action against it.
+     * A model of the decision module, at which a request is open from its Ask until its final answer or Withdraw; it
+     * checks each action.
      */
     private static final class DecisionModel {
         final CallState state;
         final Style style;
         final List<Act> acts = new ArrayList<>();
         boolean requestOpen;
-        boolean attemptOpen; // an attempt is under way, as the decision module sees it
+        boolean attemptOpen; // an attempt is open at the decision module
         int attempts;
         int announcements;
         int finalAnswers;
@@ -108,7 +108,7 @@
             @ForAll boolean reporter, @ForAll @Size(max = 14) List<@IntRange(max = 15) Integer> steps) {
         DecisionModel model = new DecisionModel(reporter ? Style.REPORTER : Style.PROXY);
         steps.forEach(model::step);
-        assertEquals(model.requestOpen, model.state.openAtDecisions(), () -> model.acts.toString());
+        assertEquals(model.requestOpen, model.state.requestOpen(), () -> model.acts.toString());
         model.check(model.state.gone());
         assertEquals(Phase.OVER, model.state.phase());
         assertFalse(model.requestOpen, () -> "the request is still open at the decision module: " + model.acts);
--- a/src/test/java/pumicemoor/ci/KnownRedTest.java
+++ b/src/test/java/pumicemoor/ci/KnownRedTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests which expected failures .ci/run accepts: the script itself, run in a small project with a stub of Maven. */
+/** Tests which expected failures .ci/run accepts. Runs the script itself, in a small project with a stub of Maven. */
 class KnownRedTest {
 
     /**
-     * Fails where a test of $FAILING is requested. Without -Dtest all tests are; with it all but the excluded ones, or the
-     * named one.
+     * A stub of Maven that fails if it is to run one of the tests in $FAILING. Without -Dtest it is to run all tests,
+     * with it either the named test or all but the excluded ones.
      */
     private static final String MAVEN_STUB =
             """
--- a/src/test/java/pumicemoor/node/BoundedLogTest.java
+++ b/src/test/java/pumicemoor/node/BoundedLogTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 
-/** The bound on log lines a second. */
+/** Tests the limit on log lines a second and the count of suppressed lines. */
 class BoundedLogTest {
 
     private final List<Object> suppressed = new ArrayList<>();
--- a/src/test/java/pumicemoor/node/DrainedMembersTest.java
+++ b/src/test/java/pumicemoor/node/DrainedMembersTest.java
@@ -15,7 +15,8 @@
 import pumicemoor.fleet.drains.Drains.View;
 
 /**
- * Drained members appear as draining, returned ones as just started, and no list is published before drains are known.
+ * Tests that drained members appear as draining and returned ones as just started, and that no list is passed on before
+ * the drains are known.
  */
 class DrainedMembersTest {
 
@@ -37,7 +38,7 @@
                 update(MemberListKind.SNAPSHOT, cache(1, 5, State.READY), cache(2, 5, State.DRAINING)),
                 drainedMembers.applyView(new View(true, Set.of(2L), Map.of())).orElseThrow());
         assertTrue(drainedMembers.applyView(new View(true, Set.of(2L), Map.of())).isEmpty());
-        // returned, and in slow start whatever start the list reports, until it reports a later one
+        // the member counts as started at its return, until the list reports a later start
         assertEquals(
                 update(MemberListKind.DELTA, cache(2, 90, State.READY)),
                 drainedMembers.applyView(new View(true, Set.of(), Map.of(2L, 90L))).orElseThrow());
--- a/src/test/java/pumicemoor/node/FleetFactoryTest.java
+++ b/src/test/java/pumicemoor/node/FleetFactoryTest.java
@@ -18,7 +18,7 @@
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
 
-/** The kind of fleet that a setup creates: with cells or flat. */
+/** Tests which kind of fleet a setup creates: one with cells or a flat one. */
 class FleetFactoryTest {
 
     private static final long START_MICROS = 1_790_000_000_000_000L;
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -20,13 +20,13 @@
  */
 class LongDayTest {
 
-    private static final long MILLI_MICROS = 1_000;
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     private static final int ROUNDS = 30_000;
     private static final int MAX_REMEMBERED_OBJECTS = 20_000; // by the decision module
 
     private final Queue<Effect> effects = new ArrayDeque<>();
-    private long now = 1_764_576_000 * SECOND_MICROS;
+    private long now = 1_764_576_000 * MICROS_PER_SECOND;
     private Reducer reducer;
     private int served;
 
@@ -85,19 +85,19 @@
         reducer.known(now, config, effects::add);
         long index = 1;
         for (int i = 1; i <= ROUNDS; i++) {
-            advance(10 * MILLI_MICROS);
+            advance(10 * MICROS_PER_MILLI);
             accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                     ++index,
                     false,
                     NodeTestConfig.member("s-" + i, "127.0.0.1:11", "box", "active", 0),
                     NodeTestConfig.member("s-" + (i - 1), "127.0.0.1:11", "box", "left", 0))));
             accept(new Input.CoordinatorUpdate("{\"index\":" + ++index + ",\"evict\":{\"ref\":\"" + id(i) + "\",\"unix_ms\":"
-                    + now / MILLI_MICROS + "}}"));
+                    + now / MICROS_PER_MILLI + "}}"));
             accept(new Input.Request(i, 1, id(i), "segment", id(i), 0, i % 256, null, 2_000, false, Bytes.NONE));
             accept(new Input.ClientClosed(i));
         }
         assertEquals(ROUNDS, served);
-        advance(60 * SECOND_MICROS);
+        advance(60 * MICROS_PER_SECOND);
         Map<String, Integer> sizes = tableSizes(logic);
         assertTrue(sizes.remove("objects") <= MAX_REMEMBERED_OBJECTS);
         sizes.forEach((name, size) -> assertTrue(size <= 3, "Logic." + name + " holds " + size));
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -22,9 +22,9 @@
  */
 class ReducerDayTest {
 
-    private static final long MILLI_MICROS = 1_000;
-    private static final long SECOND_MICROS = 1_000_000;
-    private static final long START_MICROS = 1_764_576_000 * SECOND_MICROS;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long START_MICROS = 1_764_576_000 * MICROS_PER_SECOND;
     private static final AnswerStatus[] STATUSES = AnswerStatus.values();
 
     private final PriorityQueue<PlannedTask> tasks = new PriorityQueue<>();
@@ -70,7 +70,7 @@
         }
     }
 
-    private void in(long delay, Runnable task) {
+    private void schedule(long delay, Runnable task) {
         tasks.add(new PlannedTask(now + delay, ++lastOrder, task));
     }
 
@@ -86,7 +86,7 @@
             answerCounts.merge(answer.stream(), 1, Integer::sum);
             Long deadline = deadlineOfOpenRequest.remove(answer.stream());
             assertTrue(deadline != null, "an answer to a request that is not open");
-            assertTrue(now <= deadline + 58 * MILLI_MICROS, "an answer " + (now - deadline) + " us past the deadline");
+            assertTrue(now <= deadline + 58 * MICROS_PER_MILLI, "an answer " + (now - deadline) + " us past the deadline");
             assertTrue(
                     answer.code() != Effect.Code.REFUSED
                             || classOfRequest.get(answer.stream()).equals("segment")
@@ -102,22 +102,22 @@
         assertTrue(attempt.requestClass().equals("segment") || !mayHaveRun.contains(stream), "a request with a side effect may run twice");
         for (String name : new String[] {attempt.instance(), attempt.source()}) {
             Long drained = drainedAt.get(name);
-            assertTrue(drained == null || now <= drained + SECOND_MICROS, name + " was used past its drain");
+            assertTrue(drained == null || now <= drained + MICROS_PER_SECOND, name + " was used past its drain");
         }
         streamOfAttempt.put(attempt.attempt(), stream);
         mayHaveRun.add(stream);
         int behaviour = random.nextInt(30);
         if (behaviour == 0) {
-            in(random.nextInt(400_000), () -> endAttempt(attempt, new Input.NeverSent(attempt.attempt()), true));
+            schedule(random.nextInt(400_000), () -> endAttempt(attempt, new Input.NeverSent(attempt.attempt()), true));
             return;
         }
-        in(0, () -> accept(new Input.Written(attempt.attempt())));
-        long delay = 5 * MILLI_MICROS + random.nextInt(behaviour < 6 ? 600_000 : 60_000);
+        schedule(0, () -> accept(new Input.Written(attempt.attempt())));
+        long delay = 5 * MICROS_PER_MILLI + random.nextInt(behaviour < 6 ? 600_000 : 60_000);
         if (behaviour == 1) {
-            in(delay, () -> endAttempt(attempt, new Input.ConnectionLost(attempt.attempt()), false));
+            schedule(delay, () -> endAttempt(attempt, new Input.ConnectionLost(attempt.attempt()), false));
         } else if (behaviour > 2) {
             AnswerStatus status = behaviour < 9 ? STATUSES[random.nextInt(STATUSES.length)] : AnswerStatus.DATA;
-            in(
+            schedule(
                     delay,
                     () -> endAttempt(
                             attempt,
@@ -158,26 +158,26 @@
         reducer.known(now, config, this::carryOut);
         for (int i = 1; i <= 2_000; i++) {
             int stream = i;
-            in(random.nextInt(20_000) * MILLI_MICROS, () -> arrive(stream));
+            schedule(random.nextInt(20_000) * MICROS_PER_MILLI, () -> arrive(stream));
         }
         for (int i = 0; i < 8; i++) {
             String member = members[random.nextInt(5)];
             long index = 2 + 3 * i;
-            long at = 2 * SECOND_MICROS * i + SECOND_MICROS;
-            in(at, () -> {
+            long at = 2 * MICROS_PER_SECOND * i + MICROS_PER_SECOND;
+            schedule(at, () -> {
                 drainedAt.put(member, now);
                 accept(new Input.CoordinatorUpdate(NodeTestConfig.list(index, false, listEntry(member, "leaving", 0))));
             });
-            in(
-                    at + 700 * MILLI_MICROS,
+            schedule(
+                    at + 700 * MICROS_PER_MILLI,
                     () -> accept(new Input.CoordinatorUpdate("{\"index\":" + (index + 1) + ",\"evict\":{\"shard\":3,\"unix_ms\":"
-                            + (now / MILLI_MICROS - 100) + "}}")));
-            in(at + 1_500 * MILLI_MICROS, () -> {
+                            + (now / MICROS_PER_MILLI - 100) + "}}")));
+            schedule(at + 1_500 * MICROS_PER_MILLI, () -> {
                 drainedAt.remove(member);
-                accept(new Input.CoordinatorUpdate(NodeTestConfig.list(index + 2, false, listEntry(member, "active", now / MILLI_MICROS))));
+                accept(new Input.CoordinatorUpdate(NodeTestConfig.list(index + 2, false, listEntry(member, "active", now / MICROS_PER_MILLI))));
             });
         }
-        long end = START_MICROS + 30 * SECOND_MICROS;
+        long end = START_MICROS + 30 * MICROS_PER_SECOND;
         while (now < end) {
             long planned = tasks.isEmpty() ? Long.MAX_VALUE : tasks.peek().at();
             long due = reducer.nextDue();
@@ -200,7 +200,7 @@
     private void arrive(int stream) {
         long ttl = 300 + random.nextInt(1_700);
         classOfRequest.put(stream, random.nextInt(4) == 0 ? "order" : "segment");
-        deadlineOfOpenRequest.put(stream, now + ttl * MILLI_MICROS);
+        deadlineOfOpenRequest.put(stream, now + ttl * MICROS_PER_MILLI);
         assertNull(answerCounts.get(stream));
         accept(new Input.Request(
                 1,
@@ -215,7 +215,7 @@
                 false,
                 new CountedBody()));
         if (random.nextInt(40) == 0) {
-            in(random.nextInt(200_000), () -> {
+            schedule(random.nextInt(200_000), () -> {
                 if (deadlineOfOpenRequest.remove(stream) != null) {
                     cancelled.add(stream);
                     accept(new Input.RequestCancelled(1, stream));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -41,9 +41,9 @@
 /** Tests the reducer input by input, with a decision module that the test scripts. */
 class ReducerTest {
 
-    private static final long MILLI_MICROS = 1_000;
-    private static final long SECOND_MICROS = 1_000_000;
-    private static final long START_MICROS = 1_764_576_000 * SECOND_MICROS;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long START_MICROS = 1_764_576_000 * MICROS_PER_SECOND;
     private static final long CACHE = Reducer.memberId("s-1");
     private static final long PARENT = Reducer.memberId("p-1");
 
@@ -175,7 +175,7 @@
         assertEquals("4be0", sent.tag());
         accept(new Input.Written(sent.attempt()));
         CountedBody body = new CountedBody();
-        now += 90 * MILLI_MICROS;
+        now += 90 * MICROS_PER_MILLI;
         accept(answer(sent.attempt(), AnswerStatus.DATA, body));
         Effect.Answer answer = ofType(effects, Effect.Answer.class).get(0);
         assertEquals(new Effect.Answer(1, 5, Code.SERVED, false, 0, body), answer);
@@ -186,9 +186,9 @@
         assertEquals(Outcome.OK, end.outcome());
         assertTrue(end.closed());
         assertEquals(FillResult.FILLED, end.fillResult());
-        assertEquals(90 * MILLI_MICROS, end.latency());
+        assertEquals(90 * MICROS_PER_MILLI, end.latency());
         assertEquals(Map.of("inflight", 7.0), end.load());
-        advance(5 * SECOND_MICROS);
+        advance(5 * MICROS_PER_SECOND);
         assertEquals(1, ofType(effects, Effect.Answer.class).size());
         assertEquals(0, reducer.openRequests());
     }
@@ -211,7 +211,7 @@
 
     @Test
     void maxAgeRoundsDownToMillisecondsButNeverToUnbounded() {
-        for (long[] pair : new long[][] {{0, 0}, {1, 1}, {999, 1}, {1_999, 1}, {2_000, 2}, {6 * SECOND_MICROS, 6_000}}) {
+        for (long[] pair : new long[][] {{0, 0}, {1, 1}, {999, 1}, {1_999, 1}, {2_000, 2}, {6 * MICROS_PER_SECOND, 6_000}}) {
             fetchOnArrivedRequest(pair[0], 0);
             sendRequest(5, "segment", Bytes.NONE);
             assertEquals(pair[1], lastSent().maxAgeMillis(), "for " + pair[0]);
@@ -271,20 +271,20 @@
 
     @Test
     void aWrittenAttemptIsAbandonedOnlyAtItsTimeout() {
-        fetchOnArrivedRequest(0, 700 * MILLI_MICROS);
+        fetchOnArrivedRequest(0, 700 * MICROS_PER_MILLI);
         sendRequest(1, "segment", Bytes.NONE);
         accept(new Input.Written(lastSent().attempt()));
         assertEquals(700, lastSent().timeoutMillis());
-        advance(699 * MILLI_MICROS);
+        advance(699 * MICROS_PER_MILLI);
         assertTrue(ofType(events, AttemptEnded.class).isEmpty());
-        advance(2 * MILLI_MICROS);
+        advance(2 * MICROS_PER_MILLI);
         assertEquals(Outcome.TIMEOUT, ofType(events, AttemptEnded.class).get(0).outcome());
         assertEquals(1, ofType(effects, Effect.AbandonAttempt.class).size());
     }
 
     @Test
     void aLateAnswerIsNotTakenForALaterAttempt() {
-        fetchOnArrivedRequest(0, 700 * MILLI_MICROS);
+        fetchOnArrivedRequest(0, 700 * MICROS_PER_MILLI);
         sendRequest(1, "segment", Bytes.NONE);
         long first = lastSent().attempt();
         accept(new Input.Written(first));
@@ -293,7 +293,7 @@
                 actions.accept(new Fetch(end.id(), CACHE, PARENT, 0, 0, false, false, false, false, 0));
             }
         };
-        advance(701 * MILLI_MICROS);
+        advance(701 * MICROS_PER_MILLI);
         long second = lastSent().attempt();
         assertFalse(first == second);
         CountedBody late = new CountedBody();
@@ -316,16 +316,16 @@
             }
         };
         onEvent = failRequest;
-        advance(1_499 * MILLI_MICROS);
+        advance(1_499 * MICROS_PER_MILLI);
         assertTrue(ofType(effects, Effect.Answer.class).isEmpty());
-        advance(2 * MILLI_MICROS);
+        advance(2 * MICROS_PER_MILLI);
         assertEquals(Code.FAILED, ofType(effects, Effect.Answer.class).get(0).code());
     }
 
     @Test
     void aRequestWithoutADecisionFailsWithinTheSlackAndIsAnsweredOnce() {
         sendRequest(1, "segment", Bytes.NONE);
-        advance(1_500 * MILLI_MICROS + 28 * MILLI_MICROS);
+        advance(1_500 * MICROS_PER_MILLI + 28 * MICROS_PER_MILLI);
         List<Effect.Answer> answers = ofType(effects, Effect.Answer.class);
         assertEquals(1, answers.size());
         assertEquals(Code.FAILED, answers.get(0).code());
@@ -358,7 +358,7 @@
         sent.body().release();
         assertEquals(0, requestBody.references);
         accept(new Input.RequestCancelled(1, 1));
-        advance(5 * SECOND_MICROS);
+        advance(5 * MICROS_PER_SECOND);
         assertTrue(ofType(effects, Effect.Answer.class).isEmpty());
         assertEquals(1, ofType(events, RequestAbandoned.class).size());
     }
@@ -383,9 +383,9 @@
                 actions.accept(new Cancel(id, 0));
             }
         };
-        actions.accept(new SetTimer(10 * MILLI_MICROS, 77));
+        actions.accept(new SetTimer(10 * MICROS_PER_MILLI, 77));
         accept(new Input.Written(lastSent().attempt()));
-        advance(11 * MILLI_MICROS);
+        advance(11 * MICROS_PER_MILLI);
         assertEquals(List.of(new Effect.AbandonAttempt(lastSent().attempt(), true)), ofType(effects, Effect.AbandonAttempt.class));
         assertEquals(Outcome.CANCELLED, ofType(events, AttemptEnded.class).get(0).outcome());
         assertEquals(new TimerDue(77), ofType(events, TimerDue.class).get(0));
@@ -434,7 +434,7 @@
         fetchOnArrivedRequest(0, 0);
         sendRequest(2, "segment", Bytes.NONE);
         accept(answer(lastSent().attempt(), AnswerStatus.DATA, Bytes.NONE));
-        advance(2 * SECOND_MICROS);
+        advance(2 * MICROS_PER_SECOND);
         assertEquals(
                 List.of(Code.SERVED, Code.FAILED),
                 ofType(effects, Effect.Answer.class).stream()
@@ -445,11 +445,11 @@
 
     @Test
     void eventsOfTheCoordinatorAreAppliedOnceAndInOrder() {
-        String purge = "{\"index\":2,\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (START_MICROS / MILLI_MICROS - 250) + "}}";
+        String purge = "{\"index\":2,\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (START_MICROS / MICROS_PER_MILLI - 250) + "}}";
         accept(new Input.CoordinatorUpdate(purge));
         accept(new Input.CoordinatorUpdate(purge));
-        accept(new Input.CoordinatorUpdate("{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START_MICROS / MILLI_MICROS + "}}"));
-        assertEquals(List.of(new Purged("7f3a", -1, 250 * MILLI_MICROS), new Purged(null, 17, 0)), events);
+        accept(new Input.CoordinatorUpdate("{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START_MICROS / MICROS_PER_MILLI + "}}"));
+        assertEquals(List.of(new Purged("7f3a", -1, 250 * MICROS_PER_MILLI), new Purged(null, 17, 0)), events);
         assertEquals(3, reducer.lastUpdate());
     }
 
@@ -479,7 +479,7 @@
             effects.clear();
             String list = NodeTestConfig.list(index, true, entry, s1);
             accept(new Input.CoordinatorUpdate(list.substring(0, list.length() - 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
-                    + START_MICROS / MILLI_MICROS + "}}"));
+                    + START_MICROS / MICROS_PER_MILLI + "}}"));
             assertEquals(index++, reducer.lastUpdate());
             assertEquals(1, ofType(events, MemberListUpdate.class).size(), entry);
             assertEquals(1, ofType(events, MemberListUpdate.class).get(0).members().size(), entry);
@@ -510,12 +510,12 @@
     @Test
     void aMemberThatLeavesOrRestartsLosesItsOldConnections() {
         accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
-                2, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", START_MICROS / MILLI_MICROS))));
+                2, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", START_MICROS / MICROS_PER_MILLI))));
         accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 3,
                 false,
-                NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START_MICROS / MILLI_MICROS),
-                NodeTestConfig.member("s-2", "127.0.0.1:11", "box", "active", START_MICROS / MILLI_MICROS))));
+                NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START_MICROS / MICROS_PER_MILLI),
+                NodeTestConfig.member("s-2", "127.0.0.1:11", "box", "active", START_MICROS / MICROS_PER_MILLI))));
         assertEquals(List.of(new Effect.DropConnections("s-1", START_MICROS), new Effect.RetireConnections("s-1")), effects);
         MemberListUpdate last = ofType(events, MemberListUpdate.class).get(1);
         assertEquals(State.GONE, last.members().get(0).state());
@@ -548,11 +548,11 @@
         accept(new Input.Terminate());
         assertEquals(1, ofType(effects, Effect.DrainClients.class).size());
         assertFalse(reducer.ready());
-        advance(300 * MILLI_MICROS);
+        advance(300 * MICROS_PER_MILLI);
         sendRequest(2, "segment", Bytes.NONE);
         List<Effect.SendAttempt> sentAttempts = ofType(effects, Effect.SendAttempt.class);
         accept(answer(sentAttempts.get(1).attempt(), AnswerStatus.DATA, Bytes.NONE));
-        advance(600 * MILLI_MICROS);
+        advance(600 * MICROS_PER_MILLI);
         assertTrue(ofType(effects, Effect.Exit.class).isEmpty(), "a request is still open");
         accept(answer(sentAttempts.get(0).attempt(), AnswerStatus.DATA, Bytes.NONE));
         assertExitsAfterTheFinalRead();
@@ -570,7 +570,7 @@
     void aRequestFoundByTheFinalReadDelaysTheExitUntilItIsAnswered() {
         fetchOnArrivedRequest(0, 0);
         accept(new Input.Terminate());
-        advance(800 * MILLI_MICROS);
+        advance(800 * MICROS_PER_MILLI);
         assertEquals(1, ofType(effects, Effect.CompleteClientReads.class).size());
         sendRequest(1, "segment", Bytes.NONE);
         accept(new Input.ClientReadsCompleted());
@@ -585,7 +585,7 @@
     void aRequestPastTheExitDeadlineIsRefusedAndNeverSent() {
         fetchOnArrivedRequest(0, 0);
         accept(new Input.Terminate());
-        advance(3_650 * MILLI_MICROS);
+        advance(3_650 * MICROS_PER_MILLI);
         sendRequest(1, "segment", Bytes.NONE);
         assertTrue(ofType(effects, Effect.SendAttempt.class).isEmpty());
         assertEquals(Code.REFUSED, ofType(effects, Effect.Answer.class).get(0).code());
@@ -598,9 +598,9 @@
     @Test
     void terminationWithoutOpenRequestsWaitsForRequestsInFlight() {
         accept(new Input.Terminate());
-        advance(700 * MILLI_MICROS);
+        advance(700 * MICROS_PER_MILLI);
         assertTrue(ofType(effects, Effect.Exit.class).isEmpty());
-        advance(100 * MILLI_MICROS);
+        advance(100 * MICROS_PER_MILLI);
         assertExitsAfterTheFinalRead();
     }
 
@@ -608,7 +608,7 @@
     void requestsStillOpenShortlyBeforeTheKillFail() {
         accept(new Input.Terminate());
         accept(new Input.Request(1, 9, "a", "segment", "b", 0, 0, null, 60_000, false, Bytes.NONE));
-        advance(3_650 * MILLI_MICROS);
+        advance(3_650 * MICROS_PER_MILLI);
         assertEquals(Code.FAILED, ofType(effects, Effect.Answer.class).get(0).code());
         assertExitsAfterTheFinalRead();
     }
@@ -628,36 +628,36 @@
     @Test
     void withoutACoordinatorTheRouterIsReadyAfterFiveSeconds() throws Exception {
         start(1_000, false);
-        advance(5 * SECOND_MICROS - MILLI_MICROS);
+        advance(5 * MICROS_PER_SECOND - MICROS_PER_MILLI);
         assertFalse(reducer.ready());
-        advance(MILLI_MICROS);
+        advance(MICROS_PER_MILLI);
         assertTrue(reducer.ready());
         assertEquals(1, counters.get(Counters.Name.STARTED_UNSYNCED));
     }
 
     @Test
     void aPurgeGetsTheSmallerAgeIfTheWallClockWasStepped() {
-        for (long step : new long[] {-3_600 * SECOND_MICROS, -5 * SECOND_MICROS, 5 * SECOND_MICROS, 3_600 * SECOND_MICROS}) {
+        for (long step : new long[] {-3_600 * MICROS_PER_SECOND, -5 * MICROS_PER_SECOND, 5 * MICROS_PER_SECOND, 3_600 * MICROS_PER_SECOND}) {
             events.clear();
             reducer.accept(
                     now,
                     now + step,
                     new Input.CoordinatorUpdate("{\"index\":" + (reducer.lastUpdate() + 1)
-                            + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (now - SECOND_MICROS) / MILLI_MICROS + "}}"),
+                            + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (now - MICROS_PER_SECOND) / MICROS_PER_MILLI + "}}"),
                     effects::add);
-            assertEquals(step < 0 ? 0 : SECOND_MICROS, ofType(events, Purged.class).get(0).age(), "a step of " + step);
+            assertEquals(step < 0 ? 0 : MICROS_PER_SECOND, ofType(events, Purged.class).get(0).age(), "a step of " + step);
         }
     }
 
     @Test
     void aStartTimeIsTheLaterOneIfTheWallClockWasSteppedAndStaysWhenReportedAgain() {
         String list = NodeTestConfig.list(
-                2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", (now - SECOND_MICROS) / MILLI_MICROS));
-        reducer.accept(now, now - 3_600 * SECOND_MICROS, new Input.CoordinatorUpdate(list), effects::add);
+                2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", (now - MICROS_PER_SECOND) / MICROS_PER_MILLI));
+        reducer.accept(now, now - 3_600 * MICROS_PER_SECOND, new Input.CoordinatorUpdate(list), effects::add);
         assertEquals(
                 now, ofType(events, MemberListUpdate.class).get(0).members().get(0).started());
         long firstReportAt = now;
-        now += 3 * SECOND_MICROS;
+        now += 3 * MICROS_PER_SECOND;
         accept(new Input.CoordinatorUpdate(list.replace("\"index\":2", "\"index\":3")));
         assertEquals(
                 firstReportAt, ofType(events, MemberListUpdate.class).get(1).members().get(0).started());
@@ -791,7 +791,7 @@
 
     @Test
     void fillSourcesFollowTheOperatorsHierarchyAndItsReload() throws Exception {
-        now = START_MICROS + 1_000 * SECOND_MICROS;
+        now = START_MICROS + 1_000 * MICROS_PER_SECOND;
         startWithOperatorConfig(operatorConfig("file", 1, "p-1"));
         assertEquals(PARENT, currentParent());
         OperatorConfig next = operatorConfig("file", 2, "p-2");
@@ -799,7 +799,7 @@
         assertEquals(Reducer.memberId("p-2"), currentParent(), "the announcement is long ago, so that it takes effect at once");
         assertEquals("2", reducer.state().get("hierarchy-version"));
         assertEquals("moving", reducer.state().get("hierarchy-stage"));
-        now += 10 * SECOND_MICROS;
+        now += 10 * MICROS_PER_SECOND;
         accept(new Input.TimerFired());
         assertEquals("1.000", reducer.state().get("hierarchy-share-moved"));
         accept(new Input.Reload(config, operatorConfig("file", 1, "p-1"), null));
@@ -812,19 +812,19 @@
 
     @Test
     void topologyUpdatesOfTheCoordinatorTakeEffectWhenDue() throws Exception {
-        now = START_MICROS + 1_000 * SECOND_MICROS;
+        now = START_MICROS + 1_000 * MICROS_PER_SECOND;
         startWithOperatorConfig(operatorConfig("feed", 1, "p-1"));
-        long millis = now / MILLI_MICROS;
+        long millis = now / MICROS_PER_MILLI;
         accept(new Input.CoordinatorUpdate("{\"index\":3,\"shape\":{\"piece\":1,\"version\":2,\"announced_ms\":" + millis
                 + ",\"unit\":\"here\",\"kind\":\"depot\",\"parents\":{\"p-2\":1}}}"));
         assertEquals(PARENT, currentParent());
-        now += 500 * MILLI_MICROS;
+        now += 500 * MICROS_PER_MILLI;
         accept(new Input.CoordinatorUpdate("{\"index\":4,\"shape\":{\"certain_ms\":" + (millis + 500) + ",\"piece\":1}}"));
-        assertTrue(reducer.nextDue() <= now + 500 * MILLI_MICROS, "a timer is due when the topology update takes effect");
-        now += 500 * MILLI_MICROS;
+        assertTrue(reducer.nextDue() <= now + 500 * MICROS_PER_MILLI, "a timer is due when the topology update takes effect");
+        now += 500 * MICROS_PER_MILLI;
         accept(new Input.TimerFired());
         assertEquals(Reducer.memberId("p-2"), currentParent());
-        now += 10 * SECOND_MICROS;
+        now += 10 * MICROS_PER_SECOND;
         accept(new Input.TimerFired());
         assertEquals(0, currentParent(), "no confirmation for long: the decision module falls back to the listed parents");
         accept(new Input.CoordinatorUpdate("{\"index\":5,\"shape\":{\"piece\":2,\"unit\":\"here\"}}"));
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -13,7 +13,7 @@
 import pumicemoor.Logic;
 import pumicemoor.node.Input.AnswerStatus;
 
-/** The decisions are the same for requests of the platform and for calls of other proxies, given the same outcomes. */
+/** Tests that requests of the platform and calls of other proxies get the same decisions, given the same outcomes. */
 class SameChoicesTest {
 
     /** A reducer with its own decision module, and its choices as text that does not depend on the kind of input. */
@@ -21,7 +21,7 @@
         final boolean byCalls;
         final Reducer reducer;
         final List<String> choices = new ArrayList<>();
-        final Map<Integer, Long> openAttemptKeys = new LinkedHashMap<>(); // by the order of their choice
+        final Map<Integer, Long> openAttemptKeys = new LinkedHashMap<>(); // by number, in the order of their choice
         int attemptCount;
 
         Side(boolean byCalls, NodeConfig config, long now) {
