--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -595,9 +595,9 @@
      * requests fill a link that would serve many small ones.
      */
     private boolean isFull(MemberState member, double addedLoad, RequestState request) {
-        double small = request.priority / (request.priority + meanPriority);
+        double relativePriority = request.priority / (request.priority + meanPriority);
         boolean full = !quotaAllows(member, request)
-                || locationLoad(member) + addedLoad > member.limit * (1 - LARGE_REQUEST_RESERVE * (1 - small));
+                || locationLoad(member) + addedLoad > member.limit * (1 - LARGE_REQUEST_RESERVE * (1 - relativePriority));
         member.limitReachedAt = full ? now : member.limitReachedAt;
         return full;
     }
@@ -761,13 +761,14 @@
         } else if (event.outcome() == Outcome.CONNECT_FAILED || event.outcome() == Outcome.RESET) {
             request.failedMembers.add(attempt.target.listing.id());
             forget(history(request), attempt.target);
-            // attempts that were open when a connection broke fail for the same reason and are not counted again
+            // attempts that were already open when the last connection failed fail for the same reason: not counted again
             if (attempt.sentAt >= attempt.target.connectionFailedAt) {
                 attempt.target.connectionFailedAt = now;
-                // a member that resets connections is still running, and so still warm
+                // a member that resets connections is still running and therefore warm
                 countFailure(attempt.target, event.outcome() == Outcome.CONNECT_FAILED);
             }
-        } else if (event.outcome() == Outcome.TIMEOUT // a client that leaves early says nothing about the member
+        } else if (event.outcome() == Outcome.TIMEOUT
+                // a request that its client cancelled early says nothing about the member
                 || event.outcome() == Outcome.CANCELLED && (!request.closed || now >= attempt.lateAfter)) {
             recordLate(attempt, null);
             MemberState silent = attempt.target.lastAnswerAt < attempt.sentAt ? attempt.target : attempt.source;
@@ -816,7 +817,7 @@
      * the likely cause, which is the target, the source or the origin, unless a member was blamed before.
      */
     private void recordLate(Attempt attempt, MemberState named) {
-        boolean behindParent = settings.fills().fillReporting() == FillReporting.ALL
+        boolean originSuspected = settings.fills().fillReporting() == FillReporting.ALL
                 && origin != null
                 && attempt.source.listing.role() == Role.PARENT
                 && origin.lateShare >= attempt.source.lateShare;
@@ -824,7 +825,7 @@
             updateLimit(
                     named != null
                             ? named
-                            : attempt.expectHit ? attempt.target : behindParent ? origin : attempt.source,
+                            : attempt.expectHit ? attempt.target : originSuspected ? origin : attempt.source,
                     attempt,
                     true);
             if (named == null
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -16,7 +16,10 @@
 
     // ---- settings -------------------------------------------------------------------------------------
 
-    /** The configuration of a router, which does not change while it runs. */
+    /**
+     * The configuration of a router, which does not change while it runs: its number, the number of all routers and its
+     * location, followed by the settings of the installation. Lists by location are indexed by the location's number.
+     */
     record Settings(
             int router,
             int routers,
@@ -85,7 +88,12 @@
             long maxRetryAfter,
             long connectTimeout) {}
 
-    /** The parameters of the rules that a router must obey; slow start has separate ones for caches and parents. */
+    /**
+     * The parameters of the rules that a router must obey. A final answer may come up to answerSlack past the deadline.
+     * Attempts to a member may go out up to drainGrace after it began to drain, and attempts that accept purged copies
+     * up to purgeGrace after the purge, which is complete after purgeSettleTime. Overload is measured over
+     * overloadWindow. Slow start has separate parameters for caches and for parents.
+     */
     record Rules(
             long answerSlack,
             long drainGrace,
--- a/src/main/java/pumicemoor/node/BoundedLog.java
+++ b/src/main/java/pumicemoor/node/BoundedLog.java
@@ -59,7 +59,7 @@
     }
 
     private String format() {
-        return suppressed == 0 ? "{}" : "{} ({} such lines were left out before)";
+        return suppressed == 0 ? "{}" : "{} ({} lines were suppressed before this one)";
     }
 
     private void write(LoggingEventBuilder builder, String text, Map<String, Object> fields) {
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -71,7 +71,7 @@
         String address = document.text(field);
         if (!address.matches("[^:\\s]+:\\d{1,5}")
                 || Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)) > MAX_PORT) {
-            throw new WireException("field '" + field + "' is no address: '" + address + "'");
+            throw new WireException("field '" + field + "' is not a HOST:PORT address: '" + address + "'");
         }
         return address;
     }
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -943,7 +943,7 @@
             gapDetectedAfter = lastEventIndex;
             counters.add(Name.GAPS);
             warningLog.warn(
-                    now, "event " + index + " came behind event " + lastEventIndex + ": reconnecting to the coordinator");
+                    now, "event " + index + " arrived after event " + lastEventIndex + " with a gap: reopening the coordinator's stream");
             effectSink.accept(new Effect.FollowCoordinator(config.coordinator()));
             return;
         }
