--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -761,7 +761,7 @@
         } else if (event.outcome() == Outcome.CONNECT_FAILED || event.outcome() == Outcome.RESET) {
             request.failedMembers.add(attempt.target.listing.id());
             forget(history(request), attempt.target);
-            // attempts that were already open when the last connection failed fail for the same reason: not counted again
+            // attempts already open when the last connection failed have the same cause and are not counted again
             if (attempt.sentAt >= attempt.target.connectionFailedAt) {
                 attempt.target.connectionFailedAt = now;
                 // a member that resets connections is still running and therefore warm
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -58,7 +58,10 @@
         CELL
     }
 
-    /** A class of requests; freshFor 0 means that a copy is fresh until it is purged. */
+    /**
+     * A class of requests. An answer should arrive within the latency target plus latencyTargetStretch times the
+     * transfer time of the object; freshFor 0 means that a copy is fresh until it is purged.
+     */
     record RequestClass(
             String name,
             long latencyTarget,
