--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -4,9 +4,9 @@
 import pumicemoor.RouterApi.Settings;
 
 /**
- * The sizes, counts and times that protect the router's own resources, computed once at start. It must never hold a
- * value that influences where a request goes: those belong to the decision module. Times are microseconds except where
- * noted, sizes are bytes.
+ * The sizes, counts and times that protect the router's own resources, computed once at the start. It must never hold a
+ * value that influences where a request goes: such values belong to the decision module. Times are in microseconds
+ * unless noted otherwise, sizes in bytes.
  */
 public record ResourceLimits(
         int openRequests, // open requests of the router
@@ -17,12 +17,12 @@
         int answerBytes, // largest body of an answer
         int lineBytes, // longest header line of an answer
         long bufferedBytes, // memory of all network buffers together
-        int clientBacklogBytes, // high water mark of the write buffer of a client connection
-        int lineBacklogBytes, // the same of a connection to a member
+        int clientBacklogBytes, // high-water mark of the write buffer of a client connection
+        int lineBacklogBytes, // high-water mark of the write buffer of a connection to a member
         long sweep, // interval of the checks for idle and dead connections
-        long clientFirst, // until the first request of a client, and until the rest of a frame
-        long clientIdle, // until a client connection without requests counts as idle
-        long clientLeave, // from telling an idle client to leave until its connection is closed
+        long clientFirst, // wait for the first request of a client, and for the rest of a frame
+        long clientIdle, // without requests until a client connection counts as idle
+        long clientLeave, // from the signal to an idle client to leave until its connection is closed
         long clientRelease, // delay before a released client connection is closed
         long clientStall, // for which a client may leave its answers unread
         int streamsKnown, // stream numbers remembered per client
@@ -36,7 +36,7 @@
         long connectTimeout, // for a connection to a member
         long unwritten, // until an attempt that is not completely written has failed
         long lineIdle, // until an idle connection to a member is closed
-        long lineAbandoned, // until one is closed whose answers no longer arrive
+        long lineAbandoned, // until a connection is closed on which answers no longer arrive
         long lineQuiet, // without data from a member that owes answers, until it is probed
         long lineDead, // until a probe that gets no reply closes the connection
         long idKept, // for which the id of an ended attempt is remembered on its connection
@@ -44,20 +44,20 @@
         long feedConnect, // for a connection to the coordinator
         long feedRetry, // mean delay before the coordinator stream is opened again
         long syncTime, // to catch up with the coordinator after the start
-        long requestHold, // for which requests wait for the coordinator after a stall
-        long heldUp, // between two turns of the event loop from which it counts as stalled
-        long answerGuard, // past its deadline until an unanswered request fails
-        long quietAfterTerm, // after SIGTERM during which the router does not exit even if no request is open
-        long lastAfterTerm, // after SIGTERM when all requests still open fail
+        long requestHold, // longest wait of requests for the coordinator after a stall
+        long heldUp, // between two iterations of the event loop for it to count as stalled
+        long answerGuard, // from its deadline until an unanswered request is failed
+        long quietAfterTerm, // shortest time from SIGTERM to the exit, even if no request is open
+        long lastAfterTerm, // from SIGTERM until all requests still open are failed
         int rehearsals, // requests of the rehearsal before the start
         long rehearsalTime, // longest duration of the rehearsal
-        int fleetLines // lines a second in each of the logs of the fleet and of endpoint changes
+        int fleetLines // lines a second of the fleet's log, and of the log of endpoint changes
         ) {
 
-    private static final long MILLI_MICROS = 1_000;
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     // half of the time in which a restarted router must be ready
-    private static final long SYNC_MICROS = 5 * SECOND_MICROS;
+    private static final long SYNC_MICROS = 5 * MICROS_PER_SECOND;
     private static final int MIN_MEMBER_CONNECTIONS = 8;
     private static final int OTHER_DESCRIPTORS = 96; // kept for the coordinator and the process
 
@@ -67,12 +67,13 @@
     }
 
     /**
-     * Returns the limits for these resources and settings. Half of the descriptors are for clients, most of the rest
-     * for members. An attempt that is not completely written fails after the connect timeout, and well before the grace
-     * period of a drain or a purge that arrives meanwhile ends, so that it cannot be sent in breach of it.
+     * Returns the limits for the given resources and settings. Half of the descriptors are for clients, most of the
+     * rest for members. An attempt that is not completely written fails after no more than the connect timeout, and
+     * well before the grace period of a drain or purge that arrives meanwhile ends, so that it is never sent in
+     * violation of that.
      */
     public static ResourceLimits of(Settings settings, NodeConfig.Resources resources) {
-        long connectTimeout = settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : SECOND_MICROS;
+        long connectTimeout = settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : MICROS_PER_SECOND;
         long writeTimeout = Math.min(
                 connectTimeout,
                 Math.min(
@@ -83,7 +84,7 @@
                 .max()
                 .orElse(0);
         int maxOpenRequests = settings.limits().maxOpenRequests() > 0 ? settings.limits().maxOpenRequests() : 20_000;
-        long retryAfterMillis = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MILLI_MICROS : 0;
+        long retryAfterMillis = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MICROS_PER_MILLI : 0;
         return new ResourceLimits(
                 Math.min(maxOpenRequests, 8_192),
                 32,
@@ -95,15 +96,15 @@
                 resources.memoryMb() * 1_048_576L / 8,
                 1_048_576,
                 131_072,
-                200 * MILLI_MICROS,
-                1_800 * MILLI_MICROS,
-                5 * SECOND_MICROS,
-                SECOND_MICROS,
-                150 * MILLI_MICROS,
-                4 * SECOND_MICROS,
+                200 * MICROS_PER_MILLI,
+                1_800 * MICROS_PER_MILLI,
+                5 * MICROS_PER_SECOND,
+                MICROS_PER_SECOND,
+                150 * MICROS_PER_MILLI,
+                4 * MICROS_PER_SECOND,
                 256,
                 16,
-                Math.max(10 * longestDeadline, 60 * SECOND_MICROS),
+                Math.max(10 * longestDeadline, 60 * MICROS_PER_SECOND),
                 retryAfterMillis,
                 5,
                 memberConnections(resources.sockets()),
@@ -111,22 +112,22 @@
                 Math.max(1, resources.multiplex()),
                 connectTimeout,
                 writeTimeout,
-                resources.keepAlive() > 0 ? resources.keepAlive() * 4 / 5 : 10 * SECOND_MICROS,
-                resources.keepAlive() + 2 * longestDeadline + 10 * SECOND_MICROS,
-                300 * MILLI_MICROS,
-                500 * MILLI_MICROS,
-                longestDeadline + SECOND_MICROS,
-                1_600 * MILLI_MICROS,
-                500 * MILLI_MICROS,
-                100 * MILLI_MICROS,
+                resources.keepAlive() > 0 ? resources.keepAlive() * 4 / 5 : 10 * MICROS_PER_SECOND,
+                resources.keepAlive() + 2 * longestDeadline + 10 * MICROS_PER_SECOND,
+                300 * MICROS_PER_MILLI,
+                500 * MICROS_PER_MILLI,
+                longestDeadline + MICROS_PER_SECOND,
+                1_600 * MICROS_PER_MILLI,
+                500 * MICROS_PER_MILLI,
+                100 * MICROS_PER_MILLI,
                 SYNC_MICROS,
-                500 * MILLI_MICROS,
-                Math.min(60 * MILLI_MICROS, writeTimeout / 4),
-                settings.rules().answerSlack() + 20 * MILLI_MICROS,
-                720 * MILLI_MICROS,
-                Math.min(longestDeadline, 3 * SECOND_MICROS) + 450 * MILLI_MICROS,
+                500 * MICROS_PER_MILLI,
+                Math.min(60 * MICROS_PER_MILLI, writeTimeout / 4),
+                settings.rules().answerSlack() + 20 * MICROS_PER_MILLI,
+                720 * MICROS_PER_MILLI,
+                Math.min(longestDeadline, 3 * MICROS_PER_SECOND) + 450 * MICROS_PER_MILLI,
                 800,
-                6 * SECOND_MICROS,
+                6 * MICROS_PER_SECOND,
                 50);
     }
 }
