--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -15,7 +15,10 @@
 import pumicemoor.node.Effect;
 import pumicemoor.node.Input.AnswerStatus;
 
-/** The project's own service, for callers that report the end of each attempt. It only decodes and encodes messages. */
+/**
+ * The project's own gRPC service, pumicemoor.v1.Decisions, for callers that report the end of each attempt. It only
+ * decodes and encodes messages.
+ */
 final class DecisionsService extends DecisionsGrpc.DecisionsImplBase {
 
     private static final int MAX_GROUP = 255;
@@ -71,7 +74,7 @@
         }
     }
 
-    /** The status of an ended attempt; null if nothing is known, so that the request may have run. */
+    /** The status of an ended attempt; null if the outcome is unknown, so that the request may have run. */
     private static AnswerStatus status(End.How how) {
         return switch (how) {
             case OK -> AnswerStatus.DATA;
@@ -116,11 +119,11 @@
         }
 
         @Override
-        void sendFinal(CallState.Code code, long stayAwayMillis) {
+        void sendFinal(CallState.Code code, long retryAfterMillis) {
             send(ToCaller.newBuilder()
                     .setFinal(Final.newBuilder()
                             .setCode(Final.Code.valueOf(code.name()))
-                            .setStayAwayMs(stayAwayMillis)));
+                            .setStayAwayMs(retryAfterMillis)));
         }
 
         @Override
--- a/src/main/java/pumicemoor/extproc/ExtProcService.java
+++ b/src/main/java/pumicemoor/extproc/ExtProcService.java
@@ -61,7 +61,7 @@
                 front.response(stream, -1, Headers.endStatus(headers), Headers.note(headers));
             }
             case REQUEST_NOT_SET -> front.execute(stream, front.malformed(stream, "a phase that is not known"));
-            default -> front.other(stream);
+            default -> front.bodyOrTrailers(stream);
         }
     }
 
@@ -91,12 +91,12 @@
         }
 
         @Override
-        void sendFinal(CallState.Code code, long stayAwayMillis) {
+        void sendFinal(CallState.Code code, long retryAfterMillis) {
             boolean refused = code == CallState.Code.REFUSED;
             send(ProcessingResponse.newBuilder()
                     .setImmediateResponse(ImmediateResponse.newBuilder()
                             .setStatus(HttpStatus.newBuilder().setCode(refused ? REFUSED_HTTP_STATUS : FAILED_HTTP_STATUS))
-                            .setHeaders(Headers.refusal(refused ? "refused" : "failed", stayAwayMillis))
+                            .setHeaders(Headers.refusal(refused ? "refused" : "failed", retryAfterMillis))
                             .setBody(ByteString.EMPTY)
                             .setDetails(refused ? "refused" : "failed")));
         }
--- a/src/main/java/pumicemoor/extproc/FrontWarmUp.java
+++ b/src/main/java/pumicemoor/extproc/FrontWarmUp.java
@@ -27,7 +27,7 @@
 
 /**
  * Warms up the JVM before the router's front listens (the "rehearsal" of the documentation): makes calls to a front of
- * its own, so that the first callers do not exceed their message time-out by waiting for class loading and JIT
+ * its own, so that the first callers do not exceed their message timeout by waiting for class loading and JIT
  * compilation. It owns that front, its event loop and a listener on loopback, and answers in place of the decision
  * logic; it must never use any object of the serving router.
  */
@@ -40,7 +40,7 @@
 
     private FrontWarmUp() {}
 
-    /** Runs until all calls are made or the time limit has passed; returns the number of calls. */
+    /** Runs until all calls are made or the time limit has passed; returns the number of calls begun. */
     static int run(ProcessorSection servingSection, SettingsReader settingsReader) throws IOException, InterruptedException {
         String requestClass = servingSection.rules().get(0).requestClass();
         ProcessorSection section = new ProcessorSection(
@@ -62,10 +62,10 @@
                 .build();
         Semaphore slots = new Semaphore(MAX_CONCURRENT_CALLS);
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
-        int done = 0;
+        int begun = 0;
         try {
-            while (done < CALLS && slots.tryAcquire(Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS)) {
-                new OneCall(slots).begin(ExternalProcessorGrpc.newStub(channel), done++);
+            while (begun < CALLS && slots.tryAcquire(Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS)) {
+                new OneCall(slots).begin(ExternalProcessorGrpc.newStub(channel), begun++);
             }
             slots.tryAcquire(MAX_CONCURRENT_CALLS, Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
         } finally {
@@ -73,10 +73,10 @@
             front.close();
             loop.thread.shutdownNow();
         }
-        return done;
+        return begun;
     }
 
-    /** Replaces the event loop and the decision logic: announces an attempt for each call, and ends it as served. */
+    /** Replaces the event loop and the decision module: announces an attempt for each call, and ends it as served. */
     private static final class WarmUpLoop implements CallLoop {
         private final ExecutorService thread = Executors.newSingleThreadExecutor();
         private final ProcessorFront front;
@@ -96,7 +96,7 @@
 
         @Override
         public Runnable schedule(long micros, Runnable task) {
-            return () -> {}; // no time-out occurs here
+            return () -> {}; // no timeout occurs here
         }
 
         @Override
--- a/src/main/java/pumicemoor/extproc/Headers.java
+++ b/src/main/java/pumicemoor/extproc/Headers.java
@@ -41,7 +41,7 @@
                     if (header.getKey().startsWith(":") || header.getKey().startsWith("x-")) {
                         return Optional.empty(); // the decision may depend on it
                     }
-                    continue; // a header that is not used here may contain any bytes
+                    continue; // a header that no decision depends on may contain any bytes
                 }
             }
             read.putIfAbsent(header.getKey().toLowerCase(Locale.ROOT), value);
@@ -78,12 +78,12 @@
         return flags.toString();
     }
 
-    static HeaderMutation refusal(String end, long stayAwayMillis) {
+    static HeaderMutation refusal(String end, long retryAfterMillis) {
         HeaderMutation.Builder mutation = HeaderMutation.newBuilder();
         set(mutation, END, end);
-        if (stayAwayMillis > 0) {
-            set(mutation, "retry-after", Long.toString((stayAwayMillis + 999) / 1_000)); // seconds, RFC 9110 10.2.3
-            set(mutation, "x-pumicemoor-stay-away-ms", Long.toString(stayAwayMillis));
+        if (retryAfterMillis > 0) {
+            set(mutation, "retry-after", Long.toString((retryAfterMillis + 999) / 1_000)); // seconds, RFC 9110 10.2.3
+            set(mutation, "x-pumicemoor-stay-away-ms", Long.toString(retryAfterMillis));
         }
         return mutation.build();
     }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -56,7 +56,7 @@
  * The gRPC server for other proxies, and the adapter between its streams and the router's event loop. It owns the
  * streams by request number, the attempts kept ready for a caller's retry, and the counters; all of these are used on
  * the loop's thread only. It must never decide: CallState determines which messages a stream may carry, and the
- * decision logic what happens to a request.
+ * decision module what happens to a request.
  */
 public final class ProcessorFront implements CallFront {
 
@@ -71,7 +71,7 @@
     private static final int MAX_NAME_LENGTH = 128;
     private static final int MAX_REGISTERED_IDS = 100_000; // ids of requests that must not run twice
     private static final long ID_RETENTION_MICROS = 600_000_000L;
-    // an answer is sent this long before the caller's message time-out
+    // an answer is sent this long before the caller's message timeout
     private static final long ANSWER_MARGIN_MICROS = 15_000;
     // a stream may exceed its request's deadline by this much
     private static final long STREAM_GRACE_MICROS = 2_000_000;
@@ -138,7 +138,7 @@
 
         abstract void sendAttempt(Effect.AnnounceAttempt attempt);
 
-        abstract void sendFinal(CallState.Code code, long stayAwayMillis);
+        abstract void sendFinal(CallState.Code code, long retryAfterMillis);
 
         abstract void sendContinue();
 
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Checks that the request classes in the rules exist; the exception names the first unknown one. */
+    /** Checks that the request classes in the rules exist; the exception names the first class that does not. */
     public static void check(ProcessorSection section, SettingsReader settingsReader) throws WireException {
         for (ProcessorSection.RuleText rule : section.rules()) {
             settingsReader.requestClass(rule.requestClass());
@@ -187,14 +187,14 @@
     }
 
     /**
-     * Warms up the JVM with calls to a front of its own, so that the first callers get quick answers; call before
-     * start.
+     * Warms up the JVM with calls to a separate front, so that the first callers get quick answers; must be called
+     * before the start.
      */
     public void rehearse() throws IOException, InterruptedException {
         long startNanos = System.nanoTime();
         int calls = FrontWarmUp.run(section, settingsReader);
         LOG.info(
-                "rehearsed {} calls of proxies in {} ms",
+                "warmed up with {} calls from proxies in {} ms",
                 calls,
                 TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
     }
@@ -203,12 +203,12 @@
     public void start(CallLoop callLoop) throws IOException {
         open(callLoop);
         LOG.info(
-                "calls of proxies are accepted on {}{}; calls before this start are not known",
+                "calls from proxies are accepted on {}{}; nothing is known of calls before this start",
                 section.listen(),
                 tls == null ? " in plain text" : "");
     }
 
-    /** Starts the gRPC server; all calls are processed on this event loop. */
+    /** Starts the gRPC server, whose calls are all processed on this event loop. */
     void open(CallLoop callLoop) throws IOException {
         loop = callLoop;
         int colon = section.listen().lastIndexOf(':');
@@ -297,7 +297,7 @@
 
     // ---- on the loop's thread -------------------------------------------------------------------------
 
-    /** A request given by its HTTP headers, matched against the rules. */
+    /** Handles a request given by its HTTP headers, which are matched against the rules. */
     void request(Stream stream, Map<String, String> headers) {
         String method = headers.getOrDefault(":method", "");
         String path = headers.get(":path");
@@ -309,8 +309,8 @@
                             : stream.state.request());
             return;
         }
-        Optional<About> about = rules.fit(method, path, headers);
-        if (about.isEmpty()) {
+        Optional<About> attributes = rules.fit(method, path, headers);
+        if (attributes.isEmpty()) {
             boolean pass = rules.noRule() == CallRules.NoRule.PASS;
             count(pass ? Count.PASSED : Count.REFUSED_BY_RULE);
             execute(stream, pass ? stream.state.passed() : stream.state.answered(CallState.Code.REFUSED, 0));
@@ -318,15 +318,15 @@
         }
         long ttlMillis = parseNumber(headers.get("x-envoy-expected-rq-timeout-ms"));
         long attemptCount = parseNumber(headers.get("x-envoy-attempt-count"));
-        request(stream, headers.get("x-request-id"), about.get(), ttlMillis, attemptCount > 1);
+        request(stream, headers.get("x-request-id"), attributes.get(), ttlMillis, attemptCount > 1);
     }
 
-    /** A request to be decided; repeat is true if its caller has sent it before. */
-    void request(Stream stream, String id, About about, long ttlMillis, boolean repeat) {
+    /** Handles a request to be decided; {@code clientRetry} is true if its caller has sent it before. */
+    void request(Stream stream, String id, About attributes, long ttlMillis, boolean clientRetry) {
         count(Count.CALLS);
         int requestClass;
         try {
-            requestClass = settingsReader.requestClass(about.requestClass());
+            requestClass = settingsReader.requestClass(attributes.requestClass());
         } catch (WireException e) {
             execute(stream, malformed(stream, "an unknown class"));
             return;
@@ -341,15 +341,15 @@
         }
         stream.id = stream.caller + '/' + id;
         ReadyAttempt ready = readyAttempts.remove(stream.id);
-        FairAdmission.Verdict verdict = draining ? null : admission.admit(loop.clock(), stream.caller);
-        if (verdict == null || !verdict.admitted()) {
+        FairAdmission.Verdict decision = draining ? null : admission.admit(loop.clock(), stream.caller);
+        if (decision == null || !decision.admitted()) {
             count(Count.REFUSED_BY_BOUND);
             if (ready != null) {
                 readyAttempts.put(stream.id, ready);
             }
             execute(
                     stream,
-                    stream.state.answered(CallState.Code.REFUSED, verdict == null ? 1_000_000 : verdict.stayAway()));
+                    stream.state.answered(CallState.Code.REFUSED, decision == null ? 1_000_000 : decision.stayAway()));
             return;
         }
         stream.admitted = true;
@@ -365,7 +365,7 @@
             return;
         }
         if (settings.idempotency() != RouterApi.Idempotency.SAFE) {
-            if (!callRegistry.mayBegin(loop.clock(), stream.id, repeat)) {
+            if (!callRegistry.mayBegin(loop.clock(), stream.id, clientRetry)) {
                 count(Count.REPEATS_FAILED); // it may have run already, so it gets no further attempt
                 execute(stream, stream.state.answered(CallState.Code.FAILED, 0));
                 return;
@@ -375,36 +375,36 @@
         stream.requestNumber = --lastRequestNumber;
         streams.put(stream.requestNumber, stream);
         long timeoutMillis = ttlMillis > 0 ? Math.min(ttlMillis, settings.deadline() / MICROS_PER_MILLI) : settings.deadline() / MICROS_PER_MILLI;
-        List<Act> acts = stream.state.request();
+        List<Act> actions = stream.state.request();
         stream.timers.add(loop.schedule(
                 Math.max(1, Math.min(section.messageTimeout(), timeoutMillis * MICROS_PER_MILLI) - ANSWER_MARGIN_MICROS), () -> onMessageTimeout(stream)));
         stream.timers.add(loop.schedule(timeoutMillis * MICROS_PER_MILLI + STREAM_GRACE_MICROS, () -> expire(stream)));
-        for (Act act : acts) {
-            if (act instanceof Act.Ask) {
+        for (Act action : actions) {
+            if (action instanceof Act.Ask) {
                 loop.submit(new Input.Call(
                         stream.requestNumber,
                         stream.id,
-                        about.requestClass(),
-                        about.object(),
-                        about.part(),
-                        about.group(),
+                        attributes.requestClass(),
+                        attributes.object(),
+                        attributes.part(),
+                        attributes.group(),
                         timeoutMillis,
-                        repeat));
+                        clientRetry));
             }
         }
     }
 
     private void onMessageTimeout(Stream stream) {
         if (!stream.ended && stream.state.phase() == Phase.DECIDING) {
-            List<Act> acts = stream.state.messageTimeUp(section.messageTimeout());
-            if (!acts.isEmpty()) {
+            List<Act> actions = stream.state.messageTimeUp(section.messageTimeout());
+            if (!actions.isEmpty()) {
                 count(Count.REFUSED_LATE);
             }
-            execute(stream, acts);
+            execute(stream, actions);
         }
     }
 
-    /** Ends a stream that is open long after its request's deadline. */
+    /** Ends a stream that is still open after its request's deadline and the grace period. */
     private void expire(Stream stream) {
         if (!stream.ended) {
             count(Count.STREAMS_EXPIRED);
@@ -426,32 +426,32 @@
         execute(stream, stream.state.response(stream.attempt.attempt(), true));
     }
 
-    /** Handles a message that does not concern the decision, such as a body or trailers. */
-    void other(Stream stream) {
+    /** Handles a message on which no decision depends: a body or trailers. */
+    void bodyOrTrailers(Stream stream) {
         execute(stream, stream.state.other());
     }
 
-    List<Act> malformed(Stream stream, String why) {
-        List<Act> acts = new ArrayList<>(stream.state.gone());
-        acts.add(new Act.Abort(why));
-        return acts;
+    List<Act> malformed(Stream stream, String reason) {
+        List<Act> actions = new ArrayList<>(stream.state.gone());
+        actions.add(new Act.Abort(reason));
+        return actions;
     }
 
     /**
-     * Executes the actions of the call state; answers of the decision logic that arrive meanwhile are processed after
-     * them.
+     * Executes the actions that the call state has returned. Submitting an input may deliver a result of the decision
+     * logic to this front before the remaining actions are executed.
      */
-    void execute(Stream stream, List<Act> acts) {
-        for (Act act : acts) {
-            if (act instanceof Act.TellName) {
+    void execute(Stream stream, List<Act> actions) {
+        for (Act action : actions) {
+            if (action instanceof Act.TellName) {
                 count(Count.NAMED);
                 stream.sendAttempt(stream.attempt);
-            } else if (act instanceof Act.TellFinal answer) {
+            } else if (action instanceof Act.TellFinal answer) {
                 count(Count.FINALS);
                 stream.sendFinal(answer.code(), (answer.stayAway() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
-            } else if (act instanceof Act.GoOn) {
+            } else if (action instanceof Act.GoOn) {
                 stream.sendContinue();
-            } else if (act instanceof Act.End) {
+            } else if (action instanceof Act.End) {
                 count(Count.ENDS);
                 Effect.AnnounceAttempt ended = stream.attempt;
                 AnswerStatus status = stream.endStatus;
@@ -463,16 +463,16 @@
                                 : status == null
                                         ? new Input.ConnectionLost(ended.key())
                                         : new Input.Answered(ended.key(), status, stream.note, Map.of(), Bytes.NONE));
-            } else if (act instanceof Act.Withdraw) {
+            } else if (action instanceof Act.Withdraw) {
                 count(Count.WITHDRAWN);
                 streams.remove(stream.requestNumber);
                 loop.submit(new Input.RequestCancelled(stream.requestNumber, 0));
-            } else if (act instanceof Act.Complete) {
+            } else if (action instanceof Act.Complete) {
                 finish(stream);
                 stream.complete();
-            } else if (act instanceof Act.Abort abort) {
+            } else if (action instanceof Act.Abort abort) {
                 count(Count.ABORTED);
-                loop.complain("a call of a proxy was aborted: " + abort.why());
+                loop.complain("a call from a proxy was aborted: " + abort.why());
                 finish(stream);
                 stream.abort(Status.INVALID_ARGUMENT.withDescription(abort.why()));
             }
@@ -482,7 +482,7 @@
         }
     }
 
-    /** Releases a stream that is over; only the id of a request that must not run twice is kept. */
+    /** Releases the resources of an ended stream; only the id of a request that must not run twice is kept. */
     private void finish(Stream stream) {
         if (stream.ended) {
             return;
@@ -498,7 +498,7 @@
         }
     }
 
-    // ---- results of the decision logic ----------------------------------------------------------------
+    // ---- results of the decision module ----------------------------------------------------------------
 
     @Override
     public void attemptAnnounced(Effect.AnnounceAttempt attempt) {
@@ -531,10 +531,10 @@
     }
 
     @Override
-    public void answered(long call, Effect.Code code, long pushbackMillis) {
+    public void answered(long call, Effect.Code code, long retryAfterMillis) {
         Stream stream = streams.remove(call);
         if (stream != null) {
-            execute(stream, stream.state.decided(CallState.Code.valueOf(code.name()), pushbackMillis * MICROS_PER_MILLI));
+            execute(stream, stream.state.decided(CallState.Code.valueOf(code.name()), retryAfterMillis * MICROS_PER_MILLI));
             return;
         }
         readyAttempts.values().stream().filter(ready -> ready.requestNumber() == call).findFirst().ifPresent(ready -> {
--- a/src/main/java/pumicemoor/net/AcceptFailures.java
+++ b/src/main/java/pumicemoor/net/AcceptFailures.java
@@ -9,8 +9,8 @@
 
 /**
  * Handles failures to accept a connection (no file descriptor or no memory left): pauses the listener briefly, so that
- * a persistent failure does not keep the event loop busy. The connection waits in the accept queue of the kernel
- * meanwhile.
+ * a persistent failure does not keep the event loop busy. Until reading resumes, the connection waits in the accept
+ * queue of the kernel.
  */
 final class AcceptFailures extends ChannelInboundHandlerAdapter {
 
--- a/src/main/java/pumicemoor/net/BufferBudget.java
+++ b/src/main/java/pumicemoor/net/BufferBudget.java
@@ -19,12 +19,12 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Whether this many more bytes fit within the limit. */
+    /** Whether this number of additional bytes fits within the limit. */
     boolean hasCapacity(long bytes) {
         return usedBytes.getAsLong() + bytes <= maxBytes;
     }
 
-    /** Whether a reader may allocate this many bytes; if not, it is queued and called back once there is capacity. */
+    /** Whether a reader may allocate this number of bytes; if not, it is queued and resumed once there is capacity. */
     boolean admit(long bytes, Runnable resume) {
         boolean admitted = hasCapacity(bytes);
         if (!admitted) {
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -65,8 +65,8 @@
         List<Connection> pool = connectionsByInstance.computeIfAbsent(request.instance(), i -> new ArrayList<>());
         Connection connection = pool.stream().filter(c -> c.accepts(request)).findFirst().orElse(null);
         if (connection == null && pool.size() >= limits.linesPerMember()) {
-            // at the limit of connections an answered id may be reused; an abandoned one may not, as its answer may
-            // still arrive
+            // at the limit of connections to the member, an answered id may be reused on one of them; an abandoned id
+            // may not, as its answer may still arrive
             connection = pool.stream().filter(c -> c.acceptsReusedId(request)).findFirst().orElse(null);
             if (connection == null) {
                 request.body().release();
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Closes connections that have been idle for a while, before the peer does, and connections that show no sign of
-     * life.
+     * Closes connections that show no sign of life, idle connections that are retired or have been unused for a while
+     * (before the peer closes them), and connections whose outstanding answers have not arrived for a long time.
      */
     void sweep(long now) {
         connectionsByInstance.values().stream().flatMap(List::stream).toList().forEach(c -> c.checkLiveness(now));
@@ -168,7 +168,8 @@
     }
 
     /**
-     * The time at which an id ended on a connection, and whether it was abandoned, so that its answer may still come.
+     * The time (microseconds) at which the attempt with an id ended on a connection, and whether it was abandoned, so
+     * that its answer may still arrive.
      */
     private record EndedId(long endedAt, boolean abandoned) {
         private static final EndedId ANSWERED = new EndedId(0, false);
@@ -181,7 +182,7 @@
         private final long openedAt = loop.clock();
         private final Deque<QueuedAttempt> queue = new ArrayDeque<>();
         private final Map<String, AttemptInFlight> inFlight = new LinkedHashMap<>();
-        private final Map<String, EndedId> endedIds = new LinkedHashMap<>(); // an answer may still come
+        private final Map<String, EndedId> endedIds = new LinkedHashMap<>(); // by id; an answer may still arrive
         private final AnswerDecoder decoder = new AnswerDecoder(limits.lineBytes(), limits.answerBytes(), budget);
         private Effect.SendAttempt beingWritten;
         private Channel channel;
@@ -243,7 +244,7 @@
         /**
          * Writes the queued requests one by one, each only after the previous one has been written completely. A
          * request that has waited for too long is dropped: after a stall of the loop, the connection may be
-         * established before the request's own time-out is processed.
+         * established before the request's own timeout is processed.
          */
         void writeQueue() {
             if (writingQueue) {
@@ -253,7 +254,7 @@
             while (connected && !closed && beingWritten == null && !queue.isEmpty()) {
                 QueuedAttempt next = queue.poll();
                 Effect.SendAttempt request = next.request();
-                if (loop.clock() - next.queuedAt() > limits.unwritten()) { // the decision is based on outdated updates
+                if (loop.clock() - next.queuedAt() > limits.unwritten()) { // its decision is based on outdated updates
                     request.body().release();
                     connectionByAttempt.remove(request.attempt());
                     loop.submit(new Input.NeverSent(request.attempt()));
@@ -299,8 +300,8 @@
                     .findFirst()
                     .orElse(null);
             if (id != null) {
-                // nothing was received since that request was written: the connection takes no new requests, so that
-                // the next one opens another connection and shows whether the member can still be reached
+                // nothing has been received since that request was written: the connection takes no new requests, so
+                // that the next one opens another connection, which shows whether the member can still be reached
                 retired |= lastReadAt <= inFlight.get(id).writtenAt()
                         && loop.clock() - inFlight.get(id).writtenAt() > limits.connectTimeout();
             }
@@ -333,7 +334,7 @@
         }
 
         /**
-         * Closes the connection if it is dead. A lost machine, a hanging process and an answer that stops half-way look
+         * Closes the connection if it is dead. A lost machine, a hanging process and an answer that stops halfway look
          * alike: no byte arrives though answers are outstanding. Unless an answer is partly received, a probe (NOOP) is
          * sent first.
          */
@@ -415,8 +416,8 @@
         }
 
         /**
-         * Ends all attempts of this connection: those not completely written never ran, of the others the outcome is
-         * unknown.
+         * Ends all attempts on this connection: those that were not completely written never ran; the outcome of the
+         * others is unknown.
          */
         private void onClosed() {
             if (closed) {
@@ -428,20 +429,20 @@
             if (pool.isEmpty()) {
                 connectionsByInstance.remove(instance);
             }
-            List<Input> ends = new ArrayList<>();
+            List<Input> endInputs = new ArrayList<>();
             inFlight.values()
-                    .forEach(s -> ends.add(
+                    .forEach(s -> endInputs.add(
                             s.writtenAt() == Long.MAX_VALUE
                                     ? new Input.NeverSent(s.attempt())
                                     : new Input.ConnectionLost(s.attempt())));
             queue.forEach(queued -> {
                 queued.request().body().release();
-                ends.add(new Input.NeverSent(queued.attempt()));
+                endInputs.add(new Input.NeverSent(queued.attempt()));
             });
             inFlight.keySet().clear();
             queue.clear();
             beingWritten = null;
-            for (Input endInput : ends) {
+            for (Input endInput : endInputs) {
                 connectionByAttempt.remove(endInput instanceof Input.ConnectionLost lost ? lost.attempt() : ((Input.NeverSent) endInput).attempt());
                 loop.submit(endInput);
             }
--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -28,9 +28,9 @@
 /**
  * The channel handler of one client connection: converts complete frames to inputs and writes answers, each as one
  * frame. It owns the sets of open and of used streams, and must never delay an answer or decide its content. A client
- * that sends no valid request, or only part of a frame, is disconnected soon; a client that has sent a valid request
- * may stay idle for a while, as long as there is capacity. A connection passes through its stages in their order only,
- * and the stage is changed only in this file; docs/architecture.md lists what each event does in each stage.
+ * that sends no valid request, or only part of a frame, is disconnected after a short time; a client that has sent a
+ * valid request may stay idle for longer, as long as there is capacity. A connection only moves forward through its
+ * stages, and the stage is changed only in this file; docs/architecture.md lists what each event does in each stage.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
 
@@ -49,7 +49,7 @@
         CLOSED
     }
 
-    private static final int MAX_DIRECT_READS = 16; // direct reads in a row, beside those of the selector
+    private static final int MAX_DIRECT_READS = 16; // in a row, outside of the selector's reads
 
     private final long connectionId;
     private final ResourceLimits limits;
@@ -60,7 +60,7 @@
     private final TreeSet<Integer> usedStreams = new TreeSet<>(Integer::compareUnsigned); // those above usedStreamsUpTo
     private ChannelHandlerContext context;
     private int usedStreamsUpTo; // every stream up to this number is used, or too old to be new
-    // of the current read, by stream
+    // the requests of the current read, by stream
     private final Map<Integer, Input.Request> receivedRequests = new LinkedHashMap<>();
     private int invalidRequests;
     private boolean sentValidRequest;
@@ -70,7 +70,7 @@
     private long openedAt;
     private long activeAt;
     private long partialFrameSince = -1; // -1 while no frame is partly received
-    private long lastBacklogBytes; // at the last sweep
+    private long lastBacklogBytes; // the backlog at the last sweep
 
     ClientConnection(long connectionId, ResourceLimits limits, BufferBudget budget, Counters counters, Loop loop) {
         this.connectionId = connectionId;
@@ -285,7 +285,7 @@
         return true;
     }
 
-    /** Counts an invalid request, which has been answered; after too many of them the connection is closed. */
+    /** Counts an invalid request, which has already been answered; after too many the connection is closed. */
     void onInvalidRequest() {
         if (++invalidRequests >= limits.misuses()) {
             closeWithError("too many invalid requests");
@@ -304,7 +304,7 @@
         closeAfterAnswers();
     }
 
-    /** Closes an idle connection in good order, to free its slot for another client; false if it is not idle. */
+    /** Closes an idle connection gracefully, to free its slot for another client; returns false if it is not idle. */
     boolean closeIfIdle() {
         readAvailable(); // a request may have arrived meanwhile
         if (!openStreams.isEmpty() || stage.compareTo(Stage.ENDING) >= 0) {
--- a/src/main/java/pumicemoor/net/ClientFrame.java
+++ b/src/main/java/pumicemoor/net/ClientFrame.java
@@ -40,7 +40,7 @@
 
     private ClientFrame() {}
 
-    /** Decodes a request after its type and stream; the body remains a slice of the frame. */
+    /** Decodes the rest of a request frame, after its type and stream; the body remains a slice of the frame. */
     static Input.Request request(long connection, int stream, ByteBuf frame, ResourceLimits limits) {
         Map<String, String> fields = fields(frame);
         if (frame.readableBytes() > limits.requestBytes()) {
--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -52,13 +52,13 @@
     private final LongSupplier lastEvent;
     private final Counters counters;
     private final Loop loop;
-    private final List<Channel> pendingAttempts = new ArrayList<>(); // without an answer so far, the oldest first
+    private final List<Channel> pendingAttempts = new ArrayList<>(); // not answered yet; the oldest first
     private String address = "";
     private Channel stream; // the connection that is read; null while there is none
     private String streamAddress = "";
     private Future<?> scheduledConnect;
     private int consecutiveFailures; // connections that failed since the last stream
-    private long lastHeartbeatAt = Long.MIN_VALUE; // when the coordinator last confirmed that all events were sent
+    private long lastHeartbeatAt = Long.MIN_VALUE; // when the coordinator last confirmed that it had sent all events
     private boolean decoding; // while received bytes are being decoded
 
     CoordinatorStream(
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Logs the first of consecutive failures with its cause; the message at the next stream gives their number. */
+    /** Logs the first of consecutive failures with its cause; the log line of the next stream gives their number. */
     private void connectFailed(Throwable cause) {
         counters.add(Name.COORDINATOR_CONNECT_FAILED);
         if (consecutiveFailures++ == 0) {
@@ -256,7 +256,7 @@
                 } finally {
                     decoding = false;
                 }
-                // the previous coordinator may run on without receiving updates: its comments are no heartbeat
+                // the previous coordinator may keep running without receiving updates: its comments are not heartbeats
                 if (events.pollHeartbeat() && context.channel().isOpen() && streamAddress.equals(address)) {
                     lastHeartbeatAt = loop.clock();
                     loop.submit(new Input.CoordinatorHeartbeat());
@@ -271,7 +271,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.warn("the coordinator's stream is opened anew: {}", cause.toString());
+            LOG.warn("the coordinator's stream failed and is reopened: {}", cause.toString());
             ctx.close();
         }
     }
--- a/src/main/java/pumicemoor/net/FrameDecoder.java
+++ b/src/main/java/pumicemoor/net/FrameDecoder.java
@@ -5,7 +5,7 @@
 
 /**
  * Splits a client's input into frames and strips their length field. It owns the frame being received and must never
- * buffer as much as a length field asks for: a length over the limit ends the connection.
+ * let a length field determine how much is buffered: a length over the limit ends the connection.
  */
 final class FrameDecoder extends LengthFieldBasedFrameDecoder {
 
@@ -21,7 +21,7 @@
         super.channelRead(ctx, message);
     }
 
-    /** How many reads have delivered bytes so far. */
+    /** The number of reads that have delivered bytes so far. */
     int reads() {
         return reads;
     }
--- a/src/main/java/pumicemoor/net/Inbox.java
+++ b/src/main/java/pumicemoor/net/Inbox.java
@@ -6,8 +6,8 @@
 import pumicemoor.node.Input;
 
 /**
- * The queue of inputs for the event loop: coordinator updates come first, then cancellations, then all other inputs in
- * order of arrival, as their processing may depend on both. Requests can be held back while other inputs go on.
+ * The queue of inputs for the event loop: coordinator updates come first, then cancellations, then all other inputs,
+ * whose processing may depend on both, in order of arrival. Requests can be held back while other inputs are processed.
  */
 final class Inbox {
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Queues a cancellation and removes the requests it applies to; returns how many were still queued. */
+    /** Queues a cancellation and removes the queued requests that it applies to; returns their number. */
     int cancel(Input cancellation, Predicate<Input.Request> selected) {
         cancellations.add(cancellation);
         Predicate<Input> matching = input -> input instanceof Input.Request request && selected.test(request);
--- a/src/main/java/pumicemoor/net/Loop.java
+++ b/src/main/java/pumicemoor/net/Loop.java
@@ -7,10 +7,10 @@
 /** The services that the event loop offers to the connections on it; callable on the loop's thread only. */
 interface Loop {
 
-    /** Passes an input to the reducer, after those submitted before. */
+    /** Queues an input for the reducer; coordinator updates and cancellations go ahead of all other inputs. */
     void submit(Input input);
 
-    /** Microseconds: the Unix time of the router's start plus the monotonic time since. */
+    /** The time in microseconds: the Unix time of the router's start plus the monotonic time since. */
     long clock();
 
     /** Logs an error made by a peer; rate-limited. */
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -84,8 +84,8 @@
     private long timerDueAt = Long.MAX_VALUE;
     private long lastTurnAt; // when the loop last took an input
     private long unreadDelayMicros; // the length of the last stall
-    private long unreadDelayUntil; // requests received until then may have waited unread through the last stall
-    // requests are held back after a stall in which contact with the coordinator was lost
+    private long unreadDelayUntil; // requests received before this time may have waited unread during the last stall
+    // the time during which requests are held back, after a stall in which contact with the coordinator was lost
     private long requestsHeldSince;
     private long requestsHeldUntil;
 
@@ -106,23 +106,29 @@
         this.coordinator = new CoordinatorStream(bootstrap, limits, reducer::lastUpdate, counters, this);
     }
 
-    /** Adds a front to which proxies call; must be called before the start. */
+    /** Adds a front that proxies call; must be called before the start. */
     public void attach(CallFront front) {
         callFront = Optional.of(front);
     }
 
-    /** Follows the coordinator and listens once its updates are applied; returns then. */
+    /**
+     * Starts the router and returns once it listens for clients: after it has caught up with the coordinator, or the
+     * wait for that has timed out.
+     */
     public void start() throws InterruptedException, IOException {
         start(true);
     }
 
-    /** Starts the router; listens for clients only if wanted. */
+    /** Starts the router; it listens for clients only if {@code clientsWanted} is true. */
     public void start(boolean clientsWanted) throws InterruptedException, IOException {
         follow();
         open(clientsWanted);
     }
 
-    /** Applies the configured members and follows the coordinator from there; reloads are possible from then on. */
+    /**
+     * Applies the configured members and follows the coordinator from the last event they include; reloads are possible
+     * from then on.
+     */
     public void follow() throws InterruptedException, IOException {
         if (operatorConfig.fleet().isPresent()) {
             fleetSocket.listen(group, operatorConfig.fleet().get().listen());
@@ -189,7 +195,7 @@
                 .run(limits.rehearsals(), limits.rehearsalTime(), () -> loop.submit(() -> {})
                         .sync());
         LOG.info(
-                "{} rehearsed {} requests in {} ms",
+                "{} warmed up with {} requests in {} ms",
                 config.name(),
                 answered,
                 TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
@@ -197,21 +203,21 @@
 
     /**
      * Whether one more client can be accepted. At the limit, this closes the oldest connection that has sent no valid
-     * request, else the one that has been idle for longest, so that unused connections keep no client out.
+     * request, else the one that has been idle for longest, so that unused connections do not keep new clients out.
      */
     private boolean reserveClientSlot() {
-        if (allClients.size() >= limits.clients() + limits.clients() / 8) { // at most an eighth more may be closing
+        if (allClients.size() >= limits.clients() + limits.clients() / 8) { // at most an eighth more, which are closing
             allClients.stream()
                     .filter(c -> c.stage() == ClientConnection.Stage.RELEASING)
                     .findFirst()
-                    .ifPresent(c -> c.closeNow("it is already being closed, and its place is needed"));
+                    .ifPresent(c -> c.closeNow("it is already being closed, and its slot is needed"));
         }
         if (clients.size() < limits.clients()) {
             return true;
         }
         Optional<ClientConnection> silent =
                 clients.values().stream().filter(ClientConnection::hasSentNoRequest).findFirst();
-        silent.ifPresent(c -> c.closeWithError("it sent no valid request, and its place is needed"));
+        silent.ifPresent(c -> c.closeWithError("it sent no valid request, and its slot is needed"));
         return silent.isPresent()
                 || clients.values().stream()
                         .filter(c -> c.idleSince() < Long.MAX_VALUE)
@@ -234,7 +240,10 @@
         }
     }
 
-    /** Applies a reloaded configuration as far as possible; an unusable one is null, with the problem stated. */
+    /**
+     * Applies a reloaded configuration as far as possible. If the files could not be read, {@code problem} says why and
+     * at least one configuration is null.
+     */
     public void reload(NodeConfig next, OperatorConfig nextOperator, String problem) {
         if (!group.isShuttingDown()) {
             loop.execute(() -> submit(new Input.Reload(next, nextOperator, problem)));
@@ -256,7 +265,8 @@
     }
 
     /**
-     * Status values of the components enabled by the operator, by name; on the loop's thread only, or after its end.
+     * Status values of the components enabled by the operator, by name; called on the loop's thread only, or after its
+     * end.
      */
     @Override
     public Map<String, String> state() {
@@ -314,7 +324,7 @@
         clients.remove(connectionId);
     }
 
-    /** Queues an input and processes the queue, unless that is under way; on the loop's thread only. */
+    /** Queues an input and processes the queue, unless it is already being processed; on the loop's thread only. */
     @Override
     public void submit(Input input) {
         if (input instanceof Input.ClientClosed closed) {
@@ -334,8 +344,9 @@
 
     /**
      * The next input: coordinator updates first, then cancellations, then all inputs whose processing may depend on
-     * them. The decision logic schedules its calls so often that only a stalled loop exceeds the limit between two
-     * turns. A loop that was stalled, for whatever reason, first reads all input that arrived meanwhile.
+     * them. The decision module sets its timers at such short intervals that only a stalled loop exceeds the limit
+     * between two calls of this method. A loop that was stalled, for whatever reason, first reads all input that has
+     * arrived since.
      */
     private Input next() {
         long now = clock();
@@ -368,10 +379,10 @@
         }
     }
 
-    /** Updates of the time of the stall are missing: requests wait until they are received, for a limited time. */
+    /** Updates sent during the stall may be missing: requests wait until contact is restored, for a limited time. */
     private void holdRequests(long now) {
         counters.add(Name.HOLDS);
-        LOG.warn("the coordinator was lost while this process was stalled; requests are held back until contact is restored");
+        LOG.warn("contact with the coordinator was lost while this process was stalled; requests are held back until it is restored");
         requestsHeldSince = now;
         requestsHeldUntil = now + limits.requestHold();
         inbox.holdRequests();
@@ -483,7 +494,7 @@
         coordinator.close();
         fleetSocket.close();
         cacheConnections.closeAll();
-        // answers that a slow client has not read yet are given time to arrive
+        // clients that read slowly get the time to receive their last answers
         PromiseCombiner flushed = new PromiseCombiner(loop);
         List.copyOf(allClients).forEach(c -> flushed.add(c.closeGracefully()));
         Promise<Void> allFlushed = loop.newPromise();
--- a/src/main/java/pumicemoor/net/ServerSentEvents.java
+++ b/src/main/java/pumicemoor/net/ServerSentEvents.java
@@ -47,7 +47,7 @@
     /**
      * Whether a heartbeat has been received since the last call. A heartbeat is a comment, sent each second after all
      * events so far; the first comment of a stream does not count, as it may precede the events that were missed. An
-     * event is no heartbeat, as more events may follow it.
+     * event is not a heartbeat, as more events may follow it.
      */
     boolean pollHeartbeat() {
         boolean received = heartbeatReceived;
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -24,8 +24,8 @@
 /**
  * Warms up the JVM before the router is ready (the "rehearsal" of the documentation): runs synthetic requests through
  * all stages from a client's frame to the answer, so that the first clients do not wait for class loading and JIT
- * compilation. It owns a reducer, decision logic and clock of its own, and must never use a socket or any object of the
- * serving router.
+ * compilation. It owns a reducer, decision module and clock of its own, and must never use a socket or any object of
+ * the serving router.
  */
 final class WarmUp implements Loop {
 
@@ -56,7 +56,7 @@
         fromClient = new EmbeddedChannel(new FrameDecoder(limits.frameBytes()), client);
         fromCache = new EmbeddedChannel(new AnswerDecoder(limits.lineBytes(), limits.answerBytes(), budget));
         reducer.known(clock, config, effects::add);
-        work();
+        executeEffects();
     }
 
     /** Called between requests, so that the caller's event loop is not blocked for the whole warm-up. */
@@ -64,7 +64,7 @@
         void run() throws InterruptedException;
     }
 
-    /** Runs until this many requests are done or the time has passed; returns the number of answered requests. */
+    /** Runs this number of requests, or fewer if the time is over first; returns the number of answered requests. */
     long run(int requests, long maxMicros, Pause pause) throws InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(maxMicros);
         for (int i = 1; i <= requests && !classes.isEmpty() && System.nanoTime() < endNanos && fromClient.isOpen(); i++) {
@@ -79,7 +79,7 @@
             for (Effect.SendAttempt attempt = sentAttempts.poll(); attempt != null; attempt = sentAttempts.poll()) {
                 answer(attempt, i);
             }
-            release(fromClient);
+            releaseOutbound(fromClient);
             if (i % PAUSE_INTERVAL_REQUESTS == 0) {
                 pause.run();
             }
@@ -142,13 +142,13 @@
         }
     }
 
-    private static void release(EmbeddedChannel channel) {
+    private static void releaseOutbound(EmbeddedChannel channel) {
         for (ByteBuf frame = channel.readOutbound(); frame != null; frame = channel.readOutbound()) {
             frame.release();
         }
     }
 
-    private void work() {
+    private void executeEffects() {
         for (int i = 0; i < effects.size(); i++) {
             Effect effect = effects.get(i);
             if (effect instanceof Effect.SendAttempt attempt) {
@@ -166,7 +166,7 @@
         inbox.add(input);
         for (Input next = inbox.poll(); next != null; next = inbox.poll()) {
             reducer.accept(clock, next, effects::add);
-            work();
+            executeEffects();
         }
     }
 
--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -13,7 +13,7 @@
 
 /**
  * The section 'fleet' of an operator's file: the address on which this router receives the packets of the other
- * routers of its cluster (listen), the address at which they reach it (advertise), how many routers there are at most
+ * routers of its cluster (listen), the address at which they reach it (advertise), the maximum number of routers
  * (size), which limits, ejections and drains they coordinate, and whether they form one flat fleet or cells. Times are
  * microseconds.
  */
@@ -33,7 +33,7 @@
         Optional<DrainTimes> drainTimes,
         Optional<CellSetup> cellSetup) {
 
-    private static final int MAX_TABLE_ROUTERS = 2_000; // bound of the membership table
+    private static final int MAX_TABLE_ROUTERS = 2_000; // the size limit of the membership table
 
     /** Returns the fleet setup of a router of this name; the slow start times come from the platform's rules. */
     public FleetSetup setup(String name, RouterApi.Rules rules) {
--- a/src/main/java/pumicemoor/operator/HierarchySection.java
+++ b/src/main/java/pumicemoor/operator/HierarchySection.java
@@ -9,7 +9,7 @@
  * The section 'hierarchy' of an operator's file: where topology updates come from, the timing of migrations, the
  * topology, and the previous topology while some router may still use it. The depot is the unit that stands for the
  * caches of the router's location; an empty one means the unit with the location's own name. The first update of a
- * topology has number 1; the topology in the file includes all updates up to the last number that is given.
+ * topology has number 1; the topology in the file includes all updates up to the number given by the last component.
  */
 public record HierarchySection(
         UpdateSource news, String depot, MigrationTiming timing, Topology shape, Optional<Topology> before, long lastPiece) {}
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -507,7 +507,7 @@
         if (previous.isPresent() && previous.get().version() >= topology.version()) {
             throw invalid(
                     "hierarchy.before.version",
-                    "version " + previous.get().version() + " of the previous shape is not below that of the shape, "
+                    "version " + previous.get().version() + " is not below hierarchy.shape.version, "
                             + topology.version());
         }
         long lastUpdate = form.lastPiece() == null ? 0 : form.lastPiece();
--- a/src/main/java/pumicemoor/wire/SettingsReader.java
+++ b/src/main/java/pumicemoor/wire/SettingsReader.java
@@ -204,13 +204,13 @@
                 numberAt(specifics, "worth-when-old", index));
     }
 
-    /** Returns an element of a list; a list that is absent or too short counts as filled up with 0. */
+    /** Returns an element of a list of numbers, or 0 if the list is absent or too short. */
     private static double numberAt(Message message, String name, int index) throws WireException {
         List<Number> numbers = message.numbers(name);
         return index < numbers.size() ? numbers.get(index).doubleValue() : 0;
     }
 
-    /** Returns an element of a list; a list that is absent or too short counts as filled up with false. */
+    /** Returns an element of a list of booleans, or false if the list is absent or too short. */
     private static boolean flagAt(Message message, String name, int index) throws WireException {
         List<Boolean> flags = message.flags(name);
         return index < flags.size() && flags.get(index);
--- a/src/main/java/pumicemoor/wire/SimulatorAdapter.java
+++ b/src/main/java/pumicemoor/wire/SimulatorAdapter.java
@@ -138,7 +138,7 @@
         try {
             instances.put(number, new Instance(number, settings, routerFactory.apply(settings.settings(), salt)));
         } catch (RuntimeException e) {
-            writer.fault(number, describe(e));
+            writer.writeFault(number, describe(e));
         }
     }
 
@@ -163,7 +163,7 @@
         } catch (UncheckedIOException e) {
             throw e.getCause();
         } catch (RuntimeException e) {
-            writer.fault(instance.number(), describe(e));
+            writer.writeFault(instance.number(), describe(e));
         }
     }
 
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -8,7 +8,7 @@
 
 /**
  * A message about the topology of the hierarchy, which a coordinator that streams topology updates sends in the field
- * 'shape' of its events: an update, or the statement that all updates announced until some time have been sent. This
+ * 'shape' of its events: an update, or the statement that all updates announced until a given time have been sent. This
  * type only parses messages and must not validate updates. The JSON:
  *
  * <pre>
--- a/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
+++ b/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
@@ -44,7 +44,7 @@
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.OperatorFile;
 
-/** The front on a loopback socket, called as proxies call it, with the real reducer and decision logic. */
+/** The front on a loopback socket, called as proxies call it, with the real reducer and decision module. */
 class ProcessorFrontTest {
 
     private static final String OPERATOR =
@@ -170,7 +170,7 @@
                 .getHeaderMutation()
                 .getSetHeadersList()
                 .forEach(header -> headers.put(
-                        h.getHeader().getKey(), h.getHeader().getRawValue().toStringUtf8()));
+                        header.getHeader().getKey(), header.getHeader().getRawValue().toStringUtf8()));
         return headers;
     }
 
--- a/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
@@ -97,7 +97,7 @@
      * missing.
      */
     @Test
-    void missedEventsAreNoHeartbeat() {
+    void missedEventsAreNotHeartbeats() {
         receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n");
         for (int i = 42; i < 52; i++) {
             receive("id: " + i + "\ndata: {\"index\":" + i + "}\n\n");
@@ -114,7 +114,7 @@
     void silentStreamIsClosedBeforeUpdatesCountAsOutdated() {
         receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n");
         advanceTime(1_200_000);
-        assertTrue(channel.isOpen(), "a comment comes each second");
+        assertTrue(channel.isOpen(), "a comment is sent each second");
         advanceTime(800_000);
         assertFalse(channel.isOpen(), "two seconds of silence are enough");
         assertTrue(limits.feedSilence() + limits.feedRetry() + limits.feedConnect() < 4_000_000);
@@ -129,7 +129,7 @@
         receive(": \n\n");
         assertEquals(List.of(new Input.CoordinatorHeartbeat()), List.copyOf(loop.inputs));
         receive("\n");
-        assertEquals(1, loop.inputs.size(), "an empty line is no heartbeat");
+        assertEquals(1, loop.inputs.size(), "an empty line is not a heartbeat");
     }
 
     @Test
--- a/src/test/java/pumicemoor/net/InboxTest.java
+++ b/src/test/java/pumicemoor/net/InboxTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void heldRequestsKeepTheirOrderAndAreChargedTheTimeTheyWaited() {
+    void heldRequestsKeepTheirOrderAndRecordTheTimeTheyWaited() {
         inbox.holdRequests();
         inbox.add(request(1));
         inbox.add(new Input.TimerFired());
--- a/src/test/java/pumicemoor/net/SocketRig.java
+++ b/src/test/java/pumicemoor/net/SocketRig.java
@@ -61,7 +61,7 @@
             stalled.countDown();
             try {
                 resumeLoop.await();
-                Thread.sleep(300); // the test's events are older than the last read of the coordinator stream
+                Thread.sleep(300); // what the test has sent arrives before the router reads again
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
