--- a/src/main/java/pumicemoor/extproc/FrontWarmUp.java
+++ b/src/main/java/pumicemoor/extproc/FrontWarmUp.java
@@ -29,7 +29,7 @@
  * Warms up the JVM before the router's front listens (the "rehearsal" of the documentation): makes calls to a front of
  * its own, so that the first callers do not exceed their message timeout by waiting for class loading and JIT
  * compilation. It owns that front, its event loop and a listener on loopback, and answers in place of the decision
- * logic; it must never use any object of the serving router.
+ * module; it must never use any object of the serving router.
  */
 final class FrontWarmUp {
 
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -300,8 +300,9 @@
                     .findFirst()
                     .orElse(null);
             if (id != null) {
-                // nothing has been received since that request was written: the connection takes no new requests, so
-                // that the next one opens another connection, which shows whether the member can still be reached
+                // nothing has been received since that request was written, longer ago than the connect timeout: the
+                // connection takes no new requests, so that the next one opens another connection, which shows whether
+                // the member can still be reached
                 retired |= lastReadAt <= inFlight.get(id).writtenAt()
                         && loop.clock() - inFlight.get(id).writtenAt() > limits.connectTimeout();
             }
--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -304,7 +304,10 @@
         closeAfterAnswers();
     }
 
-    /** Closes an idle connection gracefully, to free its slot for another client; returns false if it is not idle. */
+    /**
+     * Asks an idle client to send no new requests and closes its connection gracefully, to free the slot for another
+     * client; returns false if the connection is not idle.
+     */
     boolean closeIfIdle() {
         readAvailable(); // a request may have arrived meanwhile
         if (!openStreams.isEmpty() || stage.compareTo(Stage.ENDING) >= 0) {
--- a/src/main/java/pumicemoor/operator/OperatorException.java
+++ b/src/main/java/pumicemoor/operator/OperatorException.java
@@ -1,6 +1,9 @@
 package pumicemoor.operator;
 
-/** Thrown when an operator's file cannot be used; the message is one line that names file, line and key. */
+/**
+ * Thrown when an operator's file cannot be used. The message is one line, which names the file and, where the error is
+ * in its text, the line and the key.
+ */
 public final class OperatorException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/test/java/pumicemoor/net/CoordinatorMoveTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorMoveTest.java
@@ -12,7 +12,10 @@
 import pumicemoor.node.NodeTestConfig;
 import pumicemoor.operator.OperatorConfig;
 
-/** A reload switches to a coordinator that accepts connections but does not answer yet. */
+/**
+ * A reload switches to a coordinator that accepts connections but does not answer yet: until it does, updates from the
+ * previous coordinator must still be applied.
+ */
 class CoordinatorMoveTest extends SocketRig {
 
     /** Reads the request and never answers. */
