--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -111,7 +111,7 @@
     private final Timeline timeline;
     private final TreeMap<String, Unit> target;
     private final TreeMap<Long, TopologyUpdate> early = new TreeMap<>();
-    private final List<TopologyUpdate> partialTopology = new ArrayList<>(); // updates of an incomplete topology
+    private final List<TopologyUpdate> partialTopology = new ArrayList<>(); // received updates of an incomplete topology
     private final Map<String, Long> startTimes = new HashMap<>();
     private final boolean skipsAllowed;
     private long version;
@@ -288,14 +288,14 @@
                         || update.pieces() != partialTopology.get(0).pieces())) {
             rejectTopology(
                     partialTopology.get(0).version(),
-                    "piece " + update.number() + " belongs to another topology, but only " + partialTopology.size() + " of "
-                            + partialTopology.get(0).pieces() + " pieces of this one have arrived");
+                    "update " + update.number() + " belongs to another topology, but only " + partialTopology.size() + " of "
+                            + partialTopology.get(0).pieces() + " updates of this one have arrived");
             partialTopology.clear();
         }
         if (update.pieces() <= 0) {
             applyIndependent(update);
         } else if (update.pieces() > MAX_UPDATES_PER_TOPOLOGY) {
-            rejectTopology(update.version(), "it has " + update.pieces() + " pieces; the limit is " + MAX_UPDATES_PER_TOPOLOGY);
+            rejectTopology(update.version(), "it has " + update.pieces() + " updates; the limit is " + MAX_UPDATES_PER_TOPOLOGY);
         } else {
             partialTopology.add(update);
             if (partialTopology.size() == update.pieces()) {
@@ -313,7 +313,7 @@
             version = Math.max(version, update.version());
         } else {
             updatesRefused++;
-            lastRefusal = "piece " + update.number() + ": " + violation;
+            lastRefusal = "update " + update.number() + ": " + violation;
             log.accept(new LogEvent(
                     "refused an update of the hierarchy: " + violation,
                     Map.of("piece", update.number(), "unit", update.unit())));
@@ -386,13 +386,16 @@
         topologiesRefused++;
         lastRefusal = "version " + refusedVersion + ": " + reason;
         log.accept(new LogEvent(
-                "refused a hierarchy; the old one stays in force: " + reason,
+                "refused a new topology; the old one stays in force: " + reason,
                 Map.of("version", refusedVersion, "in-force", version)));
     }
 
     // ---- time -----------------------------------------------------------------------------------------
 
-    /** Processes what is due by now, but not past the time up to which all updates are known to have arrived. */
+    /**
+     * Processes what is due by now, but nothing later than the lead after the last confirmation: an update that is not
+     * known here may take effect from then on.
+     */
     public void advance(long now) {
         if (setup.news() == UpdateSource.FILE) {
             certainUntil = Math.max(certainUntil, now);
@@ -407,7 +410,7 @@
             timesTooOld += stale ? 1 : 0;
             log.accept(new LogEvent(
                     stale
-                            ? "the last confirmed hierarchy update is too old: the ordinary path decides"
+                            ? "the hierarchy updates have not been confirmed for too long: the ordinary path decides"
                             : "the hierarchy updates are confirmed again",
                     Map.of("version", version)));
         }
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -192,13 +192,16 @@
         settleUnits(new LinkedHashSet<>(touched));
     }
 
-    /** Makes all changes to these units that are possible now, in the order of updates, then of names. */
+    /**
+     * Makes all changes to these units that are possible now, in the given order: first the units that were unsettled,
+     * by name, then those of new updates in the order of the updates.
+     */
     private void settleUnits(Set<String> touched) {
         for (String name : touched) {
             adoptUpdate(stateOf(name));
         }
         boolean changed = true;
-        while (changed) { // a unit that has got its parents may be what another waits for
+        while (changed) { // another unit may have waited for the one that now has its parents
             changed = false;
             for (String name : touched) {
                 UnitState state = stateOf(name);
@@ -216,7 +219,7 @@
             }
             removeIfGone(state);
         }
-        if (touched.stream().map(units::get).anyMatch(b -> b != null && !b.blocked.isEmpty())) {
+        if (touched.stream().map(units::get).anyMatch(s -> s != null && !s.blocked.isEmpty())) {
             // seed links are only an optimization and must not block a unit
             List.copyOf(seeds.keySet()).forEach(this::endSeed);
         }
@@ -252,12 +255,12 @@
     }
 
     /**
-     * Returns whether other units may still fill from a unit that is to be removed. If only seed links lead to it, they
-     * are ended, so that they do not keep it longer than the gap.
+     * Returns whether other units may still fill from a unit that is to be removed. If only seed links lead to it, ends
+     * them, so that they do not keep it longer than the gap.
      */
     private boolean hasChildren(String unit) {
         List<Link> links =
-                order.childrenOf(unit).stream().map(b -> new Link(b, unit)).toList();
+                order.childrenOf(unit).stream().map(child -> new Link(child, unit)).toList();
         if (seeds.keySet().containsAll(links)) {
             links.forEach(this::endSeed);
         }
@@ -352,8 +355,8 @@
     }
 
     /**
-     * Returns whether seed links of an earlier migration run in the opposite direction. They are ended, and no longer
-     * conflict once the gap has passed.
+     * Ends the seed links of an earlier migration that run in the opposite direction. Returns whether there are any that
+     * still conflict, which they do until the gap has passed.
      */
     private boolean waitsForSeeds(Map<String, Double> to, Map<String, Double> from) {
         boolean mustWait = false;
@@ -495,8 +498,8 @@
     int blockedLinks() {
         return (int) unsettled.stream()
                 .map(units::get)
-                .filter(b -> b != null)
-                .mapToInt(b -> b.blocked.size())
+                .filter(s -> s != null)
+                .mapToInt(s -> s.blocked.size())
                 .sum();
     }
 
--- a/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
@@ -74,7 +74,7 @@
             Set<String> reached = unitsReachingOrigin(units);
             units.keySet().stream()
                     .filter(unit -> !reached.contains(unit))
-                    .forEach(unit -> violations.add(new Violation(ViolationKind.NOT_APPLICABLE, unit, "'" + unit + "' has no way to the origin")));
+                    .forEach(unit -> violations.add(new Violation(ViolationKind.NOT_APPLICABLE, unit, "'" + unit + "' has no fill path to the origin")));
         }
         return violations.size() > MAX_VIOLATIONS
                 ? List.copyOf(violations.subList(0, MAX_VIOLATIONS))
@@ -85,7 +85,7 @@
             Topology topology, Unit unit, Set<String> members, boolean hasHubs, List<Violation> violations) {
         String name = "'" + unit.name() + "'";
         if (unit.kind() != Kind.DEPOT && !members.isEmpty() && !members.contains(unit.name())) {
-            violations.add(new Violation(ViolationKind.UNKNOWN_MEMBER, unit.name(), name + " is no member that is listed"));
+            violations.add(new Violation(ViolationKind.UNKNOWN_MEMBER, unit.name(), name + " is not in the list of members"));
         }
         if (unit.kind() != Kind.ORIGIN && unit.parents().isEmpty()) {
             violations.add(new Violation(ViolationKind.ORPHAN, unit.name(), name + " has no parents: it fills from nobody"));
@@ -112,7 +112,7 @@
                         ViolationKind.DOWNWARD,
                         unit.name(),
                         name + " may not fill from '" + parentName + "': a "
-                                + parent.kind().name().toLowerCase(java.util.Locale.ROOT) + " is not above it"));
+                                + parent.kind().name().toLowerCase(java.util.Locale.ROOT) + " is not upstream of it"));
             } else if (hasHubs && !topology.skipsAllowed() && parent.kind().level > unit.kind().level + 1) {
                 violations.add(new Violation(
                         ViolationKind.LEVEL_SKIPPED,
--- a/src/test/java/pumicemoor/hierarchy/FillOrderBenchmark.java
+++ b/src/test/java/pumicemoor/hierarchy/FillOrderBenchmark.java
@@ -39,8 +39,8 @@
     int links;
 
     /**
-     * A tree has most units at the bottom, as depots and caches are; deep is one deep order, as in no real
-     * deployment.
+     * In a tree most units are at the bottom, like depots and caches; in the deep form a unit may have any unit before
+     * it as a parent, so that paths are far longer than in a real deployment.
      */
     @Param({"tree", "deep"})
     String form;
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -29,8 +29,8 @@
 
     private final List<LogEvent> log = new ArrayList<>();
 
-    private Hierarchy hierarchy(UpdateSource news, String... lines) {
-        return new Hierarchy(Topologies.topology(1, 0, lines), 0, START_MICROS, new Setup("d", news, TIMING, 5 * SECOND_MICROS), log::add);
+    private Hierarchy hierarchy(UpdateSource source, String... lines) {
+        return new Hierarchy(Topologies.topology(1, 0, lines), 0, START_MICROS, new Setup("d", source, TIMING, 5 * SECOND_MICROS), log::add);
     }
 
     private static long id(String name) {
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -147,11 +147,11 @@
         void deliver(long now) {
             for (int router = 0; router < ROUTERS; router++) {
                 List<Delivery> due = inbox.get(router).stream()
-                        .filter(t -> t.at() <= now)
+                        .filter(delivery -> delivery.at() <= now)
                         .sorted((a, b) -> Long.compare(a.at(), b.at()))
                         .toList();
                 inbox.get(router).removeAll(due);
-                due.forEach(t -> t.action().run());
+                due.forEach(delivery -> delivery.action().run());
                 routers.get(router).advance(localTime(router, now));
             }
         }
