--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -55,8 +55,8 @@
 import pumicemoor.fleet.verdicts.EjectionTable;
 
 /**
- * One router's participation in its fleet: membership, leases and ejections over the same packets. Owns the packet
- * numbers, the gossip that is piggybacked on packets, and the choice of the grantor: every router reports to the living
+ * One router's participation in its fleet: membership, leases and ejections, which share the same packets. Owns the
+ * packet numbers, the gossip that is piggybacked on packets, and the choice of the grantor: every router reports to the living
  * router that ranks first by rendezvous hashing. It is given the time, packets, the list of members and reports of the
  * routing decisions; packets, events for the decisions and log events are fetched from it. In a large fleet an instance
  * is one of two levels: that of the routers of a cell, or that of the delegates of all cells (docs/fleet-design.md,
@@ -66,9 +66,9 @@
 
     private static final int REPORTS_PER_LEASE = 5;
     private static final int CELL_REPORT_DELAY_PERIODS =
-            8; // time until a router of a cell knows its grantor; that is also how slowly a new grantor takes over
+            8; // before a router's first report in a cell: it learns of its grantor, or of a change of it, no faster
     private static final int CELL_GOSSIP_BYTES =
-            300; // router records in a packet; spreads them over time when all routers start at once
+            300; // of router records in a packet, in cells; spreads them over time when all routers start at once
     // How long a vote binds a router of a cell; it outlasts the vote of its cell's grantor on the upper level.
     private static final int CELL_VOTE_LEASES = 3;
     // Time until a new process has compared its whole membership table with another router's.
@@ -119,9 +119,9 @@
     private final GossipQueue<Long> ejectionGossip = new GossipQueue<>();
     private final Map<Long, HeldLease> leases = new TreeMap<>();
     private final Map<Long, LeaseBook> leaseTables = new HashMap<>();
-    // The shares of the own cell; used on the upper level only.
+    // The shares leased to this router's cell; used on the upper level only.
     private final Map<Long, CellShare> cellShares = new TreeMap<>();
-    // Ejections that are new on this level and are to be passed to the other one.
+    // Ejections that are new on this level and not yet passed to the other one.
     private final List<Ejection> ejectionsForOtherLevel = new ArrayList<>();
     private final Map<Long, Demand> demands = new HashMap<>();
     private final EjectionTable ejections = new EjectionTable();
@@ -152,8 +152,8 @@
     private List<RouterRecord> rankedRouters = List.of(); // the list of living routers that topRanked was computed from
     private RouterRecord topRanked; // null if the list is empty
     private Map<Long, String> ejectableTiers = Map.of(); // the tiers of the members that can be ejected, by member id
-    private Fleet lowerLevel; // the own cell, on the upper level
-    private Fleet upperLevel; // the upper level, in a cell whose delegate this router is
+    private Fleet lowerLevel; // this router's cell; set on the upper level only
+    private Fleet upperLevel; // set in a cell only, while this router is its delegate
     private String failureReportsSentTo = ""; // the grantor of the cell that last received failure reports
     private long failureReportsSentAt;
 
@@ -168,9 +168,9 @@
     }
 
     /**
-     * Creates the level of a cell's routers, for a process with this instance number. The hash of the rendezvous key
-     * ranks the routers. It is the name of the cell before all splits, so that a grantor remains the grantor of its
-     * part of the cell after a split.
+     * Creates the level of a cell's routers, for a process with this instance number. The rendezvous key, by which the
+     * routers are ranked, is the name of the cell before all splits, so that a grantor remains the grantor of its part
+     * of the cell after a split.
      */
     public static Fleet ofCell(FleetSetup setup, String rendezvousKey, long time, long seed, long instance) {
         return new Fleet(setup, rendezvousKey, time, seed, NO_USAGE, Level.CELL, instance);
@@ -258,7 +258,7 @@
                             }
 
                             @Override
-                            public void term(long term) {
+                            public void observeTerm(long term) {
                                 election.observeTerm(term);
                             }
 
@@ -268,8 +268,8 @@
                             }
 
                             @Override
-                            public void changed(String text, Map<String, Object> figures) {
-                                addLogEvent(text, figures);
+                            public void log(String text, Map<String, Object> fields) {
+                                addLogEvent(text, fields);
                             }
                         }));
     }
@@ -278,9 +278,9 @@
         return value.name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    private void addLogEvent(String text, Map<String, Object> figures) {
+    private void addLogEvent(String text, Map<String, Object> fields) {
         if (logEvents.size() < MAX_PENDING_LOG_EVENTS) {
-            logEvents.add(new LogEvent(text, figures));
+            logEvents.add(new LogEvent(text, fields));
         }
     }
 
@@ -303,7 +303,7 @@
         }
         packetsReceived++;
         if (membership.receive(now, packet)) {
-            packet.ejections().forEach(this::take);
+            packet.ejections().forEach(this::applyEjection);
             if (packet.body() instanceof Ask ask) {
                 handleAsk(packet, ask);
             } else if (packet.body() instanceof CellAsk ask) {
@@ -445,7 +445,7 @@
         nextReportAt = Math.min(nextReportAt, Math.max(now, lastReportAt + setup.membership().period() / 4));
     }
 
-    /** Announces that this router leaves the fleet in good order. */
+    /** Announces that this router leaves the fleet gracefully. */
     @Override
     public void leave(long time) {
         now = Math.max(now, time);
@@ -460,7 +460,7 @@
         return Math.min(due, drains.map(d -> Math.min(nextPlanReportAt, d.nextDue(now))).orElse(Long.MAX_VALUE));
     }
 
-    /** Lives on to this time. */
+    /** Advances to this time and runs the timers that are due. */
     @Override
     public void advance(long time) {
         long before = now;
@@ -475,7 +475,7 @@
         if (now >= nextReportAt) {
             nextReportAt = now + times.lease() / REPORTS_PER_LEASE;
             lastReportAt = now;
-            failureReports.values().removeIf(a -> now >= a.until());
+            failureReports.values().removeIf(r -> now >= r.until());
             if (isLeader) {
                 updateLeadership(); // also when no other router reports here any more
             }
@@ -506,7 +506,7 @@
         return Math.max(setup.size(), membership.knownRouters());
     }
 
-    /** The router that all report to: of the living routers the one with the highest rendezvous weight. */
+    /** The router that all routers report to: the living router with the highest rendezvous weight. */
     private RouterRecord grantor() {
         RouterRecord self = membership.self();
         List<RouterRecord> living = membership.living();
@@ -572,7 +572,7 @@
     }
 
     /**
-     * Sets the upper level of this cell; null for none, which is allowed only once all shares of that level are over.
+     * Sets the upper level of this cell; null for none, which is allowed only once all shares leased from it have ended.
      */
     public void setAbove(Fleet upper) {
         upperLevel = upper;
@@ -595,12 +595,12 @@
         election.observeTerm(upper.election.term());
         upper.election.observeTerm(election.term());
         while (!ejectionsForOtherLevel.isEmpty() || !upper.ejectionsForOtherLevel.isEmpty()) {
-            takeAll(ejectionsForOtherLevel).forEach(v -> upper.take(upper.withTimeLeftAt(v, this)));
-            takeAll(upper.ejectionsForOtherLevel).forEach(v -> take(withTimeLeftAt(v, upper)));
+            takeAll(ejectionsForOtherLevel).forEach(e -> upper.applyEjection(upper.withTimeLeftAt(e, this)));
+            takeAll(upper.ejectionsForOtherLevel).forEach(e -> applyEjection(withTimeLeftAt(e, upper)));
         }
     }
 
-    /** The ejection with the time that is left of it at the other level. */
+    /** Returns the ejection with the time that it has left according to the other level. */
     private Ejection withTimeLeftAt(Ejection ejection, Fleet other) {
         EjectionTable.Held held = other.ejections.on(ejection.member());
         return held != null && held.verdict().version() == ejection.version() ? ejection.withLeft(Math.max(0, held.until() - other.now)) : ejection;
@@ -624,7 +624,7 @@
         old.dropCounters.forEach((counter, count) -> dropCounters.merge(counter, count, Long::sum));
         setMembers(old.members);
         election.observeTerm(old.election.term());
-        old.ejections.all().forEach(h -> take(h.verdict().withLeft(Math.max(0, h.until() - now))));
+        old.ejections.all().forEach(h -> applyEjection(h.verdict().withLeft(Math.max(0, h.until() - now))));
         limitSharesChanged = true;
         ejectionsChanged = true;
     }
@@ -661,7 +661,10 @@
         }
     }
 
-    /** Whether, in a cell, no other grantor can still include this router's failure reports in its sum. */
+    /**
+     * Whether failure reports may be sent to this router. In a cell they may only once no other grantor can still
+     * include this router's earlier reports in its sum, or they would count twice.
+     */
     private boolean mayReportFailures(String to) {
         if (level == Level.CELL && !failureReports.isEmpty()) {
             if (!to.equals(failureReportsSentTo) && !failureReportsSentTo.isEmpty() && now < failureReportsSentAt + times.shrink()) {
@@ -673,7 +676,10 @@
         return true;
     }
 
-    /** Sends the demand of the cell, if this router is its grantor, to the grantor of the upper level. */
+    /**
+     * If this router is the grantor of its cell, reports the cell's votes, demand and failure reports to the grantor of
+     * the upper level.
+     */
     private void reportCell() {
         if (!lowerLevel.grants()) {
             return;
@@ -705,7 +711,7 @@
         for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.MAX_CELL_DEMANDS) {
             List<CellDemand> batch = ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_CELL_DEMANDS)).stream()
                     .map(id -> cellDemand(id, to, lastNumber + 1))
-                    .filter(w -> w.leaseAsk() >= 0)
+                    .filter(d -> d.leaseAsk() >= 0)
                     .toList();
             send(
                     to.address(),
@@ -752,7 +758,7 @@
     }
 
     /** How much a cell may lease out: its share, or without one the even shares of the routers in its lease table. */
-    private double lendable(long id, int held) {
+    private double grantableAmount(long id, int held) {
         CellShare share = upperLevel == null ? null : upperLevel.cellShares.get(id);
         return share == null ? held * limitOf(id).evenPart(routers()) : share.pool(now, held, routers());
     }
@@ -770,7 +776,7 @@
                         demand.demand(),
                         inUse,
                         routers(),
-                        held -> lendable(demand.limit(), held));
+                        held -> grantableAmount(demand.limit(), held));
     }
 
     private void handleAsk(Packet packet, CellAsk ask) {
@@ -924,7 +930,7 @@
 
     // ---- ejections ------------------------------------------------------------------------------------
 
-    /** Returns whether this router is the leader now, and logs a change. */
+    /** Updates whether this router is the leader, logs a change, and returns the result. */
     private boolean updateLeadership() {
         boolean leader = level != Level.CELL
                 && election.inOffice(now, routers(), level == Level.FLAT ? LeaderElection.Backing.ONE : lowerLevel.election.backing(now));
@@ -946,10 +952,10 @@
         EjectionPolicy.Rules rules = setup.verdicts().get();
         boolean mayEject = now >= election.officeSince() + rules.hold() + rules.guard();
         ejectionPolicy.sit(now, election.ownTerm(), setup.membership().name(), mayEject, ejectableTiers, ejections, routers())
-                .forEach(this::take);
+                .forEach(this::applyEjection);
     }
 
-    private void take(Ejection ejection) {
+    private void applyEjection(Ejection ejection) {
         EjectionTable.Held before = ejections.on(ejection.member());
         boolean wasEjected = before != null && before.verdict().failing() && now < before.until();
         if (setup.verdicts().isEmpty()
@@ -970,7 +976,7 @@
     private void addLogEvent(Ejection ejection, String cause) {
         addLogEvent(
                 "ejection of " + nameOf(ejection.member())
-                        + (cause.startsWith("ended") ? " " : ejection.failing() ? ": ejected, " : ": lifted, ") + cause,
+                        + (cause.startsWith("ended") ? " " : ejection.failing() ? ": ejected, " : ": withdrawn, ") + cause,
                 Map.of(
                         "member",
                         nameOf(ejection.member()),
@@ -1292,8 +1298,8 @@
         row.put(
                 "counted",
                 leaseTables.entrySet().stream()
-                        .filter(b -> leases.get(b.getKey()) == lease)
-                        .mapToDouble(b -> b.getValue().counted(routers()))
+                        .filter(t -> leases.get(t.getKey()) == lease)
+                        .mapToDouble(t -> t.getValue().counted(routers()))
                         .sum());
         return row;
     }
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -28,7 +28,7 @@
     /** Records the health of a member as the routing decisions see it now. */
     void reportHealth(long time, MemberHealthReport report);
 
-    /** Announces that this router leaves the fleet in good order. */
+    /** Announces that this router leaves the fleet gracefully. */
     void leave(long time);
 
     /** The latest time at which {@link #advance} must be called next. */
--- a/src/main/java/pumicemoor/fleet/LeaderElection.java
+++ b/src/main/java/pumicemoor/fleet/LeaderElection.java
@@ -33,8 +33,8 @@
     private long lastInOfficeAt; // the last time at which a check found this router to be the leader
 
     /**
-     * Starts without a vote. A restarted process does not know whom it voted for, so it votes for no router for one
-     * lease, until any earlier vote has expired.
+     * Starts without a vote. A restarted process does not know which router it voted for, so it votes for none for
+     * one lease, until any earlier vote has expired.
      */
     LeaderElection(String self, long leaseMicros, long startedAt) {
         this.self = self;
@@ -51,7 +51,10 @@
         term = Math.max(term, other);
     }
 
-    /** Whether this router's next report to the given candidate is a vote; if so, this router is bound by it. */
+    /**
+     * Votes for the given candidate unless a vote for another one still binds this router. Returns whether its next
+     * report to the candidate is a vote; if so, it is bound by it for one lease.
+     */
     boolean vote(long now, String name, long instance) {
         Candidate candidate = new Candidate(name, instance);
         if (!candidate.equals(votedFor) && now < freeAt) {
@@ -113,7 +116,8 @@
     }
 
     /**
-     * The routers, including this one, that are bound to this router beyond the given time, and a term that all know.
+     * The number of routers, including this one, that are bound to this router beyond the given time, and the highest
+     * term that all of them know.
      */
     Backing backing(long until) {
         boolean own = votedFor != null && votedFor.name().equals(self) && until < freeAt;
@@ -137,7 +141,7 @@
         return inOffice(now, routers, Backing.ONE);
     }
 
-    /** The same, where this router's own vote stands for the routers of the given backing. */
+    /** The same, with this router's own vote counting as the votes of the given backing. */
     boolean inOffice(long now, int routers, Backing ownBacking) {
         votes.values().removeIf(v -> now >= v.until);
         boolean own = votedFor != null && votedFor.name().equals(this.self) && now < freeAt;
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -23,7 +23,7 @@
 import pumicemoor.fleet.verdicts.Ejection;
 
 /**
- * Encodes and decodes packets and makes every check that needs no state. It must never allocate memory for what a
+ * Encodes and decodes packets, and checks them as far as that needs no state. It must never allocate memory for what a
  * packet only claims to contain: a count is trusted only as far as there are bytes for it.
  */
 public final class PacketCodec {
@@ -31,7 +31,7 @@
     /** The longest packet, in bytes; short enough to pass every link without fragmentation. */
     public static final int LONGEST = 1_200;
 
-    public static final int LONGEST_NAME = 64;
+    public static final int LONGEST_NAME = 64; // bytes, in ASCII; also of an address
     static final int MAX_DEMANDS = 24; // in one packet
     static final int MAX_FAILURE_REPORTS = 12; // in one packet
     static final int MAX_CELL_DEMANDS = 14; // in one packet
@@ -98,7 +98,7 @@
         out.put((byte) packet.routers().size());
         packet.routers().forEach(r -> write(out, r));
         out.put((byte) packet.ejections().size());
-        packet.ejections().forEach(v -> write(out, v));
+        packet.ejections().forEach(e -> write(out, e));
         byte[] bytes = new byte[out.position()];
         out.flip().get(bytes);
         return bytes;
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -45,19 +45,19 @@
 
     private static final int MAX_UPPER_ROUTERS = 8_192; // delegates in the membership table of the upper level
     private static final int SETTLING_PERIODS = 24; // in a cell before a router may become a delegate or split the cell
-    private static final int OVERSIZE_PERIODS = 10; // that a cell is over its bound before it is split
+    private static final int OVERSIZE_PERIODS = 10; // how long a cell must be over its bound before it is split
     private static final int MOVE_DELAY_LEASES = 2; // from the first message of a split until the grantor itself moves
     private static final int SPLIT_MESSAGES_PER_PERIOD = 16;
-    private static final int FIRST_JOIN_WAIT_PERIODS = 2; // until a join is sent again, doubled each time
-    private static final int LAST_JOIN_WAIT_PERIODS = 64; // between joins that only look for routers that were missed
-    private static final int MAX_JOINS_PER_PERIOD = 64; // answered or forwarded
-    private static final int MAX_OPEN_JOINS = 16; // whose answers are accepted
+    private static final int MIN_JOIN_WAIT_PERIODS = 2; // until a join is repeated; doubled each time
+    private static final int MAX_JOIN_WAIT_PERIODS = 64; // between joins that only look for routers that were missed
+    private static final int MAX_DISCOVERY_PACKETS_PER_PERIOD = 64; // joins and places that are handled; the others are dropped
+    private static final int MAX_OPEN_JOINS = 16; // the last joins sent, whose answers are accepted
 
     private final FleetSetup setup;
     private final CellSetup cellSetup;
     private final String name;
     private final String address;
-    private final long period; // of the cell, microseconds
+    private final long cellPeriodMicros;
     private final long instance;
     private final Random random;
     private final PacketCodec joinCodec;
@@ -76,10 +76,10 @@
     private long inCellSince;
     private long checkAt;
     private long joinAt;
-    private int joinWait = FIRST_JOIN_WAIT_PERIODS; // periods
+    private int joinWaitPeriods = MIN_JOIN_WAIT_PERIODS;
     private int nextSeed;
-    private long lastNumber; // of the packets sent
-    private int joinsTaken;
+    private long lastNumber; // of the discovery packets sent
+    private int discoveryPacketsHandled;
     private int splitMessages;
     private long oversizeSince = Long.MAX_VALUE;
     private long moveAt = Long.MAX_VALUE;
@@ -93,13 +93,13 @@
         this.cellSetup = setup.cells().orElseThrow();
         this.name = setup.membership().name();
         this.address = setup.membership().address();
-        this.period = setup.membership().period();
+        this.cellPeriodMicros = setup.membership().period();
         this.random = new Random(randomSeed);
         this.instance = Math.max(1, (time / 1_000 << 20) | random.nextInt(1 << 20));
         this.joinCodec = new PacketCodec(setup.cluster() + "/join");
         this.now = time;
         this.inCellSince = time;
-        this.checkAt = time + 1 + (long) (random.nextDouble() * period);
+        this.checkAt = time + 1 + (long) (random.nextDouble() * cellPeriodMicros);
         this.joinAt = time;
         this.cell = newCell();
     }
@@ -107,8 +107,8 @@
     // ---- names ----------------------------------------------------------------------------------------
 
     /**
-     * Returns what follows the root in a router's name on the upper level: its own name, or a hash if both are too
-     * long.
+     * Returns what follows the root in a router's name on the upper level: the router's own name, or its hash if root
+     * and name together are too long.
      */
     private String label(String router) {
         return cellSetup.root().length() + 1 + router.length() <= PacketCodec.LONGEST_NAME
@@ -141,7 +141,8 @@
     }
 
     /**
-     * Returns the name of this router's cell: its root, and the bits that tell the cell from the root's other cells.
+     * Returns the name of this router's cell: its root, and the hash bits that distinguish the cell from the root's
+     * other cells.
      */
     public String cellName() {
         return depth == 0 ? cellSetup.root() : cellSetup.root() + "/" + hashPrefix(depth);
@@ -169,7 +170,7 @@
 
     private Fleet newCell() {
         return Fleet.ofCell(
-                levelSetup(setup.cluster() + "/" + cellName(), name, cellSeeds, period, 4 * cellSetup.most() + 64),
+                levelSetup(setup.cluster() + "/" + cellName(), name, cellSeeds, cellPeriodMicros, 4 * cellSetup.most() + 64),
                 setup.cluster() + "/" + cellSetup.root(),
                 now,
                 random.nextLong(),
@@ -249,8 +250,8 @@
         }
         exchangeLevels();
         if (now >= checkAt) {
-            checkAt = now + period;
-            joinsTaken = 0;
+            checkAt = now + cellPeriodMicros;
+            discoveryPacketsHandled = 0;
             updateDelegateRole();
             advanceSplit();
             sendJoinIfDue();
@@ -259,10 +260,10 @@
 
     /**
      * Becomes a delegate or ceases to be one. Both wait until this router has been in its cell for the settling time,
-     * and it ceases only once no share that it leased for the cell can be counted on any more.
+     * and it ceases only once all shares that it leased for the cell have ended.
      */
     private void updateDelegateRole() {
-        boolean settled = now >= inCellSince + SETTLING_PERIODS * period;
+        boolean settled = now >= inCellSince + SETTLING_PERIODS * cellPeriodMicros;
         boolean chosen = cell.among(cellSetup.delegates());
         if (upper == null && settled && chosen) {
             upper = Fleet.ofDelegates(
@@ -270,7 +271,7 @@
                             setup.cluster() + "/^",
                             cellSetup.root() + "." + label(name),
                             upperSeeds,
-                            UPPER_PERIOD * period,
+                            UPPER_PERIOD * cellPeriodMicros,
                             MAX_UPPER_ROUTERS),
                     now,
                     random.nextLong(),
@@ -279,7 +280,7 @@
             upper.updateMembers(now, members);
             cell.setAbove(upper);
             joinAt = now;
-            joinWait = FIRST_JOIN_WAIT_PERIODS;
+            joinWaitPeriods = MIN_JOIN_WAIT_PERIODS;
             log("this router is a delegate of cell " + cellName(), Map.of("cell", cellName(), "delegate", true));
         } else if (upper != null && settled && !chosen && upper.sharesOver(now)) {
             upper.leave(now);
@@ -287,7 +288,7 @@
             cell.setAbove(null);
             upper = null;
             log(
-                    "this router is no delegate of cell " + cellName() + " any more",
+                    "this router is no longer a delegate of cell " + cellName() + ": other routers rank higher",
                     Map.of("cell", cellName(), "delegate", false));
         }
     }
@@ -303,7 +304,10 @@
 
     // ---- splits ---------------------------------------------------------------------------------------
 
-    /** As the grantor of a cell over its bound, tells some of its routers of the split each period, and moves last. */
+    /**
+     * If this router is the grantor of a cell over its bound, announces the split to some of the cell's routers each
+     * period, and moves itself last.
+     */
     private void advanceSplit() {
         if (!cell.grants()) {
             oversizeSince = Long.MAX_VALUE;
@@ -316,8 +320,8 @@
         oversizeSince = oversize ? Math.min(oversizeSince, now) : Long.MAX_VALUE;
         if (oversize
                 && targetDepth == depth
-                && now >= inCellSince + SETTLING_PERIODS * period
-                && now - oversizeSince >= OVERSIZE_PERIODS * period) {
+                && now >= inCellSince + SETTLING_PERIODS * cellPeriodMicros
+                && now - oversizeSince >= OVERSIZE_PERIODS * cellPeriodMicros) {
             targetDepth = Math.min(PacketCodec.MOST_DEPTH, depth + bitsFor(living.size() + 1));
             log(
                     "cell " + cellName() + " is being split: it has " + (living.size() + 1) + " routers, over the bound of "
@@ -350,7 +354,7 @@
     }
 
     /**
-     * Moves to the cell of this depth; leases and lease tables are kept, since they identify processes and not cells.
+     * Moves this router to its cell of this depth; leases and lease tables are kept, since they identify processes and not cells.
      */
     private void moveToDepth(int newDepth, List<String> seeds) {
         List<String> known = new ArrayList<>(cell.living().stream()
@@ -367,8 +371,8 @@
         inCellSince = now;
         oversizeSince = Long.MAX_VALUE;
         moveAt = Long.MAX_VALUE;
-        joinAt = now + FIRST_JOIN_WAIT_PERIODS * period;
-        joinWait = FIRST_JOIN_WAIT_PERIODS;
+        joinAt = now + MIN_JOIN_WAIT_PERIODS * cellPeriodMicros;
+        joinWaitPeriods = MIN_JOIN_WAIT_PERIODS;
         old.leave(now);
         collectOutput(old);
         cell = newCell();
@@ -387,17 +391,18 @@
     }
 
     /**
-     * Sends a join when due: often to the seeds in turn while it knows no other router, rarely to find missed routers.
+     * Sends a join when due: often, to the seeds in turn, while this router knows no other one on a level, and rarely
+     * after that, to find routers that were missed.
      */
     private void sendJoinIfDue() {
-        if (isIsolated() && joinWait == LAST_JOIN_WAIT_PERIODS) {
-            joinWait = LAST_JOIN_WAIT_PERIODS / 2;
+        if (isIsolated() && joinWaitPeriods == MAX_JOIN_WAIT_PERIODS) {
+            joinWaitPeriods = MAX_JOIN_WAIT_PERIODS / 2;
         }
         if (now < joinAt) {
             return;
         }
-        joinAt = now + (long) (joinWait * period * (0.5 + random.nextDouble()));
-        joinWait = isIsolated() ? Math.min(LAST_JOIN_WAIT_PERIODS / 2, 2 * joinWait) : LAST_JOIN_WAIT_PERIODS;
+        joinAt = now + (long) (joinWaitPeriods * cellPeriodMicros * (0.5 + random.nextDouble()));
+        joinWaitPeriods = isIsolated() ? Math.min(MAX_JOIN_WAIT_PERIODS / 2, 2 * joinWaitPeriods) : MAX_JOIN_WAIT_PERIODS;
         if (!isIsolated() && !cell.grants()) {
             return;
         }
@@ -456,7 +461,7 @@
             return;
         }
         packetsReceived++;
-        if (packet.from().name().equals(name) || ++joinsTaken > MAX_JOINS_PER_PERIOD) {
+        if (packet.from().name().equals(name) || ++discoveryPacketsHandled > MAX_DISCOVERY_PACKETS_PER_PERIOD) {
             countDropped(packet.from().name().equals(name) ? "duplicate-names" : "joins-limited");
         } else if (packet.body() instanceof Join join) {
             receiveJoin(packet, join);
@@ -635,15 +640,15 @@
     }
 
     @Override
-    public Optional<List<Map<String, Object>>> rows(String subject) {
-        Optional<List<Map<String, Object>>> rows = cell.rows(subject);
-        if (!subject.equals("members") || rows.isEmpty()) {
+    public Optional<List<Map<String, Object>>> rows(String table) {
+        Optional<List<Map<String, Object>>> rows = cell.rows(table);
+        if (!table.equals("members") || rows.isEmpty()) {
             return rows;
         }
         List<Map<String, Object>> all = new ArrayList<>();
         rows.get().forEach(r -> all.add(withLevel(r, "cell")));
         if (upper != null) {
-            upper.rows(subject).orElseThrow().forEach(r -> all.add(withLevel(r, "upper")));
+            upper.rows(table).orElseThrow().forEach(r -> all.add(withLevel(r, "upper")));
         }
         return Optional.of(all);
     }
--- a/src/main/java/pumicemoor/fleet/drains/DrainCommand.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainCommand.java
@@ -7,7 +7,7 @@
  *
  * @param id unique for each command, so that a repeated command is recognized
  * @param mostOut how many members may be out at the same time
- * @param leastServing how many members of each kind must keep serving
+ * @param leastServing how many members of each tier must keep serving
  * @param fence the fence of the phase that the command refers to; 0 if it refers to none
  */
 public record DrainCommand(Kind kind, long id, int mostOut, int leastServing, long fence, List<Long> members) {
--- a/src/main/java/pumicemoor/fleet/drains/DrainOrder.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainOrder.java
@@ -3,7 +3,7 @@
 /**
  * A member that is to be taken out of service.
  *
- * @param tier the kind of member
+ * @param tier the tier of the member
  * @param requests a bit mask of the slots of the drain requests that include the member
  * @param fence the stamp of the plan that brought the member into its phase: a fencing token that every command about
  *     the phase names, so that the command is void once the phase has changed
--- a/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
@@ -1,7 +1,7 @@
 package pumicemoor.fleet.drains;
 
 /**
- * The durations of drains, in microseconds: how long a member stays in draining at least; how long requests already
+ * The durations of drains, in microseconds: the minimum time that a member is draining; how long requests already
  * sent to it may take to end; after how long a dead router counts as gone, so that drains proceed without it; after
  * how long a member that is still out is reported as overdue; and how long a cache and a parent take to warm up.
  */
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -46,12 +46,12 @@
         long send(String address, Body body);
 
         /** Reports a term that was received from another router. */
-        void term(long term);
+        void observeTerm(long term);
 
         void dropped(String reason);
 
         /** Logs a change for operators. */
-        void changed(String text, Map<String, Object> values);
+        void log(String text, Map<String, Object> fields);
     }
 
     /**
@@ -128,7 +128,7 @@
         return planStore.newest().stamp() > planStore.applied().stamp() || !pendingCommands.isEmpty() || !hadLeaderContact;
     }
 
-    /** Sends a report, and the commands that are in no plan yet, to the leader or the router that is taken for it. */
+    /** Sends a report, and the commands that are in no plan yet, to the router that is believed to be the leader. */
     public void report(long now, String address, long term) {
         long number =
                 outlet.send(address, new PlanReport(term, planStore.newest().stamp(), viewStamp, planStore.recovered(), reportedUsage()));
@@ -192,7 +192,7 @@
             outlet.dropped("late-plan-grant");
             return;
         }
-        outlet.term(grant.term());
+        outlet.observeTerm(grant.term());
         if (grant.office()) {
             planStore.confirmInForce(grant.inForce());
             if (planStore.applied().stamp() >= grant.inForce()) {
@@ -215,7 +215,7 @@
     public boolean take(Piece piece) {
         boolean whole = planStore.addPiece(piece.stamp(), piece.index(), piece.count(), piece.bytes());
         if (whole) {
-            outlet.term(Plan.termOf(planStore.newest().stamp()));
+            outlet.observeTerm(Plan.termOf(planStore.newest().stamp()));
         } else if (piece.stamp() <= planStore.newest().stamp()) {
             outlet.dropped(DROPPED_PIECE_REASON);
         }
@@ -289,8 +289,8 @@
 
     /** Processes a router's report and answers it at once. */
     public void reported(FleetSnapshot snapshot, Peer from, long number, PlanReport report) {
-        outlet.term(report.term());
-        outlet.term(Plan.termOf(report.held()));
+        outlet.observeTerm(report.term());
+        outlet.observeTerm(Plan.termOf(report.held()));
         leader.recordReport(
                 from.name(), new PlanLeader.Report(from.instance(), report.term(), report.held(), report.applied(), report.seasoned()));
         acknowledgements.recordUsage(from.name(), report.uses());
@@ -400,8 +400,8 @@
     }
 
     private void logStep(FleetSnapshot snapshot, DrainOrder order, String from, String to) {
-        String cause = stepCauses.getOrDefault(order.member(), "an earlier keeper wrote it");
-        outlet.changed(
+        String cause = stepCauses.getOrDefault(order.member(), "an earlier leader wrote it");
+        outlet.log(
                 "drain of " + memberName(snapshot, order.member()) + ": " + to + ", " + cause,
                 Map.of(
                         "member",
@@ -439,7 +439,10 @@
 
     // ---- monitoring -----------------------------------------------------------------------------
 
-    /** Returns since when routing decisions treat a returned member as cold, or 0 if they do not. */
+    /**
+     * Returns when a drained member returned, from which on routing decisions treat it as in slow start; 0 if it was not
+     * drained.
+     */
     public long returned(long member) {
         return lastView == null ? 0 : lastView.returned().getOrDefault(member, 0L);
     }
--- a/src/main/java/pumicemoor/fleet/drains/MemberKind.java
+++ b/src/main/java/pumicemoor/fleet/drains/MemberKind.java
@@ -1,7 +1,7 @@
 package pumicemoor.fleet.drains;
 
 /**
- * The kinds of members that can be drained. The number of members that must keep serving counts for each kind
+ * The tier of a member that can be drained. The number of members that must keep serving applies to each tier
  * separately.
  */
 public enum MemberKind {
--- a/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
@@ -13,7 +13,7 @@
  */
 final class PlanCodec {
 
-    /** The size of a plan: stamp and counts, then each request, order and closed request id. */
+    /** The largest size of an encoded plan: stamp and counts, then each request, order and closed request id. */
     static final int MAX_PLAN_BYTES = 24 + Plan.MAX_OPEN_REQUESTS * 17 + Plan.MAX_ORDERS * 30 + Plan.MAX_CLOSED_REQUESTS * 8;
 
     private PlanCodec() {}
--- a/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
@@ -25,12 +25,12 @@
      *
      * @param instance identifies the router's process
      * @param term the term that the router knew when it reported
-     * @param held the stamp of the newest plan that it holds
-     * @param applied the stamp of the plan that it acts on
-     * @param seasoned whether its process has learned since its start which plan was in force; see
+     * @param heldStamp the stamp of the newest plan that it holds
+     * @param appliedStamp the stamp of the plan that it acts on
+     * @param recovered whether its process has learned since its start which plan was in force; see
      *     {@link PlanStore#recovered}
      */
-    record Report(long instance, long term, long held, long applied, boolean seasoned) {}
+    record Report(long instance, long term, long heldStamp, long appliedStamp, boolean recovered) {}
 
     private final PlanStore planStore;
     private final Map<String, Report> reports = new TreeMap<>();
@@ -112,13 +112,13 @@
     private boolean canFinishReading(int routers, boolean readTimedOut) {
         long reportedThisTerm = reports.values().stream().filter(r -> r.term() >= term).count();
         long recoveredRouters = reports.values().stream()
-                        .filter(r -> r.term() >= term && r.seasoned())
+                        .filter(r -> r.term() >= term && r.recovered())
                         .count()
                 + (planStore.recovered() ? 1 : 0);
         int majority = routers / 2 + 1;
         long newestReported = reports.values().stream()
                 .filter(r -> r.term() >= term)
-                .mapToLong(Report::held)
+                .mapToLong(Report::heldStamp)
                 .max()
                 .orElse(0);
         return (recoveredRouters >= routers - majority + 1 || reportedThisTerm + 1 >= routers || readTimedOut)
@@ -128,7 +128,7 @@
     private long routersHoldingNewest() {
         return 1
                 + reports.values().stream()
-                        .filter(r -> r.held() == planStore.newest().stamp())
+                        .filter(r -> r.heldStamp() == planStore.newest().stamp())
                         .count();
     }
 
--- a/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
@@ -69,7 +69,7 @@
                 transition(order, Phase.FINISHED, "the member is no longer listed");
             }
         }
-        // members that have just returned count as serving from the next plan on: the count out is that of the old plan
+        // a member that finishes in this step still counts as out here, and as serving from the next plan on
         int out = plan.out();
         for (DrainOrder order : List.copyOf(orders.values())) {
             if (order.phase() == Phase.NAMED && orders.get(order.member()) == order && blockingReason(order, out) == null) {
@@ -122,7 +122,7 @@
         int minServing = Math.max(plan.leastServing(order.tier()), order.tier() == MemberKind.ROUTER ? majority : 0);
         int servingAfter = serving.get(order.tier()) - (conditions.isServing(order.member()) ? 1 : 0);
         if (out >= plan.mostOut()) {
-            return "as many are out as may be: " + out;
+            return "the limit of members out at once is reached: " + out;
         }
         if (servingAfter < minServing && conditions.isServing(order.member())) {
             return servingAfter + " of its tier would serve, " + minServing + " must";
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -13,8 +13,8 @@
 
 /**
  * Tracks which routers have applied a plan and which may still use a member, for the leader's decisions. A router
- * that has lost contact stops using the members that it knows to be named one lease after the report to which it last
- * got an answer. Owns the time of the last answer to each router and the requests that each reported in flight; it
+ * that has lost contact with the leader stops using the members that it knows to be named; it does so one lease after
+ * it sent the last report that was answered. Owns the time of the last answer to each router and the requests that each reported in flight; it
  * must not send packets.
  */
 final class RouterAcknowledgements implements DrainConditions {
@@ -46,13 +46,13 @@
         List.of(answeredAt, inFlightByRouter, hitsByRouter, phaseAppliedAt).forEach(m -> m.keySet().retainAll(names));
         leader.retainReports(names);
         Set<Long> members = new HashSet<>();
-        Set<Long> fences = new HashSet<>();
+        Set<Long> orderKeys = new HashSet<>();
         plan.orders().forEach(order -> {
             members.add(order.member());
-            fences.add(orderKey(order));
+            orderKeys.add(orderKey(order));
         });
         hitsByRouter.values().forEach(h -> h.keySet().retainAll(members));
-        phaseAppliedAt.values().forEach(s -> s.keySet().retainAll(fences));
+        phaseAppliedAt.values().forEach(s -> s.keySet().retainAll(orderKeys));
     }
 
     private static long orderKey(DrainOrder order) {
@@ -70,7 +70,7 @@
         inFlightByRouter.put(router, inFlight);
     }
 
-    /** Records that an answer was sent to a router, which may rely on it for one lease at most. */
+    /** Records that an answer was sent to a router, which may rely on it for at most one lease. */
     void recordAnswer(String router, long now) {
         answeredAt.put(router, now);
     }
@@ -81,7 +81,7 @@
                 || peer.standing() == RouterStatus.DEAD && statusAge > times.gone();
     }
 
-    /** Returns from when a router avoids the members named to it if it gets no further answer, from any leader. */
+    /** Returns when a router begins to avoid the members named to it if it gets no further answer from any leader. */
     private long avoidsNamedMembersFrom(Peer peer) {
         return Math.max(answeredAt.getOrDefault(peer.name(), 0L), snapshot.officeSince()) + leaseTimes.lease() + leaseTimes.guard();
     }
@@ -92,7 +92,7 @@
             return localAppliedStamp;
         }
         PlanLeader.Report report = leader.report(peer.name());
-        return report == null || report.instance() != peer.instance() ? -1 : report.applied();
+        return report == null || report.instance() != peer.instance() ? -1 : report.appliedStamp();
     }
 
     @Override
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -41,7 +41,8 @@
     }
 
     /**
-     * Whether the upper level can't count on this share any more: its lease and the shrink time after it have ended.
+     * Returns whether this share has ended for good: its lease and the shrink time after it are over, so that the cell
+     * spends no more than its even shares.
      */
     public boolean over(long now) {
         return now >= lease.until() + upperTimes.shrink();
@@ -82,8 +83,10 @@
     }
 
     /**
-     * Returns what the cell's routers may spend together throughout a lease that is granted now, where held routers are
-     * in the lease table of the cell's grantor and the fleet has this many routers.
+     * Returns what the cell's routers may spend together throughout a lease that is granted now.
+     *
+     * @param held the number of routers in the lease table of the cell's grantor
+     * @param routers the number of routers in the fleet
      */
     public double pool(long now, int held, int routers) {
         double evenShare = limit().evenPart(routers);
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The holder's side of a lease: what one router may spend of one limit. It owns the lease, the requests without an
- * answer, and the fallback after a lease has expired: for the shrink time the lower of the leased and the even share,
+ * The holder's side of a lease: what one router may spend of one limit. It owns the lease, the pending requests, and
+ * the fallback after a lease has expired: for the shrink time the lower of the leased and the even share,
  * so that the grantor can first reduce the others' shares, then the even share. A lease lasts from when its request was
  * sent, and a grant for an older request than that of the lease in force changes nothing, so late, duplicated and
  * reordered grants never add up.
--- a/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
@@ -15,7 +15,7 @@
  */
 public final class LeaseBook {
 
-    private static final double DEMAND_HEADROOM_FACTOR = 1.25; // lets a rising demand show
+    private static final double DEMAND_HEADROOM_FACTOR = 1.25; // granted above the demand, so that a rising demand can show
 
     private record Grant(long number, int routers, double amount, long expiresAt) {}
 
@@ -104,8 +104,8 @@
 
     /**
      * Answers a request with a share of the limit, or with -1 if a newer request of that router was answered before.
-     * holds is the number of the request whose grant is in force at the router, 0 for none; then the router counts with
-     * its even share until a request confirms a lease.
+     * {@code holds} is the number of the request whose grant is in force at the router. If it is 0, for none, the router
+     * counts with its even share until a request confirms a lease.
      */
     public double ask(
             long now, String router, long instance, long number, long holds, double demand, double inUse, int routers) {
@@ -118,7 +118,7 @@
                 held -> held * limit.evenPart(routers));
     }
 
-    /** Answers a request of a holder that may represent several routers and counts at least with inUse. */
+    /** Answers a request of a holder that may represent several routers and counts with at least {@code inUse}. */
     public double ask(long now, Asker asker, double demand, double inUse, int routers, PoolSize pool) {
         expire(now);
         Holder holder = holders.computeIfAbsent(asker.name(), name -> new Holder());
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -4,7 +4,7 @@
  * The durations that govern leases, in microseconds: how long a lease lasts (lease), how long after a request its grant
  * is still accepted (guard), and how long after its lease has ended a holder keeps to the lower of the leased and the
  * even share, while the shares of others are reduced (shrink). The grantor counts a lease from when it receives the
- * request, so it may count it longer than the holder does by up to the guard: the time that the request was under way.
+ * request, so it may count it longer than the holder does by up to the guard: the time that the request was in flight.
  */
 public record LeaseTimes(long lease, long guard, long shrink) {
 
@@ -13,13 +13,16 @@
     // packets between delegates cross regions
     private static final int UPPER_GUARD_FACTOR = 4;
 
-    /** The times of a fleet with a single level: others' leases end, and the grantor's table drops them. */
+    /**
+     * Creates the times of a fleet with a single level. After a lease has ended, the grantor's table drops it one guard
+     * later, and the leases that were granted to others before end within one lease.
+     */
     public LeaseTimes(long lease, long guard) {
         this(lease, guard, lease + guard);
     }
 
     /**
-     * Returns the times of a cell's share of a limit, where these are the times of the leases of its routers. After a
+     * Returns the times of a cell's share of a limit; these are the times of the leases of its routers. After a
      * cell's lease has ended, the upper grantor's table drops it one upper guard later, the other cells' shares end
      * within one upper lease, and the leases of their routers within one router lease.
      */
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -94,7 +94,7 @@
     private final boolean compareInParts;
     private final Map<String, Peer> peers = new TreeMap<>();
     private List<RouterRecord> living = List.of(); // cached list of the living peers; null when outdated
-    private int leftCount; // the number of peers that left in good order
+    private int leftCount; // the number of peers that left gracefully
     private long peersDigest;
     private final List<String> probeOrder = new ArrayList<>(); // the routers to probe next, the last one first
     // Pings sent on behalf of other routers, by packet number.
@@ -183,7 +183,7 @@
         return living;
     }
 
-    /** The number of known routers, including this one. Routers that left in good order are not counted. */
+    /** The number of known routers, including this one. Routers that left gracefully are not counted. */
     public int knownRouters() {
         return 1 + peers.size() - leftCount;
     }
@@ -320,14 +320,15 @@
         return Math.max(1, 64 - Long.numberOfLeadingZeros(peers.size() + 1L));
     }
 
-    /** How long a suspect has time to refute the suspicion (microseconds). */
+    /** How long a suspect has to refute the suspicion (microseconds). */
     long suspicionTimeout() {
         return setup.period() * (long) Math.max(MIN_SUSPICION_PERIODS, SUSPICION_PERIODS_PER_BIT * bitLength());
     }
 
     /**
-     * Compares the whole table with a random living router, and sometimes also with a dead router or a seed. This heals
-     * network splits and recovers lost updates.
+     * Every few periods, compares the whole table with a random living router and with a random dead router or absent
+     * seed. While no router is known to be alive, compares it in every period with all dead routers and seeds. This
+     * heals network partitions and recovers lost updates.
      */
     private void compare() {
         boolean isolated = living().isEmpty();
@@ -365,7 +366,7 @@
         if (sender == null) {
             return false; // the table is full
         }
-        // True for a successor or a predecessor of the known process.
+        // True if the sender is a successor or a predecessor of the known process.
         boolean otherInstance = sender.entry.instance() != from.instance();
         if ((otherInstance || sender.entry.status() != RouterStatus.ALIVE) && now - sender.remindedAt > setup.period() / 2) {
             sender.remindedAt = now; // a router can refute an entry only if it knows of it
@@ -492,7 +493,7 @@
     /** Handles a packet from a router with this router's name. If that process is older, it owns the name. */
     private void handleDuplicateName(RouterRecord from) {
         if (from.instance() == instance || from.address().equals(setup.address())) {
-            return; // its own packet, or one that its predecessor sent
+            return; // this router's own packet, or one that its predecessor sent
         }
         outlet.dropped("duplicate-names");
         if (from.instance() < instance) {
@@ -500,7 +501,7 @@
                 outlet.statusChanged(
                         self(),
                         RouterStatus.ALIVE,
-                        "an older router of this name is alive at " + from.address() + ": this one stands aside");
+                        "an older router of this name is alive at " + from.address() + ": this one stands aside and sends nothing");
             }
             silentUntil = now + DUPLICATE_NAME_SILENCE_PERIODS * setup.period();
         } else if (now >= silentUntil) {
@@ -508,7 +509,7 @@
         }
     }
 
-    /** Announces that this router leaves in good order. */
+    /** Announces that this router leaves gracefully. */
     public void leave() {
         leaving = true;
         incarnation++;
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -22,16 +22,16 @@
         String keeper) {
 
     private static final int TERM_SHIFT_BITS = 24;
-    private static final long MAX_TERM = 1L << 38;
+    private static final long TERM_LIMIT = 1L << 38;
 
-    /** Returns a version in this term that is higher than the given one. */
+    /** Returns the lowest version above the given one that is of this term or, if the given one is, of a later term. */
     static long nextVersion(long version, long term) {
         return Math.max(version + 1, (term << TERM_SHIFT_BITS) + 1);
     }
 
-    /** Whether a version is positive and its term is below the maximum. */
+    /** Whether a version is positive and its term is below the limit. */
     static boolean isValidVersion(long version) {
-        return version > 0 && version >> TERM_SHIFT_BITS < MAX_TERM;
+        return version > 0 && version >> TERM_SHIFT_BITS < TERM_LIMIT;
     }
 
     /** Returns the same decision with this much time left, in microseconds. */
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -41,7 +41,9 @@
         }
     }
 
-    /** Counts the slots taken by ejections that earlier leaders decided. */
+    /**
+     * Records that an ejection takes up a slot, whichever leader decided it, so that a new leader knows the slots taken.
+     */
     public void heard(EjectionTable.Held held) {
         if (held.verdict().failing()) {
             slotsTakenUntil.merge(held.verdict().member(), held.until() + rules.guard(), Math::max);
@@ -49,9 +51,9 @@
     }
 
     /**
-     * Returns the ejections, renewals and withdrawals that the leader issues now. tiers maps every member that may be
-     * ejected to its tier. Members are newly ejected only where mayEject is true, that is when every ejection that an
-     * earlier leader may have issued is known or has ended.
+     * Returns the ejections, renewals and withdrawals that the leader issues now. {@code tiers} maps every member that
+     * may be ejected to its tier. Members are newly ejected only if {@code mayEject} is true, that is once every
+     * ejection that an earlier leader may have issued is known or has ended.
      */
     public List<Ejection> sit(
             long now,
@@ -65,7 +67,7 @@
         slotsTakenUntil.values().removeIf(until -> now >= until);
         if (table.standing(now).isEmpty()
                 && reports.values().stream().allMatch(r -> r.failures().isEmpty())) {
-            return List.of(); // the common case; a leader evaluates the policy at each report
+            return List.of(); // the common case; the leader evaluates the policy at each report
         }
         Map<Long, List<FailureReport>> byMember = byMember();
         byMember.keySet().retainAll(tiers.keySet());
@@ -140,7 +142,7 @@
 
     private static void keepNewestProcess(List<FailureReport> failures) {
         long started = failures.stream().mapToLong(FailureReport::started).max().orElse(0);
-        failures.removeIf(a -> a.started() != started);
+        failures.removeIf(f -> f.started() != started);
         failures.sort(Comparator.comparingInt(FailureReport::strikes).reversed());
     }
 
--- a/src/test/java/pumicemoor/fleet/CellVotesTest.java
+++ b/src/test/java/pumicemoor/fleet/CellVotesTest.java
@@ -18,13 +18,13 @@
  */
 class CellVotesTest {
 
-    private static final long LEASE = 1_000;
-    private static final long CELL_VOTE_DURATION = 3 * LEASE; // how long a vote binds a router to its cell's grantor
-    private static final long UPPER_VOTE_DURATION = 2 * LEASE; // how long a vote binds a cell's grantor to the leader
+    private static final long LEASE_MICROS = 1_000;
+    private static final long CELL_VOTE_MICROS = 3 * LEASE_MICROS; // how long a vote binds a router to its cell's grantor
+    private static final long UPPER_VOTE_MICROS = 2 * LEASE_MICROS; // how long a vote binds a cell's grantor to the leader
 
     @Test
     void votesCountWithTheirWeightAndTheOwnVoteWithItsBacking() {
-        LeaderElection leader = new LeaderElection("k", UPPER_VOTE_DURATION, 0);
+        LeaderElection leader = new LeaderElection("k", UPPER_VOTE_MICROS, 0);
         leader.recordSent(2_000, "a", 1);
         assertTrue(leader.vote(2_000, "k", 1));
         leader.receiveReport("a", 1, true, 1, 0, 4);
@@ -40,7 +40,7 @@
 
     @Test
     void aLateReportNeverIncreasesAnEarlierPromise() {
-        LeaderElection leader = new LeaderElection("k", UPPER_VOTE_DURATION, 0);
+        LeaderElection leader = new LeaderElection("k", UPPER_VOTE_MICROS, 0);
         leader.vote(2_000, "k", 1);
         leader.recordSent(2_000, "a", 1);
         leader.recordSent(3_000, "a", 2);
@@ -56,7 +56,7 @@
 
     @Test
     void backingCountsOnlyRoutersThatAreBoundForLongEnough() {
-        LeaderElection grantor = new LeaderElection("g", CELL_VOTE_DURATION, 0);
+        LeaderElection grantor = new LeaderElection("g", CELL_VOTE_MICROS, 0);
         grantor.recordSent(3_000, "a", 1);
         grantor.recordSent(4_000, "b", 2);
         grantor.receiveReport("a", 1, true, 1, 7);
@@ -72,7 +72,7 @@
 
     /** A leader in term 1 with its own vote and those of four others, of nine routers. */
     private static LeaderElection leaderInTermOne() {
-        LeaderElection leader = new LeaderElection("k", UPPER_VOTE_DURATION, 0);
+        LeaderElection leader = new LeaderElection("k", UPPER_VOTE_MICROS, 0);
         leader.vote(2_000, "k", 1);
         leader.recordSent(2_000, "a", 1);
         leader.receiveReport("a", 1, true, 1, 0, 4);
@@ -126,8 +126,8 @@
 
         void start(long now) {
             instance++;
-            cellElection = new LeaderElection(name, CELL_VOTE_DURATION, now);
-            upperElection = new LeaderElection(name, UPPER_VOTE_DURATION, now);
+            cellElection = new LeaderElection(name, CELL_VOTE_MICROS, now);
+            upperElection = new LeaderElection(name, UPPER_VOTE_MICROS, now);
         }
     }
 
@@ -180,7 +180,7 @@
             }
             if (random.nextInt(800) == 0) {
                 process.cell = random.nextInt(cells);
-                process.cellElection = new LeaderElection(process.name, CELL_VOTE_DURATION, now);
+                process.cellElection = new LeaderElection(process.name, CELL_VOTE_MICROS, now);
                 process.cellElection.observeTerm(process.upperElection.term());
                 chooseGrantor(process, all, random);
             }
@@ -193,7 +193,7 @@
             } else {
                 to = all.get(process.leaderIndex);
                 vote = process.upperElection.vote(now, to.name, to.instance);
-                LeaderElection.Backing backing = process.cellElection.backing(now + UPPER_VOTE_DURATION);
+                LeaderElection.Backing backing = process.cellElection.backing(now + UPPER_VOTE_MICROS);
                 if (to != process) {
                     send(
                             inFlight,
@@ -222,7 +222,7 @@
                     if (candidate != lastLeader || candidate.upperElection.ownTerm() != lastTerm) {
                         assertTrue(restarts || candidate.upperElection.ownTerm() > lastTerm, "terms rise");
                         lastTerm = candidate.upperElection.ownTerm();
-                        lastLeader = k;
+                        lastLeader = candidate;
                     }
                 }
             }
--- a/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
@@ -23,8 +23,8 @@
                 .orElseThrow();
     }
 
-    private static DrainRun startedMaintenance(long goneAfter) {
-        DrainRun run = new DrainRun(5, 8, 2, 5, goneAfter, 5);
+    private static DrainRun startedMaintenance(long goneMicros) {
+        DrainRun run = new DrainRun(5, 8, 2, 5, goneMicros, 5);
         run.run(8 * SECOND);
         run.request(run.fleet.routers.get(2), 1, 0, 8);
         return run;
@@ -106,19 +106,19 @@
         run.runToEnd(200 * SECOND);
         List<LogEvent> drainEvents = run.fleet.routers.stream()
                 .flatMap(r -> r.logEvents.stream())
-                .filter(n -> n.text().startsWith("drain of"))
+                .filter(e -> e.text().startsWith("drain of"))
                 .toList();
         for (String phase : List.of("named", "draining", "out", "returning")) {
             assertEquals(
                     8,
                     drainEvents.stream()
-                            .filter(n -> n.fields().get("phase").equals(phase))
+                            .filter(e -> e.fields().get("phase").equals(phase))
                             .count(),
                     phase);
         }
         assertTrue(
                 drainEvents.stream()
-                        .noneMatch(n -> n.fields().get("cause").toString().contains("earlier keeper")),
+                        .noneMatch(e -> e.fields().get("cause").toString().contains("earlier leader")),
                 drainEvents::toString);
     }
 
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -25,8 +25,8 @@
 
     static final long MILLI = VirtualFleet.MILLI;
     static final long SECOND = VirtualFleet.SECOND;
-    static final long LONGEST_ATTEMPT = 2 * SECOND;
-    static final long WARM_UP = SECOND;
+    static final long MAX_ATTEMPT_MICROS = 2 * SECOND;
+    static final long WARM_UP_MICROS = SECOND;
 
     /** The work on a member that is physically down: since when, and under which fence. */
     private record Work(long since, long fence) {}
@@ -45,13 +45,13 @@
     boolean operatorPresent = true;
     int maxOutAtOnce;
 
-    DrainRun(int routers, int caches, int mostOut, int leastServing, long goneAfter, long seed) {
+    DrainRun(int routers, int caches, int mostOut, int leastServing, long goneMicros, long seed) {
         this.caches = caches;
         this.mostOut = mostOut;
         this.leastServing = leastServing;
         this.random = new Random(seed);
         fleet = new VirtualFleet(routers, routers, caches, LimitMeasure.PER_SECOND, 1_000, seed);
-        fleet.drains = Optional.of(new DrainTimes(200 * MILLI, LONGEST_ATTEMPT, goneAfter, 60 * SECOND, WARM_UP, WARM_UP));
+        fleet.drains = Optional.of(new DrainTimes(200 * MILLI, MAX_ATTEMPT_MICROS, goneMicros, 60 * SECOND, WARM_UP_MICROS, WARM_UP_MICROS));
         fleet.startAll();
     }
 
@@ -105,7 +105,7 @@
     private void step() {
         for (Router router : fleet.routers) {
             if (fleet.isActive(router) && random.nextInt(4) == 0) {
-                router.startAttempt(cacheId(random.nextInt(caches)), (long) (random.nextDouble() * LONGEST_ATTEMPT));
+                router.startAttempt(cacheId(random.nextInt(caches)), (long) (random.nextDouble() * MAX_ATTEMPT_MICROS));
             }
         }
         check();
@@ -159,7 +159,8 @@
             }
             Router router = active.get(random.nextInt(active.size()));
             Plan plan = router.fleet.plan().orElseThrow();
-            // The operator relies on what is shown: all is reported once the member is no longer out under that fence.
+            // The operator relies on what this router shows, and repeats the command until it no longer shows the member
+            // as out under that fence.
             if (plan.stamp() > entry.getValue()
                     && plan.of(entry.getKey()).map(o -> o.fence() > entry.getValue()).orElse(true)) {
                 finishedWork.remove(entry.getKey());
--- a/src/test/java/pumicemoor/fleet/FleetTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetTest.java
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void anEjectionNeedsTwoWitnessesAndReachesAllRoutersWithinItsBound() {
+    void anEjectionNeedsTwoReportersAndReachesAllRoutersWithinItsBound() {
         VirtualFleet fleet = new VirtualFleet(30, 30, 10, LimitMeasure.PER_SECOND, LIMIT, 5);
         fleet.startAll();
         fleet.run(12 * SECOND, () -> {});
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -109,8 +109,8 @@
                 return 0;
             }
             return limitShares.stream()
-                    .filter(a -> a.member() == ORIGIN)
-                    .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.amountAfterExpiry())
+                    .filter(s -> s.member() == ORIGIN)
+                    .mapToDouble(s -> now < s.expiresAt() ? s.amount() : s.amountAfterExpiry())
                     .sum();
         }
     }
@@ -267,7 +267,7 @@
                 router.limitShares = update.shares();
             } else if (event instanceof EjectionsUpdate update) {
                 router.ejected = update.ejected();
-                update.ejected().forEach(o -> router.firstEjectedAt.putIfAbsent(o.member(), now));
+                update.ejected().forEach(e -> router.firstEjectedAt.putIfAbsent(e.member(), now));
             }
         }
         router.logEvents.addAll(router.fleet.takeLogEvents());
@@ -298,7 +298,7 @@
         Set<Long> ejected = new HashSet<>();
         routers.stream()
                 .filter(r -> r.running)
-                .forEach(r -> r.ejected.stream().filter(o -> now < o.until()).forEach(o -> ejected.add(o.member())));
+                .forEach(r -> r.ejected.stream().filter(e -> now < e.until()).forEach(e -> ejected.add(e.member())));
         return ejected;
     }
 
--- a/src/test/java/pumicemoor/fleet/VotesTest.java
+++ b/src/test/java/pumicemoor/fleet/VotesTest.java
@@ -13,17 +13,17 @@
 /** There is never more than one leader, and each term of office has a higher number than the one before. */
 class VotesTest {
 
-    private static final long LEASE = 1_000;
+    private static final long LEASE_MICROS = 1_000;
 
     @Test
     void aVoteBindsItsVoterAndARestartedProcessHasNone() {
-        LeaderElection election = new LeaderElection("a", LEASE, 0);
-        assertFalse(election.vote(LEASE - 1, "b", 1), "it may have voted before it was restarted");
-        assertTrue(election.vote(LEASE, "b", 1));
-        assertFalse(election.vote(2 * LEASE - 1, "c", 1));
-        assertFalse(election.vote(2 * LEASE - 1, "b", 2), "another process of that name is another candidate");
-        assertTrue(election.vote(2 * LEASE - 1, "b", 1));
-        assertTrue(election.vote(3 * LEASE, "c", 1));
+        LeaderElection election = new LeaderElection("a", LEASE_MICROS, 0);
+        assertFalse(election.vote(LEASE_MICROS - 1, "b", 1), "it may have voted before it was restarted");
+        assertTrue(election.vote(LEASE_MICROS, "b", 1));
+        assertFalse(election.vote(2 * LEASE_MICROS - 1, "c", 1));
+        assertFalse(election.vote(2 * LEASE_MICROS - 1, "b", 2), "another process of that name is another candidate");
+        assertTrue(election.vote(2 * LEASE_MICROS - 1, "b", 1));
+        assertTrue(election.vote(3 * LEASE_MICROS, "c", 1));
     }
 
     /** Votes and grants are lost, delayed and duplicated, the candidates change at random, and processes restart. */
@@ -40,7 +40,7 @@
         long lastTerm = 0;
         int lastLeader = -1;
         for (int i = 0; i < routerCount; i++) {
-            routers.add(new LeaderElection("r" + i, LEASE, now));
+            routers.add(new LeaderElection("r" + i, LEASE_MICROS, now));
         }
         for (int step = 0; step < 3_000; step++) {
             now += random.nextInt(20);
@@ -54,7 +54,7 @@
             }
             if (random.nextInt(400) == 0) {
                 instances[i]++;
-                routers.set(i, new LeaderElection("r" + i, LEASE, now));
+                routers.set(i, new LeaderElection("r" + i, LEASE_MICROS, now));
                 if (lastLeader == i) {
                     lastLeader = -1;
                 }
--- a/src/test/java/pumicemoor/fleet/cells/CellEjectionsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellEjectionsTest.java
@@ -78,9 +78,9 @@
         Random random = new Random(seed);
         VirtualCells fleet = newFleet(seed);
         long boundMicros = spreadBoundMicros(fleet);
-        for (double loss : new double[] {0, 0.3}) {
-            long member = FIRST_CACHE + (loss == 0 ? 3 : 4);
-            fleet.loss = loss;
+        for (double lossRate : new double[] {0, 0.3}) {
+            long member = FIRST_CACHE + (lossRate == 0 ? 3 : 4);
+            fleet.lossRate = lossRate;
             fleet.run(3 * SECOND);
             List<Router> reporters =
                     List.of(fleet.inRoot("a").get(random.nextInt(10)), fleet.inRoot("c").get(random.nextInt(9)));
@@ -89,7 +89,7 @@
                 fleet.run(SECOND);
             }
             long tookMicros = spreadMicros(fleet, member);
-            assertTrue(tookMicros <= boundMicros, () -> tookMicros / MILLI + " ms of " + boundMicros / MILLI + " with " + loss + " lost");
+            assertTrue(tookMicros <= boundMicros, () -> tookMicros / MILLI + " ms of " + boundMicros / MILLI + " with " + lossRate + " lost");
         }
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
@@ -86,7 +86,7 @@
         fleet.startAll();
         for (int i = 0; i < 15; i++) {
             fleet.routers.forEach(r -> fleet.setDemand(r, random.nextInt(3) == 0 ? random.nextInt(20) : 0));
-            fleet.upperLoss = i % 4 == 3 ? 0.7 : 0;
+            fleet.upperLossRate = i % 4 == 3 ? 0.7 : 0;
             fleet.run(6 * SECOND);
         }
         assertEquals(List.of(), fleet.disagreements());
@@ -202,7 +202,7 @@
         assertSpendable(fleet, root(seed + 1), 0.7);
     }
 
-    /** All at once, then one after another; the bound allows for that many restarted processes. */
+    /** The routers restart all at once, then one after another; the bound allows for that many restarted processes. */
     @Property(tries = 2, seed = "5407", shrinking = ShrinkingMode.OFF)
     void cellRecoversFromARestartOfAllItsRouters(@ForAll long seed) {
         Random random = new Random(seed);
@@ -237,7 +237,7 @@
     @Property(tries = 2, seed = "5408", shrinking = ShrinkingMode.OFF)
     void cellsFallBackToEvenSharesWhileTheUpperLevelIsSilent(@ForAll long seed) {
         VirtualCells fleet = newFleet(seed, LimitMeasure.PER_SECOND, root(seed));
-        fleet.upperLoss = 1;
+        fleet.upperLossRate = 1;
         fleet.run(60 * SECOND);
         for (int i = 0; i < 3; i++) {
             setDemand(fleet, root(seed + i));
@@ -250,9 +250,9 @@
                         () -> name + " may spend " + spendable + " for " + evenShare);
             });
         }
-        fleet.upperLoss = 0.5;
+        fleet.upperLossRate = 0.5;
         fleet.run(30 * SECOND);
-        fleet.upperLoss = 0;
+        fleet.upperLossRate = 0;
         setDemand(fleet, root(seed));
         assertSettledAfter(fleet, 60 * SECOND);
         assertSpendable(fleet, root(seed), 0.8);
--- a/src/test/java/pumicemoor/fleet/cells/CellSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellSchedulesTest.java
@@ -59,9 +59,9 @@
             int zone = random.nextInt(zones.size());
             fleet.add("zone" + zone, zone % regions);
         }
-        fleet.loss = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
-        fleet.duplicated = random.nextInt(3) == 0 ? 0.3 : 0;
-        fleet.jitter = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
+        fleet.lossRate = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
+        fleet.duplicateRate = random.nextInt(3) == 0 ? 0.3 : 0;
+        fleet.maxJitterMicros = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
         fleet.run((long) (random.nextDouble() * 40 * SECOND));
         for (int i = 0; i < 24; i++) {
             fleet.run((long) (random.nextDouble() * 5 * SECOND));
@@ -98,7 +98,7 @@
             case 7, 8 -> fleet.cut = (a, b) -> false;
             case 9 -> fleet.setDemand(router, random.nextInt(3) == 0 ? 0 : random.nextDouble() * LIMIT);
             case 10 -> fleet.inRoot(router.root).forEach(r -> fleet.setDemand(r, random.nextDouble() * LIMIT));
-            case 11 -> fleet.upperLoss = random.nextInt(2) == 0 ? 0 : random.nextDouble();
+            case 11 -> fleet.upperLossRate = random.nextInt(2) == 0 ? 0 : random.nextDouble();
             case 12 -> {
                 if (fleet.isActive(router)) {
                     fleet.pause(fleet.grantorOf(router), (long) (random.nextDouble() * 12 * SECOND));
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Kills a router, for good if restarts aren't allowed; then the last running seed is spared. */
+    /** Kills a router; if restarts aren't allowed it stays dead, and the last running seed is spared. */
     private static void kill(VirtualCells fleet, Router router, boolean restarts) {
         if (restarts || !fleet.isLastRunningSeed(router)) {
             fleet.kill(router);
@@ -132,9 +132,9 @@
     private static void settle(VirtualCells fleet, boolean restarts) {
         fleet.cut = (a, b) -> false;
         fleet.endPauses();
-        fleet.loss = 0;
-        fleet.upperLoss = 0;
-        fleet.jitter = 5 * MILLI;
+        fleet.lossRate = 0;
+        fleet.upperLossRate = 0;
+        fleet.maxJitterMicros = 5 * MILLI;
         fleet.routers.stream()
                 .filter(r -> !r.running && (restarts || r.startedAt == 0))
                 .forEach(fleet::start);
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -94,8 +94,8 @@
             return !running
                     ? 0
                     : limitShares.stream()
-                            .filter(a -> a.member() == ORIGIN)
-                            .mapToDouble(a -> now < a.expiresAt() ? a.amount() : a.amountAfterExpiry())
+                            .filter(s -> s.member() == ORIGIN)
+                            .mapToDouble(s -> now < s.expiresAt() ? s.amount() : s.amountAfterExpiry())
                             .sum();
         }
 
@@ -158,10 +158,10 @@
     final int maxCellRouters;
     final int delegates;
     long now = 1_790_000_000L * SECOND;
-    double loss; // share of packets lost
-    double upperLoss; // share of packets lost between delegates on the upper level
-    double duplicated; // share of packets
-    long jitter = 2 * MILLI; // microseconds, largest random delay
+    double lossRate;
+    double upperLossRate; // of packets between delegates on the upper level
+    double duplicateRate;
+    long maxJitterMicros = 2 * MILLI; // added to the latency at random
     BiPredicate<Router, Router> cut = (a, b) -> false;
     BiConsumer<Router, Datagram> packetListener = (from, packet) -> {}; // called with each packet as it is sent
     // addresses that routers are started with; if empty, the first routers of the roots
@@ -354,7 +354,7 @@
             }
             case WAKE -> {
                 if (event.at() != router.wakeAt) {
-                    return; // it was rescheduled since
+                    return; // it has been rescheduled
                 }
                 if (router.pausedUntil > 0 && !router.receivedWhilePaused.isEmpty() && random.nextBoolean()) {
                     router.participant.advance(now); // after a pause, timers may fire before or after waiting packets
@@ -416,12 +416,12 @@
         packets++;
         bytes += datagram.bytes().length;
         Router to = byAddress.get(datagram.address());
-        double lossHere = isUpperLevel(datagram.bytes()) ? Math.max(loss, upperLoss) : loss;
+        double lossHere = isUpperLevel(datagram.bytes()) ? Math.max(lossRate, upperLossRate) : lossRate;
         if (to == null || cut.test(from, to) || random.nextDouble() < lossHere) {
             return;
         }
-        for (int copies = random.nextDouble() < duplicated ? 2 : 1; copies > 0; copies--) {
-            long delay = latency(from, to) + (long) (random.nextDouble() * jitter);
+        for (int copies = random.nextDouble() < duplicateRate ? 2 : 1; copies > 0; copies--) {
+            long delay = latency(from, to) + (long) (random.nextDouble() * maxJitterMicros);
             queue.add(new Scheduled(now + delay, order++, Kind.PACKET, to, datagram.bytes()));
         }
     }
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -52,17 +52,17 @@
                 }
 
                 @Override
-                public void term(long term) {
+                public void observeTerm(long term) {
                     // not needed here
                 }
 
                 @Override
-                public void dropped(String what) {
-                    dropped.add(what);
+                public void dropped(String reason) {
+                    dropped.add(reason);
                 }
 
                 @Override
-                public void changed(String text, Map<String, Object> figures) {
+                public void log(String text, Map<String, Object> fields) {
                     throw new AssertionError("only a leader logs steps");
                 }
             });
@@ -96,11 +96,11 @@
     }
 
     /** Sends a report at one time and processes its answer at another. */
-    private void reportAndAnswer(long reportedAt, long answeredAt, long instance, boolean office, long inForce) {
+    private void reportAndAnswer(long reportedAt, long answeredAt, long instance, boolean fromLeader, long inForce) {
         drains.report(reportedAt, LEADER, 1);
         // a command may follow the report
         long report = sent.size() - (sent.get(sent.size() - 1) instanceof PlanReport ? 0 : 1);
-        drains.answered(answeredAt, LEADER, new PlanGrant(report, instance, 1, office, inForce, inForce));
+        drains.answered(answeredAt, LEADER, new PlanGrant(report, instance, 1, fromLeader, inForce, inForce));
     }
 
     private Set<Long> avoidedMembers(long now) {
@@ -132,7 +132,7 @@
         reportAndAnswer(1_500, 1_510, INSTANCE, true, 12);
         view = drains.takeView(1_510, snapshot(1_510));
         assertTrue(view.alone().isEmpty());
-        assertEquals(Map.of(1L, 40L), view.returned(), "the member returned cold");
+        assertEquals(Map.of(1L, 40L), view.returned(), "the member returned and is in slow start");
     }
 
     @Test
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -16,8 +16,8 @@
  * Explores a small model of the drain plan's replication: three routers, four members, at most one of them out. It
  * visits every interleaving of elections, reports, lost and delayed answers, delayed plans, crashes, restarts,
  * partitions and operators' actions, up to a bound, from several stages of a maintenance. Terms do not overlap, which
- * VotesTest checks for the votes. Time is not modelled: a router without contact to the leader may at any moment be
- * known to be cut off.
+ * VotesTest checks for the votes. Time is not modelled: a router without contact to the leader may be known to be
+ * cut off at any moment.
  */
 class PlanModelTest {
 
@@ -30,7 +30,7 @@
     /**
      * A delayed packet: an answer if the plan is null, else a whole plan. It is in time if no lease has passed since.
      */
-    private record Flying(int to, int instance, boolean office, long inForce, Plan plan, boolean intime) {}
+    private record DelayedPacket(int to, int instance, boolean fromLeader, long inForce, Plan plan, boolean inTime) {}
 
     private static final class Router {
         PlanStore planStore = new PlanStore();
@@ -46,7 +46,7 @@
     /** A state of the model, reached by a list of actions, and the conditions that its leader knows. */
     private static final class Model implements DrainConditions {
         final Router[] routers = new Router[ROUTERS];
-        final List<Flying> inFlight = new ArrayList<>();
+        final List<DelayedPacket> inFlight = new ArrayList<>();
         final Map<Long, Long> outMembers = new TreeMap<>(); // members being worked on, with their fences
         final Set<Long> seenFences = new HashSet<>();
         final Map<Long, Long> doneCommands = new TreeMap<>();
@@ -67,7 +67,7 @@
                 return routers[r].planStore.applied().stamp();
             }
             PlanLeader.Report report = routers[leaderIndex].leader.report("r" + r);
-            return report == null || report.instance() != routers[r].instance ? -1 : report.applied();
+            return report == null || report.instance() != routers[r].instance ? -1 : report.appliedStamp();
         }
 
         @Override
@@ -153,7 +153,7 @@
             }
             if (leaderIndex >= 0) {
                 all.add("leave");
-                all.add("sit");
+                all.add("lead");
             }
             for (int f = 0; f < inFlight.size(); f++) {
                 all.add("arrive " + f);
@@ -176,9 +176,9 @@
                     runLeader();
                 }
                 case "leave" -> stepDownLeader();
-                case "sit" -> runLeader();
+                case "lead" -> runLeader();
                 case "talk" -> {
-                    Flying answer = report(index);
+                    DelayedPacket answer = report(index);
                     pieces(index).ifPresent(this::arrive);
                     arrive(answer);
                     arrive(report(index));
@@ -195,7 +195,7 @@
                     routers[index].hasLeaderContact = false;
                     routers[index].mayHaveLeaderContact = false;
                     inFlight.replaceAll(f ->
-                            f.to() != index ? f : new Flying(index, f.instance(), f.office(), f.inForce(), f.plan(), false));
+                            f.to() != index ? f : new DelayedPacket(index, f.instance(), f.fromLeader(), f.inForce(), f.plan(), false));
                 }
                 case "kill" -> {
                     routers[index].alive = false;
@@ -224,7 +224,7 @@
         }
 
         /** Delivers a router's report to the leader, which proceeds and answers. */
-        private Flying report(int r) {
+        private DelayedPacket report(int r) {
             Router router = routers[r];
             routers[leaderIndex].leader.recordReport(
                     "r" + r,
@@ -240,27 +240,27 @@
             if (leader.inForce() > 0) {
                 router.mayHaveLeaderContact = true;
             }
-            return new Flying(r, router.instance, leader.inForce() > 0, leader.inForce(), null, true);
+            return new DelayedPacket(r, router.instance, leader.inForce() > 0, leader.inForce(), null, true);
         }
 
-        private java.util.Optional<Flying> pieces(int r) {
+        private java.util.Optional<DelayedPacket> pieces(int r) {
             Plan held = routers[leaderIndex].planStore.newest();
             return routers[leaderIndex].leader.hasFinishedReading()
                             && held.stamp() > routers[r].planStore.newest().stamp()
-                    ? java.util.Optional.of(new Flying(r, 0, false, 0, held, true))
+                    ? java.util.Optional.of(new DelayedPacket(r, 0, false, 0, held, true))
                     : java.util.Optional.empty();
         }
 
-        private void arrive(Flying packet) {
+        private void arrive(DelayedPacket packet) {
             Router router = routers[packet.to()];
             if (!router.alive) {
                 return;
             }
             if (packet.plan() != null) {
                 router.planStore.store(packet.plan());
-            } else if (packet.office() && packet.instance() == router.instance) {
+            } else if (packet.fromLeader() && packet.instance() == router.instance) {
                 router.planStore.confirmInForce(packet.inForce());
-                if (router.planStore.applied().stamp() >= packet.inForce() && packet.intime()) {
+                if (router.planStore.applied().stamp() >= packet.inForce() && packet.inTime()) {
                     router.hadLeaderContact = true;
                     router.hasLeaderContact = true;
                 }
@@ -331,9 +331,9 @@
                         router.planStore.applied().out() <= 1, () -> "more members out than allowed: " + router.planStore.applied() + " after " + path);
                 for (long member : outMembers.keySet()) {
                     Phase phase = router.planStore.applied().of(member).map(DrainOrder::phase).orElse(Phase.FINISHED);
-                    boolean alone = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !router.hasLeaderContact;
+                    boolean avoided = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !router.hasLeaderContact;
                     assertTrue(
-                            !router.alive || !router.hadLeaderContact || alone,
+                            !router.alive || !router.hadLeaderContact || avoided,
                             () -> "member " + member + " is out but still used: " + router.planStore.applied() + " after " + path);
                 }
             }
