--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -56,11 +56,11 @@
 
 /**
  * One router's participation in its fleet: membership, leases and ejections, which share the same packets. Owns the
- * packet numbers, the gossip that is piggybacked on packets, and the choice of the grantor: every router reports to the living
- * router that ranks first by rendezvous hashing. It is given the time, packets, the list of members and reports of the
- * routing decisions; packets, events for the decisions and log events are fetched from it. In a large fleet an instance
- * is one of two levels: that of the routers of a cell, or that of the delegates of all cells (docs/fleet-design.md,
- * "Cells").
+ * packet numbers, the gossip that is piggybacked on packets, and the choice of the grantor: every router reports to the
+ * living router that ranks first by rendezvous hashing. It is given the time, packets, the list of members and reports
+ * of the routing decisions; packets, events for the decisions and log events are fetched from it. In a large fleet an
+ * instance is one of two levels: that of the routers of a cell, or that of the delegates of all cells
+ * (docs/fleet-design.md, "Cells").
  */
 public final class Fleet implements FleetParticipant {
 
@@ -572,7 +572,8 @@
     }
 
     /**
-     * Sets the upper level of this cell; null for none, which is allowed only once all shares leased from it have ended.
+     * Sets the upper level of this cell; null for none, which is allowed only once all shares leased from it have
+     * ended.
      */
     public void setAbove(Fleet upper) {
         upperLevel = upper;
@@ -651,10 +652,10 @@
         for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.MAX_DEMANDS) {
             List<Demand> batch = new ArrayList<>();
             for (long id : ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_DEMANDS))) {
-                long leaseAsk = leases.get(id).asks(now, to.name(), to.instance(), lastNumber + 1);
+                long grantInForce = leases.get(id).asks(now, to.name(), to.instance(), lastNumber + 1);
                 Demand demand = demands.getOrDefault(id, new Demand(id, 0, 0, 0));
-                if (leaseAsk >= 0) {
-                    batch.add(new Demand(id, leaseAsk, demand.demand(), demand.inUse()));
+                if (grantInForce >= 0) {
+                    batch.add(new Demand(id, grantInForce, demand.demand(), demand.inUse()));
                 }
             }
             send(to.address(), new Ask(vote, election.lastSeen(to.name(), to.instance()), election.term(), batch, reports));
@@ -695,7 +696,7 @@
             ejectionPolicy.reported(to.name(), ++lastNumber, now + times.lease(), reports);
             for (long id : ids) {
                 CellDemand demand = cellDemand(id, to, ++lastNumber);
-                if (demand.leaseAsk() >= 0) {
+                if (demand.grantInForce() >= 0) {
                     acceptGrant(
                             cellShares.get(id),
                             to.name(),
@@ -711,7 +712,7 @@
         for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.MAX_CELL_DEMANDS) {
             List<CellDemand> batch = ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_CELL_DEMANDS)).stream()
                     .map(id -> cellDemand(id, to, lastNumber + 1))
-                    .filter(d -> d.leaseAsk() >= 0)
+                    .filter(d -> d.grantInForce() >= 0)
                     .toList();
             send(
                     to.address(),
@@ -740,7 +741,7 @@
         return leaseTable(demand.limit())
                 .ask(
                         now,
-                        new LeaseBook.Asker(name, instance, number, demand.leaseAsk(), demand.routers()),
+                        new LeaseBook.Asker(name, instance, number, demand.grantInForce(), demand.routers()),
                         demand.demand(),
                         demand.inUse(),
                         routers(),
@@ -772,7 +773,7 @@
         return leaseTable(demand.limit())
                 .ask(
                         now,
-                        new LeaseBook.Asker(name, instance, number, demand.leaseAsk(), 1),
+                        new LeaseBook.Asker(name, instance, number, demand.grantInForce(), 1),
                         demand.demand(),
                         inUse,
                         routers(),
@@ -845,10 +846,10 @@
     private void renewOwnLeases(RouterRecord self) {
         leases.forEach((id, lease) -> {
             long number = ++lastNumber;
-            long leaseAsk = lease.asks(now, self.name(), self.instance(), number);
+            long grantInForce = lease.asks(now, self.name(), self.instance(), number);
             Demand demand = demands.getOrDefault(id, new Demand(id, 0, 0, 0));
-            if (leaseAsk >= 0) {
-                double amount = grantFor(self.name(), self.instance(), number, new Demand(id, leaseAsk, demand.demand(), demand.inUse()));
+            if (grantInForce >= 0) {
+                double amount = grantFor(self.name(), self.instance(), number, new Demand(id, grantInForce, demand.demand(), demand.inUse()));
                 acceptGrant(lease, self.name(), self.instance(), number, amount);
             }
         });
@@ -1314,7 +1315,7 @@
         row.put("accusers", ejection.accusers());
         row.put("cause", lower(ejection.cause()));
         row.put("strikes", ejection.strikes());
-        row.put("fail-share", Math.round(ejection.failShare() * 1_000) / 1_000.0);
+        row.put("fail-share", Math.round(ejection.failureRate() * 1_000) / 1_000.0);
         row.put("keeper", ejection.keeper());
         row.put("heard-at-ms", held.heardAt() / 1_000);
         return row;
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -42,10 +42,10 @@
     public record News() implements Body {}
 
     /**
-     * A router's demand on a limit. {@code leaseAsk} is the number of the ask whose grant the router uses now, 0 for
+     * A router's demand on a limit. {@code grantInForce} is the number of the ask whose grant the router uses now, 0 for
      * none.
      */
-    public record Demand(long limit, long leaseAsk, double demand, double inUse) {}
+    public record Demand(long limit, long grantInForce, double demand, double inUse) {}
 
     /**
      * A router's report to the router that it considers the grantor. If {@code vote} is set, the sender is bound to the
@@ -101,11 +101,11 @@
     public record DrainAsk(DrainCommand command) implements Body {}
 
     /**
-     * A cell's demand on a limit, for the number of routers in its lease table. {@code leaseAsk} is the number of the
+     * A cell's demand on a limit, for the number of routers in its lease table. {@code grantInForce} is the number of the
      * ask whose grant the cell uses now, 0 for none; {@code inUse} is the most that its table must count for its
      * routers.
      */
-    public record CellDemand(long limit, long leaseAsk, int routers, double demand, double inUse) {}
+    public record CellDemand(long limit, long grantInForce, int routers, double demand, double inUse) {}
 
     /**
      * A cell's report from its grantor to the router that it considers the grantor of the upper level. Vote, last seen
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -132,7 +132,7 @@
                 .putShort((short) ejection.accusers())
                 .put((byte) ejection.cause().ordinal())
                 .putShort((short) ejection.strikes())
-                .putFloat((float) ejection.failShare());
+                .putFloat((float) ejection.failureRate());
         write(out, ejection.keeper());
     }
 
@@ -159,7 +159,7 @@
                     .putLong(ask.term())
                     .put((byte) ask.demands().size());
             ask.demands().forEach(demand -> out.putLong(demand.limit())
-                    .putLong(demand.leaseAsk())
+                    .putLong(demand.grantInForce())
                     .putFloat((float) demand.demand())
                     .putFloat((float) demand.inUse()));
             out.put((byte) ask.failureReports().size());
@@ -198,8 +198,8 @@
             out.put((byte) Type.DRAIN_ASK.ordinal())
                     .put((byte) command.kind().ordinal())
                     .putLong(command.id())
-                    .putInt(command.mostOut())
-                    .putInt(command.leastServing())
+                    .putInt(command.maxOut())
+                    .putInt(command.minServing())
                     .putLong(command.fence())
                     .put((byte) command.members().size());
             command.members().forEach(out::putLong);
@@ -212,7 +212,7 @@
                     .putLong(ask.knownTerm())
                     .put((byte) ask.demands().size());
             ask.demands().forEach(demand -> out.putLong(demand.limit())
-                    .putLong(demand.leaseAsk())
+                    .putLong(demand.grantInForce())
                     .putInt(demand.routers())
                     .putDouble(demand.demand())
                     .putDouble(demand.inUse()));
@@ -237,7 +237,7 @@
                 .putLong(report.started())
                 .put((byte) report.cause().ordinal())
                 .putShort((short) Math.min(report.strikes(), Short.MAX_VALUE))
-                .putFloat((float) report.failShare());
+                .putFloat((float) report.failureRate());
     }
 
     private static void write(ByteBuffer out, List<String> texts) {
@@ -258,16 +258,16 @@
             if (in.getLong() != cluster) {
                 throw new BadPacketException(Reason.FOREIGN);
             }
-            RouterRecord from = router(in, lastIncarnation);
+            RouterRecord from = readRouter(in, lastIncarnation);
             long number = in.getLong();
-            Body body = body(in);
+            Body body = readBody(in);
             List<RouterRecord> routers = new ArrayList<>();
             for (int left = in.get() & 0xff; left > 0; left--) {
-                routers.add(router(in, lastIncarnation));
+                routers.add(readRouter(in, lastIncarnation));
             }
             List<Ejection> ejections = new ArrayList<>();
             for (int left = in.get() & 0xff; left > 0; left--) {
-                ejections.add(ejection(in));
+                ejections.add(readEjection(in));
             }
             if (in.hasRemaining() || number <= 0 || from.status() != RouterStatus.ALIVE) {
                 throw new BadPacketException(Reason.UNREADABLE);
@@ -278,14 +278,14 @@
         }
     }
 
-    private static <T> T constant(T[] values, int ordinal) throws BadPacketException {
+    private static <T> T constantAt(T[] values, int ordinal) throws BadPacketException {
         if (ordinal < 0 || ordinal >= values.length) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
         return values[ordinal];
     }
 
-    private static String text(ByteBuffer in, Pattern pattern) throws BadPacketException {
+    private static String readText(ByteBuffer in, Pattern pattern) throws BadPacketException {
         int length = in.get() & 0xff;
         if (length > LONGEST_NAME) {
             throw new BadPacketException(Reason.UNREADABLE);
@@ -299,8 +299,8 @@
         return text;
     }
 
-    private static String address(ByteBuffer in) throws BadPacketException {
-        String address = text(in, ADDRESS);
+    private static String readAddress(ByteBuffer in) throws BadPacketException {
+        String address = readText(in, ADDRESS);
         if (!possibleAddress(address)) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
@@ -322,16 +322,16 @@
         return port > 0 && port < 65_536;
     }
 
-    private static RouterRecord router(ByteBuffer in, long lastIncarnation) throws BadPacketException {
+    private static RouterRecord readRouter(ByteBuffer in, long lastIncarnation) throws BadPacketException {
         RouterRecord router = new RouterRecord(
-                text(in, NAME), address(in), in.getLong(), in.getLong(), constant(RouterStatus.values(), in.get()));
+                readText(in, NAME), readAddress(in), in.getLong(), in.getLong(), constantAt(RouterStatus.values(), in.get()));
         if (router.incarnation() < 1 || router.incarnation() > lastIncarnation || router.instance() < 1) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return router;
     }
 
-    private static Ejection ejection(ByteBuffer in) throws BadPacketException {
+    private static Ejection readEjection(ByteBuffer in) throws BadPacketException {
         Ejection ejection = new Ejection(
                 in.getLong(),
                 in.getLong(),
@@ -339,51 +339,51 @@
                 in.get() == 1,
                 in.getLong(),
                 in.getShort(),
-                constant(Cause.values(), in.get()),
+                constantAt(Cause.values(), in.get()),
                 in.getShort(),
                 in.getFloat(),
-                text(in, NAME));
-        if (ejection.left() < 0 || ejection.accusers() < 0 || ejection.version() < 1 || !Double.isFinite(ejection.failShare())) {
+                readText(in, NAME));
+        if (ejection.left() < 0 || ejection.accusers() < 0 || ejection.version() < 1 || !Double.isFinite(ejection.failureRate())) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return ejection;
     }
 
-    private static double amount(double value) throws BadPacketException {
+    private static double checkedAmount(double value) throws BadPacketException {
         if (!(value >= 0 && value < 1e12)) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return value;
     }
 
-    private static Body body(ByteBuffer in) throws BadPacketException {
-        return switch (constant(Type.values(), in.get())) {
+    private static Body readBody(ByteBuffer in) throws BadPacketException {
+        return switch (constantAt(Type.values(), in.get())) {
             case PING -> new Packet.Ping();
             case ACK -> new Packet.Ack(in.getLong());
-            case RELAY -> new Packet.Relay(address(in));
+            case RELAY -> new Packet.Relay(readAddress(in));
             case COMPARE -> new Packet.Compare(in.getLong(), in.get() == 1);
             case NEWS -> new Packet.News();
-            case ASK -> ask(in);
+            case ASK -> readAsk(in);
             case GRANT -> {
                 long ask = in.getLong();
                 long term = in.getLong();
                 List<GrantedShare> shares = new ArrayList<>();
                 for (int left = in.get() & 0xff; left > 0; left--) {
-                    shares.add(new GrantedShare(in.getLong(), amount(in.getDouble())));
+                    shares.add(new GrantedShare(in.getLong(), checkedAmount(in.getDouble())));
                 }
                 yield new Packet.Grant(ask, term, shares);
             }
-            case PLAN_REPORT -> planReport(in);
+            case PLAN_REPORT -> readPlanReport(in);
             case PLAN_GRANT ->
                 new Packet.PlanGrant(
                         in.getLong(),
                         in.getLong(),
-                        term(in.getLong()),
+                        checkedTerm(in.getLong()),
                         in.get() == 1,
-                        stamp(in.getLong()),
-                        stamp(in.getLong()));
+                        checkedStamp(in.getLong()),
+                        checkedStamp(in.getLong()));
             case PIECE -> {
-                long stamp = stamp(in.getLong());
+                long stamp = checkedStamp(in.getLong());
                 int index = in.get();
                 int count = in.get();
                 int length = in.getShort();
@@ -394,16 +394,16 @@
                 in.get(bytes);
                 yield new Packet.Piece(stamp, index, count, bytes);
             }
-            case DRAIN_ASK -> drainAsk(in);
-            case CELL_ASK -> cellAsk(in);
-            case JOIN -> new Packet.Join(text(in, NAME), count(in.get(), MOST_DEPTH), count(in.get(), MOST_HOPS));
+            case DRAIN_ASK -> readDrainAsk(in);
+            case CELL_ASK -> readCellAsk(in);
+            case JOIN -> new Packet.Join(readText(in, NAME), checkedCount(in.get(), MOST_DEPTH), checkedCount(in.get(), MOST_HOPS));
             case PLACE -> {
                 long join = in.getLong();
                 int depth = in.get();
                 if (join < 0 || depth < -1 || depth > MOST_DEPTH) {
                     throw new BadPacketException(Reason.IMPOSSIBLE);
                 }
-                yield new Packet.Place(join, depth, addresses(in), addresses(in));
+                yield new Packet.Place(join, depth, readAddresses(in), readAddresses(in));
             }
             case SUMS -> {
                 boolean replyExpected = in.get() == 1;
@@ -420,28 +420,28 @@
         };
     }
 
-    private static long term(long term) throws BadPacketException {
+    private static long checkedTerm(long term) throws BadPacketException {
         if (term < 0 || term >= Plan.MOST_TERM) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return term;
     }
 
-    private static long stamp(long stamp) throws BadPacketException {
+    private static long checkedStamp(long stamp) throws BadPacketException {
         if (stamp < 0) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return stamp;
     }
 
-    private static Packet.PlanReport planReport(ByteBuffer in) throws BadPacketException {
-        long term = term(in.getLong());
-        long held = stamp(in.getLong());
-        long applied = stamp(in.getLong());
-        boolean seasoned = in.get() == 1;
+    private static Packet.PlanReport readPlanReport(ByteBuffer in) throws BadPacketException {
+        long term = checkedTerm(in.getLong());
+        long held = checkedStamp(in.getLong());
+        long applied = checkedStamp(in.getLong());
+        boolean remembersPlan = in.get() == 1;
         List<Use> uses = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            Use use = new Use(in.getLong(), in.getInt(), amount(in.getFloat()));
+            Use use = new Use(in.getLong(), in.getInt(), checkedAmount(in.getFloat()));
             if (use.underWay() < 0) {
                 throw new BadPacketException(Reason.IMPOSSIBLE);
             }
@@ -450,82 +450,82 @@
         if (applied > held) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
-        return new Packet.PlanReport(term, held, applied, seasoned, uses);
+        return new Packet.PlanReport(term, held, applied, remembersPlan, uses);
     }
 
-    private static Packet.DrainAsk drainAsk(ByteBuffer in) throws BadPacketException {
-        DrainCommand.Kind kind = constant(DrainCommand.Kind.values(), in.get());
+    private static Packet.DrainAsk readDrainAsk(ByteBuffer in) throws BadPacketException {
+        DrainCommand.Kind kind = constantAt(DrainCommand.Kind.values(), in.get());
         long id = in.getLong();
-        int mostOut = in.getInt();
-        int leastServing = in.getInt();
-        long fence = stamp(in.getLong());
+        int maxOut = in.getInt();
+        int minServing = in.getInt();
+        long fence = checkedStamp(in.getLong());
         List<Long> members = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
             members.add(in.getLong());
         }
         if (members.isEmpty()
-                || leastServing < 0
-                || kind == DrainCommand.Kind.REQUEST && (mostOut < 1 || mostOut > Drains.MOST_OUT)) {
+                || minServing < 0
+                || kind == DrainCommand.Kind.REQUEST && (maxOut < 1 || maxOut > Drains.MOST_OUT)) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
-        return new Packet.DrainAsk(new DrainCommand(kind, id, mostOut, leastServing, fence, members));
+        return new Packet.DrainAsk(new DrainCommand(kind, id, maxOut, minServing, fence, members));
     }
 
-    private static int count(int value, int max) throws BadPacketException {
+    private static int checkedCount(int value, int max) throws BadPacketException {
         if (value < 0 || value > max) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return value;
     }
 
-    private static List<String> addresses(ByteBuffer in) throws BadPacketException {
+    private static List<String> readAddresses(ByteBuffer in) throws BadPacketException {
         List<String> addresses = new ArrayList<>();
-        for (int left = count(in.get(), PLACES); left > 0; left--) {
-            addresses.add(address(in));
+        for (int left = checkedCount(in.get(), PLACES); left > 0; left--) {
+            addresses.add(readAddress(in));
         }
         return addresses;
     }
 
-    private static Packet.CellAsk cellAsk(ByteBuffer in) throws BadPacketException {
+    private static Packet.CellAsk readCellAsk(ByteBuffer in) throws BadPacketException {
         boolean vote = in.get() == 1;
         long lastSeen = in.getLong();
-        long term = term(in.getLong());
-        int boundRouters = count(in.getInt(), MAX_ROUTERS);
-        long knownTerm = term(in.getLong());
+        long term = checkedTerm(in.getLong());
+        int boundRouters = checkedCount(in.getInt(), MAX_ROUTERS);
+        long knownTerm = checkedTerm(in.getLong());
         List<Packet.CellDemand> demands = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
             demands.add(new Packet.CellDemand(
                     in.getLong(),
                     in.getLong(),
-                    count(in.getInt(), MAX_ROUTERS),
-                    amount(in.getDouble()),
-                    amount(in.getDouble())));
+                    checkedCount(in.getInt(), MAX_ROUTERS),
+                    checkedAmount(in.getDouble()),
+                    checkedAmount(in.getDouble())));
         }
         List<FailureReport> failureReports = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
             failureReports.add(new FailureReport(
                     in.getLong(),
                     in.getLong(),
-                    constant(Cause.values(), in.get()),
+                    constantAt(Cause.values(), in.get()),
                     in.getShort(),
                     in.getFloat(),
-                    count(in.getShort(), Short.MAX_VALUE)));
+                    checkedCount(in.getShort(), Short.MAX_VALUE)));
         }
         return new Packet.CellAsk(vote, lastSeen, term, boundRouters, knownTerm, demands, failureReports);
     }
 
-    private static Packet.Ask ask(ByteBuffer in) throws BadPacketException {
+    private static Packet.Ask readAsk(ByteBuffer in) throws BadPacketException {
         boolean vote = in.get() == 1;
         long lastSeen = in.getLong();
         long term = in.getLong();
         List<Demand> demands = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            demands.add(new Demand(in.getLong(), in.getLong(), amount(in.getFloat()), amount(in.getFloat())));
+            demands.add(new Demand(in.getLong(), in.getLong(), checkedAmount(in.getFloat()), checkedAmount(in.getFloat())));
         }
         List<FailureReport> failureReports = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
             failureReports.add(new FailureReport(
-                    in.getLong(), in.getLong(), constant(Cause.values(), in.get()), in.getShort(), in.getFloat()));
+                    in.getLong(), in.getLong(), constantAt(Cause.values(), in.get()), in.getShort(), in.getFloat()));
         }
         return new Packet.Ask(vote, lastSeen, term, demands, failureReports);
     }
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -50,7 +50,7 @@
     private static final int SPLIT_MESSAGES_PER_PERIOD = 16;
     private static final int MIN_JOIN_WAIT_PERIODS = 2; // until a join is repeated; doubled each time
     private static final int MAX_JOIN_WAIT_PERIODS = 64; // between joins that only look for routers that were missed
-    private static final int MAX_DISCOVERY_PACKETS_PER_PERIOD = 64; // joins and places that are handled; the others are dropped
+    private static final int MAX_DISCOVERY_PACKETS_PER_PERIOD = 64; // joins and places; further ones are dropped
     private static final int MAX_OPEN_JOINS = 16; // the last joins sent, whose answers are accepted
 
     private final FleetSetup setup;
@@ -354,7 +354,8 @@
     }
 
     /**
-     * Moves this router to its cell of this depth; leases and lease tables are kept, since they identify processes and not cells.
+     * Moves this router to its cell of this depth; leases and lease tables are kept, since they identify processes and
+     * not cells.
      */
     private void moveToDepth(int newDepth, List<String> seeds) {
         List<String> known = new ArrayList<>(cell.living().stream()
--- a/src/main/java/pumicemoor/fleet/drains/DrainRequest.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainRequest.java
@@ -4,7 +4,7 @@
  * An open drain request of an operator.
  *
  * @param slot the bit of this request in the masks of drain orders
- * @param mostOut how many members may be out at the same time
- * @param leastServing how many members of each tier must keep serving
+ * @param maxOut how many members may be out at the same time
+ * @param minServing how many members of each tier must keep serving
  */
-public record DrainRequest(long id, int slot, int mostOut, int leastServing) {}
+public record DrainRequest(long id, int slot, int maxOut, int minServing) {}
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -440,8 +440,8 @@
     // ---- monitoring -----------------------------------------------------------------------------
 
     /**
-     * Returns when a drained member returned, from which on routing decisions treat it as in slow start; 0 if it was not
-     * drained.
+     * Returns when a member returned from a drain, from which on routing decisions treat it as in slow start; 0 if it
+     * did not.
      */
     public long returned(long member) {
         return lastView == null ? 0 : lastView.returned().getOrDefault(member, 0L);
@@ -485,8 +485,8 @@
                 .forEach(r -> rows.add(requestRow(
                         r.id(),
                         "open",
-                        r.mostOut(),
-                        r.leastServing(),
+                        r.maxOut(),
+                        r.minServing(),
                         plan.orders().stream()
                                 .filter(o -> o.isFor(r) && o.phase() != Phase.FINISHED)
                                 .count())));
@@ -496,8 +496,8 @@
                 .forEach(p -> rows.add(requestRow(
                         p.command().id(),
                         "not-taken",
-                        p.command().mostOut(),
-                        p.command().leastServing(),
+                        p.command().maxOut(),
+                        p.command().minServing(),
                         p.command().members().size())));
         return rows;
     }
--- a/src/main/java/pumicemoor/fleet/drains/Plan.java
+++ b/src/main/java/pumicemoor/fleet/drains/Plan.java
@@ -52,20 +52,20 @@
     }
 
     /** Returns the lowest limit that any open request sets on the members that are out at the same time. */
-    public int mostOut() {
+    public int maxOut() {
         return requests.stream()
                 .filter(this::isOpen)
-                .mapToInt(DrainRequest::mostOut)
+                .mapToInt(DrainRequest::maxOut)
                 .min()
                 .orElse(0);
     }
 
     /** Returns the highest number of serving members that any open request requires in this tier. */
-    public int leastServing(MemberKind tier) {
+    public int minServing(MemberKind tier) {
         return requests.stream()
                 .filter(r ->
                         orders.stream().anyMatch(o -> o.tier() == tier && o.isFor(r) && o.phase() != Phase.FINISHED))
-                .mapToInt(DrainRequest::leastServing)
+                .mapToInt(DrainRequest::minServing)
                 .max()
                 .orElse(0);
     }
@@ -115,7 +115,7 @@
             merged.add(new DrainOrder(member, tiers.get(member), 1 << slot, Phase.QUEUED, newStamp, now));
         }
         List<DrainRequest> allRequests = new ArrayList<>(requests);
-        allRequests.add(new DrainRequest(command.id(), slot, command.mostOut(), command.leastServing()));
+        allRequests.add(new DrainRequest(command.id(), slot, command.maxOut(), command.minServing()));
         return new Plan(newStamp, List.copyOf(allRequests), List.copyOf(merged), closed);
     }
 
--- a/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
@@ -23,8 +23,8 @@
         out.putLong(plan.stamp()).put((byte) plan.requests().size());
         plan.requests().forEach(r -> out.putLong(r.id())
                 .put((byte) r.slot())
-                .putInt(r.mostOut())
-                .putInt(r.leastServing()));
+                .putInt(r.maxOut())
+                .putInt(r.minServing()));
         out.putShort((short) plan.orders().size());
         plan.orders().forEach(o -> out.putLong(o.member())
                 .put((byte) o.tier().ordinal())
@@ -51,8 +51,8 @@
                 if (request.slot() < 0
                         || request.slot() >= Plan.MAX_OPEN_REQUESTS
                         || !slots.add(request.slot())
-                        || request.mostOut() < 1
-                        || request.leastServing() < 0) {
+                        || request.maxOut() < 1
+                        || request.minServing() < 0) {
                     return null;
                 }
                 requests.add(request);
--- a/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
@@ -82,7 +82,7 @@
             }
         }
         for (MemberKind tier : MemberKind.values()) {
-            long freeSlots = plan.mostOut()
+            long freeSlots = plan.maxOut()
                     - orders.values().stream()
                             .filter(o -> o.tier() == tier && o.phase() == Phase.NAMED)
                             .count();
@@ -119,9 +119,9 @@
 
     /** Returns why a named member may not start draining while this many are out, or null if it may. */
     private String blockingReason(DrainOrder order, int out) {
-        int minServing = Math.max(plan.leastServing(order.tier()), order.tier() == MemberKind.ROUTER ? majority : 0);
+        int minServing = Math.max(plan.minServing(order.tier()), order.tier() == MemberKind.ROUTER ? majority : 0);
         int servingAfter = serving.get(order.tier()) - (conditions.isServing(order.member()) ? 1 : 0);
-        if (out >= plan.mostOut()) {
+        if (out >= plan.maxOut()) {
             return "the limit of members out at once is reached: " + out;
         }
         if (servingAfter < minServing && conditions.isServing(order.member())) {
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -12,10 +12,10 @@
 import pumicemoor.fleet.membership.RouterStatus;
 
 /**
- * Tracks which routers have applied a plan and which may still use a member, for the leader's decisions. A router
- * that has lost contact with the leader stops using the members that it knows to be named; it does so one lease after
- * it sent the last report that was answered. Owns the time of the last answer to each router and the requests that each reported in flight; it
- * must not send packets.
+ * Tracks which routers have applied a plan and which may still use a member, for the leader's decisions. A router that
+ * has lost contact with the leader stops using the members that it knows to be named; it does so one lease after it
+ * sent the last report that was answered. Owns the time of the last answer to each router and the requests that each
+ * reported in flight; it must not send packets.
  */
 final class RouterAcknowledgements implements DrainConditions {
 
--- a/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
@@ -15,7 +15,8 @@
  */
 public final class LeaseBook {
 
-    private static final double DEMAND_HEADROOM_FACTOR = 1.25; // granted above the demand, so that a rising demand can show
+    // Granted above the reported demand, so that a rising demand can show.
+    private static final double DEMAND_HEADROOM_FACTOR = 1.25;
 
     private record Grant(long number, int routers, double amount, long expiresAt) {}
 
@@ -104,8 +105,8 @@
 
     /**
      * Answers a request with a share of the limit, or with -1 if a newer request of that router was answered before.
-     * {@code holds} is the number of the request whose grant is in force at the router. If it is 0, for none, the router
-     * counts with its even share until a request confirms a lease.
+     * {@code holds} is the number of the request whose grant is in force at the router. If it is 0, for none, the
+     * router counts with its even share until a request confirms a lease.
      */
     public double ask(
             long now, String router, long instance, long number, long holds, double demand, double inUse, int routers) {
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -18,7 +18,7 @@
         int accusers,
         Cause cause,
         int strikes,
-        double failShare,
+        double failureRate,
         String keeper) {
 
     private static final int TERM_SHIFT_BITS = 24;
@@ -36,6 +36,6 @@
 
     /** Returns the same decision with this much time left, in microseconds. */
     public Ejection withLeft(long micros) {
-        return new Ejection(member, started, version, failing, micros, accusers, cause, strikes, failShare, keeper);
+        return new Ejection(member, started, version, failing, micros, accusers, cause, strikes, failureRate, keeper);
     }
 }
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -42,7 +42,8 @@
     }
 
     /**
-     * Records that an ejection takes up a slot, whichever leader decided it, so that a new leader knows the slots taken.
+     * Records that an ejection takes up a slot, whichever leader decided it, so that a new leader knows the slots
+     * taken.
      */
     public void heard(EjectionTable.Held held) {
         if (held.verdict().failing()) {
@@ -134,7 +135,7 @@
                         sameMember.get(0).started(),
                         sameMember.get(0).cause(),
                         sameMember.get(0).strikes(),
-                        sameMember.get(0).failShare(),
+                        sameMember.get(0).failureRate(),
                         countReporters(sameMember)))
                 .sorted(Comparator.comparingInt(FailureReport::accusers).reversed())
                 .toList();
@@ -180,7 +181,7 @@
                 Math.min(countReporters(evidence), Short.MAX_VALUE),
                 worst == null ? FailureReport.Cause.FAILING : worst.cause(),
                 worst == null ? 0 : worst.strikes(),
-                worst == null ? 0 : worst.failShare(),
+                worst == null ? 0 : worst.failureRate(),
                 leader);
     }
 
--- a/src/main/java/pumicemoor/fleet/verdicts/FailureReport.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/FailureReport.java
@@ -5,11 +5,11 @@
  * and what was observed. The report of a cell carries the worst evidence of its routers and the number of routers that
  * report the member.
  */
-public record FailureReport(long member, long started, Cause cause, int strikes, double failShare, int accusers) {
+public record FailureReport(long member, long started, Cause cause, int strikes, double failureRate, int accusers) {
 
     /** Creates the report of a single router. */
-    public FailureReport(long member, long started, Cause cause, int strikes, double failShare) {
-        this(member, started, cause, strikes, failShare, 1);
+    public FailureReport(long member, long started, Cause cause, int strikes, double failureRate) {
+        this(member, started, cause, strikes, failureRate, 1);
     }
 
     /** The kind of failure observed: no answers, or answers that were failures. */
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -111,7 +111,7 @@
     private final Timeline timeline;
     private final TreeMap<String, Unit> target;
     private final TreeMap<Long, TopologyUpdate> early = new TreeMap<>();
-    private final List<TopologyUpdate> partialTopology = new ArrayList<>(); // received updates of an incomplete topology
+    private final List<TopologyUpdate> partialTopology = new ArrayList<>(); // the updates received so far
     private final Map<String, Long> startTimes = new HashMap<>();
     private final boolean skipsAllowed;
     private long version;
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -355,8 +355,8 @@
     }
 
     /**
-     * Ends the seed links of an earlier migration that run in the opposite direction. Returns whether there are any that
-     * still conflict, which they do until the gap has passed.
+     * Ends the seed links of an earlier migration that run in the opposite direction. Returns whether any of them still
+     * conflicts, which it does until the gap has passed.
      */
     private boolean waitsForSeeds(Map<String, Double> to, Map<String, Double> from) {
         boolean mustWait = false;
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -33,8 +33,8 @@
 
     final VirtualFleet fleet;
     final int caches;
-    final int mostOut;
-    final int leastServing;
+    final int maxOut;
+    final int minServing;
     final Map<Long, Work> down = new LinkedHashMap<>();
     // Members whose work is done, with the fence of the drain.
     final Map<Long, Long> finishedWork = new LinkedHashMap<>();
@@ -45,10 +45,10 @@
     boolean operatorPresent = true;
     int maxOutAtOnce;
 
-    DrainRun(int routers, int caches, int mostOut, int leastServing, long goneMicros, long seed) {
+    DrainRun(int routers, int caches, int maxOut, int minServing, long goneMicros, long seed) {
         this.caches = caches;
-        this.mostOut = mostOut;
-        this.leastServing = leastServing;
+        this.maxOut = maxOut;
+        this.minServing = minServing;
         this.random = new Random(seed);
         fleet = new VirtualFleet(routers, routers, caches, LimitMeasure.PER_SECOND, 1_000, seed);
         fleet.drains = Optional.of(new DrainTimes(200 * MILLI, MAX_ATTEMPT_MICROS, goneMicros, 60 * SECOND, WARM_UP_MICROS, WARM_UP_MICROS));
@@ -67,8 +67,8 @@
         fields.put(
                 "members",
                 VirtualFleet.range(to).skip(from).mapToObj(i -> "box-" + i).collect(Collectors.joining(",")));
-        fields.put("max-at-once", Integer.toString(mostOut));
-        fields.put("min-serving", Integer.toString(leastServing));
+        fields.put("max-at-once", Integer.toString(maxOut));
+        fields.put("min-serving", Integer.toString(minServing));
         return router.fleet.handleCommand(fleet.now, fields);
     }
 
@@ -118,7 +118,7 @@
     private void check() {
         for (Router router : fleet.routers) {
             Plan plan = router.fleet.plan().orElseThrow();
-            assertTrue(plan.out() <= mostOut, () -> router.name + ": " + plan);
+            assertTrue(plan.out() <= maxOut, () -> router.name + ": " + plan);
             // A restarted process that has reached no other router guarantees nothing.
             boolean hasPlan = plan.stamp() > 0;
             down.keySet()
@@ -128,8 +128,8 @@
                                     + router.fleet.rows("members") + router.fleet.fields()));
         }
         maxOutAtOnce = Math.max(maxOutAtOnce, down.size());
-        assertTrue(down.size() <= mostOut, () -> "members down at once: " + down);
-        assertTrue(caches - down.size() >= leastServing, () -> "too few members serve while these are down: " + down);
+        assertTrue(down.size() <= maxOut, () -> "members down at once: " + down);
+        assertTrue(caches - down.size() >= minServing, () -> "too few members serve while these are down: " + down);
     }
 
     private void operate() {
--- a/src/test/java/pumicemoor/fleet/FlatPacketsTest.java
+++ b/src/test/java/pumicemoor/fleet/FlatPacketsTest.java
@@ -36,7 +36,8 @@
     }
 
     /**
-     * 30 routers for 30 s: limits with moving demand, ejections decided and withdrawn, packet loss, a death and a restart.
+     * 30 routers for 30 s: limits with moving demand, ejections decided and withdrawn, packet loss, a death and a
+     * restart.
      */
     private static Traffic play(long seed) {
         VirtualFleet fleet = new VirtualFleet(30, 30, 10, LimitMeasure.PER_SECOND, 1_000, seed);
--- a/src/test/java/pumicemoor/fleet/cells/CellEjectionsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellEjectionsTest.java
@@ -109,7 +109,7 @@
         }
         assertEquals(Set.of(FIRST_CACHE + 3), fleet.ejectedAnywhere());
         assertTrue(
-                fleet.running().stream().allMatch(r -> r.ejected.stream().anyMatch(o -> o.member() == FIRST_CACHE + 3)),
+                fleet.running().stream().allMatch(r -> r.ejected.stream().anyMatch(e -> e.member() == FIRST_CACHE + 3)),
                 "every running router must eject it");
         fleet.reportHealth(router, FIRST_CACHE + 3, false);
         fleet.run(spreadBoundMicros(fleet) + 6 * SECOND);
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -127,7 +127,7 @@
 
     private void runUntilStable() {
         for (int i = 0; i < 50 && step(); i++) {
-            assertTrue(plan.out() <= plan.mostOut() || plan.requests().isEmpty());
+            assertTrue(plan.out() <= plan.maxOut() || plan.requests().isEmpty());
         }
     }
 
