--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -79,7 +79,7 @@
     public record PlanGrant(long report, long instance, long term, boolean office, long held, long inForce)
             implements Body {}
 
-    /** A fragment of an encoded drain plan. */
+    /** A piece of an encoded drain plan. */
     public record Piece(long stamp, int index, int count, byte[] bytes) implements Body {
 
         @Override
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -392,8 +392,8 @@
     }
 
     /**
-     * Sends a join when due: often, to the seeds in turn, while this router knows no other one on a level, and rarely
-     * after that, to find routers that were missed.
+     * Sends a join when due: often, to the seeds in turn, while this router knows no other one on a level; after that
+     * rarely, and only as the cell's grantor, to find routers that were missed.
      */
     private void sendJoinIfDue() {
         if (isIsolated() && joinWaitPeriods == MAX_JOIN_WAIT_PERIODS) {
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Returns whether this share has ended for good: its lease and the shrink time after it are over, so that the cell
-     * spends no more than its even shares.
+     * Returns whether this share has ended: its lease and the shrink time after it are over, so that the cell's routers
+     * spend at most their even shares.
      */
     public boolean over(long now) {
         return now >= lease.until() + upperTimes.shrink();
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -24,7 +24,7 @@
     private static final int TERM_SHIFT_BITS = 24;
     private static final long TERM_LIMIT = 1L << 38;
 
-    /** Returns the lowest version above the given one that is of this term or, if the given one is, of a later term. */
+    /** Returns the lowest version that is above the given one and not of an earlier term than this one. */
     static long nextVersion(long version, long term) {
         return Math.max(version + 1, (term << TERM_SHIFT_BITS) + 1);
     }
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -393,7 +393,7 @@
     // ---- time -----------------------------------------------------------------------------------------
 
     /**
-     * Processes what is due by now, but nothing later than the lead after the last confirmation: an update that is not
+     * Processes what is due by now, but no further than the lead after the last confirmed time: an update that is not
      * known here may take effect from then on.
      */
     public void advance(long now) {
--- a/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
@@ -101,7 +101,7 @@
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 8);
         VoteChecker checker = new VoteChecker(fleet);
-        fleet.packetListener = checker::packetSent;
+        fleet.sendObserver = checker::packetSent;
         fleet.startAll();
         fleet.run(30 * SECOND);
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -124,7 +124,7 @@
         Router router =
                 fleet.inRoot("b").stream().filter(r -> !r.isDelegate()).findFirst().orElseThrow();
         List<Packet> sent = new ArrayList<>();
-        fleet.packetListener = (from, datagram) -> {
+        fleet.sendObserver = (from, datagram) -> {
             if (from == router && PacketCodec.cluster(datagram.bytes()) == JOINS.cluster()) {
                 sent.add(read(datagram.bytes()));
             }
@@ -143,7 +143,7 @@
     void cellAnswersAJoinWithAddressesOfItsRouters() {
         Router router = fleet.inRoot("b").get(0);
         List<Packet> sent = new ArrayList<>();
-        fleet.packetListener = (from, datagram) -> {
+        fleet.sendObserver = (from, datagram) -> {
             if (from == router && datagram.address().equals(STRANGER.address())) {
                 sent.add(read(datagram.bytes()));
             }
@@ -161,11 +161,11 @@
     @Test
     void answersToAFloodOfJoinsAreBounded() {
         Router router = fleet.inRoot("b").get(0);
-        long before = fleet.packets;
+        long before = fleet.packetsSent;
         for (int i = 0; i < 1_000; i++) {
             fleet.deliver(router, JOINS.write(packet(100 + i, new Join("b", 0, 1))));
         }
-        assertTrue(fleet.packets - before < 200, () -> "packets sent: " + (fleet.packets - before));
+        assertTrue(fleet.packetsSent - before < 200, () -> "packets sent: " + (fleet.packetsSent - before));
         assertTrue(droppedPackets(router, "joins-limited") > 800);
     }
 
@@ -186,11 +186,11 @@
         Random random = new Random(seed);
         startThreeRoots();
         List<byte[]> recorded = new ArrayList<>();
-        fleet.packetListener = (from, datagram) -> recorded.add(datagram.bytes());
+        fleet.sendObserver = (from, datagram) -> recorded.add(datagram.bytes());
         Router router = fleet.add("b", 0);
         fleet.start(router);
         fleet.run(10 * SECOND);
-        fleet.packetListener = (from, datagram) -> {};
+        fleet.sendObserver = (from, datagram) -> {};
         Router victim =
                 fleet.inRoot("a").stream().filter(Router::isDelegate).findFirst().orElseThrow();
         for (int i = 0; i < 20_000; i++) {
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -163,11 +163,11 @@
     double duplicateRate;
     long maxJitterMicros = 2 * MILLI; // added to the latency at random
     BiPredicate<Router, Router> cut = (a, b) -> false;
-    BiConsumer<Router, Datagram> packetListener = (from, packet) -> {}; // called with each packet as it is sent
+    BiConsumer<Router, Datagram> sendObserver = (from, packet) -> {}; // called with each packet as it is sent
     // addresses that routers are started with; if empty, the first routers of the roots
     List<String> seeds = List.of();
-    long packets;
-    long bytes;
+    long packetsSent;
+    long bytesSent;
     int leaderTerms; // times that a router became leader
     double highestTotal; // of all shares at any instant
     private final Map<String, Router> byAddress = new HashMap<>();
@@ -322,14 +322,14 @@
     /** Advances the simulation by this time, checking the bounds and running a check of the caller at every instant. */
     void run(long time, Runnable check) {
         long end = now + time;
-        long packetsBefore = packets;
+        long packetsBefore = packetsSent;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
             now = Math.max(now, queue.peek().at());
             while (!queue.isEmpty() && queue.peek().at() <= now) {
                 process(queue.poll());
             }
-            if (packets - packetsBefore > 1_000L * routers.size() * (1 + time / SECOND)) {
-                throw new AssertionError("too many packets for this time: " + packets);
+            if (packetsSent - packetsBefore > 1_000L * routers.size() * (1 + time / SECOND)) {
+                throw new AssertionError("too many packets for this time: " + packetsSent);
             }
             checkBounds();
             check.run();
@@ -412,9 +412,9 @@
     // ---- the network ----------------------------------------------------------------------------------
 
     private void send(Router from, Datagram datagram) {
-        packetListener.accept(from, datagram);
-        packets++;
-        bytes += datagram.bytes().length;
+        sendObserver.accept(from, datagram);
+        packetsSent++;
+        bytesSent += datagram.bytes().length;
         Router to = byAddress.get(datagram.address());
         double lossHere = isUpperLevel(datagram.bytes()) ? Math.max(lossRate, upperLossRate) : lossRate;
         if (to == null || cut.test(from, to) || random.nextDouble() < lossHere) {
