--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -18,24 +18,24 @@
         int accusers,
         Cause cause,
         int strikes,
-        double failShare,
+        double failureRate,
         String keeper) {
 
     private static final int TERM_SHIFT_BITS = 24;
-    private static final long MAX_TERM = 1L << 38;
+    private static final long TERM_LIMIT = 1L << 38;
 
-    /** Returns a version in this term that is higher than the given one. */
+    /** Returns the lowest version that is above the given one and not of an earlier term than this one. */
     static long nextVersion(long version, long term) {
         return Math.max(version + 1, (term << TERM_SHIFT_BITS) + 1);
     }
 
-    /** Whether a version is positive and its term is below the maximum. */
+    /** Whether a version is positive and its term is below the limit. */
     static boolean isValidVersion(long version) {
-        return version > 0 && version >> TERM_SHIFT_BITS < MAX_TERM;
+        return version > 0 && version >> TERM_SHIFT_BITS < TERM_LIMIT;
     }
 
     /** Returns the same decision with this much time left, in microseconds. */
     public Ejection withLeft(long micros) {
-        return new Ejection(member, started, version, failing, micros, accusers, cause, strikes, failShare, keeper);
+        return new Ejection(member, started, version, failing, micros, accusers, cause, strikes, failureRate, keeper);
     }
 }
