--- a/src/main/java/pumicemoor/lab/FaultNetwork.java
+++ b/src/main/java/pumicemoor/lab/FaultNetwork.java
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Returns the address that a process listens on. */
+    /** Returns the address that a process must listen on. */
     String listenAddress(int process) {
         return "127.0.0.1:" + listenPorts.get(process);
     }
--- a/src/main/java/pumicemoor/lab/LabConfig.java
+++ b/src/main/java/pumicemoor/lab/LabConfig.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Builds a lab router's platform configuration as JSON; its known events are those published so far. */
+/**
+ * Builds the configuration that the platform provides to a router, as JSON. The events that the router knows at its
+ * start are passed by the caller.
+ */
 final class LabConfig {
 
     private LabConfig() {}
@@ -13,7 +16,7 @@
 
     static String json(
             String name, int index, String listen, Scenario scenario, String coordinator, List<String> knownEvents) {
-        long coldMicros = scenario.change().cold() * 1_000L;
+        long coldMicros = scenario.change().slowStartMillis() * 1_000L;
         return """
                 {"name":"%s","listen":"%s","seed":"%x","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
                  "coordinator":"%s","known":{"index":%d,"updates":[%s]},
--- a/src/main/java/pumicemoor/lab/LabRun.java
+++ b/src/main/java/pumicemoor/lab/LabRun.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.Executors;
 import java.util.stream.Collectors;
 import pumicemoor.lab.MemberStandIn.Kind;
-import pumicemoor.lab.Scenario.Happening;
-import pumicemoor.lab.Scenario.Way;
+import pumicemoor.lab.Scenario.ChangeDelivery;
+import pumicemoor.lab.Scenario.ScheduledEvent;
 
 /**
- * Plays one scenario: starts the stand-ins and the real program, lets clients send requests, applies the scheduled
+ * Plays one scenario: starts the stand-ins and the real program, sends the clients' requests, applies the scheduled
  * events, stops everything and builds the report. It owns the clock of the run and must not evaluate the results.
  */
 public final class LabRun {
@@ -37,14 +37,14 @@
     });
     private final Map<String, MemberStandIn> members = new LinkedHashMap<>();
     private final List<RouterProcess> routers = new ArrayList<>();
-    private final List<Long> changeMillis = new ArrayList<>(); // announcements of new topologies, by the log's clock
+    private final List<Long> changeMillis = new ArrayList<>(); // time of each topology change, by the clock of the log
     private CoordinatorStandIn coordinator;
     private Map<String, Map<String, Double>> hubs;
     private Map<String, Double> depot;
     private long topologyVersion = 1;
-    private long updateCount;
-    private long generation = 1;
-    private long announcedAtMillis;
+    private long updateCount; // topology updates published so far
+    private long generation = 1; // of the next endpoints event
+    private long announcedAtMillis; // since the Unix epoch; 0: topologies are written without an announcement time
 
     private LabRun(Scenario scenario, Path folder, PrintStream progress) {
         this.scenario = scenario;
@@ -55,22 +55,22 @@
     }
 
     /** Plays the scenario in a file, with clients or with proxies, and returns the results as Markdown tables. */
-    public static String table(Path scenario, String by, Path folder, PrintStream progress)
+    public static String table(Path scenario, String changesBy, Path folder, PrintStream progress)
             throws IOException, InterruptedException {
         Scenario parsed = Scenario.read(scenario);
         return parsed.proxies() == null
-                ? play(scenario, by, folder, progress).markdown()
+                ? play(scenario, changesBy, folder, progress).markdown()
                 : ProxyRun.play(parsed, folder, progress).markdown();
     }
 
     /**
-     * Plays the scenario in a file and writes all output to the folder. Topology changes are announced by the given
-     * means (feed, file or restart), or as the scenario says if it is null.
+     * Plays the scenario in a file and writes all output to the folder. Topology changes are delivered by {@code
+     * changesBy} (feed, file or restart), or as the scenario says if it is null.
      */
-    public static Report play(Path scenario, String by, Path folder, PrintStream progress)
+    public static Report play(Path scenario, String changesBy, Path folder, PrintStream progress)
             throws IOException, InterruptedException {
         Scenario parsed = Scenario.read(scenario);
-        return play(by == null ? parsed : parsed.withChangesBy(by), folder, progress);
+        return play(changesBy == null ? parsed : parsed.withChangesBy(changesBy), folder, progress);
     }
 
     static Report play(Scenario scenario, Path folder, PrintStream progress) throws IOException, InterruptedException {
@@ -99,7 +99,7 @@
         for (int i = 1; i <= scenario.caches(); i++) {
             addMember("box-" + i, Kind.CACHE, scenario.cacheHolds());
         }
-        coordinator = new CoordinatorStandIn(executor, scenario.change().jitter(), scenario.seed());
+        coordinator = new CoordinatorStandIn(executor, scenario.change().jitterMillis(), scenario.seed());
         coordinator.publish(
                 endpointsJson(true, members.values().stream().map(member -> instanceJson(member, "active")).toList()));
         announcedAtMillis = System.currentTimeMillis() - 3_600_000;
@@ -121,12 +121,12 @@
         LoadClients clients = new LoadClients(
                 scenario, requestLog, routers.stream().map(RouterProcess::address).toList());
         long loadStartNanos = System.nanoTime();
-        List<Happening> pendingEvents = new ArrayList<>(scenario.happenings());
-        pendingEvents.sort(Comparator.comparingDouble(Happening::at));
+        List<ScheduledEvent> pendingEvents = new ArrayList<>(scenario.happenings());
+        pendingEvents.sort(Comparator.comparingDouble(ScheduledEvent::at));
         List<Runnable> repairs = new ArrayList<>();
         List<Double> repairSeconds = new ArrayList<>();
         long sentRequests = 0;
-        int completeMessages = 0;
+        int topologyCompleteCount = 0;
         long warmUpEndMillis = 0;
         for (double elapsedSeconds = 0; elapsedSeconds < WARM_UP_SECONDS + scenario.seconds(); elapsedSeconds = (System.nanoTime() - loadStartNanos) / 1e9) {
             while (sentRequests < elapsedSeconds * scenario.rate()) {
@@ -145,8 +145,8 @@
                     repairSeconds.remove(i--);
                 }
             }
-            if (scenario.change().by() == Way.FEED && (int) (elapsedSeconds * 5) > completeMessages) {
-                completeMessages = (int) (elapsedSeconds * 5);
+            if (scenario.change().by() == ChangeDelivery.FEED && (int) (elapsedSeconds * 5) > topologyCompleteCount) {
+                topologyCompleteCount = (int) (elapsedSeconds * 5);
                 coordinator.publishTopologyComplete();
             }
             if ((int) elapsedSeconds % 5 == 0 && elapsedSeconds - (int) elapsedSeconds < 0.002) {
@@ -158,7 +158,7 @@
             Thread.sleep(1);
         }
         for (int i = 0; i < SETTLE_MILLIS / 100; i++) {
-            if (scenario.change().by() == Way.FEED) {
+            if (scenario.change().by() == ChangeDelivery.FEED) {
                 coordinator.publishTopologyComplete();
             }
             Thread.sleep(100);
@@ -175,7 +175,7 @@
         members.put(name, new MemberStandIn(name, kind, capacity, scenario.fillMillis(), requestLog, members::get, executor));
     }
 
-    private void applyEvent(Happening event, double elapsedSeconds, List<Runnable> repairs, List<Double> repairSeconds)
+    private void applyEvent(ScheduledEvent event, double elapsedSeconds, List<Runnable> repairs, List<Double> repairSeconds)
             throws IOException, InterruptedException {
         if (event.hubs() != null || event.depot() != null) {
             changeTopology(event);
@@ -210,7 +210,7 @@
         }
     }
 
-    private void changeTopology(Happening event) throws IOException, InterruptedException {
+    private void changeTopology(ScheduledEvent event) throws IOException, InterruptedException {
         Map<String, Map<String, Double>> oldHubs = hubs;
         Map<String, Double> oldDepot = depot;
         String previousTopology = topologyYaml("before", 2);
@@ -297,9 +297,9 @@
 
     private String operatorYaml() {
         Scenario.Change change = scenario.change();
-        return "hierarchy:\n  news: " + (change.by() == Way.FEED ? "feed" : "file") + "\n  lead-ms: " + change.lead()
-                + "\n  move-ms: " + change.move() + "\n  gap-ms: " + change.gap() + "\n"
-                + (change.by() == Way.FEED ? "  last-piece: " + updateCount + "\n" : "") + topologyYaml("shape", 2);
+        return "hierarchy:\n  news: " + (change.by() == ChangeDelivery.FEED ? "feed" : "file") + "\n  lead-ms: " + change.leadMillis()
+                + "\n  move-ms: " + change.moveMillis() + "\n  gap-ms: " + change.gapMillis() + "\n"
+                + (change.by() == ChangeDelivery.FEED ? "  last-piece: " + updateCount + "\n" : "") + topologyYaml("shape", 2);
     }
 
     private String topologyYaml(String key, int indent) {
@@ -328,7 +328,7 @@
         return text.toString();
     }
 
-    /** Builds the platform's configuration for one router; its known events are those published so far. */
+    /** Returns the platform's configuration for one router, in which all events published so far are known. */
     private String config(int index) {
         List<String> knownEvents = coordinator.eventsAsJson();
         return LabConfig.json(index, routers.get(index).address(), scenario, coordinator.address(), knownEvents);
--- a/src/main/java/pumicemoor/lab/LoadClients.java
+++ b/src/main/java/pumicemoor/lab/LoadClients.java
@@ -19,13 +19,13 @@
 
 /**
  * Open-loop load generator: sends requests at a steady rate regardless of the responses, over two connections to each
- * router, and records the result of every request. It reconnects to a router that is down; requests that were open on
+ * router, and records the outcome of every request. It reconnects to a router that is down; requests that were open on
  * a lost connection count as lost.
  */
 final class LoadClients implements AutoCloseable {
 
-    /** Result of a request for its client. */
-    enum End {
+    /** How a request ended for its client. */
+    enum RequestOutcome {
         SERVED,
         REFUSED,
         FAILED,
@@ -34,8 +34,8 @@
         LATE
     }
 
-    /** One completed request: when it was sent (by the clock of the log), its result, and the time that it took. */
-    record RequestResult(long sentAtMillis, End end, long micros) {}
+    /** One completed request: when it was sent (by the clock of the log), its outcome, and the time that it took. */
+    record RequestResult(long sentAtMillis, RequestOutcome outcome, long micros) {}
 
     private static final int REQUEST_FRAME = 7;
     private static final int RESPONSE_FRAME = 8;
@@ -71,7 +71,8 @@
     }
 
     /**
-     * Requests one object over a usable connection, if there is one; objects of a lower rank are requested more often.
+     * Requests a random object over the next usable connection; the request counts as lost if no connection is usable.
+     * The lower the rank number of an object, the more often it is requested.
      */
     void sendNext() {
         int rank = (int) (scenario.objects() * Math.pow(random.nextDouble(), 2));
@@ -103,7 +104,7 @@
     /** A connection to a router that is opened again after it has closed. */
     private final class Connection {
         private final InetSocketAddress address;
-        // of the current socket, by stream
+        // requests on the current socket, by stream
         private volatile Map<Integer, OpenRequest> openRequests = new ConcurrentHashMap<>();
         private Socket socket;
         private DataOutputStream out;
@@ -143,7 +144,7 @@
         synchronized void send(String object) {
             long sentAtMillis = requestLog.nowMillis();
             if (!ensureUsable()) {
-                addResult(new RequestResult(sentAtMillis, End.LOST, 0));
+                addResult(new RequestResult(sentAtMillis, RequestOutcome.LOST, 0));
                 return;
             }
             int stream = ++lastStream;
@@ -196,14 +197,14 @@
 
         private void handleResponse(OpenRequest request, boolean first, int code) {
             if (request == null) {
-                addResult(new RequestResult(requestLog.nowMillis(), first ? End.LATE : End.TWICE, 0));
+                addResult(new RequestResult(requestLog.nowMillis(), first ? RequestOutcome.LATE : RequestOutcome.TWICE, 0));
                 return;
             }
             long micros = (System.nanoTime() - request.startNanos()) / 1_000;
             boolean late = micros / 1_000 > scenario.deadlineMillis() + LATE_GRACE_MILLIS;
             addResult(new RequestResult(
                     request.sentAtMillis(),
-                    late ? End.LATE : code == 1 ? End.SERVED : code == 0 ? End.REFUSED : End.FAILED,
+                    late ? RequestOutcome.LATE : code == 1 ? RequestOutcome.SERVED : code == 0 ? RequestOutcome.REFUSED : RequestOutcome.FAILED,
                     micros));
         }
 
@@ -222,7 +223,7 @@
             for (Integer stream : List.copyOf(requests.keySet())) {
                 OpenRequest lost = requests.remove(stream);
                 if (lost != null) {
-                    addResult(new RequestResult(lost.sentAtMillis(), End.LOST, 0));
+                    addResult(new RequestResult(lost.sentAtMillis(), RequestOutcome.LOST, 0));
                 }
             }
         }
--- a/src/main/java/pumicemoor/lab/MemberStandIn.java
+++ b/src/main/java/pumicemoor/lab/MemberStandIn.java
@@ -58,13 +58,13 @@
     private final ExecutorService executor;
     private final int fillMillis;
     private final int capacity;
-    private final Map<String, Long> store;
+    private final Map<String, Long> store; // Unix milliseconds of the fill by object, least recently used first
     private final Map<String, CompletableFuture<LookupResult>> fillsInProgress = new HashMap<>();
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private ServerSocket listener;
     private CompletableFuture<Void> accepting; // done once no thread waits in the listener any more
     private volatile int port;
-    volatile String fault = "";
+    volatile String fault = ""; // kind of the current fault as in Scenario.Fault; empty: none
     volatile int faultMillis;
     volatile long startedAtMillis; // since the Unix epoch; 0: long ago
 
@@ -269,7 +269,8 @@
     }
 
     /**
-     * Handles a request of a router or a member: returns a stored object, joins a fill, or fills along the fill path.
+     * Handles a request from a router or another member: returns a stored object, joins a fill, or fills along the fill
+     * path.
      */
     LookupResult lookUp(String object, List<String> fillPath, boolean cacheOnly, List<String> visited) {
         if (visited.contains(name)) {
--- a/src/main/java/pumicemoor/lab/ProcessRun.java
+++ b/src/main/java/pumicemoor/lab/ProcessRun.java
@@ -22,8 +22,8 @@
 
 /**
  * Measures what the fleet protocol costs a router that runs as a separate process, as a reference for the figures of
- * simulated routers. It runs a number of real programs on loopback, idle and without requests, with a section 'fleet'
- * and without one, and subtracts the cost of the latter. It owns the processes of the run and must not evaluate the
+ * simulated routers. It runs router processes on loopback, without requests, first without a section 'fleet' and then
+ * with one, and subtracts the cost of the first run. It owns the processes of the run and must not evaluate the
  * results.
  */
 public final class ProcessRun {
@@ -61,7 +61,7 @@
         ScaleConfig config = ScaleConfig.read(file);
         for (int size : config.routers()) {
             if (size > MAX_PROCESSES) {
-                throw new IOException(file + ": routers: " + size + " is not from 2 to " + MAX_PROCESSES + ", as processes");
+                throw new IOException(file + ": routers: " + size + " is not from 2 to " + MAX_PROCESSES + ", the range for separate processes");
             }
         }
         Files.createDirectories(folder);
@@ -224,7 +224,7 @@
         progress.printf(Locale.ROOT, "they hold %.2f GB%n", totalKiB / 1e6 * 1.024);
         if (totalKiB > MAX_TOTAL_MEMORY_KIB) {
             throw new IOException(
-                    "routers: " + size + " processes hold " + totalKiB / 1_024 + " MiB, over " + MAX_TOTAL_MEMORY_KIB / 1_024);
+                    "routers: " + size + " processes hold " + totalKiB / 1_024 + " MiB of memory; the maximum in MiB is " + MAX_TOTAL_MEMORY_KIB / 1_024);
         }
     }
 
--- a/src/main/java/pumicemoor/lab/ProxyRun.java
+++ b/src/main/java/pumicemoor/lab/ProxyRun.java
@@ -22,24 +22,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
+import pumicemoor.lab.ProxyStandIn.CallOutcome;
 import pumicemoor.lab.ProxyStandIn.CompletedCall;
-import pumicemoor.lab.ProxyStandIn.End;
 
 /**
- * Plays proxies that call the real program for each request while it is killed, terminated and reloaded. The results of
- * calls are taken from the proxies' own records, the requests that ran from those of the caches. A proxy retries once a
- * call that was not answered or whose stream broke, whether or not the request has a side effect: the program itself
- * must not let a side effect run twice.
+ * Plays proxies that call the real program for each request while it is killed, terminated and reloaded. The outcomes
+ * of calls are taken from the records of the proxies, and the requests that ran from those of the caches. A proxy
+ * retries a call once if it was not answered or its stream broke, whether or not the request has a side effect: the
+ * program itself must not let a side effect run twice.
  */
 final class ProxyRun {
 
     private static final int RETRY_DELAY_MILLIS = 150;
     private static final long WARM_UP_NANOS = 4_000_000_000L; // until the proxies' own code is compiled
+    private static final long MAX_RECORDED_MICROS = 60_000_000; // highest value of the histogram
 
     /** Results of a run. */
     record Result(
             String name,
-            Map<End, Long> ends,
+            Map<CallOutcome, Long> countsByOutcome,
             int callsPerMinute,
             int maxAnswersPerCall,
             int maxRunsOfOneEffect,
@@ -54,8 +55,8 @@
             double p99Millis,
             double p999Millis) {
 
-        long ended(End end) {
-            return ends.getOrDefault(end, 0L);
+        long count(CallOutcome outcome) {
+            return countsByOutcome.getOrDefault(outcome, 0L);
         }
 
         String markdown() {
@@ -70,12 +71,12 @@
                             + "| longest call | %d ms |%n| served calls after the first 4 s, median, 99th, 99.9th percentile | %.2f, %.2f, %.2f ms |%n",
                     name,
                     callsPerMinute,
-                    ended(End.SERVED),
-                    ended(End.REFUSED),
-                    ended(End.FAILED),
-                    ended(End.NOT_ANSWERED),
+                    count(CallOutcome.SERVED),
+                    count(CallOutcome.REFUSED),
+                    count(CallOutcome.FAILED),
+                    count(CallOutcome.NOT_ANSWERED),
                     unansweredAfterWarmUp,
-                    ended(End.BROKEN),
+                    count(CallOutcome.BROKEN),
                     openAtEnd,
                     maxAnswersPerCall,
                     maxRunsOfOneEffect,
@@ -95,12 +96,12 @@
     private final PrintStream progress;
     private final Map<String, Integer> effectRuns = new HashMap<>(); // runs of requests with a side effect, by id
     private final Set<String> retriedIds = new HashSet<>();
-    private int runs;
+    private int runs; // requests that reached a cache
     private int iterations;
     private long startNanos;
     private int maxOpenCalls;
-    private long idleMiB;
-    private long peakMiB;
+    private long idleMiB; // resident memory of the program before the first call
+    private long peakMiB; // highest resident memory during the run
 
     private ProxyRun(Scenario scenario, Path folder, PrintStream progress) {
         this.scenario = scenario;
@@ -138,14 +139,14 @@
                     - {method: GET, path: "/file/(?P<object>.+)", class: file}
                     - {method: POST, path: "/booking/(?P<object>.+)", class: booking}
                 """
-                        .formatted(port, parameters.messageTimeout());
+                        .formatted(port, parameters.messageTimeoutMillis());
         router.start("processor", config, operatorYaml);
         awaitListening(port);
         idleMiB = router.residentMiB();
         List<ProxyStandIn> proxies = new ArrayList<>();
         for (int i = 0; i < parameters.count(); i++) {
             proxies.add(new ProxyStandIn(
-                    "proxy-" + i, "127.0.0.1", port, parameters.messageTimeout(), this::requestRan, parameters.cacheMillis(), executor));
+                    "proxy-" + i, "127.0.0.1", port, parameters.messageTimeoutMillis(), this::requestRan, parameters.cacheMillis(), executor));
         }
         Random random = new Random(scenario.seed());
         TreeMap<Double, String> pendingActions = new TreeMap<>();
@@ -172,7 +173,7 @@
                 progress.printf(
                         "  %4.1f s: %s with %d calls open%n",
                         elapsedSeconds, action, proxies.stream().mapToInt(ProxyStandIn::openCalls).sum());
-                applyEvent(action, router, config, operatorYaml);
+                applyAction(action, router, config, operatorYaml);
             }
             retryUnanswered(proxies, executor);
             maxOpenCalls = Math.max(
@@ -222,7 +223,7 @@
         return true;
     }
 
-    private void applyEvent(String action, RouterProcess router, String config, String operatorYaml)
+    private void applyAction(String action, RouterProcess router, String config, String operatorYaml)
             throws IOException, InterruptedException {
         switch (action) {
             case "kill" -> {
@@ -235,7 +236,7 @@
                         router.terminate();
                         router.start("processor", config, operatorYaml);
                     } catch (IOException e) {
-                        progress.println("  not started again: " + e.getMessage());
+                        progress.println("  the program could not be restarted: " + e.getMessage());
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -281,25 +282,25 @@
     }
 
     private Result result(List<ProxyStandIn> proxies, int sentCalls, int openCalls) {
-        Map<End, Long> ends = new HashMap<>();
-        Histogram served = new Histogram(60_000_000, 3);
+        Map<CallOutcome, Long> countsByOutcome = new HashMap<>();
+        Histogram served = new Histogram(MAX_RECORDED_MICROS, 3);
         long longestMicros = 0;
         int unanswered = 0;
         for (ProxyStandIn proxy : proxies) {
             for (CompletedCall call : proxy.completed()) {
-                ends.merge(call.end(), 1L, Long::sum);
+                countsByOutcome.merge(call.outcome(), 1L, Long::sum);
                 longestMicros = Math.max(longestMicros, call.micros());
                 boolean warmedUp = call.startNanos() - startNanos > WARM_UP_NANOS;
-                unanswered += warmedUp && call.end() == End.NOT_ANSWERED ? 1 : 0;
-                if (call.end() == End.SERVED && warmedUp) {
-                    served.recordValue(Math.max(1, Math.min(60_000_000, call.micros())));
+                unanswered += warmedUp && call.outcome() == CallOutcome.NOT_ANSWERED ? 1 : 0;
+                if (call.outcome() == CallOutcome.SERVED && warmedUp) {
+                    served.recordValue(Math.max(1, Math.min(MAX_RECORDED_MICROS, call.micros())));
                 }
             }
         }
         synchronized (this) {
             return new Result(
                     scenario.name(),
-                    ends,
+                    countsByOutcome,
                     (int) (sentCalls / scenario.seconds() * 60),
                     proxies.stream().mapToInt(ProxyStandIn::maxAnswersPerCall).max().orElse(0),
                     effectRuns.values().stream().mapToInt(i -> i).max().orElse(0),
--- a/src/main/java/pumicemoor/lab/ProxyStandIn.java
+++ b/src/main/java/pumicemoor/lab/ProxyStandIn.java
@@ -29,8 +29,8 @@
 
     private static final long RECONNECT_INTERVAL_MILLIS = 100; // between connection attempts to a program that is down
 
-    /** Result of a call for the client of the proxy. */
-    public enum End {
+    /** How a call ended for the client of the proxy. */
+    public enum CallOutcome {
         SERVED,
         REFUSED,
         FAILED,
@@ -38,13 +38,12 @@
         BROKEN
     }
 
-    /** One completed call: its id, its start (System.nanoTime), its result and its duration in microseconds. */
-    public record CompletedCall(String id, long startNanos, End end, long micros) {}
+    /** One completed call: its id, its start (System.nanoTime), its outcome and its duration in microseconds. */
+    public record CompletedCall(String id, long startNanos, CallOutcome outcome, long micros) {}
 
-    /**
-     * The caches behind a proxy; a request names the cache, the object and the id, and returns whether it was served.
-     */
+    /** The caches behind a proxy. */
     public interface Caches {
+        /** Sends a request with this id for an object to a cache and returns whether it was served. */
         boolean send(String cache, String object, String id, Map<String, String> setHeaders);
     }
 
@@ -83,7 +82,7 @@
         executor.scheduleAtFixedRate(channel::resetConnectBackoff, RECONNECT_INTERVAL_MILLIS, RECONNECT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Starts a call for one request; its result is recorded in every case. */
+    /** Starts a call for one request; its outcome is recorded in every case. */
     public void call(String id, String method, String path, String object, int attempt) {
         synchronized (this) {
             openCalls++;
@@ -91,7 +90,7 @@
         new Call(id, object).begin(method, path, attempt);
     }
 
-    /** Waits until no call is open, for at most the given time; returns whether that was reached. */
+    /** Waits until no call is open, for at most the given time in milliseconds; returns whether none is open. */
     public boolean awaitIdle(long millis) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         synchronized (this) {
@@ -106,14 +105,14 @@
         return List.copyOf(completed);
     }
 
-    /** Returns the calls that were not answered or broke since the last invocation. */
+    /** Returns and removes the calls that were not answered or broke since the last invocation. */
     public synchronized List<CompletedCall> takeUnanswered() {
         List<CompletedCall> taken = List.copyOf(unanswered);
         unanswered.clear();
         return taken;
     }
 
-    /** Returns the highest number of responses to the request headers of one call. */
+    /** Returns the highest number of responses that any call received to its request headers. */
     public synchronized int maxAnswersPerCall() {
         return answersByAttempt.values().stream().mapToInt(i -> i).max().orElse(0);
     }
@@ -170,7 +169,7 @@
 
         private synchronized void onMessageTimeout() {
             if (!answered && !ended) {
-                end(End.NOT_ANSWERED);
+                end(CallOutcome.NOT_ANSWERED);
                 cancelled = true;
                 out.onError(io.grpc.Status.CANCELLED.asException());
             }
@@ -194,12 +193,12 @@
                 }
                 case IMMEDIATE_RESPONSE -> {
                     if (countAnswer()) {
-                        end(response.getImmediateResponse().getStatus().getCode() == 503 ? End.REFUSED : End.FAILED);
+                        end(response.getImmediateResponse().getStatus().getCode() == 503 ? CallOutcome.REFUSED : CallOutcome.FAILED);
                     }
                 }
                 case RESPONSE_HEADERS -> {
                     synchronized (this) {
-                        end(End.SERVED);
+                        end(CallOutcome.SERVED);
                         out.onCompleted();
                     }
                 }
@@ -224,7 +223,7 @@
                     return;
                 }
                 if (!served) {
-                    end(End.FAILED);
+                    end(CallOutcome.FAILED);
                 }
                 try {
                     out.onNext(ProcessingRequest.newBuilder()
@@ -233,20 +232,20 @@
                                             Map.of(":status", served ? "200" : "503", "x-pumicemoor-note", "mem"))))
                             .build());
                 } catch (IllegalStateException e) {
-                    end(served ? End.SERVED : End.FAILED); // the processor is gone, but the client has its response
+                    end(served ? CallOutcome.SERVED : CallOutcome.FAILED); // the processor is gone, but the client has its response
                 }
             }
         }
 
-        private synchronized void end(End end) {
+        private synchronized void end(CallOutcome outcome) {
             if (ended) {
                 return;
             }
             ended = true;
             synchronized (ProxyStandIn.this) {
-                CompletedCall call = new CompletedCall(id, startNanos, end, (System.nanoTime() - startNanos) / 1_000);
+                CompletedCall call = new CompletedCall(id, startNanos, outcome, (System.nanoTime() - startNanos) / 1_000);
                 completed.add(call);
-                if (end == End.BROKEN || end == End.NOT_ANSWERED) {
+                if (outcome == CallOutcome.BROKEN || outcome == CallOutcome.NOT_ANSWERED) {
                     unanswered.add(call);
                 }
                 openCalls--;
@@ -257,13 +256,13 @@
         @Override
         public synchronized void onError(Throwable error) {
             if (!cancelled) {
-                end(End.BROKEN);
+                end(CallOutcome.BROKEN);
             }
         }
 
         @Override
         public synchronized void onCompleted() {
-            end(answered ? End.SERVED : End.BROKEN);
+            end(answered ? CallOutcome.SERVED : CallOutcome.BROKEN);
         }
     }
 }
--- a/src/main/java/pumicemoor/lab/Report.java
+++ b/src/main/java/pumicemoor/lab/Report.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import pumicemoor.lab.LoadClients.End;
+import pumicemoor.lab.LoadClients.RequestOutcome;
 import pumicemoor.lab.LoadClients.RequestResult;
 import pumicemoor.lab.RequestLog.ReceivedRequest;
 
 /**
- * Results of a run, computed from the stand-ins' logs alone: the results of requests between and during topology
- * changes, the fills at the origin, and fill loops. Written as Markdown and CSV; the status that the routers report is
- * listed beside it but is no evidence.
+ * Results of a run, computed from the stand-ins' logs alone: the outcomes of requests between and during topology
+ * changes, the fills at the origin, and fill loops. They are written as Markdown and CSV. The status that the routers
+ * report is listed as well, but no result is based on it.
  */
 public record Report(
         String name,
@@ -31,20 +31,20 @@
         Map<String, Map<String, String>> status,
         List<String> notes) {
 
-    private static final long DRAIN_GRACE_MILLIS = 1_100; // 1,000 ms that the settings allow, and the network delay
+    private static final long DRAIN_GRACE_MILLIS = 1_100; // 1,000 ms that the settings allow, plus the network delay
     private static final long MAX_RECORDED_MICROS = 60_000_000; // highest value of a histogram
 
     /** Results of the requests that were sent within one part of the run. */
-    public record Phase(String name, long requests, Map<String, Long> ends, double medianMillis, double p99Millis) {
+    public record Phase(String name, long requests, Map<String, Long> countsByOutcome, double medianMillis, double p99Millis) {
 
-        /** Returns the number of requests with this result. */
-        public long ended(String end) {
-            return ends.getOrDefault(end, 0L);
+        /** Returns the number of requests with this outcome, given in lower case. */
+        public long count(String outcome) {
+            return countsByOutcome.getOrDefault(outcome, 0L);
         }
 
         /** Returns the share of the requests that were served. */
         public double served() {
-            return requests == 0 ? 0 : ended("served") / (double) requests;
+            return requests == 0 ? 0 : count("served") / (double) requests;
         }
     }
 
@@ -58,7 +58,7 @@
             Path folder)
             throws IOException {
         Scenario.Change change = scenario.change();
-        long changeDurationMillis = change.lead() + change.move() + change.gap();
+        long changeDurationMillis = change.leadMillis() + change.moveMillis() + change.gapMillis();
         List<Phase> phases = List.of(
                 phase("warming up", results.stream().filter(result -> result.sentAtMillis() < warmUpEndMillis).toList()),
                 phase(
@@ -74,10 +74,11 @@
                                         && changes.stream().anyMatch(atMillis -> result.sentAtMillis() >= atMillis && result.sentAtMillis() < atMillis + changeDurationMillis))
                                 .toList()));
         List<ReceivedRequest> requests = requestLog.requests();
-        // by object and number of the last topology change or cold start
+        // by object and interval, where each topology change and each restart of a member starts an interval
         Map<String, Integer> fillCounts = new HashMap<>();
         List<String> notes = new ArrayList<>();
-        List<Long> intervalStarts = new ArrayList<>(changes); // and restarts: a restarted hub has lost its copies
+        List<Long> intervalStarts = new ArrayList<>(changes);
+        // a restart starts an interval as well, because a restarted hub has lost its copies
         requestLog.restartMillis().values().forEach(intervalStarts::addAll);
         int atOrigin = 0;
         for (ReceivedRequest request : requests) {
@@ -132,12 +133,12 @@
     }
 
     /**
-     * Returns the highest load of a restarted hub in any second of its slow start, as a share of the load that it is
-     * sure to handle; load is counted in fills.
+     * Returns the highest load of a restarted member in any second that begins in its slow start, relative to the load
+     * that it is sure to handle. Load is counted in requests.
      */
     private static double slowStartLoad(Scenario scenario, RequestLog requestLog, List<ReceivedRequest> requests) {
         double max = 0;
-        long slowStartMillis = scenario.change().cold();
+        long slowStartMillis = scenario.change().slowStartMillis();
         for (Map.Entry<String, List<Long>> entry : requestLog.restartMillis().entrySet()) {
             for (long start : entry.getValue()) {
                 for (long atMillis = start; atMillis < start + slowStartMillis; atMillis += 250) {
@@ -156,21 +157,21 @@
     }
 
     private static Phase phase(String name, List<RequestResult> results) {
-        Map<String, Long> ends = new HashMap<>();
+        Map<String, Long> countsByOutcome = new HashMap<>();
         Histogram served = new Histogram(MAX_RECORDED_MICROS, 3);
         for (RequestResult result : results) {
-            ends.merge(result.end().name().toLowerCase(Locale.ROOT), 1L, Long::sum);
-            if (result.end() == End.SERVED) {
+            countsByOutcome.merge(result.outcome().name().toLowerCase(Locale.ROOT), 1L, Long::sum);
+            if (result.outcome() == RequestOutcome.SERVED) {
                 served.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(1, result.micros())));
             }
         }
         return new Phase(
-                name, results.size(), ends, served.getValueAtPercentile(50) / 1e3, served.getValueAtPercentile(99) / 1e3);
+                name, results.size(), countsByOutcome, served.getValueAtPercentile(50) / 1e3, served.getValueAtPercentile(99) / 1e3);
     }
 
-    /** Returns the number of requests with this result in all phases. */
-    public long ended(String end) {
-        return phases.stream().mapToLong(phase -> phase.ended(end)).sum();
+    /** Returns the number of requests with this outcome in all phases. */
+    public long count(String outcome) {
+        return phases.stream().mapToLong(phase -> phase.count(outcome)).sum();
     }
 
     /** Returns the results as Markdown tables. */
@@ -185,11 +186,11 @@
                     phase.name(),
                     phase.requests(),
                     phase.served(),
-                    phase.ended("refused"),
-                    phase.ended("failed"),
-                    phase.ended("lost"),
-                    phase.ended("late"),
-                    phase.ended("twice"),
+                    phase.count("refused"),
+                    phase.count("failed"),
+                    phase.count("lost"),
+                    phase.count("late"),
+                    phase.count("twice"),
                     phase.medianMillis(),
                     phase.p99Millis()));
         }
@@ -235,12 +236,12 @@
                     "%s,%d,%d,%d,%d,%d,%d,%d,%.3f,%.3f%n",
                     phase.name(),
                     phase.requests(),
-                    phase.ended("served"),
-                    phase.ended("refused"),
-                    phase.ended("failed"),
-                    phase.ended("lost"),
-                    phase.ended("late"),
-                    phase.ended("twice"),
+                    phase.count("served"),
+                    phase.count("refused"),
+                    phase.count("failed"),
+                    phase.count("lost"),
+                    phase.count("late"),
+                    phase.count("twice"),
                     phase.medianMillis(),
                     phase.p99Millis()));
         }
--- a/src/main/java/pumicemoor/lab/RequestLog.java
+++ b/src/main/java/pumicemoor/lab/RequestLog.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Log of what the stand-ins receive, written by them as it happens; reports are computed from it. Times are
- * milliseconds since the log was created at the start of the run. It must never query a router.
+ * Log of the requests that the stand-ins receive, and of their drains and restarts; reports are computed from it. Times
+ * are milliseconds since the log was created at the start of the run. It must never query a router.
  */
 final class RequestLog {
 
@@ -23,8 +23,8 @@
     private final List<ReceivedRequest> requests = new ArrayList<>();
     private final List<FillLoop> fillLoops = new ArrayList<>();
     private final Map<String, Long> drainStartMillis = new HashMap<>();
-    private final Map<String, List<long[]>> restartMillis = new HashMap<>(); // by member; each time in an array of one
-    // by object and waiting member: the members waited for
+    private final Map<String, List<long[]>> restartMillis = new HashMap<>(); // by member; each array holds one time
+    // by object and waiting member: the members that it waits for
     private final Map<String, Map<String, Set<String>>> waitsByObject = new HashMap<>();
 
     long nowMillis() {
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Records that one member begins to wait for another; a chain of waits that leads back to it is logged as a loop.
+     * Records that one member begins to wait for another, and logs a fill loop if a chain of waits leads back to the
+     * first.
      */
     synchronized void waitStarted(String waiter, String target, String object) {
         Map<String, Set<String>> waits = waitsByObject.computeIfAbsent(object, key -> new HashMap<>());
--- a/src/main/java/pumicemoor/lab/RouterProcess.java
+++ b/src/main/java/pumicemoor/lab/RouterProcess.java
@@ -55,7 +55,7 @@
         this(name, folder, cpu, DEFAULT_JVM_OPTIONS);
     }
 
-    /** As above, with JVM options of its own, for instance one of the two lists of this class. */
+    /** Binds the process to one core like the other constructor, and starts it with the given JVM options. */
     RouterProcess(String name, Path folder, Integer cpu, List<String> jvmOptions) throws IOException {
         this.name = name;
         this.cpu = cpu;
@@ -135,7 +135,7 @@
         throw new IOException("router " + name + " did not become ready; its log is " + folder.resolve(name + ".log"));
     }
 
-    /** Returns the counters and state that the router reports, to be read beside the stand-ins' log. */
+    /** Returns the counters and state that the router reports; reports list them beside the stand-ins' results. */
     Map<String, String> status() {
         try (FrameClient client = new FrameClient("127.0.0.1", port)) {
             return client.ask(READY_REQUEST_FRAME, Map.of("counters", "1"), READY_RESPONSE_FRAME).fields();
@@ -161,7 +161,7 @@
         return residentKiB() / 1_024;
     }
 
-    /** Returns the resident memory in KiB (VmRSS). */
+    /** Returns the resident memory in KiB (VmRSS); 0 if it is not available. */
     long residentKiB() {
         try {
             return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
@@ -175,7 +175,8 @@
 
     /**
      * Returns the CPU time of each thread in nanoseconds, by thread id; empty if the system does not report it. The CPU
-     * time between two readings is the difference for the threads that are in both or new in the later one.
+     * time between two readings is the sum of the differences of all threads in the later one; a new thread counts from
+     * 0.
      */
     Map<String, Long> threadCpuNanos() {
         Map<String, Long> nanosByThread = new HashMap<>();
--- a/src/main/java/pumicemoor/lab/Scenario.java
+++ b/src/main/java/pumicemoor/lab/Scenario.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * A scenario to play, as read from a YAML file. Times are in seconds from the end of the clients' warm-up, or from the
- * first call of the proxies; rates are per second. A missing key takes the default that docs/lab.md gives.
+ * A scenario to play, as read from a YAML file. Times are in seconds from the end of the clients' warm-up or, with
+ * proxies, from their first call; rates are per second. A missing key takes the default that docs/lab.md gives.
  */
 record Scenario(
         String name,
@@ -30,12 +30,12 @@
         Change change,
         Map<String, Map<String, Double>> hubs,
         Map<String, Double> depot,
-        List<Happening> happenings,
+        List<ScheduledEvent> happenings,
         Proxies proxies,
         Integer cpu) {
 
     /** How topology changes reach the routers. */
-    enum Way {
+    enum ChangeDelivery {
         @JsonProperty("feed")
         FEED,
         @JsonProperty("file")
@@ -45,32 +45,33 @@
     }
 
     /**
-     * Times of a topology change in milliseconds, and how it is announced. The jitter bounds the random delay of each
+     * How topology changes are delivered, and their times in milliseconds. The jitter bounds the random delay of each
      * coordinator event to each router.
      */
     record Change(
-            Way by,
-            @JsonProperty("lead-ms") int lead,
-            @JsonProperty("move-ms") int move,
-            @JsonProperty("gap-ms") int gap,
-            @JsonProperty("cold-ms") int cold,
-            @JsonProperty("jitter-ms") int jitter) {}
+            ChangeDelivery by,
+            @JsonProperty("lead-ms") int leadMillis,
+            @JsonProperty("move-ms") int moveMillis,
+            @JsonProperty("gap-ms") int gapMillis,
+            @JsonProperty("cold-ms") int slowStartMillis,
+            @JsonProperty("jitter-ms") int jitterMillis) {}
 
     /**
      * Proxies that call the program in place of clients: their number, the share of requests with a side effect, their
-     * message timeout, and the seconds at which the program is killed, terminated, or reloads its file.
+     * message timeout, the response time of a cache, and the seconds at which the program is killed, terminated, or
+     * reloads its file.
      */
     record Proxies(
             int count,
             @JsonProperty("effect-share") double effectShare,
-            @JsonProperty("message-timeout-ms") int messageTimeout,
+            @JsonProperty("message-timeout-ms") int messageTimeoutMillis,
             @JsonProperty("cache-ms") int cacheMillis,
             @JsonProperty("kill-at") List<Double> killAt,
             @JsonProperty("end-at") List<Double> endAt,
             @JsonProperty("reload-at") List<Double> reloadAt) {
         Proxies {
             count = Math.max(1, count);
-            messageTimeout = messageTimeout <= 0 ? 200 : messageTimeout;
+            messageTimeoutMillis = messageTimeoutMillis <= 0 ? 200 : messageTimeoutMillis;
             killAt = killAt == null ? List.of() : killAt;
             endAt = endAt == null ? List.of() : endAt;
             reloadAt = reloadAt == null ? List.of() : reloadAt;
@@ -81,7 +82,7 @@
      * One scheduled event: a new topology, a member that restarts with an empty store, a drain, a purge, a temporary
      * fault of a member, or a router that is killed and restarted.
      */
-    record Happening(
+    record ScheduledEvent(
             double at,
             Map<String, Map<String, Double>> hubs,
             Map<String, Double> depot,
@@ -106,22 +107,22 @@
         cacheHolds = cacheHolds <= 0 ? 50 : cacheHolds;
         fillMillis = fillMillis <= 0 ? 10 : fillMillis;
         deadlineMillis = deadlineMillis <= 0 ? 2_000 : deadlineMillis;
-        change = change == null ? new Change(Way.FEED, 500, 1_500, 500, 1_500, 0) : change;
+        change = change == null ? new Change(ChangeDelivery.FEED, 500, 1_500, 500, 1_500, 0) : change;
         hubs = hubs == null ? Map.of() : hubs;
         depot = depot == null ? Map.of() : depot;
         happenings = happenings == null ? List.of() : happenings;
     }
 
-    /** Returns a copy whose topology changes are announced by other means: feed, file or restart. */
+    /** Returns a copy whose topology changes are delivered in another way: feed, file or restart. */
     Scenario withChangesBy(String by) throws IOException {
         try {
             Change newChange = new Change(
-                    Way.valueOf(by.toUpperCase(Locale.ROOT)),
-                    change.lead(),
-                    change.move(),
-                    change.gap(),
-                    change.cold(),
-                    change.jitter());
+                    ChangeDelivery.valueOf(by.toUpperCase(Locale.ROOT)),
+                    change.leadMillis(),
+                    change.moveMillis(),
+                    change.gapMillis(),
+                    change.slowStartMillis(),
+                    change.jitterMillis());
             return new Scenario(
                     name + ", by " + by,
                     seed,
--- a/src/main/java/pumicemoor/lab/scale/CoordinatorEvents.java
+++ b/src/main/java/pumicemoor/lab/scale/CoordinatorEvents.java
@@ -11,11 +11,11 @@
 /**
  * Generates the texts that a coordinator sends in an installation of the measured size: member lists, changes of single
  * members, purges, and the configuration of a router that includes initial events. It owns the layout of the simulated
- * installation and must never decide anything. All output follows from the seed.
+ * installation and must not contain decision logic. All output follows from the seed.
  */
 final class CoordinatorEvents {
 
-    /** The sites of the members: spread as in the target installation, or all caches at the router's own site. */
+    /** How members are placed: at sites as in the target installation, or with all caches at the router's own site. */
     enum Layout {
         SITES,
         ONE_SITE
@@ -25,7 +25,7 @@
     static final long INITIAL_INDEX = 36_000_000;
     /** The time at which purges and member changes begin. */
     static final long START_UNIX_MILLIS = 1_764_576_000_000L;
-    /** A heartbeat between events, as the lab's coordinator stand-in sends it once a second. */
+    /** A heartbeat between events, as the coordinator stand-in writes it. The figures include one a second. */
     static final String HEARTBEAT = ": \n\n";
 
     private static final double MEMBERS_PER_SITE = 5.8;
--- a/src/main/java/pumicemoor/lab/scale/Fit.java
+++ b/src/main/java/pumicemoor/lab/scale/Fit.java
@@ -7,9 +7,9 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * The growth of one figure with the size. It has the exponent of the power law that fits best, by least squares on
- * logarithms, with its 95 % confidence interval, and which of the forms n^0, log n, n and n log n fits best with a
- * constant factor as the only parameter. Residuals are factors: 1.1 means that the worst point lies 10 % off. It must
+ * A fit of one figure's growth with the size: the power law that fits best by least squares on logarithms, with the
+ * 95 % confidence interval of its exponent, and the form among n^0, log n, n and n log n that fits best if a constant
+ * factor is the only parameter. Residuals are factors: 1.1 means that the worst point lies 10 % off. It must
  * claim no more than its points show: values beyond their range are extrapolations.
  */
 record Fit(
--- a/src/main/java/pumicemoor/lab/scale/FleetRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/FleetRoles.java
@@ -15,7 +15,7 @@
 /**
  * Measures what a router costs as a member of its fleet, by size of the fleet. It owns the sequence of events in each
  * simulated fleet (start, calm period, faults) and the measured windows. Counts are the same for each run of the same
- * configuration; processor time and heap are those of this machine. A size that exceeds its time limit is aborted: the
+ * configuration; CPU time and heap are those of this machine. A size that exceeds its time limit is aborted: the
  * samples taken so far are kept and a progress line reports the abort.
  */
 final class FleetRoles implements RoleMeasurement {
@@ -192,7 +192,7 @@
         }
         if (scenario != null) {
             List<Sample> windowSamples = fleet.samples(scenario, scenario.equals("start"));
-            windowSamples.forEach(s -> report(line(s)));
+            windowSamples.forEach(s -> report(progressLine(s)));
             samples.addAll(windowSamples);
         }
         return true;
@@ -252,7 +252,7 @@
         if (size < MIN_ROUTERS_FOR_HEAP) {
             return;
         }
-        double heapPerRouter = (double) (fleet.heap() - heapBefore) / size;
+        double heapPerRouter = (double) (fleet.heapBytes() - heapBefore) / size;
         samples.replaceAll(s -> s.size() != size || !s.role().equals(Kind.MEMBER.role + ", calm") ? s : withHeap(s, heapPerRouter));
     }
 
@@ -267,7 +267,7 @@
     }
 
     /** A progress line with the main figures of a sample. */
-    static String line(Sample sample) {
+    static String progressLine(Sample sample) {
         return String.format(
                 Locale.ROOT,
                 "%s, %d: in %.0f, out %.0f bytes/s, %.3f cpu ms/s, all have %.3f of the limit",
--- a/src/main/java/pumicemoor/lab/scale/Geography.java
+++ b/src/main/java/pumicemoor/lab/scale/Geography.java
@@ -73,15 +73,15 @@
     }
 
     /**
-     * The group (zone or region) with the most routers, other than the group {@code without}; -1 excludes none. Where
-     * no other group has a router, the result is an empty group or, for a single router, the excluded one.
+     * The group (zone or region) with the most routers, apart from the group {@code excluded}; -1 excludes none. If no
+     * other group has a router, the result is an empty group or, in a fleet of one router, the excluded group.
      */
-    int largest(java.util.function.ToIntFunction<Location> groupOf, int without) {
+    int largest(java.util.function.ToIntFunction<Location> groupOf, int excluded) {
         int[] sizes = new int[locations.size()];
         locations.forEach(p -> sizes[groupOf.applyAsInt(p)]++);
-        int largest = without == 0 ? Math.min(1, sizes.length - 1) : 0;
+        int largest = excluded == 0 ? Math.min(1, sizes.length - 1) : 0;
         for (int group = 0; group < sizes.length; group++) {
-            if (group != without && sizes[group] > sizes[largest]) {
+            if (group != excluded && sizes[group] > sizes[largest]) {
                 largest = group;
             }
         }
--- a/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
@@ -24,9 +24,9 @@
 /**
  * Measures the costs that grow with the member list and with purges: a router as a reader of the coordinator stream,
  * as the decider on requests and during its cold start, and the sender of that stream. Counts and bytes follow from
- * the seed alone. Processor time is that of this thread, without the garbage collector's; heap is what remains after
- * a collection. It must never decide anything: the reducer and the decision code that run here are those of the
- * production program.
+ * the seed alone. CPU time is that of this thread, without the garbage collector's; heap is what remains after a
+ * collection. This class must not contain decision logic: the reducer and the decision code that it runs are those of
+ * the production program.
  */
 public final class ReaderRoles implements RoleMeasurement {
 
@@ -46,7 +46,7 @@
     private static final int CHANGES_PER_ROUND = 50;
     private static final int LEASE_SETTLE_SECONDS = 6; // virtual time until all limits are leased
     private static final int HOLDER_WINDOW_SECONDS = 5; // virtual time that is measured: five demand reports
-    private static final int MAX_READ_BYTES = 8_192; // maximum that is passed on at once from the stream
+    private static final int MAX_READ_BYTES = 8_192; // maximum that one read of the stream delivers
     private static final double SIMULTANEOUS_STARTS = 1_800.0; // 10 % of the target's 18,000 routers
     private static final int BUDGET_BYTES_PER_SECOND = 26_000; // of a router, in and out together
     private static final int TARGET_MEMBERS = 8_700;
@@ -68,7 +68,7 @@
      * @param purgeRates purges a second
      * @param routers numbers of routers that the sender serves
      * @param cutSeconds how long a router was disconnected from the stream, in seconds
-     * @param rounds rounds of each measurement of processor time, of which the median is reported
+     * @param rounds rounds of each CPU time measurement, of which the median, minimum and maximum are reported
      * @param seed seed of the generated events and requests
      */
     public record Plan(
@@ -159,7 +159,7 @@
         progress.printf("%s, %d: %s%n", role, size, figures);
     }
 
-    /** The processor time of this thread for one run of the work, in microseconds. */
+    /** The CPU time of this thread for one run of the work, in microseconds. */
     private static double cpuMicros(Runnable work) {
         long before = THREADS.getCurrentThreadCpuTime();
         work.run();
@@ -257,7 +257,7 @@
 
     /**
      * Measures the start of a router from the text of its configuration until it is ready, in the reducer alone, and
-     * works out the bytes that the sender needs when 10 % of 18,000 routers start at once.
+     * calculates the bytes that each control machine sends when 10 % of 18,000 routers start at once.
      */
     private void measureColdStart(int members) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, members, plan.seed());
@@ -288,7 +288,7 @@
 
     // ---- requests -------------------------------------------------------------------------------------
 
-    /** Measures the processor time of requests in the reducer and the decision code, at the target's request rate. */
+    /** Measures the CPU time of requests in the reducer and the decision code, at the target's request rate. */
     private void measureDecisions(String role, Layout layout, int members) {
         CoordinatorEvents events = new CoordinatorEvents(layout, members, plan.seed());
         SimulatedRouter reader = emptyRouter(events);
@@ -420,7 +420,10 @@
 
     // ---- purges ---------------------------------------------------------------------------------------
 
-    /** Measures purges at an even rate: first for longer than a router keeps them, then second by second. */
+    /**
+     * Measures purges at an even rate. The measured seconds begin when the first purges are older than a router keeps
+     * them, so that the number of kept purges no longer grows.
+     */
     private void measurePurges(int rate) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, 100, plan.seed());
         int routers = 8;
@@ -566,7 +569,7 @@
                         CoordinatorEvents.INITIAL_INDEX, CoordinatorEvents.objectName(1), CoordinatorEvents.START_UNIX_MILLIS)));
     }
 
-    /** Measures the sizes of the encoded events and works out the traffic at the target's rates from them. */
+    /** Measures the sizes of the encoded events and calculates the traffic at the target's rates from them. */
     private void measureSender(int routers) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, TARGET_MEMBERS, plan.seed());
         double changeBytes = CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(
--- a/src/main/java/pumicemoor/lab/scale/ScaleReport.java
+++ b/src/main/java/pumicemoor/lab/scale/ScaleReport.java
@@ -23,7 +23,7 @@
 
 /**
  * Writes the samples of a run as JSON, as Markdown tables and as plots. It owns the budgets for a router's control
- * traffic, processor time and heap, and selects the figures that are compared with them. It must never leave out a
+ * traffic, CPU time and heap, and selects the figures that are compared with them. It must never leave out a
  * sample or show a fit without its range.
  */
 final class ScaleReport {
@@ -71,8 +71,7 @@
     record Slope(String role, Budget budget, List<Point> points, Fit fit, Optional<BudgetCrossing> crossing) {
 
         /**
-         * What the sizes of the role count: routers, unless the name of the role implies something else, as after
-         * 'by'.
+         * What the sizes of the role count: what the role's name says after 'by' or implies otherwise, else routers.
          */
         String axis() {
             int by = role.lastIndexOf(", by ");
--- a/src/main/java/pumicemoor/lab/scale/ScaleRun.java
+++ b/src/main/java/pumicemoor/lab/scale/ScaleRun.java
@@ -23,7 +23,7 @@
         return new ScaleReport(config, samples).write(folder);
     }
 
-    /** Writes a report of the samples so far, so that a run that is killed early leaves the finished sizes. */
+    /** Writes a report of the samples so far, so that a run that is killed leaves the figures of the finished sizes. */
     private static void writeReport(ScaleConfig config, List<Sample> samples, Path folder) {
         try {
             new ScaleReport(config, samples).write(folder);
--- a/src/main/java/pumicemoor/lab/scale/SimulatedFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedFleet.java
@@ -42,7 +42,7 @@
  * time. It owns the network between them (delays, losses, partitions), the starts and ends of their processes, and the
  * counted cost of each. Bytes are those of the real packets as they are encoded, without the headers of UDP and IP. It
  * must never change what a router decides, and the counts are the same for the same seed with any number of threads.
- * Virtual times are in microseconds, processor times in nanoseconds.
+ * Virtual times are in microseconds, CPU times in nanoseconds.
  */
 final class SimulatedFleet {
 
@@ -64,7 +64,7 @@
     private static final int QUEUED_EVENT_BYTES = 72; // estimated heap use without the packet
     private static final int ARRAY_HEADER_BYTES = 16;
 
-    /** The duties that a router can have in its fleet. A router with several of them counts as the last one. */
+    /** The kinds of routers in a fleet, by duty. A router with several duties is of the last of these kinds. */
     enum Kind {
         MEMBER("member"),
         DELEGATE("delegate"),
@@ -81,8 +81,8 @@
 
     /**
      * Parameters of one fleet in addition to the configuration: the number of routers, the number of limits, and
-     * whether it coordinates drains. With one limit, the limit is on the origin; with more there are as many caches
-     * with one limit each.
+     * whether it coordinates drains. A single limit applies to the origin; if there are more, there are as many
+     * caches, with one limit each.
      */
     record FleetParameters(int routers, int limits, boolean drains) {}
 
@@ -92,7 +92,7 @@
         final String name;
         final String address;
         final Geography.Location location;
-        final double demand; // requests a second that it asks of the limit
+        final double demand; // requests a second that it reports as its demand for the limit
         FleetParticipant participant;
         boolean running;
         private final Shard shard;
@@ -105,7 +105,7 @@
         private long packetsOut;
         private int[] bytesIn = new int[0]; // by second of the window
         private int[] bytesOut = new int[0]; // by second of the window
-        private LimitShare limitShare; // the first of the last update; null before that
+        private LimitShare limitShare; // the first share of the latest update; null before the first update
 
         Router(int number, Geography.Location location) {
             this.number = number;
@@ -178,14 +178,14 @@
     private final Map<String, Router> byAddress = new HashMap<>();
     private final Map<Long, Fleet.Listed> listedMembers; // by member ID; shared by all routers
     private final List<String> seeds = new ArrayList<>();
-    /** By zone, for cells: the zone's own come first. */
+    /** Seeds by zone, for a fleet of cells: routers of the zone, followed by the seeds of the whole fleet. */
     private final Map<Integer, List<String>> zoneSeeds = new HashMap<>();
     private final List<LimitRule> limits;
     private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
     private final List<Shard> shards = new ArrayList<>();
-    private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final long cpuReadNanos;
-    private final Map<Integer, String> cellRoots = new HashMap<>();
+    private final ThreadMXBean threadMxBean = ManagementFactory.getThreadMXBean();
+    private final long cpuReadNanos; // cost of one reading of the CPU time, subtracted from each measurement
+    private final Map<Integer, String> cellRoots = new HashMap<>(); // by zone: the root of its routers' cells
     private long nextTaskSequence;
     private long windowStart = START_TIME_MICROS;
     private int windowSeconds;
@@ -252,7 +252,7 @@
         return Math.max(Math.max(minimum, Math.min(2, countOfLargest)), (int) Math.round(countOfLargest * relativeSize));
     }
 
-    /** Measures the cost of reading the thread's processor time: the median of many readings. */
+    /** Measures the cost of reading the thread's CPU time: the median of many readings. */
     private long measureCpuReadNanos() {
         long[] readNanos = new long[2_001];
         for (int round = 0; round < 5; round++) {
@@ -266,7 +266,7 @@
     }
 
     private long cpuNanos() {
-        return threads.getCurrentThreadCpuTime();
+        return threadMxBean.getCurrentThreadCpuTime();
     }
 
     // ---- routers --------------------------------------------------------------------------------------
@@ -309,7 +309,7 @@
         router.participant.updateMembers(now, listedMembers);
         router.running = true;
         router.startedAt = now;
-        finishStep(router, cpuBefore, now);
+        finishEvent(router, cpuBefore, now);
     }
 
     /** Creates the kind of fleet that the setup asks for: with cells or flat. */
@@ -355,8 +355,8 @@
     }
 
     /**
-     * Lets every running router report the first cache as failing once a second until the given time, and then withdraw
-     * the report once.
+     * Makes every running router report the first cache as failing once a second until the given time, and then
+     * withdraw the report.
      */
     void reportFailing(long until) {
         for (Router router : routers) {
@@ -370,7 +370,7 @@
             if (router.running) {
                 long cpuBefore = cpuNanos();
                 router.participant.reportHealth(now, new MemberHealthReport(FIRST_CACHE_ID, failing, true, 2, 0.5, now + 2 * MICROS_PER_SECOND));
-                finishStep(router, cpuBefore, now);
+                finishEvent(router, cpuBefore, now);
             }
             if (failing) {
                 reportFailing(router, until, MICROS_PER_SECOND);
@@ -419,7 +419,7 @@
         }
     }
 
-    /** The time of the next event or task. */
+    /** The time of the next event or task; Long.MAX_VALUE if there is none. */
     private long nextEventAt() {
         long earliest = tasks.isEmpty() ? Long.MAX_VALUE : tasks.peek().at;
         for (Shard shard : shards) {
@@ -458,7 +458,7 @@
         addBytes(router.bytesIn, packet.length, at);
         long cpuBefore = cpuNanos();
         router.participant.receive(at, packet);
-        finishStep(router, cpuBefore, at);
+        finishEvent(router, cpuBefore, at);
     }
 
     private void fireTimer(Router router, long at) {
@@ -468,14 +468,14 @@
             router.participant.reportDemand(new LimitDemand(parameters.limits > 1 ? FIRST_CACHE_ID : ORIGIN_ID, LimitMeasure.PER_SECOND, router.demand, 0));
             router.participant.advance(at);
         }
-        finishStep(router, cpuBefore, at);
+        finishEvent(router, cpuBefore, at);
     }
 
     /**
-     * Ends a step of a router: takes its output, adds the processor time spent since {@code cpuBefore}, renews the
-     * timer and sends the packets.
+     * Finishes the handling of one event by a router: takes its output, adds the CPU time spent since {@code
+     * cpuBefore}, renews the timer and sends the packets.
      */
-    private void finishStep(Router router, long cpuBefore, long at) {
+    private void finishEvent(Router router, long cpuBefore, long at) {
         router.participant.takeDrainView();
         List<Datagram> packets = router.participant.takePackets();
         for (Event event : router.participant.takeEvents()) {
@@ -668,7 +668,7 @@
      * The used heap of the process in bytes after a collection, less an estimate for the packets and timers in the
      * queues.
      */
-    long heap() {
+    long heapBytes() {
         for (int i = 0; i < 2; i++) {
             System.gc();
         }
--- a/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
@@ -20,8 +20,8 @@
 
 /**
  * One router without sockets: the production reducer and decision code in virtual time, with simulated members that
- * answer each attempt after a fixed time. It owns the virtual time and the pending answers, and must never decide
- * anything. Times are in microseconds.
+ * answer each attempt after a fixed time. It owns the virtual time and the pending answers, and must not contain
+ * decision logic of its own. Times are in microseconds.
  */
 final class SimulatedRouter {
 
@@ -32,7 +32,7 @@
 
     private final Reducer reducer;
     private final Queue<Effect> effects = new ArrayDeque<>();
-    private final Queue<PendingAnswer> hits = new ArrayDeque<>(); // in order of time, as are the fills
+    private final Queue<PendingAnswer> hits = new ArrayDeque<>(); // ordered by time, like fills
     private final Queue<PendingAnswer> fills = new ArrayDeque<>();
     private final List<Effect.SendFleetPacket> packets = new ArrayList<>();
     private final Set<String> filledObjects = new HashSet<>();
@@ -44,7 +44,7 @@
 
     private record PendingAnswer(long at, long attempt, String note) {}
 
-    /** A router with this configuration and without operator settings. */
+    /** Creates a router with this configuration and without operator settings. */
     SimulatedRouter(String config) {
         this(config, OperatorConfig.NONE);
     }
@@ -125,7 +125,7 @@
         now = end;
     }
 
-    /** The time of the next timer or answer. */
+    /** The time of the next timer or answer; Long.MAX_VALUE if there is none. */
     long nextEventAt() {
         return Math.min(
                 reducer.nextDue(),
--- a/src/main/java/pumicemoor/lab/scale/SlopePlot.java
+++ b/src/main/java/pumicemoor/lab/scale/SlopePlot.java
@@ -28,7 +28,7 @@
  */
 final class SlopePlot {
 
-    /** Shortened to hundredths of a pixel. */
+    /** A number with more than two decimals. The plot needs no more: they are hundredths of a pixel. */
     private static final Pattern EXCESS_DIGITS = Pattern.compile("(\\d\\.\\d\\d)\\d+");
 
     private SlopePlot() {}
--- a/src/test/java/pumicemoor/lab/CellProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/CellProcessesTest.java
@@ -26,7 +26,7 @@
 
     private static final int ROUTERS_PER_CELL = 8;
     private static final int ROUTERS = 27;
-    // the others join the third cell later, which exceeds its maximum size then
+    // the others join the third cell later, which then exceeds its maximum size
     private static final int INITIAL_ROUTERS = 24;
     private static final int MAX_CELL_SIZE = 9;
     private static final int CACHES = 3;
@@ -38,7 +38,7 @@
     // docs/fleet-design.md, "Cells"
     private static final long SHRINK_MILLIS = GUARD_MILLIS + 4 * GUARD_MILLIS + 2 * 2 * LEASE_MILLIS + LEASE_MILLIS;
     private static final long RESTARTED_MILLIS = 2 * SHRINK_MILLIS; // how long a process counts as restarted
-    private static final long SLACK_MILLIS = 500; // for stand-ins that log late what arrived in time
+    private static final long SLACK_MILLIS = 500; // because stand-ins may log a request late
     private static final List<String> ROOTS = List.of("west", "east", "south");
     private static final String FLEET =
             """
@@ -75,7 +75,7 @@
 
     /**
      * Checks the bound for every time window: the limit, a bucket for each process, and limit / size for each restarted
-     * process for as long as the lease of its predecessor may still be counted elsewhere.
+     * process for as long as other routers may still count the lease of its predecessor.
      */
     private void assertKept(FleetRig rig, String member, double limit) {
         long[] receivedMillis = rig.receivedAtMillis(member);
@@ -186,7 +186,7 @@
             rig.runLoad(5);
             restart(rig, delegate);
 
-            // three routers join the third cell, which exceeds its maximum size then
+            // three routers join the third cell, which then exceeds its maximum size
             for (int router = INITIAL_ROUTERS; router < ROUTERS; router++) {
                 rig.start(router);
             }
--- a/src/test/java/pumicemoor/lab/ClockStepProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/ClockStepProcessesTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import pumicemoor.lab.LoadClients.RequestOutcome;
 import pumicemoor.lab.LoadClients.RequestResult;
-import pumicemoor.lab.LoadClients.End;
 
 /**
  * Guards against a router that loses requests or forgets a drain when the wall clock is stepped. A library that the
@@ -50,7 +50,7 @@
                     .toList();
             assertTrue(resultsAfterStep.size() > 4 * REQUESTS_PER_SECOND, () -> "only " + resultsAfterStep.size() + " requests were sent");
             assertEquals(
-                    List.of(), resultsAfterStep.stream().filter(result -> result.end() != End.SERVED).toList());
+                    List.of(), resultsAfterStep.stream().filter(result -> result.outcome() != RequestOutcome.SERVED).toList());
             assertEquals(
                     List.of(),
                     rig.requestLog.requests().stream()
--- a/src/test/java/pumicemoor/lab/DrainProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/DrainProcessesTest.java
@@ -14,13 +14,13 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import pumicemoor.lab.LoadClients.RequestOutcome;
 import pumicemoor.lab.LoadClients.RequestResult;
-import pumicemoor.lab.LoadClients.End;
 import pumicemoor.lab.RequestLog.ReceivedRequest;
 
 /**
- * Guards against a drain plan that takes too many caches of a tier out of service, or sends requests to a cache that is
- * out. Every cache is drained for maintenance under load while router processes are killed, paused and partitioned.
+ * Guards against a drain plan that takes too many caches of a tier out of service, and against requests to a cache that
+ * is out. Every cache is drained for maintenance under load while router processes are killed, paused and partitioned.
  * Checked by the logs of the stand-in caches.
  */
 class DrainProcessesTest {
@@ -231,18 +231,18 @@
         Thread.sleep(2_000);
         rig.clients.finish();
         List<RequestResult> results = rig.clients.completed();
-        Map<End, Long> ends = new HashMap<>();
-        results.forEach(result -> ends.merge(result.end(), 1L, Long::sum));
+        Map<RequestOutcome, Long> countsByOutcome = new HashMap<>();
+        results.forEach(result -> countsByOutcome.merge(result.outcome(), 1L, Long::sum));
         // a stopped process cannot answer in time; all other responses arrive in time, and none arrives twice
         assertEquals(
                 0,
-                ends.getOrDefault(End.TWICE, 0L)
+                countsByOutcome.getOrDefault(RequestOutcome.TWICE, 0L)
                         + results.stream()
-                                .filter(result -> result.end() == End.LATE && (result.sentAtMillis() < pausedMillis - 1_500 || result.sentAtMillis() > resumedMillis))
+                                .filter(result -> result.outcome() == RequestOutcome.LATE && (result.sentAtMillis() < pausedMillis - 1_500 || result.sentAtMillis() > resumedMillis))
                                 .count(),
-                ends::toString);
-        Files.writeString(Path.of("target", "drain-ends.txt"), ends + "\n" + operator.outages + "\n");
+                countsByOutcome::toString);
+        Files.writeString(Path.of("target", "drain-ends.txt"), countsByOutcome + "\n" + operator.outages + "\n");
         // open requests of a killed or paused router may be lost: a fifth of all requests for a short time
-        assertTrue(ends.getOrDefault(End.SERVED, 0L) > 0.95 * results.size(), ends::toString);
+        assertTrue(countsByOutcome.getOrDefault(RequestOutcome.SERVED, 0L) > 0.95 * results.size(), countsByOutcome::toString);
     }
 }
--- a/src/test/java/pumicemoor/lab/FaultSoakTest.java
+++ b/src/test/java/pumicemoor/lab/FaultSoakTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Guards against broken rules under combinations of faults: three router processes under load, with a random schedule
- * of faults from a seed. -Dsoak.seeds=FIRST-LAST selects other seeds.
+ * Guards against violations that only combinations of faults cause; {@link SoakChecker} lists the rules. Three router
+ * processes serve load while faults are injected by a random schedule that follows from a seed. The seeds are 1 to 3,
+ * or those of -Dsoak.seeds=FIRST-LAST.
  */
 class FaultSoakTest {
 
@@ -141,7 +142,7 @@
         }
     }
 
-    /** Ends the faults whose time is over, or all. */
+    /** Ends the faults whose time is over, or every fault if {@code all} is set. */
     private void repair(boolean all) throws Exception {
         long nowMillis = rig.requestLog.nowMillis();
         if (pausedRouter >= 0 && (all || nowMillis >= resumeMillis)) {
--- a/src/test/java/pumicemoor/lab/FleetProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/FleetProcessesTest.java
@@ -42,7 +42,7 @@
     @TempDir
     Path folder;
 
-    /** Checks the bound for every time window, with 500 ms for stand-ins that log late what arrived in time. */
+    /** Checks the bound for every time window; 500 ms are added because stand-ins may log a request late. */
     private static void assertKept(FleetRig rig, String member, double limit) {
         long[] receivedMillis = rig.receivedAtMillis(member);
         for (long windowMillis : new long[] {3_000, 10_000, 100_000}) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Returns whether all routers know all as alive, and each holds a lease of every limit. */
+    /** Returns whether every router knows all routers as alive and holds a lease of every limit. */
     private static boolean converged(FleetRig rig) {
         for (int i = 0; i < ROUTERS; i++) {
             List<Map<String, Object>> limits = rig.rows(i, "limits");
@@ -112,7 +112,7 @@
      * 500 ms for a slow machine; returns the number of such ejections.
      */
     private static int assertSpread(FleetRig rig) {
-        Map<Object, List<Long>> receivedMillisByVersion = new HashMap<>(); // times of receipt, by version
+        Map<Object, List<Long>> receivedMillisByVersion = new HashMap<>();
         for (int router = 0; router < ROUTERS; router++) {
             rig.rows(router, "verdicts").stream().filter(row -> (Boolean) row.get("out")).forEach(row -> receivedMillisByVersion.computeIfAbsent(
                             row.get("version"), k -> new ArrayList<>())
--- a/src/test/java/pumicemoor/lab/FleetRig.java
+++ b/src/test/java/pumicemoor/lab/FleetRig.java
@@ -15,7 +15,7 @@
 import pumicemoor.client.FrameClient;
 import pumicemoor.lab.MemberStandIn.Kind;
 import pumicemoor.lab.Scenario.Change;
-import pumicemoor.lab.Scenario.Way;
+import pumicemoor.lab.Scenario.ChangeDelivery;
 import pumicemoor.wire.Rows;
 
 /**
@@ -36,7 +36,7 @@
     });
     CoordinatorStandIn coordinator;
     private final Scenario scenario;
-    private final IntFunction<String> fleetSections; // end of the section 'fleet', by router; empty: no such section
+    private final IntFunction<String> fleetSections; // last lines of section 'fleet', by router; empty: no section
     private final List<Integer> seeds;
     private final List<String> jvmOptions;
     private final UnaryOperator<String>[] configEdits; // edits of the configuration, assigned to the routers in turn
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Creates a rig of many small processes and starts the first of them; each process has its own end of the section
-     * 'fleet'.
+     * Creates a rig of many small processes and starts the first {@code startedCount} of them; each process has its own
+     * last lines of the section 'fleet'.
      */
     static FleetRig ofSmallProcesses(
             Path folder,
@@ -121,7 +121,7 @@
                 1_000,
                 2,
                 1_500,
-                new Change(Way.FEED, 1, 1, 1, slowStartMillis, 1),
+                new Change(ChangeDelivery.FEED, 1, 1, 1, slowStartMillis, 1),
                 Map.of(),
                 Map.of(),
                 List.of(),
@@ -203,8 +203,8 @@
     }
 
     /**
-     * Changes the configuration file of a router to another coordinator, which gets all events published so far. The
-     * router is not notified.
+     * Replaces the coordinator in the configuration file of a router, and closes the old one. The new coordinator
+     * publishes all events published so far. The router is not notified.
      */
     void moveCoordinator(int router, CoordinatorStandIn next) throws IOException {
         coordinator.eventFields().forEach(next::publish);
@@ -263,7 +263,7 @@
         runLoad(seconds, List.of(clients));
     }
 
-    /** As above, with several groups of clients that take turns. */
+    /** Sends requests at the scenario's rate for the given time in seconds; the groups of clients take turns. */
     void runLoad(double seconds, List<LoadClients> groups) throws InterruptedException {
         double endSeconds = (System.nanoTime() - startNanos) / 1e9 + seconds;
         loadEndSeconds = Math.max(loadEndSeconds, (System.nanoTime() - startNanos) / 1e9);
@@ -279,7 +279,7 @@
         loadEndSeconds = endSeconds;
     }
 
-    /** Paused or killed routers, which are not queried because a query would block its caller. */
+    /** Paused or killed routers. They are not queried, because a query would block the test. */
     final java.util.Set<Integer> unreachable = new java.util.HashSet<>();
 
     /** Returns the rows that a router shows for a subject; empty if it does not respond. */
--- a/src/test/java/pumicemoor/lab/IgnoredHangUpProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/IgnoredHangUpProcessesTest.java
@@ -17,7 +17,7 @@
 class IgnoredHangUpProcessesTest {
 
     private static final long DRAIN_GRACE_MILLIS = 1_000; // stop-sending-within-us in LabConfig
-    private static final long RELOAD_MILLIS = 1_000;
+    private static final long MAX_RELOAD_MILLIS = 1_000;
     private static final String DRAINED = "box-1";
 
     @TempDir
@@ -36,7 +36,7 @@
             rig.runLoad(1);
             assertTrue(rig.receivedAtMillis(DRAINED).length > 0, "the cache received no requests before its drain");
             rig.moveCoordinator(0, next);
-            Thread.sleep(RELOAD_MILLIS);
+            Thread.sleep(MAX_RELOAD_MILLIS);
             rig.drain(DRAINED);
             rig.runLoad(3);
             long drainStartMillis = rig.requestLog.drainStartMillis().get(DRAINED);
--- a/src/test/java/pumicemoor/lab/MemberStandInTest.java
+++ b/src/test/java/pumicemoor/lab/MemberStandInTest.java
@@ -8,10 +8,12 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.lab.MemberStandIn.Kind;
 
-/** Guards against a stand-in whose restart finds its own address in use because a thread of it still holds a socket. */
+/**
+ * Guards against a stand-in whose restart finds its own address in use because one of its threads still holds a socket.
+ */
 class MemberStandInTest {
 
-    private static final int RESTARTS = 400; // on a busy machine, one such restart alone failed once in four
+    private static final int RESTARTS = 400; // on a busy machine, a single restart failed one time in four
 
     @Test
     void everyRestartFindsItsAddressFree() throws Exception {
--- a/src/test/java/pumicemoor/lab/MixedConfigurationsProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/MixedConfigurationsProcessesTest.java
@@ -9,8 +9,8 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import pumicemoor.lab.LoadClients.RequestOutcome;
 import pumicemoor.lab.LoadClients.RequestResult;
-import pumicemoor.lab.LoadClients.End;
 
 /**
  * Guards against routers that break the rules or starve each other during a change of the configuration, when processes
@@ -46,16 +46,16 @@
             clientsByConfiguration.forEach(LoadClients::finish);
             double[] servedShares = clientsByConfiguration.stream()
                     .mapToDouble(clients ->
-                            clients.completed().stream().filter(result -> result.end() == End.SERVED).count()
+                            clients.completed().stream().filter(result -> result.outcome() == RequestOutcome.SERVED).count()
                                     / (double) clients.completed().size())
                     .toArray();
             for (RequestResult result : clientsByConfiguration.get(0).completed()) {
-                assertTrue(result.end() == End.SERVED || result.end() == End.REFUSED || result.end() == End.FAILED, result::toString);
+                assertTrue(result.outcome() == RequestOutcome.SERVED || result.outcome() == RequestOutcome.REFUSED || result.outcome() == RequestOutcome.FAILED, result::toString);
             }
             assertEquals(
                     0,
                     clientsByConfiguration.get(1).completed().stream()
-                            .filter(result -> result.end() == End.TWICE || result.end() == End.LATE)
+                            .filter(result -> result.outcome() == RequestOutcome.TWICE || result.outcome() == RequestOutcome.LATE)
                             .count());
             assertTrue(
                     servedShares[0] > 0.9 && servedShares[1] > 0.9 * servedShares[0], () -> "served " + servedShares[0] + " and " + servedShares[1]);
--- a/src/test/java/pumicemoor/lab/PausedRouterProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/PausedRouterProcessesTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicemoor.lab.LoadClients.End;
+import pumicemoor.lab.LoadClients.RequestOutcome;
 
 /**
- * Guards against a router that, after a pause, forwards queued requests by an outdated list of members: it was stopped
- * for a while, requests have arrived, its coordinator stream was reset, and a cache has begun to drain.
+ * Guards against a router that forwards queued requests by an outdated list of members after a pause. While the router
+ * is stopped, its coordinator stream is reset, a cache begins to drain, and requests arrive.
  */
 class PausedRouterProcessesTest {
 
@@ -46,7 +46,7 @@
             assertEquals(
                     List.of(),
                     rig.clients.completed().stream()
-                            .filter(result -> result.sentAtMillis() > drainStartMillis && result.end() != End.SERVED && result.end() != End.REFUSED)
+                            .filter(result -> result.sentAtMillis() > drainStartMillis && result.outcome() != RequestOutcome.SERVED && result.outcome() != RequestOutcome.REFUSED)
                             .toList());
         }
     }
--- a/src/test/java/pumicemoor/lab/ProcessRunTest.java
+++ b/src/test/java/pumicemoor/lab/ProcessRunTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against wrong roles and figures in a measurement of real processes, at the smallest size; costs are not
- * checked.
+ * Guards against wrong roles and figures in a measurement of three real processes. Of the costs, only lower bounds and
+ * the subtraction are checked.
  */
 class ProcessRunTest {
 
@@ -66,7 +66,7 @@
     void tooManyProcessesAreRejectedBeforeAnyStarts() {
         String message = assertThrows(IOException.class, () -> run("{routers: [3, 201]}"))
                 .getMessage();
-        assertTrue(message.endsWith("run.yaml: routers: 201 is not from 2 to 200, as processes"), message);
+        assertTrue(message.endsWith("run.yaml: routers: 201 is not from 2 to 200, the range for separate processes"), message);
         assertTrue(assertThrows(IOException.class, () -> run("{sizes: [3]}"))
                 .getMessage()
                 .contains("sizes"));
--- a/src/test/java/pumicemoor/lab/ProxiesTest.java
+++ b/src/test/java/pumicemoor/lab/ProxiesTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicemoor.lab.ProxyStandIn.End;
+import pumicemoor.lab.ProxyStandIn.CallOutcome;
 import pumicemoor.lab.Scenario.Proxies;
 
 /**
@@ -47,7 +47,7 @@
         assertEquals(0, result.openAtEnd(), table);
         assertTrue(result.maxAnswersPerCall() <= 1, table);
         assertEquals(1, result.maxRunsOfOneEffect(), table);
-        assertTrue(result.ended(End.SERVED) > 300, table);
+        assertTrue(result.count(CallOutcome.SERVED) > 300, table);
         assertTrue(result.longestMillis() <= 2_000 + 2_500, table);
     }
 }
--- a/src/test/java/pumicemoor/lab/SoakChecker.java
+++ b/src/test/java/pumicemoor/lab/SoakChecker.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import pumicemoor.lab.LoadClients.RequestOutcome;
 import pumicemoor.lab.LoadClients.RequestResult;
-import pumicemoor.lab.LoadClients.End;
 
 /**
- * Finds violations of the rules in the logs of clients and caches. It keeps its own list of the drains that were
- * published and of the routers that were killed, and does not depend on the program. Times are in milliseconds of the
- * request log.
+ * Finds violations of the rules in the logs of clients and caches: requests to a cache after the grace period of its
+ * drain, and responses that are repeated, late or lost. It keeps its own list of the drains that were published and of
+ * the routers that were killed, and does not depend on the program. Times are in milliseconds of the request log.
  */
 final class SoakChecker {
 
@@ -53,7 +53,7 @@
             }
         }
         for (RequestResult result : results) {
-            if (result.end() == End.TWICE || result.end() == End.LATE && tooLate(result) || result.end() == End.LOST && !mayBeLost(result)) {
+            if (result.outcome() == RequestOutcome.TWICE || result.outcome() == RequestOutcome.LATE && tooLate(result) || result.outcome() == RequestOutcome.LOST && !mayBeLost(result)) {
                 violations.add("answers: " + result);
             }
         }
--- a/src/test/java/pumicemoor/lab/SoakCheckerTest.java
+++ b/src/test/java/pumicemoor/lab/SoakCheckerTest.java
@@ -4,8 +4,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import pumicemoor.lab.LoadClients.RequestOutcome;
 import pumicemoor.lab.LoadClients.RequestResult;
-import pumicemoor.lab.LoadClients.End;
 
 /** Guards against a soak checker that misses a violation or reports a permitted result. */
 class SoakCheckerTest {
@@ -39,19 +39,19 @@
 
     @Test
     void secondAndLateResponsesAreViolations() {
-        assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, End.TWICE, 0))));
-        assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, End.LATE, 0))));
-        assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, End.LATE, 2_051_000))));
-        assertEquals(0, violations(List.of(), List.of(new RequestResult(1_000, End.LATE, 2_050_000))));
-        assertEquals(0, violations(List.of(), List.of(new RequestResult(1_000, End.SERVED, 0), new RequestResult(1_000, End.REFUSED, 0))));
+        assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.TWICE, 0))));
+        assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.LATE, 0))));
+        assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.LATE, 2_051_000))));
+        assertEquals(0, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.LATE, 2_050_000))));
+        assertEquals(0, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.SERVED, 0), new RequestResult(1_000, RequestOutcome.REFUSED, 0))));
     }
 
     @Test
     void aLostRequestIsAViolationUnlessAProcessWasKilledWhileItWasOpen() {
-        assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, End.LOST, 0))));
+        assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.LOST, 0))));
         checker.routerKilled(3_000);
-        assertEquals(1, violations(List.of(), List.of(new RequestResult(900, End.LOST, 0))));
-        assertEquals(0, violations(List.of(), List.of(new RequestResult(1_000, End.LOST, 0))));
-        assertEquals(1, violations(List.of(), List.of(new RequestResult(3_051, End.LOST, 0))));
+        assertEquals(1, violations(List.of(), List.of(new RequestResult(900, RequestOutcome.LOST, 0))));
+        assertEquals(0, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.LOST, 0))));
+        assertEquals(1, violations(List.of(), List.of(new RequestResult(3_051, RequestOutcome.LOST, 0))));
     }
 }
--- a/src/test/java/pumicemoor/lab/StaleStartProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/StaleStartProcessesTest.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.Executors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import pumicemoor.lab.LoadClients.RequestOutcome;
 import pumicemoor.lab.LoadClients.RequestResult;
-import pumicemoor.lab.LoadClients.End;
 
 /**
  * Guards against a restarted router that forwards by an outdated list of members: a cache begins to drain during the
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aCoordinatorThatSighupNamesDuringTheStartIsFollowedBeforeTheRouterListens() throws Exception {
+    void aCoordinatorConfiguredDuringTheStartBySighupIsFollowedBeforeTheRouterListens() throws Exception {
         ExecutorService executor = Executors.newCachedThreadPool();
         try (FleetRig rig = new FleetRig(folder, 1, 4, REQUESTS_PER_SECOND, "");
                 CoordinatorStandIn next = new CoordinatorStandIn(executor, 0, 5)) {
@@ -81,7 +81,7 @@
         List<RequestResult> lastResults =
                 rig.clients.completed().stream().filter(result -> result.sentAtMillis() > endMillis - 3_000).toList();
         assertTrue(lastResults.size() > REQUESTS_PER_SECOND, () -> "requests of the last 3 seconds: " + lastResults.size());
-        assertTrue(lastResults.stream().allMatch(result -> result.end() == End.SERVED), "not all requests are served after the restart: " + lastResults);
+        assertTrue(lastResults.stream().allMatch(result -> result.outcome() == RequestOutcome.SERVED), "not all requests are served after the restart: " + lastResults);
         long drainStartMillis = rig.requestLog.drainStartMillis().get(DRAINED);
         assertEquals(
                 List.of(),
--- a/src/test/java/pumicemoor/lab/scale/ReaderRolesTest.java
+++ b/src/test/java/pumicemoor/lab/scale/ReaderRolesTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares the counts and bytes of the measured roles at small sizes with the values that the rules imply. Processor
- * times are not compared.
+ * Guards against wrong counts and bytes in the figures of stream readers: compares them at small sizes with the values
+ * that the rules imply. CPU times are not compared.
  */
 class ReaderRolesTest {
 
@@ -34,7 +34,7 @@
                 .get(name);
     }
 
-    /** The figures that are the same in each run: all but heap, processor time and values derived from it. */
+    /** The figures that are the same in each run: all but heap, CPU time and values derived from it. */
     private static Map<String, Map<String, Double>> reproducibleFigures(List<Sample> samples) {
         return samples.stream()
                 .collect(Collectors.toMap(
--- a/src/test/java/pumicemoor/lab/scale/ScaleTest.java
+++ b/src/test/java/pumicemoor/lab/scale/ScaleTest.java
@@ -29,8 +29,8 @@
 import pumicemoor.lab.scale.SimulatedFleet.Router;
 
 /**
- * Checks that simulated fleets give the same counts in each run, that reports follow from the samples, and that scale
- * files are validated. Wall-clock times are not checked.
+ * Guards against simulated fleets whose counts differ between runs, reports and fits that do not match the samples, and
+ * scale files that are not validated. Wall-clock times are not checked.
  */
 class ScaleTest {
 
@@ -51,7 +51,7 @@
     @TempDir
     Path folder;
 
-    /** All samples without the figures that depend on the machine: processor time and heap. */
+    /** All samples without the figures that depend on the machine: CPU time and heap. */
     private static Map<String, Map<String, Double>> machineIndependentFigures(String yaml) throws IOException {
         return new FleetRoles(samplesSoFar -> {})
                 .measure(ScaleConfig.parse(yaml, "test"), DISCARD_PROGRESS).stream()
@@ -178,8 +178,8 @@
     }
 
     /**
-     * The same command reports the roles of stream readers, with figures of their own and sizes in the unit that
-     * their names imply.
+     * Guards against a scale run that leaves out the roles of stream readers, or shows their sizes in a unit other than
+     * the one that their names imply.
      */
     @Test
     void reportIncludesStreamReaderRoles() throws Exception {
