--- a/src/test/java/pumicemoor/lab/DrainProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/DrainProcessesTest.java
@@ -30,7 +30,7 @@
     private static final int MAX_AT_ONCE = 2;
     private static final int MIN_SERVING = 4;
     private static final double STEP_SECONDS = 0.2; // between two polls of the operator
-    private static final long WORK_MILLIS = 2_000; // maintenance of each member
+    private static final long MAINTENANCE_MILLIS = 2_000; // of each member
     private static final String FLEET =
             """
               period-ms: 100
@@ -84,7 +84,7 @@
             maxOut = Math.max(maxOut, maintenanceStartMillis.size());
             servingSamples.add(new long[] {rig.requestLog.nowMillis(), CACHES - maintenanceStartMillis.size()});
             for (String member : List.copyOf(maintenanceStartMillis.keySet())) {
-                if (rig.requestLog.nowMillis() - maintenanceStartMillis.get(member) >= WORK_MILLIS) {
+                if (rig.requestLog.nowMillis() - maintenanceStartMillis.get(member) >= MAINTENANCE_MILLIS) {
                     outages.add(new Outage(member, maintenanceStartMillis.remove(member), rig.requestLog.nowMillis()));
                     rig.restart(member);
                     doneToReport.add(member);
--- a/src/test/java/pumicemoor/lab/SoakChecker.java
+++ b/src/test/java/pumicemoor/lab/SoakChecker.java
@@ -16,17 +16,17 @@
 
     private static final long SLACK_MILLIS = 50; // added to every time limit, for the sockets
 
-    private static final long LATE_RESPONSE_MILLIS = 500; // past the deadline; a later response counts as lost
+    private static final long MAX_LATENESS_MILLIS = 500; // past the deadline; a response after that is a violation
 
     private final long drainGraceMillis;
-    private final long lostAfterMillis;
+    private final long maxResponseMillis;
     private final Map<String, List<long[]>> drains = new TreeMap<>(); // pairs: start, end
     private final List<Long> killMillis = new ArrayList<>();
 
     /** Creates a checker with the grace period after the start of a drain and the deadline of the clients' requests. */
     SoakChecker(long drainGraceMillis, long deadlineMillis) {
         this.drainGraceMillis = drainGraceMillis;
-        this.lostAfterMillis = deadlineMillis + LATE_RESPONSE_MILLIS + SLACK_MILLIS;
+        this.maxResponseMillis = deadlineMillis + MAX_LATENESS_MILLIS + SLACK_MILLIS;
     }
 
     void drainStarted(String member, long atMillis) {
@@ -62,11 +62,11 @@
 
     /** A response to an unknown request has no response time and is always too late. */
     private boolean tooLate(RequestResult result) {
-        return result.micros() == 0 || result.micros() / 1_000 > lostAfterMillis;
+        return result.micros() == 0 || result.micros() / 1_000 > maxResponseMillis;
     }
 
     /** Requests that were open at a killed process may be lost. */
     private boolean mayBeLost(RequestResult result) {
-        return killMillis.stream().anyMatch(kill -> kill >= result.sentAtMillis() - SLACK_MILLIS && kill <= result.sentAtMillis() + lostAfterMillis);
+        return killMillis.stream().anyMatch(kill -> kill >= result.sentAtMillis() - SLACK_MILLIS && kill <= result.sentAtMillis() + maxResponseMillis);
     }
 }
