--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -314,7 +314,7 @@
         STALE,
         SOURCE_REFUSED,
         SOURCE_FAILED,
-        SOURCE_LACKS,
+        SOURCE_MISS,
         NO_PLACE,
         ORIGIN_FAILED
     }
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -234,7 +234,7 @@
             for (int attempt = 0; !next.isEmpty(); attempt++) {
                 sent++;
                 Fetch fetch = next.get(0);
-                next = ofType(Fetch.class, router.endAttempt(fetch, attempt, Outcome.MISS, FillResult.SOURCE_LACKS));
+                next = ofType(Fetch.class, router.endAttempt(fetch, attempt, Outcome.MISS, FillResult.SOURCE_MISS));
             }
         }
         assertTrue(sent <= requests * 1.2 + 41, sent + " attempts");
--- a/src/test/java/pumicemoor/OrdinaryPathTest.java
+++ b/src/test/java/pumicemoor/OrdinaryPathTest.java
@@ -74,7 +74,7 @@
         router.requestAndServe("a", FillResult.FILLED);
         router.changeMember(home, State.READY, 0);
         Fetch fromSibling = RouterHarness.onlyFetch(router.request("a"));
-        Fetch next = RouterHarness.onlyFetch(router.endAttempt(fromSibling, 0, Outcome.MISS, FillResult.SOURCE_LACKS));
+        Fetch next = RouterHarness.onlyFetch(router.endAttempt(fromSibling, 0, Outcome.MISS, FillResult.SOURCE_MISS));
         assertTrue(next.source() > 100);
     }
 }
