--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -748,7 +748,7 @@
             recordAnswer(attempt.target);
             forget(history(request), attempt.source);
             recordFailure(request, attempt, attempt.source, event.latency());
-            if (event.fillResult() != FillResult.NO_PLACE) {
+            if (event.fillResult() != FillResult.NO_CAPACITY) {
                 recordLate(attempt, event.fillResult() == FillResult.ORIGIN_FAILED ? null : attempt.source);
             }
         } else if (event.outcome() == Outcome.FULL) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -315,7 +315,7 @@
         SOURCE_REFUSED,
         SOURCE_FAILED,
         SOURCE_MISS,
-        NO_PLACE,
+        NO_CAPACITY,
         ORIGIN_FAILED
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -88,7 +88,7 @@
             Map.entry("denied", FillResult.SOURCE_REFUSED),
             Map.entry("unreached", FillResult.SOURCE_FAILED),
             Map.entry("absent", FillResult.SOURCE_MISS),
-            Map.entry("crowded", FillResult.NO_PLACE),
+            Map.entry("crowded", FillResult.NO_CAPACITY),
             Map.entry("behind", FillResult.ORIGIN_FAILED));
     private static final Map<AnswerStatus, Outcome> OUTCOME_BY_STATUS = Map.of(
             AnswerStatus.DATA,
