--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -265,7 +265,7 @@
         }
         for (Member listing : update.members()) {
             MemberState member = members.get(listing.id());
-            if (member == null || member.listing.started() != listing.started()) {
+            if (member == null || member.listing.startedAt() != listing.startedAt()) {
                 if (member != null) {
                     member.ready = false; // state observed before the restart does not apply to the new process
                 }
@@ -279,7 +279,7 @@
             }
             member.listing = listing;
             member.ready = listing.state() == State.READY;
-            member.slowStartFrom = Math.max(member.slowStartFrom, listing.started());
+            member.slowStartFrom = Math.max(member.slowStartFrom, listing.startedAt());
         }
         members.values().removeIf(m -> !m.ready && m.listing.state() != State.DRAINING);
         caches = readyMembers(Role.CACHE)
@@ -1014,7 +1014,7 @@
 
     private void remember(ObjectHistory history, MemberState cache, long heldSince, long expiresAt) {
         forget(history, cache);
-        history.holders.add(0, new Holder(cache, cache.listing.started(), heldSince, expiresAt));
+        history.holders.add(0, new Holder(cache, cache.listing.startedAt(), heldSince, expiresAt));
         if (history.holders.size() > MAX_HOLDERS_PER_OBJECT) {
             history.holders.remove(MAX_HOLDERS_PER_OBJECT);
         }
@@ -1031,7 +1031,7 @@
 
     private boolean isValid(Holder holder, RequestState request) {
         return holder.expiresAt > now
-                && holder.cacheStartedAt == holder.cache.listing.started()
+                && holder.cacheStartedAt == holder.cache.listing.startedAt()
                 && (holder.heldSince < 0
                         || holder.heldSince > purgedAt(request)
                                 && (request.requestClass.freshFor() == 0
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -169,7 +169,7 @@
     }
 
     /** One entry of the member list; started 0 means long ago. */
-    record Member(long id, Role role, int zone, int cell, double weight, long started, State state) {}
+    record Member(long id, Role role, int zone, int cell, double weight, long startedAt, State state) {}
 
     // ---- events ---------------------------------------------------------------------------------------
 
@@ -262,7 +262,7 @@
 
         /** Whether this ejection applies to the given process of a member and has not expired. */
         public boolean covers(Member m, long now) {
-            return member == m.id() && started == m.started() && now < until;
+            return member == m.id() && started == m.startedAt() && now < until;
         }
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -1018,7 +1018,7 @@
                 state);
         return new ListEntry(
                 member,
-                new Endpoint(instance, NodeConfig.address(entry, "hostPort"), reportedStart, member.started(), state));
+                new Endpoint(instance, NodeConfig.address(entry, "hostPort"), reportedStart, member.startedAt(), state));
     }
 
     /**
@@ -1053,14 +1053,14 @@
                 fleetMembers.remove(member.id());
             } else {
                 fleetMembers.put(
-                        member.id(), new Fleet.Listed(instance, member.role(), member.started(), state == State.READY));
+                        member.id(), new Fleet.Listed(instance, member.role(), member.startedAt(), state == State.READY));
             }
             Endpoint before = endpointsByMember.put(member.id(), entry.endpoint());
             logEndpointChange(before, entry.endpoint());
             if (state == State.GONE) {
                 removeMember(member.id());
-            } else if (before != null && before.started() != member.started()) {
-                effectSink.accept(new Effect.DropConnections(instance, member.started()));
+            } else if (before != null && before.started() != member.startedAt()) {
+                effectSink.accept(new Effect.DropConnections(instance, member.startedAt()));
             }
         }
         if (snapshot) { // members that a full list lacks have been removed
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -473,7 +473,7 @@
         router.weights = RouterApi.WeightMeaning.ROUGH;
         router.members.replaceAll(m -> m.role() == RouterApi.Role.ORIGIN
                 ? m
-                : new RouterApi.Member(m.id(), m.role(), m.zone(), m.cell(), 500, m.started(), m.state()));
+                : new RouterApi.Member(m.id(), m.role(), m.zone(), m.cell(), 500, m.startedAt(), m.state()));
         return router.start();
     }
 
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -106,7 +106,7 @@
                                 MemberListKind.DELTA,
                                 2,
                                 List.of(new Member(
-                                        draining.id(), draining.role(), draining.zone(), 0, 1, draining.started(), State.DRAINING)))));
+                                        draining.id(), draining.role(), draining.zone(), 0, 1, draining.startedAt(), State.DRAINING)))));
             });
         }
         schedule(10 * MICROS_PER_SECOND, () -> {
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -192,7 +192,7 @@
             return;
         }
         State state = previous.state() == State.READY ? State.values()[1 + random.nextInt(2)] : State.READY;
-        long started = state == State.READY && random.nextBoolean() ? now : previous.started();
+        long started = state == State.READY && random.nextBoolean() ? now : previous.startedAt();
         Member changed = new Member(previous.id(), previous.role(), previous.zone(), previous.cell(), previous.weight(), started, state);
         harness.members.set(index, changed);
         boolean snapshot = random.nextInt(4) == 0;
@@ -332,13 +332,13 @@
         List<Long> sent = slowStartSends.get(member.id());
         boolean parent = member.role() == Role.PARENT;
         SlowStart slowStart = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
-        if (sent == null || member.role() == Role.ORIGIN || now - member.started() > slowStart.rampDuration()) {
+        if (sent == null || member.role() == Role.ORIGIN || now - member.startedAt() > slowStart.rampDuration()) {
             return;
         }
         long window = settings.rules().overloadWindow();
         sent.removeIf(at -> at <= now - window);
         sent.add(now);
-        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * (now - member.started()) / slowStart.rampDuration();
+        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * (now - member.startedAt()) / slowStart.rampDuration();
         double budget = slowStart.overloadFactor() * share * member.weight() * window / (parent ? settings.routers() : harness.localRouters);
         assertTrue(sent.size() * TRANSFER_MICROS <= budget + TRANSFER_MICROS, "overloaded " + member + ": " + sent.size());
     }
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -134,7 +134,7 @@
                         member.zone(),
                         member.cell(),
                         member.weight(),
-                        restart ? now[0] : member.started(),
+                        restart ? now[0] : member.startedAt(),
                         restart || member.state() == State.DRAINING ? State.READY : State.DRAINING);
                 harness.members.set(index, changed);
                 handle.accept(new MemberListUpdate(MemberListKind.DELTA, step, List.of(changed)));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -655,12 +655,12 @@
                 2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", (now - MICROS_PER_SECOND) / MICROS_PER_MILLI));
         reducer.accept(now, now - 3_600 * MICROS_PER_SECOND, new Input.CoordinatorUpdate(list), effects::add);
         assertEquals(
-                now, ofType(events, MemberListUpdate.class).get(0).members().get(0).started());
+                now, ofType(events, MemberListUpdate.class).get(0).members().get(0).startedAt());
         long firstReportAt = now;
         now += 3 * MICROS_PER_SECOND;
         accept(new Input.CoordinatorUpdate(list.replace("\"index\":2", "\"index\":3")));
         assertEquals(
-                firstReportAt, ofType(events, MemberListUpdate.class).get(1).members().get(0).started());
+                firstReportAt, ofType(events, MemberListUpdate.class).get(1).members().get(0).startedAt());
     }
 
     @Test
