--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -258,11 +258,11 @@
     record LimitSharesUpdate(List<LimitShare> shares) implements Event {}
 
     /** A process of a member that all routers avoid until the given time, since some have reported it as failing. */
-    record EjectedMember(long member, long started, long until) {
+    record EjectedMember(long member, long startedAt, long until) {
 
         /** Whether this ejection applies to the given process of a member and has not expired. */
         public boolean covers(Member m, long now) {
-            return member == m.id() && started == m.startedAt() && now < until;
+            return member == m.id() && startedAt == m.startedAt() && now < until;
         }
     }
 
