--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -34,7 +34,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import pumicemoor.Logic;
-import pumicemoor.node.BoundedLog;
+import pumicemoor.node.RateLimitedLog;
 import pumicemoor.node.CallFront;
 import pumicemoor.node.CallLoop;
 import pumicemoor.node.Counters;
@@ -70,7 +70,7 @@
     private final CoordinatorStream coordinator;
     private final Map<Long, ClientConnection> clients = new LinkedHashMap<>(); // by connection id, the oldest first
     private final Set<ClientConnection> allClients = new LinkedHashSet<>(); // also those in stage RELEASING
-    private final BoundedLog errorLog;
+    private final RateLimitedLog errorLog;
     private final Inbox inbox = new Inbox();
     private final List<Effect> effects = new ArrayList<>();
     private final CountDownLatch synced = new CountDownLatch(1);
@@ -96,7 +96,7 @@
         this.limits = ResourceLimits.of(config.words().settings(), config.figures());
         this.reducer =
                 new Reducer(new Logic(config.words().settings(), config.seed()), config.words(), limits, counters);
-        this.errorLog = new BoundedLog(LOG, limits.complaints());
+        this.errorLog = new RateLimitedLog(LOG, limits.complaints());
         Bootstrap bootstrap = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
--- a/src/main/java/pumicemoor/node/BoundedLog.java
+++ b/src/main/java/pumicemoor/node/RateLimitedLog.java
@@ -10,7 +10,7 @@
  * router's CPU nor flood its log. It counts the suppressed lines and reports their number with the next line written.
  * It must never be used for the router's own decisions, nor in place of a counter.
  */
-public final class BoundedLog {
+public final class RateLimitedLog {
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -20,7 +20,7 @@
     private int writtenThisSecond;
     private long suppressed;
 
-    public BoundedLog(Logger log, int perSecond) {
+    public RateLimitedLog(Logger log, int perSecond) {
         this.log = log;
         this.perSecond = perSecond;
     }
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -114,7 +114,7 @@
     private final Map<String, Request> requestsById = new HashMap<>(); // closed ones until their last attempt ends
     private final Map<StreamKey, Request> unanswered = new LinkedHashMap<>();
     private final Map<String, Request> unansweredByClientId = new HashMap<>(); // key: the id that the client chose
-    private final BoundedLog warningLog;
+    private final RateLimitedLog warningLog;
     private final Map<Long, Attempt> attemptsByKey = new HashMap<>();
     private final Map<Long, Endpoint> endpointsByMember = new HashMap<>();
     private final Map<Long, Fleet.Listed> fleetMembers = new TreeMap<>(); // listed members, as passed to the fleet
@@ -135,8 +135,8 @@
     private long fleetDue = Long.MAX_VALUE;
     private Optional<DrainedMembers> drainedMembers = Optional.empty();
     private final HitCount hitCount = new HitCount();
-    private final BoundedLog fleetLog;
-    private final BoundedLog endpointLog;
+    private final RateLimitedLog fleetLog;
+    private final RateLimitedLog endpointLog;
     private long terminatedAt = -1;
     private ExitStage exitStage = ExitStage.RUNNING;
 
@@ -211,9 +211,9 @@
         this.settingsReader = settingsReader;
         this.limits = limits;
         this.counters = counters;
-        this.warningLog = new BoundedLog(LOG, limits.complaints());
-        this.fleetLog = new BoundedLog(LOG, limits.fleetLines());
-        this.endpointLog = new BoundedLog(LOG, limits.fleetLines());
+        this.warningLog = new RateLimitedLog(LOG, limits.complaints());
+        this.fleetLog = new RateLimitedLog(LOG, limits.fleetLines());
+        this.endpointLog = new RateLimitedLog(LOG, limits.fleetLines());
     }
 
     /** Returns the time at which the next {@link Input.TimerFired} is due; Long.MAX_VALUE for never. */
--- a/src/test/java/pumicemoor/node/BoundedLogTest.java
+++ b/src/test/java/pumicemoor/node/RateLimitedLogTest.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 
 /** Tests the limit on log lines a second and the count of suppressed lines. */
-class BoundedLogTest {
+class RateLimitedLogTest {
 
     private final List<Object> suppressed = new ArrayList<>();
 
@@ -22,7 +22,7 @@
 
     @Test
     void linesAboveTheRateAreSuppressedAndCounted() {
-        BoundedLog log = new BoundedLog(logger, 3);
+        RateLimitedLog log = new RateLimitedLog(logger, 3);
         for (int i = 0; i < 1_000; i++) {
             log.warn(5_000_000 + i, "no");
         }
