--- a/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
@@ -57,7 +57,7 @@
                 ResourceLimits.of(parsedConfig.words().settings(), parsedConfig.figures()),
                 new Counters());
         reducer.applyOperatorConfig(now, operator, parsedConfig.location(), parsedConfig.name(), parsedConfig.seed());
-        reducer.known(now, parsedConfig, effects::add);
+        reducer.applyInitialUpdates(now, parsedConfig, effects::add);
         performEffects();
     }
 
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -135,7 +135,7 @@
         }
         loop.submit(() -> {
                     reducer.applyOperatorConfig(clock(), operatorConfig, config.location(), config.name(), config.seed());
-                    reducer.known(clock(), config, effects::add);
+                    reducer.applyInitialUpdates(clock(), config, effects::add);
                     processInbox();
                     loop.scheduleAtFixedRate(this::sweep, limits.sweep(), limits.sweep(), TimeUnit.MICROSECONDS);
                     coordinator.follow(config.coordinator());
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -55,7 +55,7 @@
         client = new ClientConnection(1, limits, budget, counters, this);
         fromClient = new EmbeddedChannel(new FrameDecoder(limits.frameBytes()), client);
         fromCache = new EmbeddedChannel(new AnswerDecoder(limits.lineBytes(), limits.answerBytes(), budget));
-        reducer.known(clock, config, effects::add);
+        reducer.applyInitialUpdates(clock, config, effects::add);
         executeEffects();
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -724,7 +724,7 @@
     }
 
     /** Starts the router: applies the events in its configuration and sets the first timers. */
-    public void known(long time, NodeConfig config, Consumer<Effect> effects) {
+    public void applyInitialUpdates(long time, NodeConfig config, Consumer<Effect> effects) {
         now = time;
         wallNow = time;
         effectSink = effects;
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -82,7 +82,7 @@
         RouterApi logic = new Logic(config.words().settings(), 1);
         reducer = new Reducer(
                 logic, config.words(), ResourceLimits.of(config.words().settings(), config.figures()), new Counters());
-        reducer.known(now, config, effects::add);
+        reducer.applyInitialUpdates(now, config, effects::add);
         long index = 1;
         for (int i = 1; i <= ROUNDS; i++) {
             advance(10 * MICROS_PER_MILLI);
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -155,7 +155,7 @@
                 config.words(),
                 ResourceLimits.of(config.words().settings(), config.figures()),
                 counters);
-        reducer.known(now, config, this::carryOut);
+        reducer.applyInitialUpdates(now, config, this::carryOut);
         for (int i = 1; i <= 2_000; i++) {
             int stream = i;
             schedule(random.nextInt(20_000) * MICROS_PER_MILLI, () -> arrive(stream));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -86,7 +86,7 @@
             onEvent.accept(event);
         };
         reducer = new Reducer(scripted, config.words(), limits, counters);
-        reducer.known(now, config, effects::add);
+        reducer.applyInitialUpdates(now, config, effects::add);
         assertFalse(reducer.ready(), "the coordinator has sent nothing yet");
         if (synced) {
             accept(new Input.CoordinatorHeartbeat());
@@ -772,7 +772,7 @@
                 limits,
                 counters);
         reducer.applyOperatorConfig(now, operatorConfig, "here", "n0", 1);
-        reducer.known(now, config, effects::add);
+        reducer.applyInitialUpdates(now, config, effects::add);
         accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 2,
                 false,
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -31,7 +31,7 @@
                     config.words(),
                     ResourceLimits.of(config.words().settings(), config.figures()),
                     new Counters());
-            reducer.known(now, config, this::accept);
+            reducer.applyInitialUpdates(now, config, this::accept);
         }
 
         void accept(Effect effect) {
