--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -103,7 +103,7 @@
                 .option(ChannelOption.ALLOCATOR, PooledByteBufAllocator.DEFAULT);
         this.budget = new BufferBudget(PooledByteBufAllocator.DEFAULT::pinnedDirectMemory, limits.bufferedBytes());
         this.cacheConnections = new CacheConnections(bootstrap, limits, budget, counters, this);
-        this.coordinator = new CoordinatorStream(bootstrap, limits, reducer::lastUpdate, counters, this);
+        this.coordinator = new CoordinatorStream(bootstrap, limits, reducer::lastEventIndex, counters, this);
     }
 
     /** Adds a front that proxies call; must be called before the start. */
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -225,7 +225,7 @@
     }
 
     /** Returns the index of the last coordinator event that was applied. */
-    public long lastUpdate() {
+    public long lastEventIndex() {
         return lastEventIndex;
     }
 
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -450,7 +450,7 @@
         accept(new Input.CoordinatorUpdate(purge));
         accept(new Input.CoordinatorUpdate("{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START_MICROS / MICROS_PER_MILLI + "}}"));
         assertEquals(List.of(new Purged("7f3a", -1, 250 * MICROS_PER_MILLI), new Purged(null, 17, 0)), events);
-        assertEquals(3, reducer.lastUpdate());
+        assertEquals(3, reducer.lastEventIndex());
     }
 
     @Test
@@ -480,7 +480,7 @@
             String list = NodeTestConfig.list(index, true, entry, s1);
             accept(new Input.CoordinatorUpdate(list.substring(0, list.length() - 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
                     + START_MICROS / MICROS_PER_MILLI + "}}"));
-            assertEquals(index++, reducer.lastUpdate());
+            assertEquals(index++, reducer.lastEventIndex());
             assertEquals(1, ofType(events, MemberListUpdate.class).size(), entry);
             assertEquals(1, ofType(events, MemberListUpdate.class).get(0).members().size(), entry);
             assertEquals(1, ofType(events, Purged.class).size(), entry);
@@ -642,7 +642,7 @@
             reducer.accept(
                     now,
                     now + step,
-                    new Input.CoordinatorUpdate("{\"index\":" + (reducer.lastUpdate() + 1)
+                    new Input.CoordinatorUpdate("{\"index\":" + (reducer.lastEventIndex() + 1)
                             + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (now - MICROS_PER_SECOND) / MICROS_PER_MILLI + "}}"),
                     effects::add);
             assertEquals(step < 0 ? 0 : MICROS_PER_SECOND, ofType(events, Purged.class).get(0).age(), "a step of " + step);
@@ -708,17 +708,17 @@
         String third = NodeTestConfig.list(3, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", 0));
         accept(new Input.CoordinatorUpdate(third));
         assertEquals(List.of(new Effect.FollowCoordinator("127.0.0.1:2")), effects);
-        assertEquals(1, reducer.lastUpdate());
+        assertEquals(1, reducer.lastEventIndex());
         String second = NodeTestConfig.list(2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", 0));
         accept(new Input.CoordinatorUpdate(second));
         accept(new Input.CoordinatorUpdate(second));
         accept(new Input.CoordinatorUpdate(third));
-        assertEquals(3, reducer.lastUpdate());
+        assertEquals(3, reducer.lastEventIndex());
         assertEquals(2, ofType(events, MemberListUpdate.class).size());
         String ninth = NodeTestConfig.list(9, false);
         accept(new Input.CoordinatorUpdate(ninth));
         accept(new Input.CoordinatorUpdate(ninth));
-        assertEquals(9, reducer.lastUpdate(), "the router does not wait for events that the coordinator no longer has");
+        assertEquals(9, reducer.lastEventIndex(), "the router does not wait for events that the coordinator no longer has");
     }
 
     @Test
@@ -836,7 +836,7 @@
         accept(new Input.CoordinatorUpdate("{\"index\":2,\"shape\":{\"certain_ms\":1,\"piece\":1}}"));
         assertEquals(Map.of(), reducer.state());
         assertEquals(List.of(), ofType(events, FillSourcesUpdate.class));
-        assertEquals(2, reducer.lastUpdate());
+        assertEquals(2, reducer.lastEventIndex());
     }
 
     @Test
