--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -277,7 +277,7 @@
 
     @Override
     public Optional<String> rows(String subject) {
-        return reducer.rows(subject);
+        return reducer.fleetTable(subject);
     }
 
     @Override
