--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -847,7 +847,7 @@
     }
 
     /** Returns the status fields, by name, of the hierarchy and the fleet if the operator has configured them. */
-    public Map<String, String> state() {
+    public Map<String, String> statusFields() {
         Map<String, String> state = new LinkedHashMap<>();
         hierarchy.ifPresent(h -> state.putAll(h.snapshot().fields()));
         fleet.ifPresent(f -> state.putAll(f.fields()));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -797,16 +797,16 @@
         OperatorConfig next = operatorConfig("file", 2, "p-2");
         accept(new Input.Reload(config, next, null));
         assertEquals(Reducer.memberId("p-2"), currentParent(), "the announcement is long ago, so that it takes effect at once");
-        assertEquals("2", reducer.state().get("hierarchy-version"));
-        assertEquals("moving", reducer.state().get("hierarchy-stage"));
+        assertEquals("2", reducer.statusFields().get("hierarchy-version"));
+        assertEquals("moving", reducer.statusFields().get("hierarchy-stage"));
         now += 10 * MICROS_PER_SECOND;
         accept(new Input.TimerFired());
-        assertEquals("1.000", reducer.state().get("hierarchy-share-moved"));
+        assertEquals("1.000", reducer.statusFields().get("hierarchy-share-moved"));
         accept(new Input.Reload(config, operatorConfig("file", 1, "p-1"), null));
         accept(new Input.Reload(config, operatorConfig("feed", 3, "p-1"), null));
         accept(new Input.Reload(config, OperatorConfig.NONE, null));
         assertEquals(3, counters.get(Counters.Name.RELOADS_REFUSED));
-        assertEquals("2", reducer.state().get("hierarchy-version"));
+        assertEquals("2", reducer.statusFields().get("hierarchy-version"));
         assertEquals(Reducer.memberId("p-2"), currentParent());
     }
 
@@ -834,7 +834,7 @@
     @Test
     void topologyUpdatesAreIgnoredWithoutAnOperatorsFile() {
         accept(new Input.CoordinatorUpdate("{\"index\":2,\"shape\":{\"certain_ms\":1,\"piece\":1}}"));
-        assertEquals(Map.of(), reducer.state());
+        assertEquals(Map.of(), reducer.statusFields());
         assertEquals(List.of(), ofType(events, FillSourcesUpdate.class));
         assertEquals(2, reducer.lastEventIndex());
     }
