--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -146,8 +146,8 @@
             NodeConfig config = readConfig(configFile);
             NodeServer server = new NodeServer(config, operator);
             if (operator.processor().isPresent()) {
-                ProcessorFront.check(operator.processor().get(), config.words());
-                ProcessorFront front = new ProcessorFront(operator.processor().get(), config.words());
+                ProcessorFront.check(operator.processor().get(), config.settingsReader());
+                ProcessorFront front = new ProcessorFront(operator.processor().get(), config.settingsReader());
                 front.rehearse();
                 server.attach(front);
             }
@@ -269,7 +269,7 @@
             }
             NodeConfig config = readConfig(configFile);
             System.out.println("usable: router '" + config.name() + "' on " + config.listen() + ", "
-                    + config.words().settings().classes().size() + " classes, "
+                    + config.settingsReader().settings().classes().size() + " classes, "
                     + config.known().size()
                     + " events known");
         }
--- a/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
@@ -52,9 +52,9 @@
     SimulatedRouter(String config, OperatorConfig operator) {
         NodeConfig parsedConfig = parse(config);
         reducer = new Reducer(
-                new Logic(parsedConfig.words().settings(), parsedConfig.seed()),
-                parsedConfig.words(),
-                ResourceLimits.of(parsedConfig.words().settings(), parsedConfig.figures()),
+                new Logic(parsedConfig.settingsReader().settings(), parsedConfig.seed()),
+                parsedConfig.settingsReader(),
+                ResourceLimits.of(parsedConfig.settingsReader().settings(), parsedConfig.figures()),
                 new Counters());
         reducer.applyOperatorConfig(now, operator, parsedConfig.location(), parsedConfig.name(), parsedConfig.seed());
         reducer.applyInitialUpdates(now, parsedConfig, effects::add);
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -49,9 +49,9 @@
 
     WarmUp(NodeConfig config, ResourceLimits limits, long now) {
         BufferBudget budget = new BufferBudget(() -> 0, limits.bufferedBytes());
-        classes = config.words().settings().classes();
+        classes = config.settingsReader().settings().classes();
         clock = now;
-        reducer = new Reducer(new Logic(config.words().settings(), config.seed()), config.words(), limits, counters);
+        reducer = new Reducer(new Logic(config.settingsReader().settings(), config.seed()), config.settingsReader(), limits, counters);
         client = new ClientConnection(1, limits, budget, counters, this);
         fromClient = new EmbeddedChannel(new FrameDecoder(limits.frameBytes()), client);
         fromCache = new EmbeddedChannel(new AnswerDecoder(limits.lineBytes(), limits.answerBytes(), budget));
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -18,7 +18,7 @@
         String coordinator,
         long seed,
         Resources figures,
-        SettingsReader words,
+        SettingsReader settingsReader,
         long knownIndex,
         List<Message> known,
         Message document) {
@@ -57,7 +57,7 @@
 
     /** Returns the name of the location that this router serves. */
     public String location() {
-        return words.locationName();
+        return settingsReader.locationName();
     }
 
     /** Returns the first field that differs in the other configuration and can only change with a restart. */
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -79,9 +79,9 @@
                         true,
                         NodeTestConfig.member("s-0", "127.0.0.1:11", "box", "active", 0),
                         NodeTestConfig.member("p-1", "127.0.0.1:12", "shield", "active", 0))));
-        RouterApi logic = new Logic(config.words().settings(), 1);
+        RouterApi logic = new Logic(config.settingsReader().settings(), 1);
         reducer = new Reducer(
-                logic, config.words(), ResourceLimits.of(config.words().settings(), config.figures()), new Counters());
+                logic, config.settingsReader(), ResourceLimits.of(config.settingsReader().settings(), config.figures()), new Counters());
         reducer.applyInitialUpdates(now, config, effects::add);
         long index = 1;
         for (int i = 1; i <= ROUNDS; i++) {
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -151,9 +151,9 @@
                 NodeTestConfig.json("127.0.0.1:1", "127.0.0.1:2", NodeTestConfig.list(1, true, all.toString())));
         Counters counters = new Counters();
         reducer = new Reducer(
-                new Logic(config.words().settings(), seed),
-                config.words(),
-                ResourceLimits.of(config.words().settings(), config.figures()),
+                new Logic(config.settingsReader().settings(), seed),
+                config.settingsReader(),
+                ResourceLimits.of(config.settingsReader().settings(), config.figures()),
                 counters);
         reducer.applyInitialUpdates(now, config, this::carryOut);
         for (int i = 1; i <= 2_000; i++) {
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -79,13 +79,13 @@
                         true,
                         NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", 0),
                         NodeTestConfig.member("p-1", "127.0.0.1:12", "shield", "active", 0))));
-        limits = ResourceLimits.of(config.words().settings(), config.figures());
+        limits = ResourceLimits.of(config.settingsReader().settings(), config.figures());
         RouterApi scripted = (time, event, sink) -> {
             events.add(event);
             actions = sink::accept;
             onEvent.accept(event);
         };
-        reducer = new Reducer(scripted, config.words(), limits, counters);
+        reducer = new Reducer(scripted, config.settingsReader(), limits, counters);
         reducer.applyInitialUpdates(now, config, effects::add);
         assertFalse(reducer.ready(), "the coordinator has sent nothing yet");
         if (synced) {
@@ -265,8 +265,8 @@
         assertEquals(attempt, ofType(effects, Effect.AbandonAttempt.class).get(0).attempt());
         assertEquals(
                 Outcome.CONNECT_FAILED, ofType(events, AttemptEnded.class).get(0).outcome());
-        assertTrue(limits.unwritten() < config.words().settings().rules().purgeGrace());
-        assertTrue(limits.unwritten() < config.words().settings().rules().drainGrace());
+        assertTrue(limits.unwritten() < config.settingsReader().settings().rules().purgeGrace());
+        assertTrue(limits.unwritten() < config.settingsReader().settings().rules().drainGrace());
     }
 
     @Test
@@ -768,7 +768,7 @@
                     events.add(event);
                     actions = sink::accept;
                 },
-                config.words(),
+                config.settingsReader(),
                 limits,
                 counters);
         reducer.applyOperatorConfig(now, operatorConfig, "here", "n0", 1);
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -27,9 +27,9 @@
         Side(boolean byCalls, NodeConfig config, long now) {
             this.byCalls = byCalls;
             this.reducer = new Reducer(
-                    new Logic(config.words().settings(), 5),
-                    config.words(),
-                    ResourceLimits.of(config.words().settings(), config.figures()),
+                    new Logic(config.settingsReader().settings(), 5),
+                    config.settingsReader(),
+                    ResourceLimits.of(config.settingsReader().settings(), config.figures()),
                     new Counters());
             reducer.applyInitialUpdates(now, config, this::accept);
         }
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -115,7 +115,7 @@
     @Test
     void fleetSetupIncludesTheCells() throws Exception {
         RouterApi.Rules rules = NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:0", "127.0.0.1:1"))
-                .words()
+                .settingsReader()
                 .settings()
                 .rules();
         FleetSetup setup = OperatorFile.parse("f", VALID_WITH_CELLS).fleet().orElseThrow().setup("r", rules);
