--- a/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
@@ -54,7 +54,7 @@
         reducer = new Reducer(
                 new Logic(parsedConfig.settingsReader().settings(), parsedConfig.seed()),
                 parsedConfig.settingsReader(),
-                ResourceLimits.of(parsedConfig.settingsReader().settings(), parsedConfig.figures()),
+                ResourceLimits.of(parsedConfig.settingsReader().settings(), parsedConfig.resources()),
                 new Counters());
         reducer.applyOperatorConfig(now, operator, parsedConfig.location(), parsedConfig.name(), parsedConfig.seed());
         reducer.applyInitialUpdates(now, parsedConfig, effects::add);
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -93,7 +93,7 @@
     public NodeServer(NodeConfig config, OperatorConfig operatorConfig) {
         this.config = config;
         this.operatorConfig = operatorConfig;
-        this.limits = ResourceLimits.of(config.settingsReader().settings(), config.figures());
+        this.limits = ResourceLimits.of(config.settingsReader().settings(), config.resources());
         this.reducer =
                 new Reducer(new Logic(config.settingsReader().settings(), config.seed()), config.settingsReader(), limits, counters);
         this.errorLog = new RateLimitedLog(LOG, limits.complaints());
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -17,7 +17,7 @@
         String listen,
         String coordinator,
         long seed,
-        Resources figures,
+        Resources resources,
         SettingsReader settingsReader,
         long knownIndex,
         List<Message> known,
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -51,7 +51,7 @@
     @BeforeEach
     void start() throws Exception {
         NodeConfig config = NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:1", ""));
-        limits = ResourceLimits.of(config.settingsReader().settings(), config.figures());
+        limits = ResourceLimits.of(config.settingsReader().settings(), config.resources());
         connections = new CacheConnections(
                 new Bootstrap().group(group).channel(NioSocketChannel.class),
                 limits,
@@ -396,7 +396,7 @@
     void atTheLimitOnAllConnectionsTheLeastRecentlyUsedIdleOneIsClosedElseTheAttemptIsRefused() throws Exception {
         NodeConfig small = NodeTestConfig.parse(
                 NodeTestConfig.json("127.0.0.1:1", "").replace("\"sockets\":1024", "\"sockets\":32"));
-        limits = ResourceLimits.of(small.settingsReader().settings(), small.figures());
+        limits = ResourceLimits.of(small.settingsReader().settings(), small.resources());
         connections = new CacheConnections(
                 new Bootstrap().group(group).channel(NioSocketChannel.class),
                 limits,
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -59,7 +59,7 @@
     @BeforeEach
     void start() throws Exception {
         NodeConfig config = NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:1", ""));
-        limits = ResourceLimits.of(config.settingsReader().settings(), config.figures());
+        limits = ResourceLimits.of(config.settingsReader().settings(), config.resources());
         open();
     }
 
--- a/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
@@ -36,7 +36,7 @@
     @BeforeEach
     void start() throws Exception {
         NodeConfig config = NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:1", ""));
-        limits = ResourceLimits.of(config.settingsReader().settings(), config.figures());
+        limits = ResourceLimits.of(config.settingsReader().settings(), config.resources());
         stream = new CoordinatorStream(
                 new Bootstrap().group(group).channel(NioSocketChannel.class), limits, () -> 41, new Counters(), loop);
         channel = new EmbeddedChannel();
--- a/src/test/java/pumicemoor/net/WarmUpTest.java
+++ b/src/test/java/pumicemoor/net/WarmUpTest.java
@@ -15,7 +15,7 @@
 
     private static long run(int requests, long maxMicros, String... updates) throws Exception {
         NodeConfig config = NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:1", "", updates));
-        return new WarmUp(config, ResourceLimits.of(config.settingsReader().settings(), config.figures()), NOW_MICROS)
+        return new WarmUp(config, ResourceLimits.of(config.settingsReader().settings(), config.resources()), NOW_MICROS)
                 .run(requests, maxMicros, () -> {});
     }
 
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -81,7 +81,7 @@
                         NodeTestConfig.member("p-1", "127.0.0.1:12", "shield", "active", 0))));
         RouterApi logic = new Logic(config.settingsReader().settings(), 1);
         reducer = new Reducer(
-                logic, config.settingsReader(), ResourceLimits.of(config.settingsReader().settings(), config.figures()), new Counters());
+                logic, config.settingsReader(), ResourceLimits.of(config.settingsReader().settings(), config.resources()), new Counters());
         reducer.applyInitialUpdates(now, config, effects::add);
         long index = 1;
         for (int i = 1; i <= ROUNDS; i++) {
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -153,7 +153,7 @@
         reducer = new Reducer(
                 new Logic(config.settingsReader().settings(), seed),
                 config.settingsReader(),
-                ResourceLimits.of(config.settingsReader().settings(), config.figures()),
+                ResourceLimits.of(config.settingsReader().settings(), config.resources()),
                 counters);
         reducer.applyInitialUpdates(now, config, this::carryOut);
         for (int i = 1; i <= 2_000; i++) {
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -79,7 +79,7 @@
                         true,
                         NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", 0),
                         NodeTestConfig.member("p-1", "127.0.0.1:12", "shield", "active", 0))));
-        limits = ResourceLimits.of(config.settingsReader().settings(), config.figures());
+        limits = ResourceLimits.of(config.settingsReader().settings(), config.resources());
         RouterApi scripted = (time, event, sink) -> {
             events.add(event);
             actions = sink::accept;
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -29,7 +29,7 @@
             this.reducer = new Reducer(
                     new Logic(config.settingsReader().settings(), 5),
                     config.settingsReader(),
-                    ResourceLimits.of(config.settingsReader().settings(), config.figures()),
+                    ResourceLimits.of(config.settingsReader().settings(), config.resources()),
                     new Counters());
             reducer.applyInitialUpdates(now, config, this::accept);
         }
