--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -270,7 +270,7 @@
             NodeConfig config = readConfig(configFile);
             System.out.println("usable: router '" + config.name() + "' on " + config.listen() + ", "
                     + config.settingsReader().settings().classes().size() + " classes, "
-                    + config.known().size()
+                    + config.initialUpdates().size()
                     + " events known");
         }
     }
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -20,7 +20,7 @@
         Resources resources,
         SettingsReader settingsReader,
         long knownIndex,
-        List<Message> known,
+        List<Message> initialUpdates,
         Message document) {
 
     private static final int MAX_PORT = 65_535;
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -728,7 +728,7 @@
         now = time;
         wallNow = time;
         effectSink = effects;
-        for (Message update : config.known()) {
+        for (Message update : config.initialUpdates()) {
             try {
                 applyUpdate(update);
             } catch (WireException e) {
