--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -141,7 +141,7 @@
                     coordinator.follow(config.coordinator());
                 })
                 .sync();
-        LOG.info("{}: the coordinator is being followed from event {} on", config.name(), config.knownIndex());
+        LOG.info("{}: the coordinator is being followed from event {} on", config.name(), config.initialIndex());
     }
 
     /** Warms up, waits until the router has caught up with the coordinator or the wait has timed out, then listens. */
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -19,7 +19,7 @@
         long seed,
         Resources resources,
         SettingsReader settingsReader,
-        long knownIndex,
+        long initialIndex,
         List<Message> initialUpdates,
         Message document) {
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -737,7 +737,7 @@
             }
             dispatchEvents();
         }
-        lastEventIndex = Math.max(lastEventIndex, config.knownIndex());
+        lastEventIndex = Math.max(lastEventIndex, config.initialIndex());
         pendingEvents.add(new DiscoveryHeartbeat());
         dispatchEvents();
         this.config = config;
