--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -17,7 +17,7 @@
     record Request(
             long connection,
             int stream,
-            String call,
+            String clientRequestId,
             String requestClass,
             String object,
             int part,
@@ -33,7 +33,7 @@
             return new Request(
                     connection,
                     stream,
-                    call,
+                    clientRequestId,
                     requestClass,
                     object,
                     part,
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -347,7 +347,7 @@
         unanswered.put(stream, request);
         RequestTrace.arrived(input, input.ttlMillis());
         int requestClass = requestClass(input);
-        Request openRequest = unansweredByClientId.putIfAbsent(input.call(), request);
+        Request openRequest = unansweredByClientId.putIfAbsent(input.clientRequestId(), request);
         if (requestClass < 0 || openRequest != null && !openRequest.input.object().equals(input.object())) {
             counters.add(Name.BAD_INPUT);
             warningLog.warn(
@@ -392,7 +392,7 @@
     private void clientLeft(Request request) {
         if (request != null) {
             counters.add(Name.WITHDRAWN);
-            RequestTrace.cancelled(request.input.call(), request.openAttempts.size());
+            RequestTrace.cancelled(request.input.clientRequestId(), request.openAttempts.size());
             close(request);
             pendingEvents.add(new RequestAbandoned(request.id));
         }
@@ -409,7 +409,7 @@
                         ? unchanged ? Name.UNCHANGED : Name.SERVED
                         : code == Code.REFUSED ? Name.REFUSED : Name.FAILED);
         RequestTrace.answered(
-                request.input.call(), code, retryAfterMillis, request.attemptsStarted, (request.deadline - now) / MICROS_PER_MILLI);
+                request.input.clientRequestId(), code, retryAfterMillis, request.attemptsStarted, (request.deadline - now) / MICROS_PER_MILLI);
         close(request);
         effectSink.accept(new Effect.Answer(
                 request.stream.connection(), request.stream.stream(), code, unchanged, retryAfterMillis, body));
@@ -420,7 +420,7 @@
         request.closed = true;
         request.input.body().release();
         unanswered.remove(request.stream);
-        unansweredByClientId.remove(request.input.call(), request);
+        unansweredByClientId.remove(request.input.clientRequestId(), request);
         removeIfDone(request);
     }
 
@@ -505,7 +505,7 @@
                 .toList();
         String sourceName = fetch.source() == fetch.member() ? null : source.instance();
         RequestTrace.attemptStarted(
-                input.call(), attempt.number, target.instance(), sourceName, lastEventIndex, (timeoutAt - now) / MICROS_PER_MILLI);
+                input.clientRequestId(), attempt.number, target.instance(), sourceName, lastEventIndex, (timeoutAt - now) / MICROS_PER_MILLI);
         long maxAgeMillis = fetch.maxAge() > 0 ? Math.max(1, fetch.maxAge() / MICROS_PER_MILLI) : 0;
         if (request.sentByProxy) {
             attempt.written = true; // the proxy may send it at any time from now on
@@ -530,7 +530,7 @@
                 attempt.key,
                 target.instance(),
                 target.address(),
-                input.call(),
+                input.clientRequestId(),
                 input.requestClass(),
                 input.object(),
                 input.part(),
@@ -593,7 +593,7 @@
         request.openAttempts.remove(attempt.number);
         counters.add(Name.valueOf(outcome.name()));
         RequestTrace.attemptEnded(
-                request.input.call(), attempt.number, outcome, fillResult, attempt.written, now - attempt.startedAt);
+                request.input.clientRequestId(), attempt.number, outcome, fillResult, attempt.written, now - attempt.startedAt);
         if (drainedMembers.isPresent() && fillResult == FillResult.HIT) {
             hitCount.add(now, attempt.member);
         }
--- a/src/main/java/pumicemoor/node/RequestTrace.java
+++ b/src/main/java/pumicemoor/node/RequestTrace.java
@@ -20,7 +20,7 @@
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "request {} arrived: class {} object {} connection {} stream {} has {} ms",
-                    request.call(),
+                    request.clientRequestId(),
                     request.requestClass(),
                     request.object(),
                     request.connection(),
