--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -575,7 +575,7 @@
         endAttempt(
                 attempt,
                 outcome,
-                answer.note() == null ? FillResult.NONE : FILL_RESULT_BY_NOTE.getOrDefault(answer.note(), FillResult.NONE),
+                answer.fillNote() == null ? FillResult.NONE : FILL_RESULT_BY_NOTE.getOrDefault(answer.fillNote(), FillResult.NONE),
                 answer.load(),
                 bodyKb);
     }
