--- a/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
@@ -138,7 +138,7 @@
         for (Effect effect = effects.poll(); effect != null; effect = effects.poll()) {
             if (effect instanceof Effect.SendAttempt attempt) {
                 attemptsWithMaxAge += attempt.maxAgeMillis() > 0 ? 1 : 0;
-                reducer.accept(now, new Input.Written(attempt.attempt()), effects::add);
+                reducer.accept(now, new Input.AttemptWritten(attempt.attempt()), effects::add);
                 if (filledObjects.add(attempt.instance() + " " + attempt.object())) {
                     fills.add(new PendingAnswer(now + FILL_MICROS, attempt.attempt(), "parent"));
                 } else {
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -272,7 +272,7 @@
                         beingWritten = null;
                         lastUsedAt = loop.clock();
                         inFlight.replace(request.id(), new AttemptInFlight(request, lastUsedAt));
-                        loop.submit(new Input.Written(request.attempt()));
+                        loop.submit(new Input.AttemptWritten(request.attempt()));
                         writeQueue();
                     }
                 });
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -124,7 +124,7 @@
 
     private void answer(Effect.SendAttempt attempt, int number) {
         CacheProtocol.request(allocator, attempt).release();
-        submit(new Input.Written(attempt.attempt()));
+        submit(new Input.AttemptWritten(attempt.attempt()));
         boolean miss = number % MISS_INTERVAL_REQUESTS == 0;
         ByteBuf bytes = allocator.ioBuffer(BODY_BYTES + 128);
         bytes.writeCharSequence(
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -83,7 +83,7 @@
     record Answered(long attempt, AnswerStatus status, String fillNote, Map<String, Double> load, Bytes body) implements Input {}
 
     /** The last byte of an attempt was written to the connection. */
-    record Written(long attempt) implements Input {}
+    record AttemptWritten(long attempt) implements Input {}
 
     /** An attempt was not completely written, so it never ran. */
     record NeverSent(long attempt) implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -269,7 +269,7 @@
                     true);
         } else if (input instanceof Input.Answered answer) {
             answered(answer);
-        } else if (input instanceof Input.Written written) {
+        } else if (input instanceof Input.AttemptWritten written) {
             if (attemptsByKey.get(written.attempt()) != null) {
                 attemptsByKey.get(written.attempt()).written = true;
             }
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -130,7 +130,7 @@
 
     private ReceivedLine sendAndReceive(long attempt, String id) throws Exception {
         onLoop(() -> connections.send(attempt(attempt, id)));
-        assertEquals(new Input.Written(attempt), next());
+        assertEquals(new Input.AttemptWritten(attempt), next());
         ReceivedLine line = received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         assertEquals("ASK " + id + " cls=segment,item=o,chunk=0,limit=100 0", line.line());
         return line;
@@ -194,7 +194,7 @@
             connections.abandon(new Effect.AbandonAttempt(1, true));
             connections.send(attempt(2, "b"));
         });
-        assertEquals(new Input.Written(2), next());
+        assertEquals(new Input.AttemptWritten(2), next());
         assertEquals(
                 "ASK b cls=segment,item=o,chunk=0,limit=100 0",
                 received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
@@ -208,7 +208,7 @@
             connections.send(attempt(2, "b"));
         });
         assertEquals(new Input.NeverSent(1), next());
-        assertEquals(new Input.Written(2), next());
+        assertEquals(new Input.AttemptWritten(2), next());
         assertEquals(
                 "ASK b cls=segment,item=o,chunk=0,limit=100 0",
                 received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
@@ -408,7 +408,7 @@
             loop.time++;
             Effect.SendAttempt attempt = attemptTo("s-" + i, i);
             onLoop(() -> connections.send(attempt));
-            assertEquals(new Input.Written(i), next());
+            assertEquals(new Input.AttemptWritten(i), next());
             ReceivedLine line = received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             oldest = oldest == null ? line : oldest;
         }
@@ -418,7 +418,7 @@
         answer(oldest, "i1", "absent");
         assertEquals(1, ((Input.Answered) next()).attempt());
         onLoop(() -> connections.send(another));
-        assertEquals(new Input.Written(100), next());
+        assertEquals(new Input.AttemptWritten(100), next());
         assertEquals(-1, oldest.from().getInputStream().read(), "it was closed to free its slot");
     }
 
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -35,7 +35,7 @@
         for (Effect effect = effects.poll(); effect != null; effect = effects.poll()) {
             if (effect instanceof Effect.SendAttempt attempt) {
                 attempt.body().release();
-                accept(new Input.Written(attempt.attempt()));
+                accept(new Input.AttemptWritten(attempt.attempt()));
                 accept(new Input.Answered(attempt.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
             } else if (effect instanceof Effect.Answer answer && answer.code() == Effect.Code.SERVED) {
                 served++;
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -111,7 +111,7 @@
             schedule(random.nextInt(400_000), () -> endAttempt(attempt, new Input.NeverSent(attempt.attempt()), true));
             return;
         }
-        schedule(0, () -> accept(new Input.Written(attempt.attempt())));
+        schedule(0, () -> accept(new Input.AttemptWritten(attempt.attempt())));
         long delay = 5 * MICROS_PER_MILLI + random.nextInt(behaviour < 6 ? 600_000 : 60_000);
         if (behaviour == 1) {
             schedule(delay, () -> endAttempt(attempt, new Input.ConnectionLost(attempt.attempt()), false));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -173,7 +173,7 @@
         assertEquals("7f3a9c21e0b4d655", sent.object());
         assertEquals(1500, sent.timeoutMillis());
         assertEquals("4be0", sent.tag());
-        accept(new Input.Written(sent.attempt()));
+        accept(new Input.AttemptWritten(sent.attempt()));
         CountedBody body = new CountedBody();
         now += 90 * MICROS_PER_MILLI;
         accept(answer(sent.attempt(), AnswerStatus.DATA, body));
@@ -248,7 +248,7 @@
         sendRequest(1, "segment", Bytes.NONE);
         accept(new Input.NeverSent(lastSent().attempt()));
         sendRequest(2, "segment", Bytes.NONE);
-        accept(new Input.Written(lastSent().attempt()));
+        accept(new Input.AttemptWritten(lastSent().attempt()));
         accept(new Input.ConnectionLost(lastSent().attempt()));
         List<Outcome> outcomes = ofType(events, AttemptEnded.class).stream()
                 .map(AttemptEnded::outcome)
@@ -273,7 +273,7 @@
     void aWrittenAttemptIsAbandonedOnlyAtItsTimeout() {
         fetchOnArrivedRequest(0, 700 * MICROS_PER_MILLI);
         sendRequest(1, "segment", Bytes.NONE);
-        accept(new Input.Written(lastSent().attempt()));
+        accept(new Input.AttemptWritten(lastSent().attempt()));
         assertEquals(700, lastSent().timeoutMillis());
         advance(699 * MICROS_PER_MILLI);
         assertTrue(ofType(events, AttemptEnded.class).isEmpty());
@@ -287,7 +287,7 @@
         fetchOnArrivedRequest(0, 700 * MICROS_PER_MILLI);
         sendRequest(1, "segment", Bytes.NONE);
         long first = lastSent().attempt();
-        accept(new Input.Written(first));
+        accept(new Input.AttemptWritten(first));
         onEvent = e -> {
             if (e instanceof AttemptEnded end && !end.closed()) {
                 actions.accept(new Fetch(end.id(), CACHE, PARENT, 0, 0, false, false, false, false, 0));
@@ -308,7 +308,7 @@
     void theDeadlineEndsTheAttemptAndTheDecisionModuleMayStillAnswer() {
         fetchOnArrivedRequest(0, 0);
         sendRequest(1, "order", Bytes.NONE);
-        accept(new Input.Written(lastSent().attempt()));
+        accept(new Input.AttemptWritten(lastSent().attempt()));
         Consumer<Event> failRequest = e -> {
             if (e instanceof AttemptEnded end) {
                 assertFalse(end.closed());
@@ -384,7 +384,7 @@
             }
         };
         actions.accept(new SetTimer(10 * MICROS_PER_MILLI, 77));
-        accept(new Input.Written(lastSent().attempt()));
+        accept(new Input.AttemptWritten(lastSent().attempt()));
         advance(11 * MICROS_PER_MILLI);
         assertEquals(List.of(new Effect.AbandonAttempt(lastSent().attempt(), true)), ofType(effects, Effect.AbandonAttempt.class));
         assertEquals(Outcome.CANCELLED, ofType(events, AttemptEnded.class).get(0).outcome());
@@ -543,7 +543,7 @@
     void terminationDrainsClientsAndAnswersOpenRequestsBeforeTheExit() {
         fetchOnArrivedRequest(0, 0);
         sendRequest(1, "segment", Bytes.NONE);
-        accept(new Input.Written(lastSent().attempt()));
+        accept(new Input.AttemptWritten(lastSent().attempt()));
         assertTrue(reducer.ready());
         accept(new Input.Terminate());
         assertEquals(1, ofType(effects, Effect.DrainClients.class).size());
@@ -668,7 +668,7 @@
         fetchOnArrivedRequest(0, 0);
         for (int i = 1; i <= 50; i++) {
             sendRequest(i, "segment", Bytes.NONE);
-            accept(new Input.Written(lastSent().attempt()));
+            accept(new Input.AttemptWritten(lastSent().attempt()));
             accept(answer(lastSent().attempt(), AnswerStatus.DATA, Bytes.NONE));
         }
         assertEquals(Long.MAX_VALUE, reducer.nextDue());
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -90,7 +90,7 @@
             Long key = openAttemptKeys.remove(choice);
             if (key != null) {
                 if (!byCalls) {
-                    reducer.accept(now, new Input.Written(key), this::accept);
+                    reducer.accept(now, new Input.AttemptWritten(key), this::accept);
                 }
                 reducer.accept(
                         now,
@@ -143,7 +143,7 @@
                 calls.endAttempt(now, choice, outcome);
             }
             for (Long key : platform.openAttemptKeys.values()) {
-                platform.reducer.accept(now, new Input.Written(key), platform::accept);
+                platform.reducer.accept(now, new Input.AttemptWritten(key), platform::accept);
             }
             platform.reducer.accept(now, new Input.TimerFired(), platform::accept);
             calls.reducer.accept(now, new Input.TimerFired(), calls::accept);
