--- a/src/main/java/pumicemoor/extproc/FrontWarmUp.java
+++ b/src/main/java/pumicemoor/extproc/FrontWarmUp.java
@@ -116,7 +116,7 @@
                         true,
                         false,
                         false));
-            } else if (input instanceof Input.Answered answered) {
+            } else if (input instanceof Input.AttemptAnswered answered) {
                 front.answered(-answered.attempt(), Effect.Code.SERVED, 0);
             }
         }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -462,7 +462,7 @@
                                 ? new Input.NeverSent(ended.key())
                                 : status == null
                                         ? new Input.ConnectionLost(ended.key())
-                                        : new Input.Answered(ended.key(), status, stream.note, Map.of(), Bytes.NONE));
+                                        : new Input.AttemptAnswered(ended.key(), status, stream.note, Map.of(), Bytes.NONE));
             } else if (action instanceof Act.Withdraw) {
                 count(Count.WITHDRAWN);
                 streams.remove(stream.requestNumber);
--- a/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
@@ -119,7 +119,7 @@
             } else {
                 Queue<PendingAnswer> first = !hits.isEmpty() && hits.peek().at() <= now ? hits : fills;
                 PendingAnswer answer = first.remove();
-                accept(new Input.Answered(answer.attempt(), Input.AnswerStatus.DATA, answer.note(), Map.of(), Bytes.NONE));
+                accept(new Input.AttemptAnswered(answer.attempt(), Input.AnswerStatus.DATA, answer.note(), Map.of(), Bytes.NONE));
             }
         }
         now = end;
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -386,7 +386,7 @@
             rememberEndedId(answer.id(), false);
             connectionByAttempt.remove(sent.attempt());
             counters.add(Name.BYTES_IN, answer.body().readableBytes());
-            loop.submit(new Input.Answered(
+            loop.submit(new Input.AttemptAnswered(
                     sent.attempt(),
                     status,
                     answer.fields().get("tell"),
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -133,7 +133,7 @@
         bytes.writeZero(miss ? 0 : BODY_BYTES).writeCharSequence("\r\n", StandardCharsets.US_ASCII);
         fromCache.writeInbound(bytes);
         for (AnswerDecoder.Answer decoded = fromCache.readInbound(); decoded != null; decoded = fromCache.readInbound()) {
-            submit(new Input.Answered(
+            submit(new Input.AttemptAnswered(
                     attempt.attempt(),
                     CacheProtocol.status(decoded.status()),
                     decoded.fields().get("tell"),
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -267,7 +267,7 @@
                             call.clientRetry(),
                             Bytes.NONE),
                     true);
-        } else if (input instanceof Input.Answered answer) {
+        } else if (input instanceof Input.AttemptAnswered answer) {
             answered(answer);
         } else if (input instanceof Input.AttemptWritten written) {
             if (attemptsByKey.get(written.attempt()) != null) {
@@ -558,7 +558,7 @@
 
     // ---- outcomes -------------------------------------------------------------------------------------
 
-    private void answered(Input.Answered answer) {
+    private void answered(Input.AttemptAnswered answer) {
         Attempt attempt = attemptsByKey.get(answer.attempt());
         if (attempt == null) {
             counters.add(Name.LATE_ANSWERS);
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -165,8 +165,8 @@
         assertEquals(false, sameConnection(first, again));
         answer(again, "a", "absent");
         answer(first, "a", "full");
-        Input.Answered one = (Input.Answered) next();
-        Input.Answered two = (Input.Answered) next();
+        Input.AttemptAnswered one = (Input.AttemptAnswered) next();
+        Input.AttemptAnswered two = (Input.AttemptAnswered) next();
         assertEquals(Input.AnswerStatus.ABSENT, one.attempt() == 3 ? one.status() : two.status());
         assertEquals(Input.AnswerStatus.FULL, one.attempt() == 1 ? one.status() : two.status());
     }
@@ -182,9 +182,9 @@
         ReceivedLine third = sendAndReceive(3, "b");
         assertEquals(true, sameConnection(first, third));
         answer(third, "b", "failed");
-        assertEquals(new Input.Answered(3, Input.AnswerStatus.FAILED, null, java.util.Map.of(), Bytes.NONE), next());
+        assertEquals(new Input.AttemptAnswered(3, Input.AnswerStatus.FAILED, null, java.util.Map.of(), Bytes.NONE), next());
         answer(second, "a", "absent");
-        assertEquals(2, ((Input.Answered) next()).attempt());
+        assertEquals(2, ((Input.AttemptAnswered) next()).attempt());
     }
 
     @Test
@@ -256,7 +256,7 @@
         ReceivedLine next = sendAndReceive(3, "c");
         assertEquals(false, sameConnection(first, next));
         answer(first, "b", "absent");
-        assertEquals(2, ((Input.Answered) next()).attempt());
+        assertEquals(2, ((Input.AttemptAnswered) next()).attempt());
     }
 
     @Test
@@ -327,7 +327,7 @@
         ReceivedLine first = sendAndReceive(1, "a");
         write(first, "zz data entity=e,issued=1 3\r\nabc\r\nzz unchanged entity=e,issued=1 0\r\n\r\n");
         answer(first, "a", "full");
-        assertEquals(Input.AnswerStatus.FULL, ((Input.Answered) next()).status());
+        assertEquals(Input.AnswerStatus.FULL, ((Input.AttemptAnswered) next()).status());
         assertEquals(true, sameConnection(first, sendAndReceive(2, "b")));
     }
 
@@ -335,19 +335,19 @@
     void duplicateAnswerIsNotMatchedToALaterRequestWithTheSameId() throws Exception {
         ReceivedLine first = sendAndReceive(1, "a");
         answer(first, "a", "absent");
-        assertEquals(1, ((Input.Answered) next()).attempt());
+        assertEquals(1, ((Input.AttemptAnswered) next()).attempt());
         ReceivedLine second = sendAndReceive(2, "a");
         assertEquals(false, sameConnection(first, second));
         answer(first, "a", "absent");
         answer(second, "a", "full");
-        assertEquals(Input.AnswerStatus.FULL, ((Input.Answered) next()).status());
+        assertEquals(Input.AnswerStatus.FULL, ((Input.AttemptAnswered) next()).status());
     }
 
     @Test
     void atTheConnectionLimitAnAnsweredIdIsReusedButNotAnAbandonedOne() throws Exception {
         for (int i = 1; i <= limits.linesPerMember() + 1; i++) {
             answer(sendAndReceive(i, "a"), "a", "failed");
-            assertEquals(i, ((Input.Answered) next()).attempt());
+            assertEquals(i, ((Input.AttemptAnswered) next()).attempt());
         }
         for (int i = 1; i <= limits.linesPerMember(); i++) {
             sendAndReceive(100 + i, "b");
@@ -379,7 +379,7 @@
         write(first, "life well - 0\r\n\r\n");
         ReceivedLine second = sendAndReceive(2, "b");
         write(first, "b absent - 0\r\n\r\n");
-        assertEquals(2, ((Input.Answered) next()).attempt());
+        assertEquals(2, ((Input.AttemptAnswered) next()).attempt());
         assertEquals(true, sameConnection(first, second));
         onLoop(() -> {}); // all received input is processed
         loop.time += limits.lineQuiet() + 1;
@@ -416,7 +416,7 @@
         onLoop(() -> connections.send(another));
         assertEquals(new Input.NoConnectionAvailable(100), next(), "all are in use");
         answer(oldest, "i1", "absent");
-        assertEquals(1, ((Input.Answered) next()).attempt());
+        assertEquals(1, ((Input.AttemptAnswered) next()).attempt());
         onLoop(() -> connections.send(another));
         assertEquals(new Input.AttemptWritten(100), next());
         assertEquals(-1, oldest.from().getInputStream().read(), "it was closed to free its slot");
@@ -450,7 +450,7 @@
         ReceivedLine first = sendAndReceive(1, "a");
         sendAndReceive(2, "b");
         write(first, "b absent - 0\r\n\r\na data entity=e,issued=1 10\r\nhalf");
-        assertEquals(2, ((Input.Answered) next()).attempt());
+        assertEquals(2, ((Input.AttemptAnswered) next()).attempt());
         onLoop(() -> {}); // all received input is processed
         loop.time += limits.lineQuiet() + limits.lineDead() + 1;
         onLoop(() -> connections.sweep(loop.time));
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -36,7 +36,7 @@
             if (effect instanceof Effect.SendAttempt attempt) {
                 attempt.body().release();
                 accept(new Input.AttemptWritten(attempt.attempt()));
-                accept(new Input.Answered(attempt.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
+                accept(new Input.AttemptAnswered(attempt.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
             } else if (effect instanceof Effect.Answer answer && answer.code() == Effect.Code.SERVED) {
                 served++;
             }
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -121,7 +121,7 @@
                     delay,
                     () -> endAttempt(
                             attempt,
-                            new Input.Answered(
+                            new Input.AttemptAnswered(
                                     attempt.attempt(),
                                     status,
                                     status == AnswerStatus.DATA ? "mem" : null,
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -156,8 +156,8 @@
         onArrivedRequest(r -> actions.accept(new Fetch(r.id(), CACHE, PARENT, 2, maxAge, true, false, false, false, timeout)));
     }
 
-    private static Input.Answered answer(long attempt, AnswerStatus status, Bytes body) {
-        return new Input.Answered(attempt, status, "parent", Map.of("inflight", 7.0), body);
+    private static Input.AttemptAnswered answer(long attempt, AnswerStatus status, Bytes body) {
+        return new Input.AttemptAnswered(attempt, status, "parent", Map.of("inflight", 7.0), body);
     }
 
     @Test
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -98,7 +98,7 @@
                                 ? new Input.NeverSent(key)
                                 : outcome == 1
                                         ? new Input.ConnectionLost(key)
-                                        : new Input.Answered(
+                                        : new Input.AttemptAnswered(
                                                 key,
                                                 outcome == 2 ? AnswerStatus.FAILED : outcome == 3 ? AnswerStatus.FULL : AnswerStatus.DATA,
                                                 outcome % 2 == 0 ? "mem" : "parent",
