--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -459,7 +459,7 @@
                 stream.unreached = false;
                 loop.submit(
                         unreached
-                                ? new Input.NeverSent(ended.key())
+                                ? new Input.AttemptNeverSent(ended.key())
                                 : status == null
                                         ? new Input.ConnectionLost(ended.key())
                                         : new Input.AttemptAnswered(ended.key(), status, stream.note, Map.of(), Bytes.NONE));
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -257,7 +257,7 @@
                 if (loop.clock() - next.queuedAt() > limits.unwritten()) { // its decision is based on outdated updates
                     request.body().release();
                     connectionByAttempt.remove(request.attempt());
-                    loop.submit(new Input.NeverSent(request.attempt()));
+                    loop.submit(new Input.AttemptNeverSent(request.attempt()));
                     continue;
                 }
                 beingWritten = request;
@@ -434,17 +434,17 @@
             inFlight.values()
                     .forEach(s -> endInputs.add(
                             s.writtenAt() == Long.MAX_VALUE
-                                    ? new Input.NeverSent(s.attempt())
+                                    ? new Input.AttemptNeverSent(s.attempt())
                                     : new Input.ConnectionLost(s.attempt())));
             queue.forEach(queued -> {
                 queued.request().body().release();
-                endInputs.add(new Input.NeverSent(queued.attempt()));
+                endInputs.add(new Input.AttemptNeverSent(queued.attempt()));
             });
             inFlight.keySet().clear();
             queue.clear();
             beingWritten = null;
             for (Input endInput : endInputs) {
-                connectionByAttempt.remove(endInput instanceof Input.ConnectionLost lost ? lost.attempt() : ((Input.NeverSent) endInput).attempt());
+                connectionByAttempt.remove(endInput instanceof Input.ConnectionLost lost ? lost.attempt() : ((Input.AttemptNeverSent) endInput).attempt());
                 loop.submit(endInput);
             }
         }
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -86,7 +86,7 @@
     record AttemptWritten(long attempt) implements Input {}
 
     /** An attempt was not completely written, so it never ran. */
-    record NeverSent(long attempt) implements Input {}
+    record AttemptNeverSent(long attempt) implements Input {}
 
     /**
      * All connections of this router to the member are in use: the attempt never ran, and the member has not failed.
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -282,7 +282,7 @@
                     .filter(r -> r.stream.connection() == closed.connection())
                     .toList()
                     .forEach(this::clientLeft);
-        } else if (input instanceof Input.NeverSent unsent) {
+        } else if (input instanceof Input.AttemptNeverSent unsent) {
             endAttempt(attemptsByKey.get(unsent.attempt()), Outcome.CONNECT_FAILED);
         } else if (input instanceof Input.NoConnectionAvailable unavailable) {
             endAttempt(attemptsByKey.get(unavailable.attempt()), Outcome.FULL);
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -207,7 +207,7 @@
             loop.time += limits.unwritten() + 1; // the loop is stalled while the connection is established
             connections.send(attempt(2, "b"));
         });
-        assertEquals(new Input.NeverSent(1), next());
+        assertEquals(new Input.AttemptNeverSent(1), next());
         assertEquals(new Input.AttemptWritten(2), next());
         assertEquals(
                 "ASK b cls=segment,item=o,chunk=0,limit=100 0",
@@ -228,7 +228,7 @@
         listener.close();
         accepting.join(TIMEOUT_MILLIS); // the kernel accepts connections while a thread is blocked in accept
         onLoop(() -> connections.send(attempt));
-        assertEquals(new Input.NeverSent(1), next());
+        assertEquals(new Input.AttemptNeverSent(1), next());
     }
 
     @Test
@@ -242,7 +242,7 @@
                 new Counters(),
                 loop);
         onLoop(() -> failing.send(attempt(1, "a")));
-        assertEquals(new Input.NeverSent(1), next());
+        assertEquals(new Input.AttemptNeverSent(1), next());
         assertEquals(true, group.next().inEventLoop(loop.submitter), "submitted on the event loop's thread");
     }
 
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -108,7 +108,7 @@
         mayHaveRun.add(stream);
         int behaviour = random.nextInt(30);
         if (behaviour == 0) {
-            schedule(random.nextInt(400_000), () -> endAttempt(attempt, new Input.NeverSent(attempt.attempt()), true));
+            schedule(random.nextInt(400_000), () -> endAttempt(attempt, new Input.AttemptNeverSent(attempt.attempt()), true));
             return;
         }
         schedule(0, () -> accept(new Input.AttemptWritten(attempt.attempt())));
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -246,7 +246,7 @@
     void anUnwrittenAttemptNeverRanAndOneWithALostConnectionMayHave() {
         fetchOnArrivedRequest(0, 0);
         sendRequest(1, "segment", Bytes.NONE);
-        accept(new Input.NeverSent(lastSent().attempt()));
+        accept(new Input.AttemptNeverSent(lastSent().attempt()));
         sendRequest(2, "segment", Bytes.NONE);
         accept(new Input.AttemptWritten(lastSent().attempt()));
         accept(new Input.ConnectionLost(lastSent().attempt()));
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -95,7 +95,7 @@
                 reducer.accept(
                         now,
                         outcome == 0
-                                ? new Input.NeverSent(key)
+                                ? new Input.AttemptNeverSent(key)
                                 : outcome == 1
                                         ? new Input.ConnectionLost(key)
                                         : new Input.AttemptAnswered(
