--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -359,7 +359,7 @@
             if (!sentByProxy) {
                 effectSink.accept(new Effect.ReportProtocolError(input.connection()));
             }
-        } else if (unanswered.size() > limits.openRequests()
+        } else if (unanswered.size() > limits.maxOpenRequests()
                 || exitStage == ExitStage.DONE
                 || terminatedAt >= 0 && now >= terminatedAt + limits.lastAfterTerm()) {
             counters.add(Name.TURNED_AWAY);
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -9,7 +9,7 @@
  * unless noted otherwise, sizes in bytes.
  */
 public record ResourceLimits(
-        int openRequests, // open requests of the router
+        int maxOpenRequests, // open requests of the router
         int openPerClient, // open requests of one client connection
         int clients, // client connections
         int frameBytes, // largest frame of a client
