--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -253,7 +253,7 @@
             onInvalidRequest();
             return;
         }
-        boolean tooMany = openStreams.size() > limits.openPerClient();
+        boolean tooMany = openStreams.size() > limits.maxOpenRequestsPerClient();
         // a client that does not read its answers is refused, but its connection is still read, so that its close is
         // seen
         if (tooMany
