--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -206,13 +206,13 @@
      * request, else the one that has been idle for longest, so that unused connections do not keep new clients out.
      */
     private boolean reserveClientSlot() {
-        if (allClients.size() >= limits.clients() + limits.clients() / 8) { // at most an eighth more, which are closing
+        if (allClients.size() >= limits.maxClients() + limits.maxClients() / 8) { // at most an eighth more, which are closing
             allClients.stream()
                     .filter(c -> c.stage() == ClientConnection.Stage.RELEASING)
                     .findFirst()
                     .ifPresent(c -> c.closeNow("it is already being closed, and its slot is needed"));
         }
-        if (clients.size() < limits.clients()) {
+        if (clients.size() < limits.maxClients()) {
             return true;
         }
         Optional<ClientConnection> silent =
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -11,7 +11,7 @@
 public record ResourceLimits(
         int maxOpenRequests, // open requests of the router
         int maxOpenRequestsPerClient, // open requests of one client connection
-        int clients, // client connections
+        int maxClients, // client connections
         int frameBytes, // largest frame of a client
         int requestBytes, // largest body of a request
         int answerBytes, // largest body of an answer
