--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -116,7 +116,7 @@
                 handleFrame((ByteBuf) message);
             } else {
                 discardedBytes += ((ByteBuf) message).readableBytes();
-                if (discardedBytes > limits.frameBytes()) {
+                if (discardedBytes > limits.maxFrameBytes()) {
                     ctx.close();
                 }
             }
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -178,7 +178,7 @@
                                 new ClientConnection(++lastConnectionId, limits, budget, counters, NodeServer.this);
                         allClients.add(client);
                         ch.closeFuture().addListener(done -> allClients.remove(client));
-                        ch.pipeline().addLast(new FrameDecoder(limits.frameBytes()), client);
+                        ch.pipeline().addLast(new FrameDecoder(limits.maxFrameBytes()), client);
                     }
                 })
                 .bind(new InetSocketAddress(
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -12,7 +12,7 @@
         int maxOpenRequests, // open requests of the router
         int maxOpenRequestsPerClient, // open requests of one client connection
         int maxClients, // client connections
-        int frameBytes, // largest frame of a client
+        int maxFrameBytes, // largest frame of a client
         int requestBytes, // largest body of a request
         int answerBytes, // largest body of an answer
         int lineBytes, // longest header line of an answer
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -66,7 +66,7 @@
     private void open() {
         loop.inputs.clear();
         connection = new ClientConnection(1, limits, new BufferBudget(() -> usedBytes, 1_000_000), new Counters(), loop);
-        channel = new EmbeddedChannel(new FrameDecoder(limits.frameBytes()), connection);
+        channel = new EmbeddedChannel(new FrameDecoder(limits.maxFrameBytes()), connection);
     }
 
     @AfterEach
