--- a/src/main/java/pumicemoor/net/ClientFrame.java
+++ b/src/main/java/pumicemoor/net/ClientFrame.java
@@ -43,7 +43,7 @@
     /** Decodes the rest of a request frame, after its type and stream; the body remains a slice of the frame. */
     static Input.Request request(long connection, int stream, ByteBuf frame, ResourceLimits limits) {
         Map<String, String> fields = fields(frame);
-        if (frame.readableBytes() > limits.requestBytes()) {
+        if (frame.readableBytes() > limits.maxRequestBytes()) {
             throw new CorruptedFrameException("request body of " + frame.readableBytes() + " bytes is too long");
         }
         String tag = fields.get("ver");
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -13,7 +13,7 @@
         int maxOpenRequestsPerClient, // open requests of one client connection
         int maxClients, // client connections
         int maxFrameBytes, // largest frame of a client
-        int requestBytes, // largest body of a request
+        int maxRequestBytes, // largest body of a request
         int answerBytes, // largest body of an answer
         int lineBytes, // longest header line of an answer
         long bufferedBytes, // memory of all network buffers together
