--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -14,7 +14,7 @@
         int maxClients, // client connections
         int maxFrameBytes, // largest frame of a client
         int maxRequestBytes, // largest body of a request
-        int answerBytes, // largest body of an answer
+        int maxAnswerBytes, // largest body of an answer
         int lineBytes, // longest header line of an answer
         long bufferedBytes, // memory of all network buffers together
         int clientBacklogBytes, // high-water mark of the write buffer of a client connection
