--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -183,7 +183,7 @@
         private final Deque<QueuedAttempt> queue = new ArrayDeque<>();
         private final Map<String, AttemptInFlight> inFlight = new LinkedHashMap<>();
         private final Map<String, EndedId> endedIds = new LinkedHashMap<>(); // by id; an answer may still arrive
-        private final AnswerDecoder decoder = new AnswerDecoder(limits.lineBytes(), limits.maxAnswerBytes(), budget);
+        private final AnswerDecoder decoder = new AnswerDecoder(limits.maxAnswerHeaderBytes(), limits.maxAnswerBytes(), budget);
         private Effect.SendAttempt beingWritten;
         private Channel channel;
         private boolean connected;
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -54,7 +54,7 @@
         reducer = new Reducer(new Logic(config.settingsReader().settings(), config.seed()), config.settingsReader(), limits, counters);
         client = new ClientConnection(1, limits, budget, counters, this);
         fromClient = new EmbeddedChannel(new FrameDecoder(limits.maxFrameBytes()), client);
-        fromCache = new EmbeddedChannel(new AnswerDecoder(limits.lineBytes(), limits.maxAnswerBytes(), budget));
+        fromCache = new EmbeddedChannel(new AnswerDecoder(limits.maxAnswerHeaderBytes(), limits.maxAnswerBytes(), budget));
         reducer.applyInitialUpdates(clock, config, effects::add);
         executeEffects();
     }
