--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -101,7 +101,7 @@
                 .group(group)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, PooledByteBufAllocator.DEFAULT);
-        this.budget = new BufferBudget(PooledByteBufAllocator.DEFAULT::pinnedDirectMemory, limits.bufferedBytes());
+        this.budget = new BufferBudget(PooledByteBufAllocator.DEFAULT::pinnedDirectMemory, limits.maxBufferedBytes());
         this.cacheConnections = new CacheConnections(bootstrap, limits, budget, counters, this);
         this.coordinator = new CoordinatorStream(bootstrap, limits, reducer::lastEventIndex, counters, this);
     }
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -48,7 +48,7 @@
     private long clock;
 
     WarmUp(NodeConfig config, ResourceLimits limits, long now) {
-        BufferBudget budget = new BufferBudget(() -> 0, limits.bufferedBytes());
+        BufferBudget budget = new BufferBudget(() -> 0, limits.maxBufferedBytes());
         classes = config.settingsReader().settings().classes();
         clock = now;
         reducer = new Reducer(new Logic(config.settingsReader().settings(), config.seed()), config.settingsReader(), limits, counters);
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -16,7 +16,7 @@
         int maxRequestBytes, // largest body of a request
         int maxAnswerBytes, // largest body of an answer
         int maxAnswerHeaderBytes, // longest header line of an answer
-        long bufferedBytes, // memory of all network buffers together
+        long maxBufferedBytes, // memory of all network buffers together
         int clientBacklogBytes, // high-water mark of the write buffer of a client connection
         int lineBacklogBytes, // high-water mark of the write buffer of a connection to a member
         long sweep, // interval of the checks for idle and dead connections
