--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -58,7 +58,7 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(limits.lineBacklogBytes() / 2, limits.lineBacklogBytes()));
+                        new WriteBufferWaterMark(limits.memberBacklogBytes() / 2, limits.memberBacklogBytes()));
     }
 
     void send(Effect.SendAttempt request) {
