--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -137,7 +137,7 @@
                     reducer.applyOperatorConfig(clock(), operatorConfig, config.location(), config.name(), config.seed());
                     reducer.applyInitialUpdates(clock(), config, effects::add);
                     processInbox();
-                    loop.scheduleAtFixedRate(this::sweep, limits.sweep(), limits.sweep(), TimeUnit.MICROSECONDS);
+                    loop.scheduleAtFixedRate(this::sweep, limits.sweepInterval(), limits.sweepInterval(), TimeUnit.MICROSECONDS);
                     coordinator.follow(config.coordinator());
                 })
                 .sync();
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -19,7 +19,7 @@
         long maxBufferedBytes, // memory of all network buffers together
         int clientBacklogBytes, // high-water mark of the write buffer of a client connection
         int memberBacklogBytes, // high-water mark of the write buffer of a connection to a member
-        long sweep, // interval of the checks for idle and dead connections
+        long sweepInterval, // interval of the checks for idle and dead connections
         long clientFirst, // wait for the first request of a client, and for the rest of a frame
         long clientIdle, // without requests until a client connection counts as idle
         long clientLeave, // from the signal to an idle client to leave until its connection is closed
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -235,8 +235,8 @@
         for (byte[] beginning : starts) {
             open();
             write(beginning);
-            for (int i = 0; i < 3_000_000 / limits.sweep(); i++) {
-                loop.time += limits.sweep();
+            for (int i = 0; i < 3_000_000 / limits.sweepInterval(); i++) {
+                loop.time += limits.sweepInterval();
                 connection.sweep(loop.time);
             }
             assertFalse(channel.isOpen(), "after " + beginning.length + " bytes");
