--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -416,9 +416,9 @@
         partialFrameSince = decoder == null || !decoder.hasPartialFrame() ? -1 : partialFrameSince < 0 ? now : partialFrameSince;
         if (backlog > 0 && now - activeAt > limits.clientStall()) {
             closeNow("its answers are not read");
-        } else if (partialFrameSince >= 0 && now - partialFrameSince > limits.clientFirst()) {
+        } else if (partialFrameSince >= 0 && now - partialFrameSince > limits.clientRequestTimeout()) {
             closeWithError("a frame was sent only in part");
-        } else if (!sentValidRequest && openStreams.isEmpty() && now - openedAt > limits.clientFirst()) {
+        } else if (!sentValidRequest && openStreams.isEmpty() && now - openedAt > limits.clientRequestTimeout()) {
             closeWithError("no valid request was sent");
         } else if (backlog == 0 && openStreams.isEmpty() && now - activeAt > limits.clientIdle()) {
             closeIdle(now);
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -247,12 +247,12 @@
     @Test
     void clientWithAValidRequestMayIdleButAPartialFrameEndsIt() {
         write(frame(1, 3, Map.of(), new byte[0]));
-        loop.time += limits.clientFirst() * 2;
+        loop.time += limits.clientRequestTimeout() * 2;
         connection.sweep(loop.time);
         assertTrue(channel.isOpen());
         write(new byte[] {0, 0});
         connection.sweep(loop.time);
-        loop.time += limits.clientFirst() + 1;
+        loop.time += limits.clientRequestTimeout() + 1;
         connection.sweep(loop.time);
         assertFalse(channel.isOpen());
         written();
