--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -420,7 +420,7 @@
             closeWithError("a frame was sent only in part");
         } else if (!sentValidRequest && openStreams.isEmpty() && now - openedAt > limits.clientRequestTimeout()) {
             closeWithError("no valid request was sent");
-        } else if (backlog == 0 && openStreams.isEmpty() && now - activeAt > limits.clientIdle()) {
+        } else if (backlog == 0 && openStreams.isEmpty() && now - activeAt > limits.clientIdleTimeout()) {
             closeIdle(now);
         }
     }
@@ -429,7 +429,7 @@
     private void closeIdle(long now) {
         if (stage == Stage.OPEN) {
             drain();
-        } else if (now - activeAt > limits.clientIdle() + limits.clientLeave()) {
+        } else if (now - activeAt > limits.clientIdleTimeout() + limits.clientLeave()) {
             readAvailable();
             if (openStreams.isEmpty() && context.channel().isActive()) {
                 closeAfterAnswers();
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -442,7 +442,7 @@
     void idleConnectionIsClosedButNotOneWithAnOpenRequest() {
         write(request(5));
         checkRequest();
-        loop.time += limits.clientIdle() + 1;
+        loop.time += limits.clientIdleTimeout() + 1;
         connection.sweep(loop.time);
         assertTrue(channel.isOpen());
         connection.answer(new Effect.Answer(1, 5, Code.FAILED, false, 0, Bytes.NONE));
