--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -429,7 +429,7 @@
     private void closeIdle(long now) {
         if (stage == Stage.OPEN) {
             drain();
-        } else if (now - activeAt > limits.clientIdleTimeout() + limits.clientLeave()) {
+        } else if (now - activeAt > limits.clientIdleTimeout() + limits.clientDrainTime()) {
             readAvailable();
             if (openStreams.isEmpty() && context.channel().isActive()) {
                 closeAfterAnswers();
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -450,7 +450,7 @@
         connection.sweep(loop.time);
         assertEquals("00000005" + "03" + "00000000", written(), "a drain comes first, so that no request crosses the close");
         assertTrue(channel.isOpen());
-        loop.time += limits.clientLeave();
+        loop.time += limits.clientDrainTime();
         connection.sweep(loop.time);
         assertFalse(channel.isOpen());
     }
