--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -339,7 +339,7 @@
             context.writeAndFlush(context.alloc().buffer(0)).addListener(done -> {
                 if (done.isSuccess() && context.channel() instanceof DuplexChannel duplex) {
                     duplex.shutdownOutput();
-                    context.executor().schedule(() -> context.close(), limits.clientRelease(), TimeUnit.MICROSECONDS);
+                    context.executor().schedule(() -> context.close(), limits.clientCloseDelay(), TimeUnit.MICROSECONDS);
                 } else {
                     context.close();
                 }
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -23,7 +23,7 @@
         long clientRequestTimeout, // wait for the first request of a client, and for the rest of a frame
         long clientIdleTimeout, // without requests until a client connection counts as idle
         long clientDrainTime, // from the signal to an idle client to leave until its connection is closed
-        long clientRelease, // delay before a released client connection is closed
+        long clientCloseDelay, // delay before a released client connection is closed
         long clientStall, // for which a client may leave its answers unread
         int streamsKnown, // stream numbers remembered per client
         int misuses, // protocol errors after which a client is disconnected
