--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -414,7 +414,7 @@
         }
         FrameDecoder decoder = context.pipeline().get(FrameDecoder.class);
         partialFrameSince = decoder == null || !decoder.hasPartialFrame() ? -1 : partialFrameSince < 0 ? now : partialFrameSince;
-        if (backlog > 0 && now - activeAt > limits.clientStall()) {
+        if (backlog > 0 && now - activeAt > limits.clientStallTimeout()) {
             closeNow("its answers are not read");
         } else if (partialFrameSince >= 0 && now - partialFrameSince > limits.clientRequestTimeout()) {
             closeWithError("a frame was sent only in part");
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -24,7 +24,7 @@
         long clientIdleTimeout, // without requests until a client connection counts as idle
         long clientDrainTime, // from the signal to an idle client to leave until its connection is closed
         long clientCloseDelay, // delay before a released client connection is closed
-        long clientStall, // for which a client may leave its answers unread
+        long clientStallTimeout, // for which a client may leave its answers unread
         int streamsKnown, // stream numbers remembered per client
         int misuses, // protocol errors after which a client is disconnected
         long longestTtl, // longest time to live that a client may give a request
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -430,7 +430,7 @@
         connection.answer(
                 new Effect.Answer(1, 5, Code.SERVED, false, 0, NettyBytes.of(Unpooled.copiedBuffer(new byte[100]))));
         connection.sweep(loop.time);
-        loop.time += limits.clientStall();
+        loop.time += limits.clientStallTimeout();
         connection.sweep(loop.time);
         assertTrue(channel.isOpen());
         loop.time++;
