--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -279,7 +279,7 @@
         if (Integer.compareUnsigned(stream, usedStreamsUpTo) <= 0 || !usedStreams.add(stream)) {
             return false;
         }
-        while (!usedStreams.isEmpty() && (usedStreams.first() == usedStreamsUpTo + 1 || usedStreams.size() > limits.streamsKnown())) {
+        while (!usedStreams.isEmpty() && (usedStreams.first() == usedStreamsUpTo + 1 || usedStreams.size() > limits.maxTrackedStreams())) {
             usedStreamsUpTo = usedStreams.pollFirst();
         }
         return true;
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -25,7 +25,7 @@
         long clientDrainTime, // from the signal to an idle client to leave until its connection is closed
         long clientCloseDelay, // delay before a released client connection is closed
         long clientStallTimeout, // for which a client may leave its answers unread
-        int streamsKnown, // stream numbers remembered per client
+        int maxTrackedStreams, // stream numbers remembered per client
         int misuses, // protocol errors after which a client is disconnected
         long longestTtl, // longest time to live that a client may give a request
         long pushback, // milliseconds after which a refused client may retry, 0 for no advice
