--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -287,7 +287,7 @@
 
     /** Counts an invalid request, which has already been answered; after too many the connection is closed. */
     void onInvalidRequest() {
-        if (++invalidRequests >= limits.misuses()) {
+        if (++invalidRequests >= limits.maxProtocolErrors()) {
             closeWithError("too many invalid requests");
         }
     }
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -26,7 +26,7 @@
         long clientCloseDelay, // delay before a released client connection is closed
         long clientStallTimeout, // for which a client may leave its answers unread
         int maxTrackedStreams, // stream numbers remembered per client
-        int misuses, // protocol errors after which a client is disconnected
+        int maxProtocolErrors, // protocol errors after which a client is disconnected
         long longestTtl, // longest time to live that a client may give a request
         long pushback, // milliseconds after which a refused client may retry, 0 for no advice
         int complaints, // warnings about peers per second
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -188,7 +188,7 @@
         for (String[] change : invalidChanges) {
             write(request(++stream, change));
             String answer = "00000007" + "08" + String.format("%08x", stream) + "09" + "00";
-            if (stream % limits.misuses() != 0) {
+            if (stream % limits.maxProtocolErrors() != 0) {
                 assertEquals(answer, written());
                 assertTrue(channel.isOpen());
             } else { // too many invalid requests close the connection
