--- a/src/main/java/pumicemoor/net/ClientFrame.java
+++ b/src/main/java/pumicemoor/net/ClientFrame.java
@@ -56,7 +56,7 @@
                 (int) number(fields, "piece", 0, Integer.MAX_VALUE),
                 (int) number(fields, "lot", -1, MAX_GROUP),
                 tag != null && TOKEN.matcher(tag).matches() ? tag : null,
-                number(fields, "ttl", -1, limits.longestTtl() / 1_000),
+                number(fields, "ttl", -1, limits.maxTtl() / 1_000),
                 clientRetry(fields),
                 frame.isReadable() ? NettyBytes.of(frame.readRetainedSlice(frame.readableBytes())) : Bytes.NONE);
     }
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -27,7 +27,7 @@
         long clientStallTimeout, // for which a client may leave its answers unread
         int maxTrackedStreams, // stream numbers remembered per client
         int maxProtocolErrors, // protocol errors after which a client is disconnected
-        long longestTtl, // longest time to live that a client may give a request
+        long maxTtl, // longest time to live that a client may give a request
         long pushback, // milliseconds after which a refused client may retry, 0 for no advice
         int complaints, // warnings about peers per second
         int lines, // connections to members
