--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -261,7 +261,7 @@
                 || !budget.hasCapacity(request.body().size())) {
             counters.add(Name.TURNED_AWAY);
             request.body().release();
-            answer(new Effect.Answer(connectionId, stream, Code.REFUSED, false, limits.pushback(), Bytes.NONE));
+            answer(new Effect.Answer(connectionId, stream, Code.REFUSED, false, limits.retryAfterMillis(), Bytes.NONE));
             if (tooMany) {
                 onInvalidRequest();
             }
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -363,7 +363,7 @@
                 || exitStage == ExitStage.DONE
                 || terminatedAt >= 0 && now >= terminatedAt + limits.lastAfterTerm()) {
             counters.add(Name.TURNED_AWAY);
-            answer(request, Code.REFUSED, false, limits.pushback(), Bytes.NONE);
+            answer(request, Code.REFUSED, false, limits.retryAfterMillis(), Bytes.NONE);
         } else {
             request.requestClass = requestClass;
             requestsById.put(request.id, request);
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -28,7 +28,7 @@
         int maxTrackedStreams, // stream numbers remembered per client
         int maxProtocolErrors, // protocol errors after which a client is disconnected
         long maxTtl, // longest time to live that a client may give a request
-        long pushback, // milliseconds after which a refused client may retry, 0 for no advice
+        long retryAfterMillis, // milliseconds after which a refused client may retry, 0 for no advice
         int complaints, // warnings about peers per second
         int lines, // connections to members
         int linesPerMember, // connections to one member
