--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -96,7 +96,7 @@
         this.limits = ResourceLimits.of(config.settingsReader().settings(), config.resources());
         this.reducer =
                 new Reducer(new Logic(config.settingsReader().settings(), config.seed()), config.settingsReader(), limits, counters);
-        this.errorLog = new RateLimitedLog(LOG, limits.complaints());
+        this.errorLog = new RateLimitedLog(LOG, limits.warningsPerSecond());
         Bootstrap bootstrap = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -211,7 +211,7 @@
         this.settingsReader = settingsReader;
         this.limits = limits;
         this.counters = counters;
-        this.warningLog = new RateLimitedLog(LOG, limits.complaints());
+        this.warningLog = new RateLimitedLog(LOG, limits.warningsPerSecond());
         this.fleetLog = new RateLimitedLog(LOG, limits.fleetLines());
         this.endpointLog = new RateLimitedLog(LOG, limits.fleetLines());
     }
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -29,7 +29,7 @@
         int maxProtocolErrors, // protocol errors after which a client is disconnected
         long maxTtl, // longest time to live that a client may give a request
         long retryAfterMillis, // milliseconds after which a refused client may retry, 0 for no advice
-        int complaints, // warnings about peers per second
+        int warningsPerSecond, // warnings about peers per second
         int lines, // connections to members
         int linesPerMember, // connections to one member
         int attemptsPerLine, // attempts at once on one connection to a member
