--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -100,7 +100,7 @@
      */
     private boolean ensureCapacityForAnother() {
         List<Connection> all = connectionsByInstance.values().stream().flatMap(List::stream).toList();
-        if (all.size() < limits.lines()) {
+        if (all.size() < limits.maxMemberConnections()) {
             return true;
         }
         Optional<Connection> leastRecentlyUsed = all.stream().filter(Connection::isIdle).min(Comparator.comparingLong(c -> c.lastUsedAt));
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -30,7 +30,7 @@
         long maxTtl, // longest time to live that a client may give a request
         long retryAfterMillis, // milliseconds after which a refused client may retry, 0 for no advice
         int warningsPerSecond, // warnings about peers per second
-        int lines, // connections to members
+        int maxMemberConnections, // connections to members
         int linesPerMember, // connections to one member
         int attemptsPerLine, // attempts at once on one connection to a member
         long connectTimeout, // for a connection to a member
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -404,7 +404,7 @@
                 new Counters(),
                 loop);
         ReceivedLine oldest = null;
-        for (int i = 1; i <= limits.lines(); i++) {
+        for (int i = 1; i <= limits.maxMemberConnections(); i++) {
             loop.time++;
             Effect.SendAttempt attempt = attemptTo("s-" + i, i);
             onLoop(() -> connections.send(attempt));
