--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -64,7 +64,7 @@
     void send(Effect.SendAttempt request) {
         List<Connection> pool = connectionsByInstance.computeIfAbsent(request.instance(), i -> new ArrayList<>());
         Connection connection = pool.stream().filter(c -> c.accepts(request)).findFirst().orElse(null);
-        if (connection == null && pool.size() >= limits.linesPerMember()) {
+        if (connection == null && pool.size() >= limits.maxConnectionsPerMember()) {
             // at the limit of connections to the member, an answered id may be reused on one of them; an abandoned id
             // may not, as its answer may still arrive
             connection = pool.stream().filter(c -> c.acceptsReusedId(request)).findFirst().orElse(null);
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -31,7 +31,7 @@
         long retryAfterMillis, // milliseconds after which a refused client may retry, 0 for no advice
         int warningsPerSecond, // warnings about peers per second
         int maxMemberConnections, // connections to members
-        int linesPerMember, // connections to one member
+        int maxConnectionsPerMember, // connections to one member
         int attemptsPerLine, // attempts at once on one connection to a member
         long connectTimeout, // for a connection to a member
         long unwritten, // until an attempt that is not completely written has failed
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -345,11 +345,11 @@
 
     @Test
     void atTheConnectionLimitAnAnsweredIdIsReusedButNotAnAbandonedOne() throws Exception {
-        for (int i = 1; i <= limits.linesPerMember() + 1; i++) {
+        for (int i = 1; i <= limits.maxConnectionsPerMember() + 1; i++) {
             answer(sendAndReceive(i, "a"), "a", "failed");
             assertEquals(i, ((Input.AttemptAnswered) next()).attempt());
         }
-        for (int i = 1; i <= limits.linesPerMember(); i++) {
+        for (int i = 1; i <= limits.maxConnectionsPerMember(); i++) {
             sendAndReceive(100 + i, "b");
             abandon(100 + i);
             received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
