--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -235,7 +235,7 @@
         boolean acceptsReusedId(Effect.SendAttempt request) {
             return !retired
                     && !closed
-                    && inFlight.size() + queue.size() < limits.attemptsPerLine()
+                    && inFlight.size() + queue.size() < limits.maxAttemptsPerConnection()
                     && !inFlight.containsKey(request.id())
                     && !endedIds.getOrDefault(request.id(), EndedId.ANSWERED).abandoned()
                     && queue.stream().noneMatch(q -> q.request().id().equals(request.id()));
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -32,7 +32,7 @@
         int warningsPerSecond, // warnings about peers per second
         int maxMemberConnections, // connections to members
         int maxConnectionsPerMember, // connections to one member
-        int attemptsPerLine, // attempts at once on one connection to a member
+        int maxAttemptsPerConnection, // attempts at once on one connection to a member
         long connectTimeout, // for a connection to a member
         long unwritten, // until an attempt that is not completely written has failed
         long lineIdle, // until an idle connection to a member is closed
