--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -525,7 +525,7 @@
                     fetch.renew()));
             return;
         }
-        addTimer(now + limits.unwritten(), TimerKind.WRITE_TIMEOUT, attempt.key);
+        addTimer(now + limits.writeTimeout(), TimerKind.WRITE_TIMEOUT, attempt.key);
         effectSink.accept(new Effect.SendAttempt(
                 attempt.key,
                 target.instance(),
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -34,7 +34,7 @@
         int maxConnectionsPerMember, // connections to one member
         int maxAttemptsPerConnection, // attempts at once on one connection to a member
         long connectTimeout, // for a connection to a member
-        long unwritten, // until an attempt that is not completely written has failed
+        long writeTimeout, // until an attempt that is not completely written has failed
         long lineIdle, // until an idle connection to a member is closed
         long lineAbandoned, // until a connection is closed on which answers no longer arrive
         long lineQuiet, // without data from a member that owes answers, until it is probed
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -204,7 +204,7 @@
     void requestQueuedForTooLongIsNotSentThoughItsTimeoutHasNotFiredYet() throws Exception {
         onLoop(() -> {
             connections.send(attempt(1, "a"));
-            loop.time += limits.unwritten() + 1; // the loop is stalled while the connection is established
+            loop.time += limits.writeTimeout() + 1; // the loop is stalled while the connection is established
             connections.send(attempt(2, "b"));
         });
         assertEquals(new Input.AttemptNeverSent(1), next());
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -261,12 +261,12 @@
         fetchOnArrivedRequest(0, 0);
         sendRequest(1, "segment", Bytes.NONE);
         long attempt = lastSent().attempt();
-        advance(limits.unwritten());
+        advance(limits.writeTimeout());
         assertEquals(attempt, ofType(effects, Effect.AbandonAttempt.class).get(0).attempt());
         assertEquals(
                 Outcome.CONNECT_FAILED, ofType(events, AttemptEnded.class).get(0).outcome());
-        assertTrue(limits.unwritten() < config.settingsReader().settings().rules().purgeGrace());
-        assertTrue(limits.unwritten() < config.settingsReader().settings().rules().drainGrace());
+        assertTrue(limits.writeTimeout() < config.settingsReader().settings().rules().purgeGrace());
+        assertTrue(limits.writeTimeout() < config.settingsReader().settings().rules().drainGrace());
     }
 
     @Test
