--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -35,7 +35,7 @@
         int maxAttemptsPerConnection, // attempts at once on one connection to a member
         long connectTimeout, // for a connection to a member
         long writeTimeout, // until an attempt that is not completely written has failed
-        long lineIdle, // until an idle connection to a member is closed
+        long connectionIdleTimeout, // until an idle connection to a member is closed
         long lineAbandoned, // until a connection is closed on which answers no longer arrive
         long lineQuiet, // without data from a member that owes answers, until it is probed
         long lineDead, // until a probe that gets no reply closes the connection
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -277,7 +277,7 @@
         ReceivedLine first = sendAndReceive(1, "a");
         answer(first, "a", "absent");
         next();
-        loop.time += limits.lineIdle() + 1;
+        loop.time += limits.connectionIdleTimeout() + 1;
         onLoop(() -> connections.sweep(loop.time));
         assertEquals(false, sameConnection(first, sendAndReceive(2, "b")));
     }
