--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -141,7 +141,7 @@
         for (List<Connection> pool : List.copyOf(connectionsByInstance.values())) {
             List.copyOf(pool).stream()
                     .filter(c -> c.isIdle() && c.retired
-                            || now - c.lastUsedAt > (c.isIdle() ? limits.connectionIdleTimeout() : limits.lineAbandoned()))
+                            || now - c.lastUsedAt > (c.isIdle() ? limits.connectionIdleTimeout() : limits.abandonedConnectionTimeout()))
                     .forEach(Connection::close);
         }
     }
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -36,7 +36,7 @@
         long connectTimeout, // for a connection to a member
         long writeTimeout, // until an attempt that is not completely written has failed
         long connectionIdleTimeout, // until an idle connection to a member is closed
-        long lineAbandoned, // until a connection is closed on which answers no longer arrive
+        long abandonedConnectionTimeout, // until a connection is closed on which answers no longer arrive
         long lineQuiet, // without data from a member that owes answers, until it is probed
         long lineDead, // until a probe that gets no reply closes the connection
         long idKept, // for which the id of an ended attempt is remembered on its connection
