--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -348,12 +348,12 @@
             }
             long silence = now - Math.max(lastReadAt, oldestWrittenAt);
             if (decoder.hasPartialAnswer()
-                    ? silence > limits.lineQuiet() + limits.lineDead()
+                    ? silence > limits.livenessProbeDelay() + limits.lineDead()
                     : probeSentAt >= 0 && now - probeSentAt > limits.lineDead()) {
                 counters.add(Name.LINES_DEAD);
                 loop.complain("a connection to member " + instance + " was closed: it shows no sign of life");
                 close();
-            } else if (probeSentAt < 0 && !decoder.hasPartialAnswer() && beingWritten == null && silence > limits.lineQuiet()) {
+            } else if (probeSentAt < 0 && !decoder.hasPartialAnswer() && beingWritten == null && silence > limits.livenessProbeDelay()) {
                 probeSentAt = now;
                 channel.writeAndFlush(CacheProtocol.noop(channel.alloc()), channel.voidPromise());
             }
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -373,7 +373,7 @@
     @Test
     void connectionThatDoesNotAnswerTheProbeIsClosedAndOneThatDoesIsNot() throws Exception {
         ReceivedLine first = sendAndReceive(1, "a");
-        loop.time += limits.lineQuiet() + 1;
+        loop.time += limits.livenessProbeDelay() + 1;
         onLoop(() -> connections.sweep(loop.time));
         assertEquals("NOOP life", received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
         write(first, "life well - 0\r\n\r\n");
@@ -382,7 +382,7 @@
         assertEquals(2, ((Input.AttemptAnswered) next()).attempt());
         assertEquals(true, sameConnection(first, second));
         onLoop(() -> {}); // all received input is processed
-        loop.time += limits.lineQuiet() + 1;
+        loop.time += limits.livenessProbeDelay() + 1;
         onLoop(() -> connections.sweep(loop.time));
         assertEquals("NOOP life", received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
         loop.time += limits.lineDead();
@@ -452,7 +452,7 @@
         write(first, "b absent - 0\r\n\r\na data entity=e,issued=1 10\r\nhalf");
         assertEquals(2, ((Input.AttemptAnswered) next()).attempt());
         onLoop(() -> {}); // all received input is processed
-        loop.time += limits.lineQuiet() + limits.lineDead() + 1;
+        loop.time += limits.livenessProbeDelay() + limits.lineDead() + 1;
         onLoop(() -> connections.sweep(loop.time));
         assertEquals(new Input.ConnectionLost(1), next());
     }
