--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -348,8 +348,8 @@
             }
             long silence = now - Math.max(lastReadAt, oldestWrittenAt);
             if (decoder.hasPartialAnswer()
-                    ? silence > limits.livenessProbeDelay() + limits.lineDead()
-                    : probeSentAt >= 0 && now - probeSentAt > limits.lineDead()) {
+                    ? silence > limits.livenessProbeDelay() + limits.livenessProbeTimeout()
+                    : probeSentAt >= 0 && now - probeSentAt > limits.livenessProbeTimeout()) {
                 counters.add(Name.LINES_DEAD);
                 loop.complain("a connection to member " + instance + " was closed: it shows no sign of life");
                 close();
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -385,7 +385,7 @@
         loop.time += limits.livenessProbeDelay() + 1;
         onLoop(() -> connections.sweep(loop.time));
         assertEquals("NOOP life", received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
-        loop.time += limits.lineDead();
+        loop.time += limits.livenessProbeTimeout();
         onLoop(() -> connections.sweep(loop.time));
         loop.time += 1;
         onLoop(() -> connections.sweep(loop.time));
@@ -452,7 +452,7 @@
         write(first, "b absent - 0\r\n\r\na data entity=e,issued=1 10\r\nhalf");
         assertEquals(2, ((Input.AttemptAnswered) next()).attempt());
         onLoop(() -> {}); // all received input is processed
-        loop.time += limits.livenessProbeDelay() + limits.lineDead() + 1;
+        loop.time += limits.livenessProbeDelay() + limits.livenessProbeTimeout() + 1;
         onLoop(() -> connections.sweep(loop.time));
         assertEquals(new Input.ConnectionLost(1), next());
     }
