--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -328,7 +328,7 @@
         private void rememberEndedId(String id, boolean abandoned) {
             long now = loop.clock();
             Iterator<EndedId> oldest = endedIds.values().iterator();
-            while (oldest.hasNext() && now - oldest.next().endedAt() > limits.idKept()) {
+            while (oldest.hasNext() && now - oldest.next().endedAt() > limits.endedIdRetention()) {
                 oldest.remove();
             }
             endedIds.put(id, new EndedId(now, abandoned));
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -39,7 +39,7 @@
         long abandonedConnectionTimeout, // until a connection is closed on which answers no longer arrive
         long livenessProbeDelay, // without data from a member that owes answers, until it is probed
         long livenessProbeTimeout, // until a probe that gets no reply closes the connection
-        long idKept, // for which the id of an ended attempt is remembered on its connection
+        long endedIdRetention, // for which the id of an ended attempt is remembered on its connection
         long feedSilence, // without data until the coordinator stream counts as lost
         long feedConnect, // for a connection to the coordinator
         long feedRetry, // mean delay before the coordinator stream is opened again
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -363,7 +363,7 @@
         ReceivedLine first = sendAndReceive(1, "a");
         answer(first, "a", "absent");
         next();
-        loop.time += limits.idKept() + 1;
+        loop.time += limits.endedIdRetention() + 1;
         ReceivedLine other = sendAndReceive(2, "b");
         answer(other, "b", "absent");
         next();
