--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -109,7 +109,7 @@
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
         Channel connection = connecting.channel();
         pendingAttempts.add(connection);
-        connectAfter(limits.feedSilence());
+        connectAfter(limits.coordinatorSilenceTimeout());
         // where no socket can be opened, Netty calls the listener on a thread other than the event loop's
         connecting.addListener(done -> bootstrap.config().group().next().execute(() -> {
             if (!done.isSuccess()) {
@@ -241,7 +241,7 @@
             if (message instanceof HttpResponse response) {
                 answered = response.status().equals(HttpResponseStatus.OK);
                 if (answered) {
-                    ctx.pipeline().addFirst(new ReadTimeoutHandler(limits.feedSilence(), TimeUnit.MICROSECONDS));
+                    ctx.pipeline().addFirst(new ReadTimeoutHandler(limits.coordinatorSilenceTimeout(), TimeUnit.MICROSECONDS));
                     onAnswer(ctx.channel());
                 } else {
                     LOG.warn("the coordinator answered the stream request with status {}", response.status());
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -366,7 +366,7 @@
 
     private void recoverFromStall(long now) {
         long stallMicros = lastTurnAt == 0 ? 0 : now - lastTurnAt;
-        boolean inContactBefore = coordinator.heartbeatSince(lastTurnAt - limits.feedSilence());
+        boolean inContactBefore = coordinator.heartbeatSince(lastTurnAt - limits.coordinatorSilenceTimeout());
         lastTurnAt = now;
         unreadDelayUntil = 0;
         coordinator.readAvailable();
@@ -374,7 +374,7 @@
         inbox.addUnreadDelay(stallMicros);
         unreadDelayMicros = stallMicros;
         unreadDelayUntil = now + limits.heldUp() / 3; // for connections that are accepted only now
-        if (inContactBefore && !coordinator.heartbeatSince(now - limits.feedSilence())) {
+        if (inContactBefore && !coordinator.heartbeatSince(now - limits.coordinatorSilenceTimeout())) {
             holdRequests(now);
         }
     }
--- a/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
@@ -76,11 +76,11 @@
     void connectionWithoutCommentsTimesOutAndOneWithThemDoesNot() {
         receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
         for (int i = 0; i < 10; i++) {
-            advanceTime(limits.feedSilence() / 2);
+            advanceTime(limits.coordinatorSilenceTimeout() / 2);
             receive(":\n\n");
         }
         assertTrue(channel.isOpen());
-        advanceTime(limits.feedSilence() + 1_000);
+        advanceTime(limits.coordinatorSilenceTimeout() + 1_000);
         assertFalse(channel.isOpen());
     }
 
@@ -117,7 +117,7 @@
         assertTrue(channel.isOpen(), "a comment is sent each second");
         advanceTime(800_000);
         assertFalse(channel.isOpen(), "two seconds of silence are enough");
-        assertTrue(limits.feedSilence() + limits.feedRetry() + limits.feedConnect() < 4_000_000);
+        assertTrue(limits.coordinatorSilenceTimeout() + limits.feedRetry() + limits.feedConnect() < 4_000_000);
     }
 
     @Test
