--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -69,7 +69,7 @@
         this.loop = loop;
         this.bootstrap = bootstrap
                 .clone()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (limits.feedConnect() / 1_000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (limits.coordinatorConnectTimeout() / 1_000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -41,7 +41,7 @@
         long livenessProbeTimeout, // until a probe that gets no reply closes the connection
         long endedIdRetention, // for which the id of an ended attempt is remembered on its connection
         long coordinatorSilenceTimeout, // without data until the coordinator stream counts as lost
-        long feedConnect, // for a connection to the coordinator
+        long coordinatorConnectTimeout, // for a connection to the coordinator
         long feedRetry, // mean delay before the coordinator stream is opened again
         long syncTime, // to catch up with the coordinator after the start
         long requestHold, // longest wait of requests for the coordinator after a stall
