--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -167,7 +167,7 @@
         }
         if (pendingAttempts.isEmpty()) {
             // a random delay of 0.5 to 1.5 times the retry interval spreads the reconnects of many routers
-            connectAfter(limits.feedRetry() / 2 + ThreadLocalRandom.current().nextLong(limits.feedRetry() + 1));
+            connectAfter(limits.coordinatorRetryDelay() / 2 + ThreadLocalRandom.current().nextLong(limits.coordinatorRetryDelay() + 1));
         }
     }
 
