--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -718,7 +718,7 @@
             counters.add(Name.STARTED_UNSYNCED);
             LOG.warn(
                     "the coordinator did not send all events within {} ms: serving with the state of event {}",
-                    limits.syncTime() / MICROS_PER_MILLI,
+                    limits.syncTimeout() / MICROS_PER_MILLI,
                     lastEventIndex);
         }
     }
@@ -742,7 +742,7 @@
         dispatchEvents();
         this.config = config;
         synced = config.coordinator().isEmpty();
-        addTimer(now + limits.syncTime(), TimerKind.SYNC_TIMEOUT, 0);
+        addTimer(now + limits.syncTimeout(), TimerKind.SYNC_TIMEOUT, 0);
         advanceHierarchy();
         advanceFleet();
     }
