--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -384,9 +384,9 @@
         counters.add(Name.HOLDS);
         LOG.warn("contact with the coordinator was lost while this process was stalled; requests are held back until it is restored");
         requestsHeldSince = now;
-        requestsHeldUntil = now + limits.requestHold();
+        requestsHeldUntil = now + limits.maxRequestHold();
         inbox.holdRequests();
-        loop.schedule(this::processInbox, limits.requestHold(), TimeUnit.MICROSECONDS);
+        loop.schedule(this::processInbox, limits.maxRequestHold(), TimeUnit.MICROSECONDS);
     }
 
     private void processInbox() {
