--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -350,7 +350,7 @@
      */
     private Input next() {
         long now = clock();
-        if (now - lastTurnAt > limits.heldUp()) {
+        if (now - lastTurnAt > limits.loopStallThreshold()) {
             recoverFromStall(now);
         }
         lastTurnAt = now;
@@ -373,7 +373,7 @@
         List.copyOf(clients.values()).forEach(ClientConnection::readAvailable);
         inbox.addUnreadDelay(stallMicros);
         unreadDelayMicros = stallMicros;
-        unreadDelayUntil = now + limits.heldUp() / 3; // for connections that are accepted only now
+        unreadDelayUntil = now + limits.loopStallThreshold() / 3; // for connections that are accepted only now
         if (inContactBefore && !coordinator.heartbeatSince(now - limits.coordinatorSilenceTimeout())) {
             holdRequests(now);
         }
