--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -367,7 +367,7 @@
         } else {
             request.requestClass = requestClass;
             requestsById.put(request.id, request);
-            addTimer(request.deadline + limits.answerGuard(), TimerKind.ANSWER_OVERDUE, Long.parseLong(request.id));
+            addTimer(request.deadline + limits.overdueAnswerMargin(), TimerKind.ANSWER_OVERDUE, Long.parseLong(request.id));
             pendingEvents.add(new RequestArrived(
                     request.id,
                     requestClass,
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -46,7 +46,7 @@
         long syncTimeout, // to catch up with the coordinator after the start
         long maxRequestHold, // longest wait of requests for the coordinator after a stall
         long loopStallThreshold, // between two iterations of the event loop for it to count as stalled
-        long answerGuard, // from its deadline until an unanswered request is failed
+        long overdueAnswerMargin, // from its deadline until an unanswered request is failed
         long quietAfterTerm, // shortest time from SIGTERM to the exit, even if no request is open
         long lastAfterTerm, // from SIGTERM until all requests still open are failed
         int rehearsals, // requests of the rehearsal before the start
