--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -310,7 +310,7 @@
         if (terminatedAt >= 0
                 && exitStage == ExitStage.RUNNING
                 && unanswered.isEmpty()
-                && now >= terminatedAt + limits.quietAfterTerm()) {
+                && now >= terminatedAt + limits.minTimeBeforeExit()) {
             exitStage = ExitStage.FINAL_READ;
             effectSink.accept(new Effect.CompleteClientReads());
         } else if (exitStage == ExitStage.FINAL_READ && input instanceof Input.ClientReadsCompleted) {
@@ -670,7 +670,7 @@
     private void terminate() {
         if (terminatedAt < 0) {
             terminatedAt = now;
-            addTimer(now + limits.quietAfterTerm(), TimerKind.EXIT_IF_QUIET, 0);
+            addTimer(now + limits.minTimeBeforeExit(), TimerKind.EXIT_IF_QUIET, 0);
             addTimer(now + limits.lastAfterTerm(), TimerKind.EXIT_DEADLINE, 0);
             effectSink.accept(new Effect.DrainClients());
             fleet.ifPresent(f -> f.leave(now));
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -47,7 +47,7 @@
         long maxRequestHold, // longest wait of requests for the coordinator after a stall
         long loopStallThreshold, // between two iterations of the event loop for it to count as stalled
         long overdueAnswerMargin, // from its deadline until an unanswered request is failed
-        long quietAfterTerm, // shortest time from SIGTERM to the exit, even if no request is open
+        long minTimeBeforeExit, // shortest time from SIGTERM to the exit, even if no request is open
         long lastAfterTerm, // from SIGTERM until all requests still open are failed
         int rehearsals, // requests of the rehearsal before the start
         long rehearsalTime, // longest duration of the rehearsal
