--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -361,7 +361,7 @@
             }
         } else if (unanswered.size() > limits.maxOpenRequests()
                 || exitStage == ExitStage.DONE
-                || terminatedAt >= 0 && now >= terminatedAt + limits.lastAfterTerm()) {
+                || terminatedAt >= 0 && now >= terminatedAt + limits.exitDeadline()) {
             counters.add(Name.TURNED_AWAY);
             answer(request, Code.REFUSED, false, limits.retryAfterMillis(), Bytes.NONE);
         } else {
@@ -671,7 +671,7 @@
         if (terminatedAt < 0) {
             terminatedAt = now;
             addTimer(now + limits.minTimeBeforeExit(), TimerKind.EXIT_IF_QUIET, 0);
-            addTimer(now + limits.lastAfterTerm(), TimerKind.EXIT_DEADLINE, 0);
+            addTimer(now + limits.exitDeadline(), TimerKind.EXIT_DEADLINE, 0);
             effectSink.accept(new Effect.DrainClients());
             fleet.ifPresent(f -> f.leave(now));
         }
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -48,7 +48,7 @@
         long loopStallThreshold, // between two iterations of the event loop for it to count as stalled
         long overdueAnswerMargin, // from its deadline until an unanswered request is failed
         long minTimeBeforeExit, // shortest time from SIGTERM to the exit, even if no request is open
-        long lastAfterTerm, // from SIGTERM until all requests still open are failed
+        long exitDeadline, // from SIGTERM until all requests still open are failed
         int rehearsals, // requests of the rehearsal before the start
         long rehearsalTime, // longest duration of the rehearsal
         int fleetLines // lines a second of the fleet's log, and of the log of endpoint changes
