--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -212,8 +212,8 @@
         this.limits = limits;
         this.counters = counters;
         this.warningLog = new RateLimitedLog(LOG, limits.warningsPerSecond());
-        this.fleetLog = new RateLimitedLog(LOG, limits.fleetLines());
-        this.endpointLog = new RateLimitedLog(LOG, limits.fleetLines());
+        this.fleetLog = new RateLimitedLog(LOG, limits.fleetLogLinesPerSecond());
+        this.endpointLog = new RateLimitedLog(LOG, limits.fleetLogLinesPerSecond());
     }
 
     /** Returns the time at which the next {@link Input.TimerFired} is due; Long.MAX_VALUE for never. */
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -51,7 +51,7 @@
         long exitDeadline, // from SIGTERM until all requests still open are failed
         int rehearsals, // requests of the rehearsal before the start
         long rehearsalTime, // longest duration of the rehearsal
-        int fleetLines // lines a second of the fleet's log, and of the log of endpoint changes
+        int fleetLogLinesPerSecond // lines a second of the fleet's log, and of the log of endpoint changes
         ) {
 
     private static final long MICROS_PER_MILLI = 1_000;
