--- a/src/main/java/pumicemoor/calls/CallRegistry.java
+++ b/src/main/java/pumicemoor/calls/CallRegistry.java
@@ -40,7 +40,7 @@
      * because another call with the same id is open or may have run, or because it is a client retry with an unknown
      * id.
      */
-    public boolean mayBegin(long now, String id, boolean clientRetry) {
+    public boolean tryBegin(long now, String id, boolean clientRetry) {
         evict(now);
         Status status = statusById.get(id);
         if (status == null && clientRetry || status == Status.OPEN || status == Status.MAY_HAVE_RUN) {
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -365,7 +365,7 @@
             return;
         }
         if (settings.idempotency() != RouterApi.Idempotency.SAFE) {
-            if (!callRegistry.mayBegin(loop.clock(), stream.id, clientRetry)) {
+            if (!callRegistry.tryBegin(loop.clock(), stream.id, clientRetry)) {
                 count(Count.REPEATS_FAILED); // it may have run already, so it gets no further attempt
                 execute(stream, stream.state.answered(CallState.Code.FAILED, 0));
                 return;
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -112,19 +112,19 @@
     @Test
     void aCallThatMayHaveRunIsNotAdmittedAgain() {
         CallRegistry registry = new CallRegistry(3, 10 * MICROS_PER_SECOND);
-        assertTrue(registry.mayBegin(0, "a", false));
-        assertFalse(registry.mayBegin(0, "a", true), "a call with this id is open");
+        assertTrue(registry.tryBegin(0, "a", false));
+        assertFalse(registry.tryBegin(0, "a", true), "a call with this id is open");
         registry.ended(1, "a", true);
-        assertFalse(registry.mayBegin(2, "a", true), "the first call may have run");
-        assertFalse(registry.mayBegin(2, "a", false), "reused id of a call that may have run");
-        assertTrue(registry.mayBegin(2, "b", false));
+        assertFalse(registry.tryBegin(2, "a", true), "the first call may have run");
+        assertFalse(registry.tryBegin(2, "a", false), "reused id of a call that may have run");
+        assertTrue(registry.tryBegin(2, "b", false));
         registry.ended(3, "b", false);
-        assertTrue(registry.mayBegin(4, "b", true), "the first call never ran");
-        assertFalse(registry.mayBegin(4, "new", true), "a retry with an unknown id");
+        assertTrue(registry.tryBegin(4, "b", true), "the first call never ran");
+        assertFalse(registry.tryBegin(4, "new", true), "a retry with an unknown id");
         registry.ended(5, "b", true);
-        assertFalse(registry.mayBegin(11 * MICROS_PER_SECOND, "a", true), "the id has expired and is unknown");
+        assertFalse(registry.tryBegin(11 * MICROS_PER_SECOND, "a", true), "the id has expired and is unknown");
         for (int i = 0; i < 10; i++) {
-            assertTrue(registry.mayBegin(12 * MICROS_PER_SECOND, "x" + i, false));
+            assertTrue(registry.tryBegin(12 * MICROS_PER_SECOND, "x" + i, false));
             registry.ended(12 * MICROS_PER_SECOND, "x" + i, true);
         }
         assertTrue(registry.size() <= 3);
