--- a/src/main/java/pumicemoor/calls/CallRegistry.java
+++ b/src/main/java/pumicemoor/calls/CallRegistry.java
@@ -82,7 +82,7 @@
     /**
      * Returns the number of ids evicted before the end of the retention time; if it grows, the capacity is too small.
      */
-    public long forgottenEarly() {
+    public long evictedEarly() {
         return evictedEarly;
     }
 }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -593,7 +593,7 @@
         state.put("processor-open", Integer.toString(admission.open()));
         state.put("processor-held-ready", Integer.toString(readyAttempts.size()));
         state.put("processor-ids-kept", Integer.toString(callRegistry.size()));
-        state.put("processor-ids-forgotten-early", Long.toString(callRegistry.forgottenEarly()));
+        state.put("processor-ids-forgotten-early", Long.toString(callRegistry.evictedEarly()));
         return state;
     }
 
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -128,6 +128,6 @@
             registry.ended(12 * MICROS_PER_SECOND, "x" + i, true);
         }
         assertTrue(registry.size() <= 3);
-        assertTrue(registry.forgottenEarly() > 0);
+        assertTrue(registry.evictedEarly() > 0);
     }
 }
