--- a/src/main/java/pumicemoor/calls/CallRules.java
+++ b/src/main/java/pumicemoor/calls/CallRules.java
@@ -15,7 +15,7 @@
 public final class CallRules {
 
     /** The maximum length of an object name, in characters. */
-    public static final int LONGEST_OBJECT = 256;
+    public static final int MAX_OBJECT_LENGTH = 256;
     /** The maximum number of rules. */
     public static final int MOST_RULES = 1_000;
 
@@ -89,7 +89,7 @@
             int partNumber = part == null ? 0 : Integer.parseInt(part);
             int groupNumber = group == null ? -1 : Integer.parseInt(group);
             return object.isEmpty()
-                            || object.length() > LONGEST_OBJECT
+                            || object.length() > MAX_OBJECT_LENGTH
                             || partNumber < 0
                             || groupNumber < -1
                             || groupNumber > MAX_GROUP
--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -41,7 +41,7 @@
             case ASK -> {
                 Ask ask = message.getAsk();
                 if (ask.getObject().isEmpty()
-                        || ask.getObject().length() > CallRules.LONGEST_OBJECT
+                        || ask.getObject().length() > CallRules.MAX_OBJECT_LENGTH
                         || ask.getPart() < 0
                         || ask.getGroup() < -1
                         || ask.getGroup() > MAX_GROUP
