--- a/src/main/java/pumicemoor/calls/CallRules.java
+++ b/src/main/java/pumicemoor/calls/CallRules.java
@@ -17,7 +17,7 @@
     /** The maximum length of an object name, in characters. */
     public static final int MAX_OBJECT_LENGTH = 256;
     /** The maximum number of rules. */
-    public static final int MOST_RULES = 1_000;
+    public static final int MAX_RULES = 1_000;
 
     private static final int MAX_GROUP = 255;
 
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -440,8 +440,8 @@
         if (!Set.of("pass", "refuse").contains(noRule)) {
             throw invalid("processor.no-rule", "'" + noRule + "' is neither pass nor refuse");
         }
-        if (form.rules() == null || form.rules().isEmpty() || form.rules().size() > CallRules.MOST_RULES) {
-            throw invalid("processor.rules", "between 1 and " + CallRules.MOST_RULES + " rules are required");
+        if (form.rules() == null || form.rules().isEmpty() || form.rules().size() > CallRules.MAX_RULES) {
+            throw invalid("processor.rules", "between 1 and " + CallRules.MAX_RULES + " rules are required");
         }
         List<ProcessorSection.RuleText> rules = new ArrayList<>();
         for (RuleForm rule : form.rules()) {
