--- a/src/main/java/pumicemoor/calls/CallRules.java
+++ b/src/main/java/pumicemoor/calls/CallRules.java
@@ -47,7 +47,7 @@
     }
 
     /** The request class, object, part and group of a call; group -1 means none. */
-    public record About(String requestClass, String object, int part, int group) {}
+    public record RequestAttributes(String requestClass, String object, int part, int group) {}
 
     private final List<Rule> rules;
     private final NoRule noRule;
@@ -65,7 +65,7 @@
      * Applies the first rule that matches. Returns empty if none matches, or if the matching one yields an object, part
      * or group that is out of range.
      */
-    public Optional<About> fit(String method, String path, Map<String, String> headers) {
+    public Optional<RequestAttributes> fit(String method, String path, Map<String, String> headers) {
         int query = path.indexOf('?');
         String pathWithoutQuery = query < 0 ? path : path.substring(0, query);
         for (Rule rule : rules) {
@@ -80,7 +80,7 @@
         return Optional.empty();
     }
 
-    private static Optional<About> attributes(Rule rule, Matcher matcher, String pathWithoutQuery, Map<String, String> headers) {
+    private static Optional<RequestAttributes> attributes(Rule rule, Matcher matcher, String pathWithoutQuery, Map<String, String> headers) {
         String object = namedGroup(rule, matcher, "object");
         object = object == null ? pathWithoutQuery : object;
         String part = namedGroup(rule, matcher, "part");
@@ -94,7 +94,7 @@
                             || groupNumber < -1
                             || groupNumber > MAX_GROUP
                     ? Optional.empty()
-                    : Optional.of(new About(rule.requestClass(), object, partNumber, groupNumber));
+                    : Optional.of(new RequestAttributes(rule.requestClass(), object, partNumber, groupNumber));
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -35,7 +35,7 @@
 import pumicemoor.RouterApi;
 import pumicemoor.calls.CallRegistry;
 import pumicemoor.calls.CallRules;
-import pumicemoor.calls.CallRules.About;
+import pumicemoor.calls.CallRules.RequestAttributes;
 import pumicemoor.calls.CallState;
 import pumicemoor.calls.CallState.Act;
 import pumicemoor.calls.CallState.Phase;
@@ -309,7 +309,7 @@
                             : stream.state.request());
             return;
         }
-        Optional<About> attributes = rules.fit(method, path, headers);
+        Optional<RequestAttributes> attributes = rules.fit(method, path, headers);
         if (attributes.isEmpty()) {
             boolean pass = rules.noRule() == CallRules.NoRule.PASS;
             count(pass ? Count.PASSED : Count.REFUSED_BY_RULE);
@@ -322,7 +322,7 @@
     }
 
     /** Handles a request to be decided; {@code clientRetry} is true if its caller has sent it before. */
-    void request(Stream stream, String id, About attributes, long ttlMillis, boolean clientRetry) {
+    void request(Stream stream, String id, RequestAttributes attributes, long ttlMillis, boolean clientRetry) {
         count(Count.CALLS);
         int requestClass;
         try {
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import pumicemoor.calls.CallRules.About;
+import pumicemoor.calls.CallRules.RequestAttributes;
 import pumicemoor.calls.CallRules.NoRule;
 import pumicemoor.calls.CallRules.Rule;
 import pumicemoor.calls.FairAdmission.Limits;
@@ -99,10 +99,10 @@
                         new Rule(null, Rule.pattern("/any/.*"), Map.of(), "page", null)),
                 NoRule.REFUSE);
         assertEquals(
-                Optional.of(new About("film", "a", 2, 9)),
+                Optional.of(new RequestAttributes("film", "a", 2, 9)),
                 rules.fit("GET", "/v/a/2?q", Map.of("x-kind", "film", "x-lot", "9")));
-        assertEquals(Optional.of(new About("video", "a", 2, -1)), rules.fit("GET", "/v/a/2", Map.of("x-lot", "9")));
-        assertEquals(Optional.of(new About("page", "/any/x", 0, -1)), rules.fit("PUT", "/any/x", Map.of()));
+        assertEquals(Optional.of(new RequestAttributes("video", "a", 2, -1)), rules.fit("GET", "/v/a/2", Map.of("x-lot", "9")));
+        assertEquals(Optional.of(new RequestAttributes("page", "/any/x", 0, -1)), rules.fit("PUT", "/any/x", Map.of()));
         assertEquals(Optional.empty(), rules.fit("PUT", "/v/a/2", Map.of()));
         assertEquals(Optional.empty(), rules.fit("GET", "/v/a/99999999999", Map.of()), "a part that does not fit an int");
         assertEquals(Optional.empty(), rules.fit("GET", "/v/" + "a".repeat(300) + "/1", Map.of()), "an object name over the maximum length");
