--- a/src/main/java/pumicemoor/calls/CallRules.java
+++ b/src/main/java/pumicemoor/calls/CallRules.java
@@ -65,7 +65,7 @@
      * Applies the first rule that matches. Returns empty if none matches, or if the matching one yields an object, part
      * or group that is out of range.
      */
-    public Optional<RequestAttributes> fit(String method, String path, Map<String, String> headers) {
+    public Optional<RequestAttributes> match(String method, String path, Map<String, String> headers) {
         int query = path.indexOf('?');
         String pathWithoutQuery = query < 0 ? path : path.substring(0, query);
         for (Rule rule : rules) {
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -309,7 +309,7 @@
                             : stream.state.request());
             return;
         }
-        Optional<RequestAttributes> attributes = rules.fit(method, path, headers);
+        Optional<RequestAttributes> attributes = rules.match(method, path, headers);
         if (attributes.isEmpty()) {
             boolean pass = rules.noRule() == CallRules.NoRule.PASS;
             count(pass ? Count.PASSED : Count.REFUSED_BY_RULE);
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -100,13 +100,13 @@
                 NoRule.REFUSE);
         assertEquals(
                 Optional.of(new RequestAttributes("film", "a", 2, 9)),
-                rules.fit("GET", "/v/a/2?q", Map.of("x-kind", "film", "x-lot", "9")));
-        assertEquals(Optional.of(new RequestAttributes("video", "a", 2, -1)), rules.fit("GET", "/v/a/2", Map.of("x-lot", "9")));
-        assertEquals(Optional.of(new RequestAttributes("page", "/any/x", 0, -1)), rules.fit("PUT", "/any/x", Map.of()));
-        assertEquals(Optional.empty(), rules.fit("PUT", "/v/a/2", Map.of()));
-        assertEquals(Optional.empty(), rules.fit("GET", "/v/a/99999999999", Map.of()), "a part that does not fit an int");
-        assertEquals(Optional.empty(), rules.fit("GET", "/v/" + "a".repeat(300) + "/1", Map.of()), "an object name over the maximum length");
-        assertEquals(Optional.empty(), rules.fit("GET", "/v/a/2", Map.of("x-kind", "film", "x-lot", "300")));
+                rules.match("GET", "/v/a/2?q", Map.of("x-kind", "film", "x-lot", "9")));
+        assertEquals(Optional.of(new RequestAttributes("video", "a", 2, -1)), rules.match("GET", "/v/a/2", Map.of("x-lot", "9")));
+        assertEquals(Optional.of(new RequestAttributes("page", "/any/x", 0, -1)), rules.match("PUT", "/any/x", Map.of()));
+        assertEquals(Optional.empty(), rules.match("PUT", "/v/a/2", Map.of()));
+        assertEquals(Optional.empty(), rules.match("GET", "/v/a/99999999999", Map.of()), "a part that does not fit an int");
+        assertEquals(Optional.empty(), rules.match("GET", "/v/" + "a".repeat(300) + "/1", Map.of()), "an object name over the maximum length");
+        assertEquals(Optional.empty(), rules.match("GET", "/v/a/2", Map.of("x-kind", "film", "x-lot", "300")));
     }
 
     @Test
