--- a/src/main/java/pumicemoor/calls/FairAdmission.java
+++ b/src/main/java/pumicemoor/calls/FairAdmission.java
@@ -35,8 +35,8 @@
     /**
      * An admission decision; a refusal names the bound that was reached and the delay before a retry, in microseconds.
      */
-    public record Verdict(boolean admitted, String bound, long stayAway) {
-        static final Verdict ADMITTED = new Verdict(true, "", 0);
+    public record Decision(boolean admitted, String bound, long stayAway) {
+        static final Decision ADMITTED = new Decision(true, "", 0);
     }
 
     private static final class Account {
@@ -65,9 +65,9 @@
     }
 
     /** Decides whether to admit a call of a caller. The end of an admitted call must be reported by {@link #ended}. */
-    public Verdict admit(long now, String caller) {
+    public Decision admit(long now, String caller) {
         if (openCalls >= limits.open()) {
-            return new Verdict(false, "open calls", (long) MICROS_PER_SECOND);
+            return new Decision(false, "open calls", (long) MICROS_PER_SECOND);
         }
         Account account = accounts.get(caller);
         if (account == null) {
@@ -80,15 +80,15 @@
         account.lastCallAt = now;
         dropIdleAccount(now);
         if (account.openCalls >= limits.openPerCaller()) {
-            return new Verdict(false, "open calls of the caller", (long) MICROS_PER_SECOND);
+            return new Decision(false, "open calls of the caller", (long) MICROS_PER_SECOND);
         }
         if (!takeToken(now, account)) {
             double share = limits.fair() ? limits.rate() / activeCallers(now) : limits.rate();
-            return new Verdict(false, "rate", (long) Math.min(MICROS_PER_SECOND, Math.max(1, MICROS_PER_SECOND / share)));
+            return new Decision(false, "rate", (long) Math.min(MICROS_PER_SECOND, Math.max(1, MICROS_PER_SECOND / share)));
         }
         account.openCalls++;
         openCalls++;
-        return Verdict.ADMITTED;
+        return Decision.ADMITTED;
     }
 
     /** Records the end of an admitted call. */
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -341,7 +341,7 @@
         }
         stream.id = stream.caller + '/' + id;
         ReadyAttempt ready = readyAttempts.remove(stream.id);
-        FairAdmission.Verdict decision = draining ? null : admission.admit(loop.clock(), stream.caller);
+        FairAdmission.Decision decision = draining ? null : admission.admit(loop.clock(), stream.caller);
         if (decision == null || !decision.admitted()) {
             count(Count.REFUSED_BY_BOUND);
             if (ready != null) {
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -13,7 +13,7 @@
 import pumicemoor.calls.CallRules.NoRule;
 import pumicemoor.calls.CallRules.Rule;
 import pumicemoor.calls.FairAdmission.Limits;
-import pumicemoor.calls.FairAdmission.Verdict;
+import pumicemoor.calls.FairAdmission.Decision;
 
 /** Tests the rules that classify calls, their admission, and the registry of calls that must not run twice. */
 class AdmissionTest {
@@ -71,7 +71,7 @@
         FairAdmission admission = new FairAdmission(new Limits(3, 2, 1_000, true));
         assertTrue(admission.admit(0, "a").admitted());
         assertTrue(admission.admit(1, "a").admitted());
-        Verdict refused = admission.admit(2, "a");
+        Decision refused = admission.admit(2, "a");
         assertFalse(refused.admitted());
         assertEquals("open calls of the caller", refused.bound());
         assertTrue(refused.stayAway() > 0);
