--- a/src/main/java/pumicemoor/calls/FairAdmission.java
+++ b/src/main/java/pumicemoor/calls/FairAdmission.java
@@ -35,7 +35,7 @@
     /**
      * An admission decision; a refusal names the bound that was reached and the delay before a retry, in microseconds.
      */
-    public record Decision(boolean admitted, String bound, long stayAway) {
+    public record Decision(boolean admitted, String bound, long retryAfterMicros) {
         static final Decision ADMITTED = new Decision(true, "", 0);
     }
 
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -349,7 +349,7 @@
             }
             execute(
                     stream,
-                    stream.state.answered(CallState.Code.REFUSED, decision == null ? 1_000_000 : decision.stayAway()));
+                    stream.state.answered(CallState.Code.REFUSED, decision == null ? 1_000_000 : decision.retryAfterMicros()));
             return;
         }
         stream.admitted = true;
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -74,7 +74,7 @@
         Decision refused = admission.admit(2, "a");
         assertFalse(refused.admitted());
         assertEquals("open calls of the caller", refused.bound());
-        assertTrue(refused.stayAway() > 0);
+        assertTrue(refused.retryAfterMicros() > 0);
         assertTrue(admission.admit(3, "b").admitted());
         assertEquals("open calls", admission.admit(4, "b").bound());
         admission.ended("a");
