--- a/src/main/java/pumicemoor/calls/FairAdmission.java
+++ b/src/main/java/pumicemoor/calls/FairAdmission.java
@@ -156,7 +156,7 @@
         }
     }
 
-    public int open() {
+    public int openCalls() {
         return openCalls;
     }
 
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -590,7 +590,7 @@
         Map<String, String> state = new LinkedHashMap<>();
         counts.forEach((counter, value) ->
                 state.put("processor-" + counter.name().toLowerCase(Locale.ROOT).replace('_', '-'), Long.toString(value)));
-        state.put("processor-open", Integer.toString(admission.open()));
+        state.put("processor-open", Integer.toString(admission.openCalls()));
         state.put("processor-held-ready", Integer.toString(readyAttempts.size()));
         state.put("processor-ids-kept", Integer.toString(callRegistry.size()));
         state.put("processor-ids-forgotten-early", Long.toString(callRegistry.evictedEarly()));
