--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -15,7 +15,7 @@
     public enum Phase {
         NEW,
         DECIDING,
-        NAMED,
+        ANNOUNCED,
         RESPONDED,
         OVER
     }
@@ -187,9 +187,9 @@
 
     /** Handles an attempt that the decision module has chosen. */
     public List<Act> named(int number) {
-        if (phase == Phase.DECIDING || phase == Phase.NAMED && style == Style.REPORTER) {
+        if (phase == Phase.DECIDING || phase == Phase.ANNOUNCED && style == Style.REPORTER) {
             attempt = number;
-            phase = Phase.NAMED;
+            phase = Phase.ANNOUNCED;
             mayHaveRun = true;
             List<Act> acts = new ArrayList<>(List.of(new Act.TellName(number)));
             if (inputEnded) { // the caller can no longer report the attempt's end
@@ -205,7 +205,7 @@
     public List<Act> decided(Code code, long retryAfterMicros) {
         requestOpen = false;
         attempt = -1; // an announced attempt has timed out: a response that still comes is passed through
-        if (phase == Phase.DECIDING || phase == Phase.NAMED && style == Style.REPORTER) {
+        if (phase == Phase.DECIDING || phase == Phase.ANNOUNCED && style == Style.REPORTER) {
             phase = Phase.OVER;
             return List.of(new Act.TellFinal(code, retryAfterMicros), new Act.Complete());
         }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -510,7 +510,7 @@
             keepReady(stream, attempt);
             return;
         }
-        if (stream.state.phase() == Phase.DECIDING || stream.state.phase() == Phase.NAMED) {
+        if (stream.state.phase() == Phase.DECIDING || stream.state.phase() == Phase.ANNOUNCED) {
             stream.attempt = attempt;
         }
         execute(stream, stream.state.named(attempt.attempt()));
