--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -17,7 +17,7 @@
         DECIDING,
         ANNOUNCED,
         RESPONDED,
-        OVER
+        ENDED
     }
 
     /**
@@ -106,7 +106,7 @@
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
-        phase = Phase.OVER;
+        phase = Phase.ENDED;
         return List.of(new Act.TellFinal(code, retryAfterMicros), new Act.Complete());
     }
 
@@ -139,7 +139,7 @@
         if (phase == Phase.NEW || phase == Phase.DECIDING) {
             return abort("a response before a member was named");
         }
-        if (phase == Phase.OVER) {
+        if (phase == Phase.ENDED) {
             return List.of();
         }
         if (phase == Phase.RESPONDED || attempt < 0 || number >= 0 && number != attempt) {
@@ -161,7 +161,7 @@
     public List<Act> other() {
         return phase == Phase.NEW
                 ? abort("a body or trailers before the request")
-                : phase == Phase.OVER ? List.of() : List.of(new Act.GoOn());
+                : phase == Phase.ENDED ? List.of() : List.of(new Act.GoOn());
     }
 
     /** Handles the end of input: the caller sends nothing more. */
@@ -170,7 +170,7 @@
         if (phase == Phase.DECIDING) {
             return List.of(); // the caller still waits for the answer
         }
-        return end(phase != Phase.OVER);
+        return end(phase != Phase.ENDED);
     }
 
     /** Handles the loss of the caller: it has cancelled the stream, or its connection was lost. */
@@ -206,7 +206,7 @@
         requestOpen = false;
         attempt = -1; // an announced attempt has timed out: a response that still comes is passed through
         if (phase == Phase.DECIDING || phase == Phase.ANNOUNCED && style == Style.REPORTER) {
-            phase = Phase.OVER;
+            phase = Phase.ENDED;
             return List.of(new Act.TellFinal(code, retryAfterMicros), new Act.Complete());
         }
         return List.of();
@@ -228,7 +228,7 @@
     }
 
     private List<Act> end(boolean complete) {
-        phase = Phase.OVER;
+        phase = Phase.ENDED;
         List<Act> acts = new ArrayList<>(withdraw());
         if (complete) {
             acts.add(new Act.Complete());
@@ -237,7 +237,7 @@
     }
 
     private List<Act> abort(String why) {
-        if (phase == Phase.OVER) {
+        if (phase == Phase.ENDED) {
             return List.of();
         }
         List<Act> acts = new ArrayList<>(end(false));
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -477,7 +477,7 @@
                 stream.abort(Status.INVALID_ARGUMENT.withDescription(abort.why()));
             }
         }
-        if (stream.state.phase() == Phase.OVER) {
+        if (stream.state.phase() == Phase.ENDED) {
             finish(stream);
         }
     }
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -110,7 +110,7 @@
         steps.forEach(model::step);
         assertEquals(model.requestOpen, model.state.requestOpen(), () -> model.acts.toString());
         model.check(model.state.gone());
-        assertEquals(Phase.OVER, model.state.phase());
+        assertEquals(Phase.ENDED, model.state.phase());
         assertFalse(model.requestOpen, () -> "the request is still open at the decision module: " + model.acts);
         model.check(model.state.gone());
         model.check(model.state.halfClosed());
