--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -37,31 +37,31 @@
     }
 
     /** An action that the owner of the stream has to carry out. */
-    public sealed interface Act {
+    public sealed interface StreamAction {
 
         /** Passes the request to the decision module. */
-        record Ask() implements Act {}
+        record Ask() implements StreamAction {}
 
         /** Announces the attempt to the caller. */
-        record TellName(int attempt) implements Act {}
+        record TellName(int attempt) implements StreamAction {}
 
         /** Sends the one final answer to the caller, with the delay in microseconds before a retry. */
-        record TellFinal(Code code, long stayAway) implements Act {}
+        record TellFinal(Code code, long stayAway) implements StreamAction {}
 
         /** Lets the message that was received continue unchanged. */
-        record GoOn() implements Act {}
+        record GoOn() implements StreamAction {}
 
         /** Reports the end of the attempt to the decision module, as the caller reported it. */
-        record End(int attempt) implements Act {}
+        record End(int attempt) implements StreamAction {}
 
         /** Reports to the decision module that the caller no longer waits. */
-        record Withdraw() implements Act {}
+        record Withdraw() implements StreamAction {}
 
         /** Completes the stream normally. */
-        record Complete() implements Act {}
+        record Complete() implements StreamAction {}
 
         /** Ends the stream with an error after a violation of the protocol. */
-        record Abort(String why) implements Act {}
+        record Abort(String why) implements StreamAction {}
     }
 
     private final Style style;
@@ -92,35 +92,35 @@
     // ---- messages of the caller -----------------------------------------------------------------------
 
     /** Handles a request that goes to the decision module. */
-    public List<Act> request() {
+    public List<StreamAction> request() {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
         phase = Phase.DECIDING;
         requestOpen = true;
-        return List.of(new Act.Ask());
+        return List.of(new StreamAction.Ask());
     }
 
     /** Handles a request that the server answers without the decision module. */
-    public List<Act> answered(Code code, long retryAfterMicros) {
+    public List<StreamAction> answered(Code code, long retryAfterMicros) {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
         phase = Phase.ENDED;
-        return List.of(new Act.TellFinal(code, retryAfterMicros), new Act.Complete());
+        return List.of(new StreamAction.TellFinal(code, retryAfterMicros), new StreamAction.Complete());
     }
 
     /** Handles a request that no rule matches and that is passed through unchanged. */
-    public List<Act> passed() {
+    public List<StreamAction> passed() {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
         phase = Phase.RESPONDED;
-        return List.of(new Act.GoOn());
+        return List.of(new StreamAction.GoOn());
     }
 
     /** Handles a client retry for which the decision module already has an attempt, which is announced at once. */
-    public List<Act> adopt(int number) {
+    public List<StreamAction> adopt(int number) {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
@@ -135,7 +135,7 @@
     }
 
     /** Handles the end of the attempt with this number; -1 stands for the attempt announced last. */
-    public List<Act> response(int number, boolean neverRan) {
+    public List<StreamAction> response(int number, boolean neverRan) {
         if (phase == Phase.NEW || phase == Phase.DECIDING) {
             return abort("a response before a member was named");
         }
@@ -144,28 +144,28 @@
         }
         if (phase == Phase.RESPONDED || attempt < 0 || number >= 0 && number != attempt) {
             // the decision module has abandoned this attempt meanwhile, or the call is passed through
-            return style == Style.REPORTER ? List.of() : List.of(new Act.GoOn());
+            return style == Style.REPORTER ? List.of() : List.of(new StreamAction.GoOn());
         }
         int endedAttempt = attempt;
         attempt = -1;
         mayHaveRun = !neverRan;
         if (style == Style.PROXY) {
             phase = Phase.RESPONDED;
-            return List.of(new Act.End(endedAttempt), new Act.GoOn());
+            return List.of(new StreamAction.End(endedAttempt), new StreamAction.GoOn());
         }
         phase = Phase.DECIDING;
-        return List.of(new Act.End(endedAttempt));
+        return List.of(new StreamAction.End(endedAttempt));
     }
 
     /** Handles a body or trailers, which have no effect on the decision. */
-    public List<Act> other() {
+    public List<StreamAction> other() {
         return phase == Phase.NEW
                 ? abort("a body or trailers before the request")
-                : phase == Phase.ENDED ? List.of() : List.of(new Act.GoOn());
+                : phase == Phase.ENDED ? List.of() : List.of(new StreamAction.GoOn());
     }
 
     /** Handles the end of input: the caller sends nothing more. */
-    public List<Act> halfClosed() {
+    public List<StreamAction> halfClosed() {
         inputEnded = true;
         if (phase == Phase.DECIDING) {
             return List.of(); // the caller still waits for the answer
@@ -174,24 +174,24 @@
     }
 
     /** Handles the loss of the caller: it has cancelled the stream, or its connection was lost. */
-    public List<Act> gone() {
+    public List<StreamAction> gone() {
         return end(false);
     }
 
     /** Handles the imminent end of a proxy's message timeout: refuses a request that is not yet decided. */
-    public List<Act> messageTimeUp(long retryAfterMicros) {
+    public List<StreamAction> messageTimeUp(long retryAfterMicros) {
         return phase == Phase.DECIDING && style == Style.PROXY ? sendFinal(Code.REFUSED, retryAfterMicros) : List.of();
     }
 
     // ---- messages of the decision module --------------------------------------------------------------
 
     /** Handles an attempt that the decision module has chosen. */
-    public List<Act> named(int number) {
+    public List<StreamAction> named(int number) {
         if (phase == Phase.DECIDING || phase == Phase.ANNOUNCED && style == Style.REPORTER) {
             attempt = number;
             phase = Phase.ANNOUNCED;
             mayHaveRun = true;
-            List<Act> acts = new ArrayList<>(List.of(new Act.TellName(number)));
+            List<StreamAction> acts = new ArrayList<>(List.of(new StreamAction.TellName(number)));
             if (inputEnded) { // the caller can no longer report the attempt's end
                 acts.addAll(end(true));
             }
@@ -202,46 +202,46 @@
     }
 
     /** Handles the final answer of the decision module, which closes the request there. */
-    public List<Act> decided(Code code, long retryAfterMicros) {
+    public List<StreamAction> decided(Code code, long retryAfterMicros) {
         requestOpen = false;
         attempt = -1; // an announced attempt has timed out: a response that still comes is passed through
         if (phase == Phase.DECIDING || phase == Phase.ANNOUNCED && style == Style.REPORTER) {
             phase = Phase.ENDED;
-            return List.of(new Act.TellFinal(code, retryAfterMicros), new Act.Complete());
+            return List.of(new StreamAction.TellFinal(code, retryAfterMicros), new StreamAction.Complete());
         }
         return List.of();
     }
 
-    private List<Act> sendFinal(Code code, long retryAfterMicros) {
-        List<Act> acts = new ArrayList<>(List.of(new Act.TellFinal(code, retryAfterMicros)));
+    private List<StreamAction> sendFinal(Code code, long retryAfterMicros) {
+        List<StreamAction> acts = new ArrayList<>(List.of(new StreamAction.TellFinal(code, retryAfterMicros)));
         acts.addAll(end(true));
         return acts;
     }
 
-    private List<Act> withdraw() {
+    private List<StreamAction> withdraw() {
         attempt = -1;
         if (!requestOpen) {
             return List.of();
         }
         requestOpen = false;
-        return List.of(new Act.Withdraw());
+        return List.of(new StreamAction.Withdraw());
     }
 
-    private List<Act> end(boolean complete) {
+    private List<StreamAction> end(boolean complete) {
         phase = Phase.ENDED;
-        List<Act> acts = new ArrayList<>(withdraw());
+        List<StreamAction> acts = new ArrayList<>(withdraw());
         if (complete) {
-            acts.add(new Act.Complete());
+            acts.add(new StreamAction.Complete());
         }
         return acts;
     }
 
-    private List<Act> abort(String why) {
+    private List<StreamAction> abort(String why) {
         if (phase == Phase.ENDED) {
             return List.of();
         }
-        List<Act> acts = new ArrayList<>(end(false));
-        acts.add(new Act.Abort(why));
+        List<StreamAction> acts = new ArrayList<>(end(false));
+        acts.add(new StreamAction.Abort(why));
         return acts;
     }
 }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -37,7 +37,7 @@
 import pumicemoor.calls.CallRules;
 import pumicemoor.calls.CallRules.RequestAttributes;
 import pumicemoor.calls.CallState;
-import pumicemoor.calls.CallState.Act;
+import pumicemoor.calls.CallState.StreamAction;
 import pumicemoor.calls.CallState.Phase;
 import pumicemoor.calls.CallState.Style;
 import pumicemoor.calls.FairAdmission;
@@ -375,12 +375,12 @@
         stream.requestNumber = --lastRequestNumber;
         streams.put(stream.requestNumber, stream);
         long timeoutMillis = ttlMillis > 0 ? Math.min(ttlMillis, settings.deadline() / MICROS_PER_MILLI) : settings.deadline() / MICROS_PER_MILLI;
-        List<Act> actions = stream.state.request();
+        List<StreamAction> actions = stream.state.request();
         stream.timers.add(loop.schedule(
                 Math.max(1, Math.min(section.messageTimeout(), timeoutMillis * MICROS_PER_MILLI) - ANSWER_MARGIN_MICROS), () -> onMessageTimeout(stream)));
         stream.timers.add(loop.schedule(timeoutMillis * MICROS_PER_MILLI + STREAM_GRACE_MICROS, () -> expire(stream)));
-        for (Act action : actions) {
-            if (action instanceof Act.Ask) {
+        for (StreamAction action : actions) {
+            if (action instanceof StreamAction.Ask) {
                 loop.submit(new Input.Call(
                         stream.requestNumber,
                         stream.id,
@@ -396,7 +396,7 @@
 
     private void onMessageTimeout(Stream stream) {
         if (!stream.ended && stream.state.phase() == Phase.DECIDING) {
-            List<Act> actions = stream.state.messageTimeUp(section.messageTimeout());
+            List<StreamAction> actions = stream.state.messageTimeUp(section.messageTimeout());
             if (!actions.isEmpty()) {
                 count(Count.REFUSED_LATE);
             }
@@ -431,9 +431,9 @@
         execute(stream, stream.state.other());
     }
 
-    List<Act> malformed(Stream stream, String reason) {
-        List<Act> actions = new ArrayList<>(stream.state.gone());
-        actions.add(new Act.Abort(reason));
+    List<StreamAction> malformed(Stream stream, String reason) {
+        List<StreamAction> actions = new ArrayList<>(stream.state.gone());
+        actions.add(new StreamAction.Abort(reason));
         return actions;
     }
 
@@ -441,17 +441,17 @@
      * Executes the actions that the call state has returned. Submitting an input may deliver a result of the decision
      * logic to this front before the remaining actions are executed.
      */
-    void execute(Stream stream, List<Act> actions) {
-        for (Act action : actions) {
-            if (action instanceof Act.TellName) {
+    void execute(Stream stream, List<StreamAction> actions) {
+        for (StreamAction action : actions) {
+            if (action instanceof StreamAction.TellName) {
                 count(Count.NAMED);
                 stream.sendAttempt(stream.attempt);
-            } else if (action instanceof Act.TellFinal answer) {
+            } else if (action instanceof StreamAction.TellFinal answer) {
                 count(Count.FINALS);
                 stream.sendFinal(answer.code(), (answer.stayAway() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
-            } else if (action instanceof Act.GoOn) {
+            } else if (action instanceof StreamAction.GoOn) {
                 stream.sendContinue();
-            } else if (action instanceof Act.End) {
+            } else if (action instanceof StreamAction.End) {
                 count(Count.ENDS);
                 Effect.AnnounceAttempt ended = stream.attempt;
                 AnswerStatus status = stream.endStatus;
@@ -463,14 +463,14 @@
                                 : status == null
                                         ? new Input.ConnectionLost(ended.key())
                                         : new Input.AttemptAnswered(ended.key(), status, stream.note, Map.of(), Bytes.NONE));
-            } else if (action instanceof Act.Withdraw) {
+            } else if (action instanceof StreamAction.Withdraw) {
                 count(Count.WITHDRAWN);
                 streams.remove(stream.requestNumber);
                 loop.submit(new Input.RequestCancelled(stream.requestNumber, 0));
-            } else if (action instanceof Act.Complete) {
+            } else if (action instanceof StreamAction.Complete) {
                 finish(stream);
                 stream.complete();
-            } else if (action instanceof Act.Abort abort) {
+            } else if (action instanceof StreamAction.Abort abort) {
                 count(Count.ABORTED);
                 loop.complain("a call from a proxy was aborted: " + abort.why());
                 finish(stream);
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import pumicemoor.calls.CallState.Act;
+import pumicemoor.calls.CallState.StreamAction;
 import pumicemoor.calls.CallState.Code;
 import pumicemoor.calls.CallState.Phase;
 import pumicemoor.calls.CallState.Style;
@@ -28,7 +28,7 @@
     private static final class DecisionModel {
         final CallState state;
         final Style style;
-        final List<Act> acts = new ArrayList<>();
+        final List<StreamAction> acts = new ArrayList<>();
         boolean requestOpen;
         boolean attemptOpen; // an attempt is open at the decision module
         int attempts;
@@ -42,29 +42,29 @@
             this.state = new CallState(style);
         }
 
-        void check(List<Act> newActs) {
-            for (Act act : newActs) {
+        void check(List<StreamAction> newActs) {
+            for (StreamAction act : newActs) {
                 acts.add(act);
                 assertEquals(0, streamEnds, "no action after the end of the stream: " + acts);
-                if (act instanceof Act.Ask) {
+                if (act instanceof StreamAction.Ask) {
                     assertFalse(requestOpen);
                     requestOpen = true;
-                } else if (act instanceof Act.TellName) {
+                } else if (act instanceof StreamAction.TellName) {
                     announcements++;
                     assertEquals(0, finalAnswers);
                     assertTrue(style == Style.REPORTER || announcements == 1, "a proxy receives one attempt at most: " + acts);
-                } else if (act instanceof Act.TellFinal) {
+                } else if (act instanceof StreamAction.TellFinal) {
                     finalAnswers++;
                     assertEquals(1, finalAnswers, acts.toString());
                     assertTrue(style == Style.REPORTER || announcements == 0, "a proxy receives either an attempt or a final answer: " + acts);
-                } else if (act instanceof Act.End end) {
+                } else if (act instanceof StreamAction.End end) {
                     assertTrue(requestOpen && attemptOpen && end.attempt() == attempts - 1, "one end for each attempt: " + acts);
                     attemptOpen = false;
-                } else if (act instanceof Act.Withdraw) {
+                } else if (act instanceof StreamAction.Withdraw) {
                     assertTrue(requestOpen, "withdrawn once, while the request is open: " + acts);
                     requestOpen = false;
                     attemptOpen = false;
-                } else if (act instanceof Act.Complete || act instanceof Act.Abort) {
+                } else if (act instanceof StreamAction.Complete || act instanceof StreamAction.Abort) {
                     streamEnds++;
                 }
             }
@@ -122,7 +122,7 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         state.named(0);
-        assertEquals(List.of(new Act.Withdraw(), new Act.Complete()), state.halfClosed());
+        assertEquals(List.of(new StreamAction.Withdraw(), new StreamAction.Complete()), state.halfClosed());
         assertTrue(state.mayHaveRun());
     }
 
@@ -131,7 +131,7 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(List.of(), state.halfClosed());
-        assertEquals(List.of(new Act.TellName(0), new Act.Withdraw(), new Act.Complete()), state.named(0));
+        assertEquals(List.of(new StreamAction.TellName(0), new StreamAction.Withdraw(), new StreamAction.Complete()), state.named(0));
     }
 
     @Test
@@ -139,7 +139,7 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(
-                List.of(new Act.TellFinal(Code.REFUSED, 9), new Act.Withdraw(), new Act.Complete()),
+                List.of(new StreamAction.TellFinal(Code.REFUSED, 9), new StreamAction.Withdraw(), new StreamAction.Complete()),
                 state.messageTimeUp(9));
         assertEquals(List.of(), state.named(0));
         assertFalse(state.mayHaveRun());
@@ -152,6 +152,6 @@
         state.named(0);
         assertEquals(List.of(), state.decided(Code.FAILED, 0));
         assertEquals(
-                List.of(new Act.GoOn()), state.response(-1, false), "the response is passed through, the request is closed already");
+                List.of(new StreamAction.GoOn()), state.response(-1, false), "the response is passed through, the request is closed already");
     }
 }
