--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -40,7 +40,7 @@
     public sealed interface StreamAction {
 
         /** Passes the request to the decision module. */
-        record Ask() implements StreamAction {}
+        record RequestDecision() implements StreamAction {}
 
         /** Announces the attempt to the caller. */
         record TellName(int attempt) implements StreamAction {}
@@ -98,7 +98,7 @@
         }
         phase = Phase.DECIDING;
         requestOpen = true;
-        return List.of(new StreamAction.Ask());
+        return List.of(new StreamAction.RequestDecision());
     }
 
     /** Handles a request that the server answers without the decision module. */
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -380,7 +380,7 @@
                 Math.max(1, Math.min(section.messageTimeout(), timeoutMillis * MICROS_PER_MILLI) - ANSWER_MARGIN_MICROS), () -> onMessageTimeout(stream)));
         stream.timers.add(loop.schedule(timeoutMillis * MICROS_PER_MILLI + STREAM_GRACE_MICROS, () -> expire(stream)));
         for (StreamAction action : actions) {
-            if (action instanceof StreamAction.Ask) {
+            if (action instanceof StreamAction.RequestDecision) {
                 loop.submit(new Input.Call(
                         stream.requestNumber,
                         stream.id,
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -109,7 +109,7 @@
 
     /**
      * A cell's report from its grantor to the router that it considers the grantor of the upper level. Vote, last seen
-     * and term are as in an {@link Ask}. {@code backing} is the number of routers that stay bound to the sender for at
+     * and term are as in an {@link RequestDecision}. {@code backing} is the number of routers that stay bound to the sender for at
      * least one more lease, {@code knownTerm} a term that all of them know.
      */
     public record CellAsk(
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -46,7 +46,7 @@
             for (StreamAction act : newActs) {
                 acts.add(act);
                 assertEquals(0, streamEnds, "no action after the end of the stream: " + acts);
-                if (act instanceof StreamAction.Ask) {
+                if (act instanceof StreamAction.RequestDecision) {
                     assertFalse(requestOpen);
                     requestOpen = true;
                 } else if (act instanceof StreamAction.TellName) {
