--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -43,7 +43,7 @@
         record RequestDecision() implements StreamAction {}
 
         /** Announces the attempt to the caller. */
-        record TellName(int attempt) implements StreamAction {}
+        record AnnounceAttempt(int attempt) implements StreamAction {}
 
         /** Sends the one final answer to the caller, with the delay in microseconds before a retry. */
         record TellFinal(Code code, long stayAway) implements StreamAction {}
@@ -191,7 +191,7 @@
             attempt = number;
             phase = Phase.ANNOUNCED;
             mayHaveRun = true;
-            List<StreamAction> acts = new ArrayList<>(List.of(new StreamAction.TellName(number)));
+            List<StreamAction> acts = new ArrayList<>(List.of(new StreamAction.AnnounceAttempt(number)));
             if (inputEnded) { // the caller can no longer report the attempt's end
                 acts.addAll(end(true));
             }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -443,7 +443,7 @@
      */
     void execute(Stream stream, List<StreamAction> actions) {
         for (StreamAction action : actions) {
-            if (action instanceof StreamAction.TellName) {
+            if (action instanceof StreamAction.AnnounceAttempt) {
                 count(Count.NAMED);
                 stream.sendAttempt(stream.attempt);
             } else if (action instanceof StreamAction.TellFinal answer) {
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -49,7 +49,7 @@
                 if (act instanceof StreamAction.RequestDecision) {
                     assertFalse(requestOpen);
                     requestOpen = true;
-                } else if (act instanceof StreamAction.TellName) {
+                } else if (act instanceof StreamAction.AnnounceAttempt) {
                     announcements++;
                     assertEquals(0, finalAnswers);
                     assertTrue(style == Style.REPORTER || announcements == 1, "a proxy receives one attempt at most: " + acts);
@@ -131,7 +131,7 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(List.of(), state.halfClosed());
-        assertEquals(List.of(new StreamAction.TellName(0), new StreamAction.Withdraw(), new StreamAction.Complete()), state.named(0));
+        assertEquals(List.of(new StreamAction.AnnounceAttempt(0), new StreamAction.Withdraw(), new StreamAction.Complete()), state.named(0));
     }
 
     @Test
