--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -46,7 +46,7 @@
         record AnnounceAttempt(int attempt) implements StreamAction {}
 
         /** Sends the one final answer to the caller, with the delay in microseconds before a retry. */
-        record TellFinal(Code code, long stayAway) implements StreamAction {}
+        record SendFinalAnswer(Code code, long stayAway) implements StreamAction {}
 
         /** Lets the message that was received continue unchanged. */
         record GoOn() implements StreamAction {}
@@ -107,7 +107,7 @@
             return abort("a second request on a stream");
         }
         phase = Phase.ENDED;
-        return List.of(new StreamAction.TellFinal(code, retryAfterMicros), new StreamAction.Complete());
+        return List.of(new StreamAction.SendFinalAnswer(code, retryAfterMicros), new StreamAction.Complete());
     }
 
     /** Handles a request that no rule matches and that is passed through unchanged. */
@@ -207,13 +207,13 @@
         attempt = -1; // an announced attempt has timed out: a response that still comes is passed through
         if (phase == Phase.DECIDING || phase == Phase.ANNOUNCED && style == Style.REPORTER) {
             phase = Phase.ENDED;
-            return List.of(new StreamAction.TellFinal(code, retryAfterMicros), new StreamAction.Complete());
+            return List.of(new StreamAction.SendFinalAnswer(code, retryAfterMicros), new StreamAction.Complete());
         }
         return List.of();
     }
 
     private List<StreamAction> sendFinal(Code code, long retryAfterMicros) {
-        List<StreamAction> acts = new ArrayList<>(List.of(new StreamAction.TellFinal(code, retryAfterMicros)));
+        List<StreamAction> acts = new ArrayList<>(List.of(new StreamAction.SendFinalAnswer(code, retryAfterMicros)));
         acts.addAll(end(true));
         return acts;
     }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -446,7 +446,7 @@
             if (action instanceof StreamAction.AnnounceAttempt) {
                 count(Count.NAMED);
                 stream.sendAttempt(stream.attempt);
-            } else if (action instanceof StreamAction.TellFinal answer) {
+            } else if (action instanceof StreamAction.SendFinalAnswer answer) {
                 count(Count.FINALS);
                 stream.sendFinal(answer.code(), (answer.stayAway() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
             } else if (action instanceof StreamAction.GoOn) {
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -53,7 +53,7 @@
                     announcements++;
                     assertEquals(0, finalAnswers);
                     assertTrue(style == Style.REPORTER || announcements == 1, "a proxy receives one attempt at most: " + acts);
-                } else if (act instanceof StreamAction.TellFinal) {
+                } else if (act instanceof StreamAction.SendFinalAnswer) {
                     finalAnswers++;
                     assertEquals(1, finalAnswers, acts.toString());
                     assertTrue(style == Style.REPORTER || announcements == 0, "a proxy receives either an attempt or a final answer: " + acts);
@@ -139,7 +139,7 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(
-                List.of(new StreamAction.TellFinal(Code.REFUSED, 9), new StreamAction.Withdraw(), new StreamAction.Complete()),
+                List.of(new StreamAction.SendFinalAnswer(Code.REFUSED, 9), new StreamAction.Withdraw(), new StreamAction.Complete()),
                 state.messageTimeUp(9));
         assertEquals(List.of(), state.named(0));
         assertFalse(state.mayHaveRun());
