--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -46,7 +46,7 @@
         record AnnounceAttempt(int attempt) implements StreamAction {}
 
         /** Sends the one final answer to the caller, with the delay in microseconds before a retry. */
-        record SendFinalAnswer(Code code, long stayAway) implements StreamAction {}
+        record SendFinalAnswer(Code code, long retryAfterMicros) implements StreamAction {}
 
         /** Lets the message that was received continue unchanged. */
         record GoOn() implements StreamAction {}
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -448,7 +448,7 @@
                 stream.sendAttempt(stream.attempt);
             } else if (action instanceof StreamAction.SendFinalAnswer answer) {
                 count(Count.FINALS);
-                stream.sendFinal(answer.code(), (answer.stayAway() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
+                stream.sendFinal(answer.code(), (answer.retryAfterMicros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
             } else if (action instanceof StreamAction.GoOn) {
                 stream.sendContinue();
             } else if (action instanceof StreamAction.End) {
