--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -49,7 +49,7 @@
         record SendFinalAnswer(Code code, long retryAfterMicros) implements StreamAction {}
 
         /** Lets the message that was received continue unchanged. */
-        record GoOn() implements StreamAction {}
+        record PassThrough() implements StreamAction {}
 
         /** Reports the end of the attempt to the decision module, as the caller reported it. */
         record End(int attempt) implements StreamAction {}
@@ -116,7 +116,7 @@
             return abort("a second request on a stream");
         }
         phase = Phase.RESPONDED;
-        return List.of(new StreamAction.GoOn());
+        return List.of(new StreamAction.PassThrough());
     }
 
     /** Handles a client retry for which the decision module already has an attempt, which is announced at once. */
@@ -144,14 +144,14 @@
         }
         if (phase == Phase.RESPONDED || attempt < 0 || number >= 0 && number != attempt) {
             // the decision module has abandoned this attempt meanwhile, or the call is passed through
-            return style == Style.REPORTER ? List.of() : List.of(new StreamAction.GoOn());
+            return style == Style.REPORTER ? List.of() : List.of(new StreamAction.PassThrough());
         }
         int endedAttempt = attempt;
         attempt = -1;
         mayHaveRun = !neverRan;
         if (style == Style.PROXY) {
             phase = Phase.RESPONDED;
-            return List.of(new StreamAction.End(endedAttempt), new StreamAction.GoOn());
+            return List.of(new StreamAction.End(endedAttempt), new StreamAction.PassThrough());
         }
         phase = Phase.DECIDING;
         return List.of(new StreamAction.End(endedAttempt));
@@ -161,7 +161,7 @@
     public List<StreamAction> other() {
         return phase == Phase.NEW
                 ? abort("a body or trailers before the request")
-                : phase == Phase.ENDED ? List.of() : List.of(new StreamAction.GoOn());
+                : phase == Phase.ENDED ? List.of() : List.of(new StreamAction.PassThrough());
     }
 
     /** Handles the end of input: the caller sends nothing more. */
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -449,7 +449,7 @@
             } else if (action instanceof StreamAction.SendFinalAnswer answer) {
                 count(Count.FINALS);
                 stream.sendFinal(answer.code(), (answer.retryAfterMicros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
-            } else if (action instanceof StreamAction.GoOn) {
+            } else if (action instanceof StreamAction.PassThrough) {
                 stream.sendContinue();
             } else if (action instanceof StreamAction.End) {
                 count(Count.ENDS);
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -152,6 +152,6 @@
         state.named(0);
         assertEquals(List.of(), state.decided(Code.FAILED, 0));
         assertEquals(
-                List.of(new StreamAction.GoOn()), state.response(-1, false), "the response is passed through, the request is closed already");
+                List.of(new StreamAction.PassThrough()), state.response(-1, false), "the response is passed through, the request is closed already");
     }
 }
