--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -52,7 +52,7 @@
         record PassThrough() implements StreamAction {}
 
         /** Reports the end of the attempt to the decision module, as the caller reported it. */
-        record End(int attempt) implements StreamAction {}
+        record ReportAttemptEnd(int attempt) implements StreamAction {}
 
         /** Reports to the decision module that the caller no longer waits. */
         record Withdraw() implements StreamAction {}
@@ -151,10 +151,10 @@
         mayHaveRun = !neverRan;
         if (style == Style.PROXY) {
             phase = Phase.RESPONDED;
-            return List.of(new StreamAction.End(endedAttempt), new StreamAction.PassThrough());
+            return List.of(new StreamAction.ReportAttemptEnd(endedAttempt), new StreamAction.PassThrough());
         }
         phase = Phase.DECIDING;
-        return List.of(new StreamAction.End(endedAttempt));
+        return List.of(new StreamAction.ReportAttemptEnd(endedAttempt));
     }
 
     /** Handles a body or trailers, which have no effect on the decision. */
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -451,7 +451,7 @@
                 stream.sendFinal(answer.code(), (answer.retryAfterMicros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
             } else if (action instanceof StreamAction.PassThrough) {
                 stream.sendContinue();
-            } else if (action instanceof StreamAction.End) {
+            } else if (action instanceof StreamAction.ReportAttemptEnd) {
                 count(Count.ENDS);
                 Effect.AnnounceAttempt ended = stream.attempt;
                 AnswerStatus status = stream.endStatus;
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -57,7 +57,7 @@
                     finalAnswers++;
                     assertEquals(1, finalAnswers, acts.toString());
                     assertTrue(style == Style.REPORTER || announcements == 0, "a proxy receives either an attempt or a final answer: " + acts);
-                } else if (act instanceof StreamAction.End end) {
+                } else if (act instanceof StreamAction.ReportAttemptEnd end) {
                     assertTrue(requestOpen && attemptOpen && end.attempt() == attempts - 1, "one end for each attempt: " + acts);
                     attemptOpen = false;
                 } else if (act instanceof StreamAction.Withdraw) {
