--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -111,7 +111,7 @@
     }
 
     /** Handles a request that no rule matches and that is passed through unchanged. */
-    public List<StreamAction> passed() {
+    public List<StreamAction> passThrough() {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -313,7 +313,7 @@
         if (attributes.isEmpty()) {
             boolean pass = rules.noRule() == CallRules.NoRule.PASS;
             count(pass ? Count.PASSED : Count.REFUSED_BY_RULE);
-            execute(stream, pass ? stream.state.passed() : stream.state.answered(CallState.Code.REFUSED, 0));
+            execute(stream, pass ? stream.state.passThrough() : stream.state.answered(CallState.Code.REFUSED, 0));
             return;
         }
         long ttlMillis = parseNumber(headers.get("x-envoy-expected-rq-timeout-ms"));
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -80,7 +80,7 @@
                 case 6 -> check(state.gone());
                 case 7 -> check(state.messageTimeUp(5));
                 case 8 -> check(state.answered(Code.REFUSED, 1));
-                case 9 -> check(state.passed());
+                case 9 -> check(state.passThrough());
                 case 10, 11 -> {
                     if (requestOpen && !attemptOpen) {
                         attemptOpen = true;
