--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -102,7 +102,7 @@
     }
 
     /** Handles a request that the server answers without the decision module. */
-    public List<StreamAction> answered(Code code, long retryAfterMicros) {
+    public List<StreamAction> answerLocally(Code code, long retryAfterMicros) {
         if (phase != Phase.NEW) {
             return abort("a second request on a stream");
         }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -313,7 +313,7 @@
         if (attributes.isEmpty()) {
             boolean pass = rules.noRule() == CallRules.NoRule.PASS;
             count(pass ? Count.PASSED : Count.REFUSED_BY_RULE);
-            execute(stream, pass ? stream.state.passThrough() : stream.state.answered(CallState.Code.REFUSED, 0));
+            execute(stream, pass ? stream.state.passThrough() : stream.state.answerLocally(CallState.Code.REFUSED, 0));
             return;
         }
         long ttlMillis = parseNumber(headers.get("x-envoy-expected-rq-timeout-ms"));
@@ -349,7 +349,7 @@
             }
             execute(
                     stream,
-                    stream.state.answered(CallState.Code.REFUSED, decision == null ? 1_000_000 : decision.retryAfterMicros()));
+                    stream.state.answerLocally(CallState.Code.REFUSED, decision == null ? 1_000_000 : decision.retryAfterMicros()));
             return;
         }
         stream.admitted = true;
@@ -367,7 +367,7 @@
         if (settings.idempotency() != RouterApi.Idempotency.SAFE) {
             if (!callRegistry.tryBegin(loop.clock(), stream.id, clientRetry)) {
                 count(Count.REPEATS_FAILED); // it may have run already, so it gets no further attempt
-                execute(stream, stream.state.answered(CallState.Code.FAILED, 0));
+                execute(stream, stream.state.answerLocally(CallState.Code.FAILED, 0));
                 return;
             }
             stream.registryId = stream.id;
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -79,7 +79,7 @@
                 case 5 -> check(state.halfClosed());
                 case 6 -> check(state.gone());
                 case 7 -> check(state.messageTimeUp(5));
-                case 8 -> check(state.answered(Code.REFUSED, 1));
+                case 8 -> check(state.answerLocally(Code.REFUSED, 1));
                 case 9 -> check(state.passThrough());
                 case 10, 11 -> {
                     if (requestOpen && !attemptOpen) {
