--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -158,7 +158,7 @@
     }
 
     /** Handles a body or trailers, which have no effect on the decision. */
-    public List<StreamAction> other() {
+    public List<StreamAction> bodyOrTrailers() {
         return phase == Phase.NEW
                 ? abort("a body or trailers before the request")
                 : phase == Phase.ENDED ? List.of() : List.of(new StreamAction.PassThrough());
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -428,7 +428,7 @@
 
     /** Handles a message on which no decision depends: a body or trailers. */
     void bodyOrTrailers(Stream stream) {
-        execute(stream, stream.state.other());
+        execute(stream, stream.state.bodyOrTrailers());
     }
 
     List<StreamAction> malformed(Stream stream, String reason) {
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -75,7 +75,7 @@
                 case 0, 1 -> check(state.request());
                 case 2 -> check(state.response(-1, what == 3));
                 case 3 -> check(state.response(attempts - 1, true));
-                case 4 -> check(state.other());
+                case 4 -> check(state.bodyOrTrailers());
                 case 5 -> check(state.halfClosed());
                 case 6 -> check(state.gone());
                 case 7 -> check(state.messageTimeUp(5));
@@ -114,7 +114,7 @@
         assertFalse(model.requestOpen, () -> "the request is still open at the decision module: " + model.acts);
         model.check(model.state.gone());
         model.check(model.state.halfClosed());
-        model.check(model.state.other());
+        model.check(model.state.bodyOrTrailers());
     }
 
     @Test
