--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -174,7 +174,7 @@
     }
 
     /** Handles the loss of the caller: it has cancelled the stream, or its connection was lost. */
-    public List<StreamAction> gone() {
+    public List<StreamAction> callerGone() {
         return end(false);
     }
 
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -270,7 +270,7 @@
     /** Passes messages to the event loop one at a time: the next is requested when one has been processed. */
     <Q> StreamObserver<Q> receive(Stream stream, ServerCallStreamObserver<?> out, java.util.function.Consumer<Q> handler) {
         out.disableAutoRequest();
-        out.setOnCancelHandler(() -> loop.execute(() -> execute(stream, stream.state.gone())));
+        out.setOnCancelHandler(() -> loop.execute(() -> execute(stream, stream.state.callerGone())));
         out.request(1);
         return new StreamObserver<>() {
             @Override
@@ -285,7 +285,7 @@
 
             @Override
             public void onError(Throwable cause) {
-                loop.execute(() -> execute(stream, stream.state.gone()));
+                loop.execute(() -> execute(stream, stream.state.callerGone()));
             }
 
             @Override
@@ -408,7 +408,7 @@
     private void expire(Stream stream) {
         if (!stream.ended) {
             count(Count.STREAMS_EXPIRED);
-            execute(stream, stream.state.gone());
+            execute(stream, stream.state.callerGone());
             stream.abort(Status.DEADLINE_EXCEEDED.withDescription("the request's time is long over"));
         }
     }
@@ -432,7 +432,7 @@
     }
 
     List<StreamAction> malformed(Stream stream, String reason) {
-        List<StreamAction> actions = new ArrayList<>(stream.state.gone());
+        List<StreamAction> actions = new ArrayList<>(stream.state.callerGone());
         actions.add(new StreamAction.Abort(reason));
         return actions;
     }
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -77,7 +77,7 @@
                 case 3 -> check(state.response(attempts - 1, true));
                 case 4 -> check(state.bodyOrTrailers());
                 case 5 -> check(state.halfClosed());
-                case 6 -> check(state.gone());
+                case 6 -> check(state.callerGone());
                 case 7 -> check(state.messageTimeUp(5));
                 case 8 -> check(state.answerLocally(Code.REFUSED, 1));
                 case 9 -> check(state.passThrough());
@@ -109,10 +109,10 @@
         DecisionModel model = new DecisionModel(reporter ? Style.REPORTER : Style.PROXY);
         steps.forEach(model::step);
         assertEquals(model.requestOpen, model.state.requestOpen(), () -> model.acts.toString());
-        model.check(model.state.gone());
+        model.check(model.state.callerGone());
         assertEquals(Phase.ENDED, model.state.phase());
         assertFalse(model.requestOpen, () -> "the request is still open at the decision module: " + model.acts);
-        model.check(model.state.gone());
+        model.check(model.state.callerGone());
         model.check(model.state.halfClosed());
         model.check(model.state.bodyOrTrailers());
     }
