--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -126,7 +126,7 @@
         }
         phase = Phase.DECIDING;
         requestOpen = true;
-        return named(number);
+        return attemptAnnounced(number);
     }
 
     /** Hands the open request over to the stream of the caller's next try, for which an attempt is ready. */
@@ -186,7 +186,7 @@
     // ---- messages of the decision module --------------------------------------------------------------
 
     /** Handles an attempt that the decision module has chosen. */
-    public List<StreamAction> named(int number) {
+    public List<StreamAction> attemptAnnounced(int number) {
         if (phase == Phase.DECIDING || phase == Phase.ANNOUNCED && style == Style.REPORTER) {
             attempt = number;
             phase = Phase.ANNOUNCED;
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -513,7 +513,7 @@
         if (stream.state.phase() == Phase.DECIDING || stream.state.phase() == Phase.ANNOUNCED) {
             stream.attempt = attempt;
         }
-        execute(stream, stream.state.named(attempt.attempt()));
+        execute(stream, stream.state.attemptAnnounced(attempt.attempt()));
     }
 
     private void keepReady(Stream stream, Effect.AnnounceAttempt attempt) {
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -84,12 +84,12 @@
                 case 10, 11 -> {
                     if (requestOpen && !attemptOpen) {
                         attemptOpen = true;
-                        check(state.named(attempts++));
+                        check(state.attemptAnnounced(attempts++));
                     }
                 }
                 case 12 -> {
                     if (requestOpen && attemptOpen) { // the decision module replaces the attempt by another
-                        check(state.named(attempts++));
+                        check(state.attemptAnnounced(attempts++));
                     }
                 }
                 default -> {
@@ -121,7 +121,7 @@
     void aCallWithoutAResponsePhaseIsWithdrawnAndMayHaveRun() {
         CallState state = new CallState(Style.PROXY);
         state.request();
-        state.named(0);
+        state.attemptAnnounced(0);
         assertEquals(List.of(new StreamAction.Withdraw(), new StreamAction.Complete()), state.halfClosed());
         assertTrue(state.mayHaveRun());
     }
@@ -131,7 +131,7 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(List.of(), state.halfClosed());
-        assertEquals(List.of(new StreamAction.AnnounceAttempt(0), new StreamAction.Withdraw(), new StreamAction.Complete()), state.named(0));
+        assertEquals(List.of(new StreamAction.AnnounceAttempt(0), new StreamAction.Withdraw(), new StreamAction.Complete()), state.attemptAnnounced(0));
     }
 
     @Test
@@ -141,7 +141,7 @@
         assertEquals(
                 List.of(new StreamAction.SendFinalAnswer(Code.REFUSED, 9), new StreamAction.Withdraw(), new StreamAction.Complete()),
                 state.messageTimeUp(9));
-        assertEquals(List.of(), state.named(0));
+        assertEquals(List.of(), state.attemptAnnounced(0));
         assertFalse(state.mayHaveRun());
     }
 
@@ -149,7 +149,7 @@
     void theResponseToAnAttemptThatTimedOutIsPassedThrough() {
         CallState state = new CallState(Style.PROXY);
         state.request();
-        state.named(0);
+        state.attemptAnnounced(0);
         assertEquals(List.of(), state.decided(Code.FAILED, 0));
         assertEquals(
                 List.of(new StreamAction.PassThrough()), state.response(-1, false), "the response is passed through, the request is closed already");
