--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -202,7 +202,7 @@
     }
 
     /** Handles the final answer of the decision module, which closes the request there. */
-    public List<StreamAction> decided(Code code, long retryAfterMicros) {
+    public List<StreamAction> finalAnswer(Code code, long retryAfterMicros) {
         requestOpen = false;
         attempt = -1; // an announced attempt has timed out: a response that still comes is passed through
         if (phase == Phase.DECIDING || phase == Phase.ANNOUNCED && style == Style.REPORTER) {
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -534,7 +534,7 @@
     public void answered(long call, Effect.Code code, long retryAfterMillis) {
         Stream stream = streams.remove(call);
         if (stream != null) {
-            execute(stream, stream.state.decided(CallState.Code.valueOf(code.name()), retryAfterMillis * MICROS_PER_MILLI));
+            execute(stream, stream.state.finalAnswer(CallState.Code.valueOf(code.name()), retryAfterMillis * MICROS_PER_MILLI));
             return;
         }
         readyAttempts.values().stream().filter(ready -> ready.requestNumber() == call).findFirst().ifPresent(ready -> {
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -96,7 +96,7 @@
                     if (requestOpen) {
                         requestOpen = false;
                         attemptOpen = false;
-                        check(state.decided(Code.values()[what % 3], 0));
+                        check(state.finalAnswer(Code.values()[what % 3], 0));
                     }
                 }
             }
@@ -150,7 +150,7 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         state.attemptAnnounced(0);
-        assertEquals(List.of(), state.decided(Code.FAILED, 0));
+        assertEquals(List.of(), state.finalAnswer(Code.FAILED, 0));
         assertEquals(
                 List.of(new StreamAction.PassThrough()), state.response(-1, false), "the response is passed through, the request is closed already");
     }
