--- a/src/main/java/pumicemoor/extproc/FrontWarmUp.java
+++ b/src/main/java/pumicemoor/extproc/FrontWarmUp.java
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public void complain(String text) {
+        public void reportError(String text) {
             // no other peer takes part in the warm-up
         }
     }
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -472,7 +472,7 @@
                 stream.complete();
             } else if (action instanceof StreamAction.Abort abort) {
                 count(Count.ABORTED);
-                loop.complain("a call from a proxy was aborted: " + abort.why());
+                loop.reportError("a call from a proxy was aborted: " + abort.why());
                 finish(stream);
                 stream.abort(Status.INVALID_ARGUMENT.withDescription(abort.why()));
             }
--- a/src/main/java/pumicemoor/net/AcceptFailures.java
+++ b/src/main/java/pumicemoor/net/AcceptFailures.java
@@ -27,7 +27,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         counters.add(Name.ACCEPT_FAILED);
-        loop.complain("accepting a client connection failed: " + cause.getMessage());
+        loop.reportError("accepting a client connection failed: " + cause.getMessage());
         Channel listener = ctx.channel();
         listener.config().setAutoRead(false);
         listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -351,7 +351,7 @@
                     ? silence > limits.livenessProbeDelay() + limits.livenessProbeTimeout()
                     : probeSentAt >= 0 && now - probeSentAt > limits.livenessProbeTimeout()) {
                 counters.add(Name.LINES_DEAD);
-                loop.complain("a connection to member " + instance + " was closed: it shows no sign of life");
+                loop.reportError("a connection to member " + instance + " was closed: it shows no sign of life");
                 close();
             } else if (probeSentAt < 0 && !decoder.hasPartialAnswer() && beingWritten == null && silence > limits.livenessProbeDelay()) {
                 probeSentAt = now;
@@ -406,7 +406,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof DecoderException) {
                 counters.add(Name.BAD_INPUT);
-                loop.complain("a connection to member " + instance + " was closed: " + cause.getMessage());
+                loop.reportError("a connection to member " + instance + " was closed: " + cause.getMessage());
             }
             close();
         }
--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -248,7 +248,7 @@
             request = ClientFrame.request(connectionId, stream, frame, limits);
         } catch (CorruptedFrameException e) {
             counters.add(Name.BAD_INPUT);
-            loop.complain("invalid request answered with FAILED: " + e.getMessage());
+            loop.reportError("invalid request answered with FAILED: " + e.getMessage());
             answer(new Effect.Answer(connectionId, stream, Code.FAILED, false, 0, Bytes.NONE));
             onInvalidRequest();
             return;
@@ -298,7 +298,7 @@
             return;
         }
         counters.add(Name.TURNED_OUT);
-        loop.complain("a client's connection is closed: " + reason);
+        loop.reportError("a client's connection is closed: " + reason);
         context.write(ClientFrame.answerHead(context.alloc(), 0, Code.FAILED, false, 0, 0), context.voidPromise());
         context.flush();
         closeAfterAnswers();
@@ -398,7 +398,7 @@
     /** Closes at once, without a message to the client. */
     void closeNow(String reason) {
         counters.add(Name.TURNED_OUT);
-        loop.complain("a client's connection is closed: " + reason);
+        loop.reportError("a client's connection is closed: " + reason);
         context.close();
     }
 
--- a/src/main/java/pumicemoor/net/Loop.java
+++ b/src/main/java/pumicemoor/net/Loop.java
@@ -14,7 +14,7 @@
     long clock();
 
     /** Logs an error made by a peer; rate-limited. */
-    void complain(String text);
+    void reportError(String text);
 
     /** Whether the router accepts new requests. */
     boolean ready();
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -307,7 +307,7 @@
     }
 
     @Override
-    public void complain(String text) {
+    public void reportError(String text) {
         errorLog.warn(clock(), text);
     }
 
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public void complain(String text) {
+    public void reportError(String text) {
         // no peer takes part in the warm-up
     }
 
--- a/src/main/java/pumicemoor/node/CallLoop.java
+++ b/src/main/java/pumicemoor/node/CallLoop.java
@@ -16,5 +16,5 @@
     long clock();
 
     /** Logs a peer's error; lines above a rate limit are suppressed. */
-    void complain(String text);
+    void reportError(String text);
 }
--- a/src/test/java/pumicemoor/net/TestLoop.java
+++ b/src/test/java/pumicemoor/net/TestLoop.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void complain(String text) {
+    public void reportError(String text) {
         reportedErrors.add(text);
     }
 
