--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -148,7 +148,7 @@
             if (operator.processor().isPresent()) {
                 ProcessorFront.check(operator.processor().get(), config.settingsReader());
                 ProcessorFront front = new ProcessorFront(operator.processor().get(), config.settingsReader());
-                front.rehearse();
+                front.warmUp();
                 server.attach(front);
             }
             server.follow();
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -190,7 +190,7 @@
      * Warms up the JVM with calls to a separate front, so that the first callers get quick answers; must be called
      * before the start.
      */
-    public void rehearse() throws IOException, InterruptedException {
+    public void warmUp() throws IOException, InterruptedException {
         long startNanos = System.nanoTime();
         int calls = FrontWarmUp.run(section, settingsReader);
         LOG.info(
