--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -151,7 +151,7 @@
                 front.warmUp();
                 server.attach(front);
             }
-            server.follow();
+            server.followCoordinator();
             Thread reloader = new Thread(() -> reload(server, configFile, operatorFile, reloadRequests), "reload");
             reloader.setDaemon(true);
             reloader.start();
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -121,7 +121,7 @@
 
     /** Starts the router; it listens for clients only if {@code clientsWanted} is true. */
     public void start(boolean clientsWanted) throws InterruptedException, IOException {
-        follow();
+        followCoordinator();
         open(clientsWanted);
     }
 
@@ -129,7 +129,7 @@
      * Applies the configured members and follows the coordinator from the last event they include; reloads are possible
      * from then on.
      */
-    public void follow() throws InterruptedException, IOException {
+    public void followCoordinator() throws InterruptedException, IOException {
         if (operatorConfig.fleet().isPresent()) {
             fleetSocket.listen(group, operatorConfig.fleet().get().listen());
         }
