--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -155,7 +155,7 @@
             Thread reloader = new Thread(() -> reload(server, configFile, operatorFile, reloadRequests), "reload");
             reloader.setDaemon(true);
             reloader.start();
-            server.open(acceptsClients());
+            server.openListener(acceptsClients());
             stopRequested.await();
             server.terminate();
             server.awaitEnd(SHUTDOWN_TIMEOUT_MILLIS);
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -122,7 +122,7 @@
     /** Starts the router; it listens for clients only if {@code clientsWanted} is true. */
     public void start(boolean clientsWanted) throws InterruptedException, IOException {
         followCoordinator();
-        open(clientsWanted);
+        openListener(clientsWanted);
     }
 
     /**
@@ -145,7 +145,7 @@
     }
 
     /** Warms up, waits until the router has caught up with the coordinator or the wait has timed out, then listens. */
-    public void open(boolean clientsWanted) throws InterruptedException, IOException {
+    public void openListener(boolean clientsWanted) throws InterruptedException, IOException {
         warmUp();
         synced.await();
         if (callFront.isPresent()) {
