--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -149,7 +149,7 @@
                 ProcessorFront.check(operator.processor().get(), config.settingsReader());
                 ProcessorFront front = new ProcessorFront(operator.processor().get(), config.settingsReader());
                 front.warmUp();
-                server.attach(front);
+                server.attachCallFront(front);
             }
             server.followCoordinator();
             Thread reloader = new Thread(() -> reload(server, configFile, operatorFile, reloadRequests), "reload");
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -107,7 +107,7 @@
     }
 
     /** Adds a front that proxies call; must be called before the start. */
-    public void attach(CallFront front) {
+    public void attachCallFront(CallFront front) {
         callFront = Optional.of(front);
     }
 
--- a/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
+++ b/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
@@ -86,7 +86,7 @@
                         NodeTestConfig.member("o-1", "127.0.0.1:14", "store", "active", 0))));
         server = new NodeServer(config, operator);
         front = new ProcessorFront(operator.processor().orElseThrow(), config.settingsReader());
-        server.attach(front);
+        server.attachCallFront(front);
         server.start(false);
         channel = NettyChannelBuilder.forAddress("127.0.0.1", front.port())
                 .usePlaintext()
--- a/src/test/java/pumicemoor/extproc/TlsTest.java
+++ b/src/test/java/pumicemoor/extproc/TlsTest.java
@@ -143,7 +143,7 @@
                 NodeTestConfig.list(1, true, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", 0))));
         NodeServer server = new NodeServer(config, operator);
         ProcessorFront front = new ProcessorFront(operator.processor().orElseThrow(), config.settingsReader());
-        server.attach(front);
+        server.attachCallFront(front);
         server.start(false);
         ManagedChannel first = channel(front.port(), "authority", "proxy");
         ManagedChannel withoutCertificate = channel(front.port(), "authority", null);
