--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -78,10 +78,10 @@
     private static final int MAX_LIST_ENTRIES = 255; // the largest count that fits the byte before a list in a packet
 
     /** A member in the list of members; {@code ready} if the list allows its use. */
-    public record Listed(String name, Role role, long started, boolean ready) {
+    public record ListedMember(String name, Role role, long started, boolean ready) {
 
         /** A member that is ready. */
-        public Listed(String name, Role role, long started) {
+        public ListedMember(String name, Role role, long started) {
             this(name, role, started, true);
         }
     }
@@ -133,7 +133,7 @@
     private final List<Event> events = new ArrayList<>();
     private final List<LogEvent> logEvents = new ArrayList<>();
     private final long startedAt;
-    private Map<Long, Listed> members = Map.of();
+    private Map<Long, ListedMember> members = Map.of();
     private long now;
     private long lastNumber;
     private long nextReportAt;
@@ -346,7 +346,7 @@
 
     /** Replaces the list of members, keyed by member id. */
     @Override
-    public void updateMembers(long time, Map<Long, Listed> newMembers) {
+    public void updateMembers(long time, Map<Long, ListedMember> newMembers) {
         now = Math.max(now, time);
         if (newMembers.equals(members)) {
             return;
@@ -382,7 +382,7 @@
         limitSharesChanged = true;
     }
 
-    private void setMembers(Map<Long, Listed> newMembers) {
+    private void setMembers(Map<Long, ListedMember> newMembers) {
         members = newMembers;
         ejectableTiers = new TreeMap<>();
         members.forEach((id, member) -> {
@@ -399,7 +399,7 @@
                 : one.name().compareTo(other.name()) < 0;
     }
 
-    private static boolean appliesTo(LimitRule rule, Listed member) {
+    private static boolean appliesTo(LimitRule rule, ListedMember member) {
         return switch (rule.scope()) {
             case MEMBER -> rule.member().equals(member.name());
             case EACH_CACHE -> member.role() == Role.CACHE;
@@ -423,7 +423,7 @@
     @Override
     public void reportHealth(long time, MemberHealthReport health) {
         now = Math.max(now, time);
-        Listed member = members.get(health.member());
+        ListedMember member = members.get(health.member());
         if (member == null || setup.verdicts().isEmpty()) {
             return;
         }
@@ -1012,7 +1012,7 @@
         active.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
         List<EjectedMember> ejected = new ArrayList<>();
         for (EjectionTable.Held held : active) {
-            Listed member = members.get(held.verdict().member());
+            ListedMember member = members.get(held.verdict().member());
             if (member != null && member.started() == held.verdict().started() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
                 ejected.add(new EjectedMember(
                         held.verdict().member(),
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -20,7 +20,7 @@
     void receive(long time, byte[] bytes);
 
     /** Replaces the list of members, keyed by member id. */
-    void updateMembers(long time, Map<Long, Fleet.Listed> members);
+    void updateMembers(long time, Map<Long, Fleet.ListedMember> members);
 
     /** Records the current demand of the routing decisions on a limit share. */
     void reportDemand(LimitDemand demand);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -18,7 +18,7 @@
 import pumicemoor.fleet.BadPacketException;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
-import pumicemoor.fleet.Fleet.Listed;
+import pumicemoor.fleet.Fleet.ListedMember;
 import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.FleetSetup;
 import pumicemoor.fleet.LogEvent;
@@ -67,7 +67,7 @@
     private final List<LogEvent> logEvents = new ArrayList<>();
     private final Deque<Long> openJoins = new ArrayDeque<>();
     private final Map<String, Long> dropped = new TreeMap<>();
-    private Map<Long, Listed> members = Map.of();
+    private Map<Long, ListedMember> members = Map.of();
     private Fleet cell;
     private Fleet upper; // null unless this router is a delegate
     private int depth; // bits of the hash that identify the cell
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void updateMembers(long time, Map<Long, Listed> listed) {
+    public void updateMembers(long time, Map<Long, ListedMember> listed) {
         now = Math.max(now, time);
         members = Map.copyOf(listed);
         cell.updateMembers(now, members);
--- a/src/main/java/pumicemoor/lab/scale/SimulatedFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedFleet.java
@@ -176,7 +176,7 @@
     private final FleetParameters parameters;
     private final Random random;
     private final Map<String, Router> byAddress = new HashMap<>();
-    private final Map<Long, Fleet.Listed> listedMembers; // by member ID; shared by all routers
+    private final Map<Long, Fleet.ListedMember> listedMembers; // by member ID; shared by all routers
     private final List<String> seeds = new ArrayList<>();
     /** Seeds by zone, for a fleet of cells: routers of the zone, followed by the seeds of the whole fleet. */
     private final Map<Integer, List<String>> zoneSeeds = new HashMap<>();
@@ -230,11 +230,11 @@
             }
         }
         zoneSeeds.values().forEach(ownSeeds -> ownSeeds.addAll(seeds));
-        Map<Long, Fleet.Listed> members = new HashMap<>();
-        members.put(ORIGIN_ID, new Fleet.Listed("origin", Role.ORIGIN, 0));
+        Map<Long, Fleet.ListedMember> members = new HashMap<>();
+        members.put(ORIGIN_ID, new Fleet.ListedMember("origin", Role.ORIGIN, 0));
         int caches = parameters.limits > 1 ? parameters.limits : config.caches();
         for (int i = 0; i < caches; i++) {
-            members.put(FIRST_CACHE_ID + i, new Fleet.Listed("cache-" + i, Role.CACHE, 0));
+            members.put(FIRST_CACHE_ID + i, new Fleet.ListedMember("cache-" + i, Role.CACHE, 0));
         }
         this.listedMembers = Map.copyOf(members);
         this.limits = List.of(
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -117,7 +117,7 @@
     private final RateLimitedLog warningLog;
     private final Map<Long, Attempt> attemptsByKey = new HashMap<>();
     private final Map<Long, Endpoint> endpointsByMember = new HashMap<>();
-    private final Map<Long, Fleet.Listed> fleetMembers = new TreeMap<>(); // listed members, as passed to the fleet
+    private final Map<Long, Fleet.ListedMember> fleetMembers = new TreeMap<>(); // listed members, as passed to the fleet
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final Queue<Event> pendingEvents = new ArrayDeque<>();
     private Consumer<Effect> effectSink;
@@ -1053,7 +1053,7 @@
                 fleetMembers.remove(member.id());
             } else {
                 fleetMembers.put(
-                        member.id(), new Fleet.Listed(instance, member.role(), member.startedAt(), state == State.READY));
+                        member.id(), new Fleet.ListedMember(instance, member.role(), member.startedAt(), state == State.READY));
             }
             Endpoint before = endpointsByMember.put(member.id(), entry.endpoint());
             logEndpointChange(before, entry.endpoint());
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -231,7 +231,7 @@
                         Optional.of(VirtualFleet.EJECTION_RULES)),
                 NOW,
                 5);
-        fleet.updateMembers(NOW, Map.of(99L, new Fleet.Listed("origin", Role.ORIGIN, 0)));
+        fleet.updateMembers(NOW, Map.of(99L, new Fleet.ListedMember("origin", Role.ORIGIN, 0)));
         return fleet;
     }
 
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -126,7 +126,7 @@
     final Random random;
     private final Map<String, Router> byAddress = new LinkedHashMap<>();
     private final PriorityQueue<PacketInFlight> inFlight = new PriorityQueue<>();
-    private final Map<Long, Fleet.Listed> members = new LinkedHashMap<>();
+    private final Map<Long, Fleet.ListedMember> members = new LinkedHashMap<>();
     private final double limit;
     private final LimitMeasure measure;
     private final int size;
@@ -147,9 +147,9 @@
         this.limit = limit;
         this.measure = measure;
         this.size = size;
-        members.put(ORIGIN, new Fleet.Listed("origin", Role.ORIGIN, 0));
+        members.put(ORIGIN, new Fleet.ListedMember("origin", Role.ORIGIN, 0));
         for (int i = 0; i < caches; i++) {
-            members.put(1_000L + i, new Fleet.Listed("box-" + i, Role.CACHE, 0));
+            members.put(1_000L + i, new Fleet.ListedMember("box-" + i, Role.CACHE, 0));
         }
         for (int i = 0; i < routers; i++) {
             Router router = new Router(i);
@@ -304,8 +304,8 @@
 
     /** Changes the list entry of a member at every active router. */
     void updateMember(long member, boolean ready, long started) {
-        Fleet.Listed before = members.get(member);
-        members.put(member, new Fleet.Listed(before.name(), before.role(), started, ready));
+        Fleet.ListedMember before = members.get(member);
+        members.put(member, new Fleet.ListedMember(before.name(), before.role(), started, ready));
         routers.stream().filter(this::isActive).forEach(router -> {
             router.fleet.updateMembers(now, members);
             collectOutput(router);
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -172,7 +172,7 @@
     double highestTotal; // of all shares at any instant
     private final Map<String, Router> byAddress = new HashMap<>();
     private final PriorityQueue<Scheduled> queue = new PriorityQueue<>();
-    private final Map<Long, Fleet.Listed> members = new LinkedHashMap<>();
+    private final Map<Long, Fleet.ListedMember> members = new LinkedHashMap<>();
     private final Deque<Long> restartTimes = new ArrayDeque<>();
     private final Map<Long, Integer> ejectionCounts = new TreeMap<>(); // routers that eject each member
     private final long upperCluster = Hashes.of(CLUSTER + "/^");
@@ -190,9 +190,9 @@
         this.size = size;
         this.maxCellRouters = maxCellRouters;
         this.delegates = delegates;
-        members.put(ORIGIN, new Fleet.Listed("origin", Role.ORIGIN, 0));
+        members.put(ORIGIN, new Fleet.ListedMember("origin", Role.ORIGIN, 0));
         for (int i = 0; i < CACHE_COUNT; i++) {
-            members.put(FIRST_CACHE + i, new Fleet.Listed("box-" + i, Role.CACHE, 0));
+            members.put(FIRST_CACHE + i, new Fleet.ListedMember("box-" + i, Role.CACHE, 0));
         }
     }
 
