--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -537,7 +537,7 @@
      * The living routers with the highest rendezvous weights, highest first: in a cell its delegates, led by its
      * grantor.
      */
-    public List<RouterRecord> first(int count) {
+    public List<RouterRecord> topRankedRouters(int count) {
         List<RouterRecord> all = new ArrayList<>(membership.living());
         all.add(membership.self());
         Map<RouterRecord, Long> weights = new HashMap<>();
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -497,7 +497,7 @@
         }
         if (join.hops() < PacketCodec.MOST_HOPS) {
             Optional<RouterRecord> next = upper == null
-                    ? cell.first(1).stream().findFirst()
+                    ? cell.topRankedRouters(1).stream().findFirst()
                     : nearestDelegate(
                             join.root(),
                             label(from.name()),
@@ -519,12 +519,12 @@
     }
 
     private List<String> delegateAddresses() {
-        return cell.first(cellSetup.delegates()).stream().map(RouterRecord::address).toList();
+        return cell.topRankedRouters(cellSetup.delegates()).stream().map(RouterRecord::address).toList();
     }
 
     private void receivePlace(RouterRecord from, Place place) {
         if (place.join() == 0) {
-            RouterRecord grantor = cell.first(1).get(0);
+            RouterRecord grantor = cell.topRankedRouters(1).get(0);
             if (place.depth() > depth && grantor.name().equals(from.name()) && grantor.instance() == from.instance()) {
                 moveToDepth(place.depth(), List.of());
             }
