--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -547,7 +547,7 @@
     }
 
     /** Whether this router is among the {@code count} living routers with the highest rendezvous weights. */
-    public boolean among(int count) {
+    public boolean isAmongTopRanked(int count) {
         long own = rendezvousWeight(membership.self());
         return membership.living().stream()
                         .filter(n -> Long.compareUnsigned(rendezvousWeight(n), own) > 0)
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -264,7 +264,7 @@
      */
     private void updateDelegateRole() {
         boolean settled = now >= inCellSince + SETTLING_PERIODS * cellPeriodMicros;
-        boolean chosen = cell.among(cellSetup.delegates());
+        boolean chosen = cell.isAmongTopRanked(cellSetup.delegates());
         if (upper == null && settled && chosen) {
             upper = Fleet.ofDelegates(
                     levelSetup(
