--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -335,7 +335,7 @@
             if (drains.take(piece)) {
                 nextPlanReportAt = now; // the leader waits until a majority holds the plan
             }
-        } else if (isDrainBody(packet.body()) && !grants()) {
+        } else if (isDrainBody(packet.body()) && !isGrantor()) {
             drop("asked-not-grantor");
         } else if (packet.body() instanceof PlanReport report) {
             drains.reported(snapshot(), peer(from), packet.number(), report);
@@ -527,7 +527,7 @@
     }
 
     /** Whether this router is the grantor, as far as it knows. */
-    public boolean grants() {
+    public boolean isGrantor() {
         return grantor().name().equals(setup.membership().name());
     }
 
@@ -682,7 +682,7 @@
      * the upper level.
      */
     private void reportCell() {
-        if (!lowerLevel.grants()) {
+        if (!lowerLevel.isGrantor()) {
             return;
         }
         RouterRecord to = grantor();
@@ -782,7 +782,7 @@
 
     private void handleAsk(Packet packet, CellAsk ask) {
         RouterRecord from = packet.from();
-        if (level != Level.UPPER || !grants()) {
+        if (level != Level.UPPER || !isGrantor()) {
             drop("asked-not-grantor");
             return;
         }
@@ -861,7 +861,7 @@
 
     private void handleAsk(Packet packet, Ask ask) {
         RouterRecord from = packet.from();
-        if (level == Level.UPPER || !grants()) {
+        if (level == Level.UPPER || !isGrantor()) {
             drop("asked-not-grantor");
             return;
         }
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -309,7 +309,7 @@
      * period, and moves itself last.
      */
     private void advanceSplit() {
-        if (!cell.grants()) {
+        if (!cell.isGrantor()) {
             oversizeSince = Long.MAX_VALUE;
             moveAt = Long.MAX_VALUE;
             targetDepth = depth;
@@ -404,7 +404,7 @@
         }
         joinAt = now + (long) (joinWaitPeriods * cellPeriodMicros * (0.5 + random.nextDouble()));
         joinWaitPeriods = isIsolated() ? Math.min(MAX_JOIN_WAIT_PERIODS / 2, 2 * joinWaitPeriods) : MAX_JOIN_WAIT_PERIODS;
-        if (!isIsolated() && !cell.grants()) {
+        if (!isIsolated() && !cell.isGrantor()) {
             return;
         }
         List<String> seeds = setup.membership().seeds();
@@ -537,7 +537,7 @@
         place.delegates().forEach(d -> rememberSeed(upperSeeds, d));
         if (place.depth() > depth && cell.living().isEmpty()) {
             moveToDepth(place.depth(), place.cell());
-        } else if (place.depth() > depth && cell.grants()) {
+        } else if (place.depth() > depth && cell.isGrantor()) {
             targetDepth = Math.max(targetDepth, depth + 1);
         } else if (place.depth() == depth) {
             place.cell().forEach(a -> rememberSeed(cellSeeds, a));
