--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -575,7 +575,7 @@
      * Sets the upper level of this cell; null for none, which is allowed only once all shares leased from it have
      * ended.
      */
-    public void setAbove(Fleet upper) {
+    public void setUpperLevel(Fleet upper) {
         upperLevel = upper;
     }
 
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -278,14 +278,14 @@
                     instance,
                     cell);
             upper.updateMembers(now, members);
-            cell.setAbove(upper);
+            cell.setUpperLevel(upper);
             joinAt = now;
             joinWaitPeriods = MIN_JOIN_WAIT_PERIODS;
             log("this router is a delegate of cell " + cellName(), Map.of("cell", cellName(), "delegate", true));
         } else if (upper != null && settled && !chosen && upper.sharesOver(now)) {
             upper.leave(now);
             collectOutput(upper);
-            cell.setAbove(null);
+            cell.setUpperLevel(null);
             upper = null;
             log(
                     "this router is no longer a delegate of cell " + cellName() + ": other routers rank higher",
@@ -379,7 +379,7 @@
         cell = newCell();
         cell.succeed(old);
         if (upper != null) {
-            cell.setAbove(upper);
+            cell.setUpperLevel(upper);
             upper.setBelow(cell);
         }
         log("this router is in cell " + cellName() + " now", Map.of("cell", cellName(), "depth", depth));
