--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -580,7 +580,7 @@
     }
 
     /** Sets the cell that this router is a delegate of. */
-    public void setBelow(Fleet cell) {
+    public void setLowerLevel(Fleet cell) {
         lowerLevel = cell;
     }
 
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -380,7 +380,7 @@
         cell.succeed(old);
         if (upper != null) {
             cell.setUpperLevel(upper);
-            upper.setBelow(cell);
+            upper.setLowerLevel(cell);
         }
         log("this router is in cell " + cellName() + " now", Map.of("cell", cellName(), "depth", depth));
     }
