--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -585,7 +585,7 @@
     }
 
     /** Whether all shares that were leased to this cell have ended. */
-    public boolean sharesOver(long time) {
+    public boolean cellSharesEnded(long time) {
         return cellShares.values().stream().allMatch(s -> s.over(time));
     }
 
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -282,7 +282,7 @@
             joinAt = now;
             joinWaitPeriods = MIN_JOIN_WAIT_PERIODS;
             log("this router is a delegate of cell " + cellName(), Map.of("cell", cellName(), "delegate", true));
-        } else if (upper != null && settled && !chosen && upper.sharesOver(now)) {
+        } else if (upper != null && settled && !chosen && upper.cellSharesEnded(now)) {
             upper.leave(now);
             collectOutput(upper);
             cell.setUpperLevel(null);
