--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -590,7 +590,7 @@
     }
 
     /** Exchanges terms and ejections between this cell and the upper level, in both directions. */
-    public void meet(long time, Fleet upper) {
+    public void exchangeWith(long time, Fleet upper) {
         now = Math.max(now, time);
         upper.now = Math.max(upper.now, time);
         election.observeTerm(upper.election.term());
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -195,7 +195,7 @@
 
     private void exchangeLevels() {
         if (upper != null) {
-            cell.meet(now, upper);
+            cell.exchangeWith(now, upper);
         }
     }
 
