--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -611,7 +611,7 @@
      * Takes over from an older level of the same process whose cell was split: its leases and lease tables, which name
      * processes and not cells, and everything reported to it. Votes are not taken over; they start as in a new process.
      */
-    public void succeed(Fleet old) {
+    public void takeOver(Fleet old) {
         leases.putAll(old.leases);
         leaseTables.putAll(old.leaseTables);
         demands.putAll(old.demands);
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -377,7 +377,7 @@
         old.leave(now);
         collectOutput(old);
         cell = newCell();
-        cell.succeed(old);
+        cell.takeOver(old);
         if (upper != null) {
             cell.setUpperLevel(upper);
             upper.setLowerLevel(cell);
