--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1132,7 +1132,7 @@
                         gossipBytes / 2,
                         membership.gossipTransmissions(),
                         member -> ejections.on(member) == null
-                                ? PacketCodec.LONGEST
+                                ? PacketCodec.MAX_PACKET_BYTES
                                 : PacketCodec.size(ejections.on(member).verdict()))
                 .stream()
                 .map(this::currentEjection)
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -29,7 +29,7 @@
 public final class PacketCodec {
 
     /** The longest packet, in bytes; short enough to pass every link without fragmentation. */
-    public static final int LONGEST = 1_200;
+    public static final int MAX_PACKET_BYTES = 1_200;
 
     public static final int LONGEST_NAME = 64; // bytes, in ASCII; also of an address
     static final int MAX_DEMANDS = 24; // in one packet
@@ -90,7 +90,7 @@
     }
 
     public byte[] write(Packet packet) {
-        ByteBuffer out = ByteBuffer.allocate(LONGEST);
+        ByteBuffer out = ByteBuffer.allocate(MAX_PACKET_BYTES);
         out.putInt(MAGIC).putLong(cluster);
         write(out, packet.from());
         out.putLong(packet.number());
@@ -106,9 +106,9 @@
 
     /** The number of bytes that a packet with this sender and body leaves for gossip. */
     int bytesForGossip(RouterRecord from, Body body) {
-        ByteBuffer out = ByteBuffer.allocate(LONGEST);
+        ByteBuffer out = ByteBuffer.allocate(MAX_PACKET_BYTES);
         write(out, body);
-        return LONGEST - out.position() - size(from) - PACKET_FIXED_BYTES;
+        return MAX_PACKET_BYTES - out.position() - size(from) - PACKET_FIXED_BYTES;
     }
 
     private static void write(ByteBuffer out, RouterRecord router) {
@@ -247,7 +247,7 @@
 
     /** Decodes and checks a whole packet. Incarnations above {@code lastIncarnation} are rejected as impossible. */
     public Packet read(byte[] bytes, long lastIncarnation) throws BadPacketException {
-        if (bytes.length > LONGEST) {
+        if (bytes.length > MAX_PACKET_BYTES) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -192,7 +192,7 @@
     void encodedPacketsDecodeToEqualPackets(@ForAll long seed) throws BadPacketException {
         Packet packet = randomPacket(new Random(seed));
         byte[] bytes = codec.write(packet);
-        assertTrue(bytes.length <= PacketCodec.LONGEST);
+        assertTrue(bytes.length <= PacketCodec.MAX_PACKET_BYTES);
         assertEquals(packet, codec.read(bytes, LAST_INCARNATION));
         assertArrayEquals(bytes, codec.write(codec.read(bytes, LAST_INCARNATION)));
     }
@@ -389,7 +389,7 @@
                         random.longs(120).boxed().toList())),
                 new Packet.Sums(random.longs(Membership.MAX_DIGEST_PARTS).boxed().toList(), true))) {
             assertTrue(codec.bytesForGossip(longest, body) >= 0, body.getClass()::getSimpleName);
-            assertTrue(codec.write(new Packet(longest, 1, body, List.of(), List.of())).length <= PacketCodec.LONGEST);
+            assertTrue(codec.write(new Packet(longest, 1, body, List.of(), List.of())).length <= PacketCodec.MAX_PACKET_BYTES);
         }
     }
 }
