--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -31,7 +31,7 @@
     /** The longest packet, in bytes; short enough to pass every link without fragmentation. */
     public static final int MAX_PACKET_BYTES = 1_200;
 
-    public static final int LONGEST_NAME = 64; // bytes, in ASCII; also of an address
+    public static final int MAX_NAME_LENGTH = 64; // bytes, in ASCII; also of an address
     static final int MAX_DEMANDS = 24; // in one packet
     static final int MAX_FAILURE_REPORTS = 12; // in one packet
     static final int MAX_CELL_DEMANDS = 14; // in one packet
@@ -287,7 +287,7 @@
 
     private static String readText(ByteBuffer in, Pattern pattern) throws BadPacketException {
         int length = in.get() & 0xff;
-        if (length > LONGEST_NAME) {
+        if (length > MAX_NAME_LENGTH) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
         byte[] bytes = new byte[length];
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -111,7 +111,7 @@
      * and name together are too long.
      */
     private String label(String router) {
-        return cellSetup.root().length() + 1 + router.length() <= PacketCodec.LONGEST_NAME
+        return cellSetup.root().length() + 1 + router.length() <= PacketCodec.MAX_NAME_LENGTH
                 ? router
                 : Long.toHexString(Hashes.of(router));
     }
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -370,7 +370,7 @@
     @Test
     void theLargestBodiesFitIntoAPacket() {
         RouterRecord longest =
-                new RouterRecord("r".repeat(PacketCodec.LONGEST_NAME), "127.255.255.255:65535", 1, 1, RouterStatus.ALIVE);
+                new RouterRecord("r".repeat(PacketCodec.MAX_NAME_LENGTH), "127.255.255.255:65535", 1, 1, RouterStatus.ALIVE);
         Random random = new Random(4);
         for (Packet.Body body : List.of(
                 new Packet.PlanReport(
