--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -35,7 +35,7 @@
     static final int MAX_DEMANDS = 24; // in one packet
     static final int MAX_FAILURE_REPORTS = 12; // in one packet
     static final int MAX_CELL_DEMANDS = 14; // in one packet
-    public static final int PLACES = 8; // addresses of cell routers, or of delegates, in one packet
+    public static final int MAX_ADDRESSES = 8; // addresses of cell routers, or of delegates, in one packet
     public static final int MOST_DEPTH = 16; // how deep a cell can be split
     public static final int MOST_HOPS = 4; // how often a join request is forwarded
     static final int MAX_ROUTERS = 1_000_000; // that one cell report can count
@@ -480,7 +480,7 @@
 
     private static List<String> readAddresses(ByteBuffer in) throws BadPacketException {
         List<String> addresses = new ArrayList<>();
-        for (int left = checkedCount(in.get(), PLACES); left > 0; left--) {
+        for (int left = checkedCount(in.get(), MAX_ADDRESSES); left > 0; left--) {
             addresses.add(readAddress(in));
         }
         return addresses;
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -366,7 +366,7 @@
         Fleet old = cell;
         cellSeeds.clear();
         cellSeeds.addAll(seeds);
-        cellSeeds.addAll(known.subList(0, Math.min(PacketCodec.PLACES, known.size())));
+        cellSeeds.addAll(known.subList(0, Math.min(PacketCodec.MAX_ADDRESSES, known.size())));
         depth = newDepth;
         targetDepth = newDepth;
         inCellSince = now;
@@ -486,7 +486,7 @@
                             new Place(
                                     packet.number(),
                                     depth,
-                                    known.subList(0, Math.min(PacketCodec.PLACES, known.size())),
+                                    known.subList(0, Math.min(PacketCodec.MAX_ADDRESSES, known.size())),
                                     delegateAddresses()),
                             List.of(),
                             List.of()));
@@ -547,7 +547,7 @@
     private void rememberSeed(List<String> seeds, String seed) {
         if (!seed.equals(address) && !seeds.contains(seed)) {
             seeds.add(seed);
-            if (seeds.size() > PacketCodec.PLACES) {
+            if (seeds.size() > PacketCodec.MAX_ADDRESSES) {
                 seeds.remove(0);
             }
         }
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -154,7 +154,7 @@
     }
 
     private static List<String> addresses(Random random) {
-        return random.ints(random.nextInt(PacketCodec.PLACES + 1), 1, 65_536)
+        return random.ints(random.nextInt(PacketCodec.MAX_ADDRESSES + 1), 1, 65_536)
                 .mapToObj(port -> "127.0.0.1:" + port)
                 .toList();
     }
@@ -171,7 +171,7 @@
                 new Packet.Sums(List.of(1L, 2L, 3L), true),
                 new Packet.Sums(java.util.Collections.nCopies(2 * Membership.MAX_DIGEST_PARTS, 1L), true),
                 new Packet.Place(
-                        1, 0, java.util.Collections.nCopies(PacketCodec.PLACES + 1, "127.0.0.1:7000"), List.of()),
+                        1, 0, java.util.Collections.nCopies(PacketCodec.MAX_ADDRESSES + 1, "127.0.0.1:7000"), List.of()),
                 new Packet.CellAsk(true, 1, 1, -1, 1, List.of(), List.of()),
                 new Packet.CellAsk(
                         true,
