--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -316,13 +316,13 @@
             return;
         }
         List<RouterRecord> living = cell.living();
-        boolean oversize = living.size() + 1 > cellSetup.most() && depth < PacketCodec.MOST_DEPTH;
+        boolean oversize = living.size() + 1 > cellSetup.most() && depth < PacketCodec.MAX_CELL_DEPTH;
         oversizeSince = oversize ? Math.min(oversizeSince, now) : Long.MAX_VALUE;
         if (oversize
                 && targetDepth == depth
                 && now >= inCellSince + SETTLING_PERIODS * cellPeriodMicros
                 && now - oversizeSince >= OVERSIZE_PERIODS * cellPeriodMicros) {
-            targetDepth = Math.min(PacketCodec.MOST_DEPTH, depth + bitsFor(living.size() + 1));
+            targetDepth = Math.min(PacketCodec.MAX_CELL_DEPTH, depth + bitsFor(living.size() + 1));
             log(
                     "cell " + cellName() + " is being split: it has " + (living.size() + 1) + " routers, over the bound of "
                             + cellSetup.most(),
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -115,12 +115,12 @@
                     case 11 ->
                         new Packet.Join(
                                 "zone-" + random.nextInt(130),
-                                random.nextInt(PacketCodec.MOST_DEPTH + 1),
+                                random.nextInt(PacketCodec.MAX_CELL_DEPTH + 1),
                                 random.nextInt(PacketCodec.MOST_HOPS + 1));
                     case 12 ->
                         new Packet.Place(
                                 random.nextInt(9_999),
-                                random.nextInt(PacketCodec.MOST_DEPTH + 2) - 1,
+                                random.nextInt(PacketCodec.MAX_CELL_DEPTH + 2) - 1,
                                 addresses(random),
                                 addresses(random));
                     case 13 ->
@@ -163,7 +163,7 @@
     @Test
     void impossibleCellValuesAreRejected() {
         for (Packet.Body body : List.of(
-                new Packet.Join("zone-a", PacketCodec.MOST_DEPTH + 1, 0),
+                new Packet.Join("zone-a", PacketCodec.MAX_CELL_DEPTH + 1, 0),
                 new Packet.Join("zone-a", 0, PacketCodec.MOST_HOPS + 1),
                 new Packet.Place(1, -2, List.of(), List.of()),
                 new Packet.Place(-1, 0, List.of(), List.of()),
