--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -37,7 +37,7 @@
     static final int MAX_CELL_DEMANDS = 14; // in one packet
     public static final int MAX_ADDRESSES = 8; // addresses of cell routers, or of delegates, in one packet
     public static final int MAX_CELL_DEPTH = 16; // how deep a cell can be split
-    public static final int MOST_HOPS = 4; // how often a join request is forwarded
+    public static final int MAX_JOIN_HOPS = 4; // how often a join request is forwarded
     static final int MAX_ROUTERS = 1_000_000; // that one cell report can count
     static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     static final Pattern ADDRESS = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}");
@@ -396,7 +396,7 @@
             }
             case DRAIN_ASK -> readDrainAsk(in);
             case CELL_ASK -> readCellAsk(in);
-            case JOIN -> new Packet.Join(readText(in, NAME), checkedCount(in.get(), MAX_CELL_DEPTH), checkedCount(in.get(), MOST_HOPS));
+            case JOIN -> new Packet.Join(readText(in, NAME), checkedCount(in.get(), MAX_CELL_DEPTH), checkedCount(in.get(), MAX_JOIN_HOPS));
             case PLACE -> {
                 long join = in.getLong();
                 int depth = in.get();
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -495,7 +495,7 @@
             }
             return;
         }
-        if (join.hops() < PacketCodec.MOST_HOPS) {
+        if (join.hops() < PacketCodec.MAX_JOIN_HOPS) {
             Optional<RouterRecord> next = upper == null
                     ? cell.topRankedRouters(1).stream().findFirst()
                     : nearestDelegate(
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -116,7 +116,7 @@
                         new Packet.Join(
                                 "zone-" + random.nextInt(130),
                                 random.nextInt(PacketCodec.MAX_CELL_DEPTH + 1),
-                                random.nextInt(PacketCodec.MOST_HOPS + 1));
+                                random.nextInt(PacketCodec.MAX_JOIN_HOPS + 1));
                     case 12 ->
                         new Packet.Place(
                                 random.nextInt(9_999),
@@ -164,7 +164,7 @@
     void impossibleCellValuesAreRejected() {
         for (Packet.Body body : List.of(
                 new Packet.Join("zone-a", PacketCodec.MAX_CELL_DEPTH + 1, 0),
-                new Packet.Join("zone-a", 0, PacketCodec.MOST_HOPS + 1),
+                new Packet.Join("zone-a", 0, PacketCodec.MAX_JOIN_HOPS + 1),
                 new Packet.Place(1, -2, List.of(), List.of()),
                 new Packet.Place(-1, 0, List.of(), List.of()),
                 new Packet.Sums(List.of(), true),
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -135,7 +135,7 @@
         assertEquals(STRANGER, sent.get(0).from(), "the sender stays the joining router, so that the answer goes there");
         assertEquals(9, sent.get(0).number());
         sent.clear();
-        fleet.deliver(router, JOINS.write(packet(10, new Join("c", 0, PacketCodec.MOST_HOPS))));
+        fleet.deliver(router, JOINS.write(packet(10, new Join("c", 0, PacketCodec.MAX_JOIN_HOPS))));
         assertEquals(List.of(), sent);
     }
 
