--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -301,14 +301,14 @@
 
     private static String readAddress(ByteBuffer in) throws BadPacketException {
         String address = readText(in, ADDRESS);
-        if (!possibleAddress(address)) {
+        if (!isValidAddress(address)) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
         return address;
     }
 
     /** Whether this is an IPv4 address with a port that something can listen on. */
-    public static boolean possibleAddress(String address) {
+    public static boolean isValidAddress(String address) {
         if (!ADDRESS.matcher(address).matches()) {
             return false;
         }
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -351,7 +351,7 @@
     }
 
     private String fleetAddress(String address, String key) throws OperatorException {
-        if (address == null || !PacketCodec.possibleAddress(address)) {
+        if (address == null || !PacketCodec.isValidAddress(address)) {
             throw invalid(
                     key, address == null ? "it is missing" : "'" + address + "' is not an address such as 127.0.0.1:7946");
         }
