--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -64,13 +64,13 @@
     /**
      * The requests that a router has in flight at a member, and how often the member recently answered from its cache.
      */
-    public record Use(long member, int underWay, double hits) {}
+    public record MemberUsage(long member, int underWay, double hits) {}
 
     /**
      * A router's report about the drain plan: the stamps of the newest plan it holds and of the one it applies, whether
      * it remembers what was agreed (a restarted process does not), and the highest term that it knows.
      */
-    public record PlanReport(long term, long held, long applied, boolean seasoned, List<Use> uses) implements Body {}
+    public record PlanReport(long term, long held, long applied, boolean seasoned, List<MemberUsage> uses) implements Body {}
 
     /**
      * The answer to a plan report, identified by the report's number and valid for that process only. {@code office} is
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -10,7 +10,7 @@
 import pumicemoor.fleet.BadPacketException.Reason;
 import pumicemoor.fleet.Packet.Body;
 import pumicemoor.fleet.Packet.GrantedShare;
-import pumicemoor.fleet.Packet.Use;
+import pumicemoor.fleet.Packet.MemberUsage;
 import pumicemoor.fleet.Packet.Demand;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.drains.Drains;
@@ -439,9 +439,9 @@
         long held = checkedStamp(in.getLong());
         long applied = checkedStamp(in.getLong());
         boolean remembersPlan = in.get() == 1;
-        List<Use> uses = new ArrayList<>();
+        List<MemberUsage> uses = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            Use use = new Use(in.getLong(), in.getInt(), checkedAmount(in.getFloat()));
+            MemberUsage use = new MemberUsage(in.getLong(), in.getInt(), checkedAmount(in.getFloat()));
             if (use.underWay() < 0) {
                 throw new BadPacketException(Reason.IMPOSSIBLE);
             }
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -14,7 +14,7 @@
 import pumicemoor.fleet.Packet.Piece;
 import pumicemoor.fleet.Packet.PlanGrant;
 import pumicemoor.fleet.Packet.PlanReport;
-import pumicemoor.fleet.Packet.Use;
+import pumicemoor.fleet.Packet.MemberUsage;
 import pumicemoor.fleet.drains.FleetSnapshot.Peer;
 import pumicemoor.fleet.limits.LeaseTimes;
 
@@ -141,19 +141,19 @@
     }
 
     /** Returns the usage of draining members, and then, in rotation, of queued ones as far as the report has space. */
-    private List<Use> reportedUsage() {
-        List<Use> uses = new ArrayList<>();
+    private List<MemberUsage> reportedUsage() {
+        List<MemberUsage> uses = new ArrayList<>();
         List<DrainOrder> waiting = new ArrayList<>();
         for (DrainOrder order : planStore.applied().orders()) {
             if (order.phase() == Phase.DRAINING && uses.size() < MAX_USES_PER_REPORT) {
-                uses.add(new Use(order.member(), usage.underWay(order.member()), 0));
+                uses.add(new MemberUsage(order.member(), usage.underWay(order.member()), 0));
             } else if (order.phase() == Phase.QUEUED) {
                 waiting.add(order);
             }
         }
         for (int i = 0; i < waiting.size() && uses.size() < MAX_USES_PER_REPORT; i++) {
             long member = waiting.get(nextUsageIndex++ % waiting.size()).member();
-            uses.add(new Use(member, 0, usage.hits(member)));
+            uses.add(new MemberUsage(member, 0, usage.hits(member)));
         }
         return uses;
     }
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pumicemoor.fleet.Packet.Use;
+import pumicemoor.fleet.Packet.MemberUsage;
 import pumicemoor.fleet.drains.FleetSnapshot.Peer;
 import pumicemoor.fleet.drains.FleetSnapshot.Target;
 import pumicemoor.fleet.limits.LeaseTimes;
@@ -60,7 +60,7 @@
     }
 
     /** Records a router's report of the requests in flight at draining members and of the hits at queued ones. */
-    void recordUsage(String router, List<Use> uses) {
+    void recordUsage(String router, List<MemberUsage> uses) {
         Map<Long, Integer> inFlight = new HashMap<>();
         Map<Long, Double> hits = hitsByRouter.computeIfAbsent(router, r -> new HashMap<>());
         uses.forEach(use -> {
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -65,7 +65,7 @@
                                 random.nextInt(700),
                                 random.nextBoolean(),
                                 random.longs(random.nextInt(20))
-                                        .mapToObj(m -> new Packet.Use(m, random.nextInt(90), random.nextInt(90)))
+                                        .mapToObj(m -> new Packet.MemberUsage(m, random.nextInt(90), random.nextInt(90)))
                                         .toList());
                     case 7 ->
                         new Packet.PlanGrant(
@@ -378,7 +378,7 @@
                         1,
                         1,
                         true,
-                        random.longs(60).mapToObj(m -> new Packet.Use(m, 1, 1)).toList()),
+                        random.longs(60).mapToObj(m -> new Packet.MemberUsage(m, 1, 1)).toList()),
                 new Packet.Piece(1, 0, 1, new byte[900]),
                 new Packet.DrainAsk(new DrainCommand(
                         DrainCommand.Kind.REQUEST,
