--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -177,7 +177,7 @@
                     .putLong(report.applied())
                     .put((byte) (report.seasoned() ? 1 : 0))
                     .put((byte) report.uses().size());
-            report.uses().forEach(u -> out.putLong(u.member()).putInt(u.underWay()).putFloat((float) u.hits()));
+            report.uses().forEach(u -> out.putLong(u.member()).putInt(u.inFlight()).putFloat((float) u.hits()));
         } else if (body instanceof Packet.PlanGrant grant) {
             out.put((byte) Type.PLAN_GRANT.ordinal())
                     .putLong(grant.report())
@@ -442,7 +442,7 @@
         List<MemberUsage> uses = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
             MemberUsage use = new MemberUsage(in.getLong(), in.getInt(), checkedAmount(in.getFloat()));
-            if (use.underWay() < 0) {
+            if (use.inFlight() < 0) {
                 throw new BadPacketException(Reason.IMPOSSIBLE);
             }
             uses.add(use);
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -64,7 +64,7 @@
         Map<Long, Integer> inFlight = new HashMap<>();
         Map<Long, Double> hits = hitsByRouter.computeIfAbsent(router, r -> new HashMap<>());
         uses.forEach(use -> {
-            inFlight.put(use.member(), use.underWay());
+            inFlight.put(use.member(), use.inFlight());
             hits.put(use.member(), use.hits());
         });
         inFlightByRouter.put(router, inFlight);
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -158,7 +158,7 @@
         drains.takeView(130, snapshot(130));
         PlanReport report = (PlanReport) sendReport(140);
         assertEquals(11, report.applied());
-        assertEquals(3, report.uses().get(0).underWay());
+        assertEquals(3, report.uses().get(0).inFlight());
         assertEquals(2, report.uses().get(1).hits());
         drains.command(150, new DrainCommand(DrainCommand.Kind.CANCEL, 8, 0, 0, 0, List.of(2L)));
         int before = sent.size();
