--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -64,7 +64,7 @@
     /**
      * The requests that a router has in flight at a member, and how often the member recently answered from its cache.
      */
-    public record MemberUsage(long member, int inFlight, double hits) {}
+    public record MemberUsage(long member, int inFlight, double recentHits) {}
 
     /**
      * A router's report about the drain plan: the stamps of the newest plan it holds and of the one it applies, whether
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -177,7 +177,7 @@
                     .putLong(report.applied())
                     .put((byte) (report.seasoned() ? 1 : 0))
                     .put((byte) report.uses().size());
-            report.uses().forEach(u -> out.putLong(u.member()).putInt(u.inFlight()).putFloat((float) u.hits()));
+            report.uses().forEach(u -> out.putLong(u.member()).putInt(u.inFlight()).putFloat((float) u.recentHits()));
         } else if (body instanceof Packet.PlanGrant grant) {
             out.put((byte) Type.PLAN_GRANT.ordinal())
                     .putLong(grant.report())
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -65,7 +65,7 @@
         Map<Long, Double> hits = hitsByRouter.computeIfAbsent(router, r -> new HashMap<>());
         uses.forEach(use -> {
             inFlight.put(use.member(), use.inFlight());
-            hits.put(use.member(), use.hits());
+            hits.put(use.member(), use.recentHits());
         });
         inFlightByRouter.put(router, inFlight);
     }
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -159,7 +159,7 @@
         PlanReport report = (PlanReport) sendReport(140);
         assertEquals(11, report.applied());
         assertEquals(3, report.uses().get(0).inFlight());
-        assertEquals(2, report.uses().get(1).hits());
+        assertEquals(2, report.uses().get(1).recentHits());
         drains.command(150, new DrainCommand(DrainCommand.Kind.CANCEL, 8, 0, 0, 0, List.of(2L)));
         int before = sent.size();
         drains.report(160, LEADER, 1);
