--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -173,7 +173,7 @@
         } else if (body instanceof Packet.PlanReport report) {
             out.put((byte) Type.PLAN_REPORT.ordinal())
                     .putLong(report.term())
-                    .putLong(report.held())
+                    .putLong(report.heldStamp())
                     .putLong(report.applied())
                     .put((byte) (report.seasoned() ? 1 : 0))
                     .put((byte) report.uses().size());
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -290,9 +290,9 @@
     /** Processes a router's report and answers it at once. */
     public void reported(FleetSnapshot snapshot, Peer from, long number, PlanReport report) {
         outlet.observeTerm(report.term());
-        outlet.observeTerm(Plan.termOf(report.held()));
+        outlet.observeTerm(Plan.termOf(report.heldStamp()));
         leader.recordReport(
-                from.name(), new PlanLeader.Report(from.instance(), report.term(), report.held(), report.applied(), report.seasoned()));
+                from.name(), new PlanLeader.Report(from.instance(), report.term(), report.heldStamp(), report.applied(), report.seasoned()));
         acknowledgements.recordUsage(from.name(), report.uses());
         sit(snapshot);
         boolean isLeader = snapshot.term() > 0 && leader.inForce() > 0;
@@ -309,7 +309,7 @@
                         planStore.newest().stamp(),
                         leader.inForce()));
         // also if not the leader: a restarted process is better off with an old plan than with none
-        if (report.held() < planStore.newest().stamp()) {
+        if (report.heldStamp() < planStore.newest().stamp()) {
             sendPieces(from.address());
         }
     }
