--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -174,7 +174,7 @@
             out.put((byte) Type.PLAN_REPORT.ordinal())
                     .putLong(report.term())
                     .putLong(report.heldStamp())
-                    .putLong(report.applied())
+                    .putLong(report.appliedStamp())
                     .put((byte) (report.seasoned() ? 1 : 0))
                     .put((byte) report.uses().size());
             report.uses().forEach(u -> out.putLong(u.member()).putInt(u.inFlight()).putFloat((float) u.recentHits()));
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -154,10 +154,10 @@
     void aReportHasTheStampOfTheViewAndACommandIsSentUntilAPlanContainsIt() {
         deliver(plan(11, Phase.DRAINING, Phase.QUEUED));
         reportAndAnswer(100, 110, INSTANCE, true, 11);
-        assertEquals(0, ((PlanReport) sendReport(120)).applied(), "routing decisions have not received the plan yet");
+        assertEquals(0, ((PlanReport) sendReport(120)).appliedStamp(), "routing decisions have not received the plan yet");
         drains.takeView(130, snapshot(130));
         PlanReport report = (PlanReport) sendReport(140);
-        assertEquals(11, report.applied());
+        assertEquals(11, report.appliedStamp());
         assertEquals(3, report.uses().get(0).inFlight());
         assertEquals(2, report.uses().get(1).recentHits());
         drains.command(150, new DrainCommand(DrainCommand.Kind.CANCEL, 8, 0, 0, 0, List.of(2L)));
