--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -70,7 +70,7 @@
      * A router's report about the drain plan: the stamps of the newest plan it holds and of the one it applies, whether
      * it remembers what was agreed (a restarted process does not), and the highest term that it knows.
      */
-    public record PlanReport(long term, long heldStamp, long appliedStamp, boolean seasoned, List<MemberUsage> uses) implements Body {}
+    public record PlanReport(long term, long heldStamp, long appliedStamp, boolean recovered, List<MemberUsage> uses) implements Body {}
 
     /**
      * The answer to a plan report, identified by the report's number and valid for that process only. {@code office} is
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -175,7 +175,7 @@
                     .putLong(report.term())
                     .putLong(report.heldStamp())
                     .putLong(report.appliedStamp())
-                    .put((byte) (report.seasoned() ? 1 : 0))
+                    .put((byte) (report.recovered() ? 1 : 0))
                     .put((byte) report.uses().size());
             report.uses().forEach(u -> out.putLong(u.member()).putInt(u.inFlight()).putFloat((float) u.recentHits()));
         } else if (body instanceof Packet.PlanGrant grant) {
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -292,7 +292,7 @@
         outlet.observeTerm(report.term());
         outlet.observeTerm(Plan.termOf(report.heldStamp()));
         leader.recordReport(
-                from.name(), new PlanLeader.Report(from.instance(), report.term(), report.heldStamp(), report.appliedStamp(), report.seasoned()));
+                from.name(), new PlanLeader.Report(from.instance(), report.term(), report.heldStamp(), report.appliedStamp(), report.recovered()));
         acknowledgements.recordUsage(from.name(), report.uses());
         sit(snapshot);
         boolean isLeader = snapshot.term() > 0 && leader.inForce() > 0;
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -142,7 +142,7 @@
         assertEquals(Set.of(1L, 2L), avoidedMembers(10));
         Drains.View view = drains.takeView(LEASE_MICROS + GUARD_MICROS, snapshot(LEASE_MICROS + GUARD_MICROS));
         assertTrue(view.settled() && view.alone().equals(Set.of(1L, 2L)), "it has waited as long as it may");
-        assertTrue(!((PlanReport) sendReport(LEASE_MICROS + GUARD_MICROS)).seasoned(), "but it has not recovered");
+        assertTrue(!((PlanReport) sendReport(LEASE_MICROS + GUARD_MICROS)).recovered(), "but it has not recovered");
     }
 
     private Body sendReport(long now) {
