--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -180,7 +180,7 @@
             report.uses().forEach(u -> out.putLong(u.member()).putInt(u.inFlight()).putFloat((float) u.recentHits()));
         } else if (body instanceof Packet.PlanGrant grant) {
             out.put((byte) Type.PLAN_GRANT.ordinal())
-                    .putLong(grant.report())
+                    .putLong(grant.reportNumber())
                     .putLong(grant.instance())
                     .putLong(grant.term())
                     .put((byte) (grant.office() ? 1 : 0))
