--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -183,7 +183,7 @@
                     .putLong(grant.reportNumber())
                     .putLong(grant.instance())
                     .putLong(grant.term())
-                    .put((byte) (grant.office() ? 1 : 0))
+                    .put((byte) (grant.fromLeader() ? 1 : 0))
                     .putLong(grant.held())
                     .putLong(grant.inForce());
         } else if (body instanceof Packet.Piece piece) {
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -193,7 +193,7 @@
             return;
         }
         outlet.observeTerm(grant.term());
-        if (grant.office()) {
+        if (grant.fromLeader()) {
             planStore.confirmInForce(grant.inForce());
             if (planStore.applied().stamp() >= grant.inForce()) {
                 extendLeaderContact(sentTime + leaseTimes.lease());
