--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -184,7 +184,7 @@
                     .putLong(grant.instance())
                     .putLong(grant.term())
                     .put((byte) (grant.fromLeader() ? 1 : 0))
-                    .putLong(grant.held())
+                    .putLong(grant.heldStamp())
                     .putLong(grant.inForce());
         } else if (body instanceof Packet.Piece piece) {
             out.put((byte) Type.PIECE.ordinal())
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -201,7 +201,7 @@
             recordReturns();
             lastLoggedPlan = planStore.applied(); // the leader logs its steps
         }
-        if (grant.held() < planStore.newest().stamp()) {
+        if (grant.heldStamp() < planStore.newest().stamp()) {
             sendPieces(address);
         }
     }
