--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -76,7 +76,7 @@
      * The answer to a plan report, identified by the report's number and valid for that process only. {@code office} is
      * set if the sender is the leader and so knows which plan is in force.
      */
-    public record PlanGrant(long reportNumber, long instance, long term, boolean fromLeader, long heldStamp, long inForce)
+    public record PlanGrant(long reportNumber, long instance, long term, boolean fromLeader, long heldStamp, long stampInForce)
             implements Body {}
 
     /** A piece of an encoded drain plan. */
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -185,7 +185,7 @@
                     .putLong(grant.term())
                     .put((byte) (grant.fromLeader() ? 1 : 0))
                     .putLong(grant.heldStamp())
-                    .putLong(grant.inForce());
+                    .putLong(grant.stampInForce());
         } else if (body instanceof Packet.Piece piece) {
             out.put((byte) Type.PIECE.ordinal())
                     .putLong(piece.stamp())
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -194,8 +194,8 @@
         }
         outlet.observeTerm(grant.term());
         if (grant.fromLeader()) {
-            planStore.confirmInForce(grant.inForce());
-            if (planStore.applied().stamp() >= grant.inForce()) {
+            planStore.confirmInForce(grant.stampInForce());
+            if (planStore.applied().stamp() >= grant.stampInForce()) {
                 extendLeaderContact(sentTime + leaseTimes.lease());
             }
             recordReturns();
