--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -227,7 +227,7 @@
             out.put((byte) join.depth()).put((byte) join.hops());
         } else if (body instanceof Packet.Place place) {
             out.put((byte) Type.PLACE.ordinal()).putLong(place.join()).put((byte) place.depth());
-            write(out, place.cell());
+            write(out, place.cellAddresses());
             write(out, place.delegates());
         }
     }
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -536,11 +536,11 @@
         }
         place.delegates().forEach(d -> rememberSeed(upperSeeds, d));
         if (place.depth() > depth && cell.living().isEmpty()) {
-            moveToDepth(place.depth(), place.cell());
+            moveToDepth(place.depth(), place.cellAddresses());
         } else if (place.depth() > depth && cell.isGrantor()) {
             targetDepth = Math.max(targetDepth, depth + 1);
         } else if (place.depth() == depth) {
-            place.cell().forEach(a -> rememberSeed(cellSeeds, a));
+            place.cellAddresses().forEach(a -> rememberSeed(cellSeeds, a));
         }
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -152,10 +152,10 @@
         Place place = (Place) sent.get(0).body();
         assertEquals(11, place.join());
         assertEquals(0, place.depth());
-        assertTrue(place.cell().contains(router.address) && place.cell().size() == 5, place::toString);
+        assertTrue(place.cellAddresses().contains(router.address) && place.cellAddresses().size() == 5, place::toString);
         assertTrue(
-                place.cell().containsAll(place.delegates()) && place.delegates().size() == 2, place::toString);
-        assertTrue(fleet.inRoot("b").stream().allMatch(r -> place.cell().contains(r.address)));
+                place.cellAddresses().containsAll(place.delegates()) && place.delegates().size() == 2, place::toString);
+        assertTrue(fleet.inRoot("b").stream().allMatch(r -> place.cellAddresses().contains(r.address)));
     }
 
     @Test
