--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -132,5 +132,5 @@
      * The answer to a join request, identified by its number, or 0 for the announcement of a cell split: how deep the
      * receiver's cell is split (-1 if unknown), and some addresses of routers in that cell and of delegates.
      */
-    public record Place(long join, int depth, List<String> cellAddresses, List<String> delegates) implements Body {}
+    public record Place(long join, int depth, List<String> cellAddresses, List<String> delegateAddresses) implements Body {}
 }
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -228,7 +228,7 @@
         } else if (body instanceof Packet.Place place) {
             out.put((byte) Type.PLACE.ordinal()).putLong(place.join()).put((byte) place.depth());
             write(out, place.cellAddresses());
-            write(out, place.delegates());
+            write(out, place.delegateAddresses());
         }
     }
 
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -534,7 +534,7 @@
             countDropped("unasked-places");
             return;
         }
-        place.delegates().forEach(d -> rememberSeed(upperSeeds, d));
+        place.delegateAddresses().forEach(d -> rememberSeed(upperSeeds, d));
         if (place.depth() > depth && cell.living().isEmpty()) {
             moveToDepth(place.depth(), place.cellAddresses());
         } else if (place.depth() > depth && cell.isGrantor()) {
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -154,7 +154,7 @@
         assertEquals(0, place.depth());
         assertTrue(place.cellAddresses().contains(router.address) && place.cellAddresses().size() == 5, place::toString);
         assertTrue(
-                place.cellAddresses().containsAll(place.delegates()) && place.delegates().size() == 2, place::toString);
+                place.cellAddresses().containsAll(place.delegateAddresses()) && place.delegateAddresses().size() == 2, place::toString);
         assertTrue(fleet.inRoot("b").stream().allMatch(r -> place.cellAddresses().contains(r.address)));
     }
 
