--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -787,7 +787,7 @@
             return;
         }
         election.observeTerm(ask.term());
-        election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.backing());
+        election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.boundRouters());
         ejectionPolicy.reported(from.name(), packet.number(), now + times.lease(), ask.failureReports());
         List<GrantedShare> granted = new ArrayList<>();
         for (CellDemand demand : ask.demands()) {
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -116,7 +116,7 @@
             boolean vote,
             long lastSeen,
             long term,
-            int backing,
+            int boundRouters,
             long knownTerm,
             List<CellDemand> demands,
             List<FailureReport> failureReports)
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -208,7 +208,7 @@
                     .put((byte) (ask.vote() ? 1 : 0))
                     .putLong(ask.lastSeen())
                     .putLong(ask.term())
-                    .putInt(ask.backing())
+                    .putInt(ask.boundRouters())
                     .putLong(ask.knownTerm())
                     .put((byte) ask.demands().size());
             ask.demands().forEach(demand -> out.putLong(demand.limit())
--- a/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
@@ -56,7 +56,7 @@
                     && read(upperCodec, datagram).body() instanceof Packet.CellAsk ask
                     && ask.vote()) {
                 upperVotes++;
-                maxBacking = Math.max(maxBacking, ask.backing());
+                maxBacking = Math.max(maxBacking, ask.boundRouters());
                 long bound = votes.entrySet().stream()
                         .filter(e -> e.getKey() != from
                                 && e.getValue().grantor() == from
@@ -64,8 +64,8 @@
                                 && e.getValue().votedAt() + VOTE_MICROS > fleet.now + UPPER_VOTE_MICROS)
                         .count();
                 assertTrue(
-                        ask.backing() <= bound + 1,
-                        () -> from + " claims the votes of " + ask.backing() + " routers, " + bound
+                        ask.boundRouters() <= bound + 1,
+                        () -> from + " claims the votes of " + ask.boundRouters() + " routers, " + bound
                                 + " other routers are bound to it for long enough");
             }
         }
