--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -197,7 +197,7 @@
         this.startedAt = time;
         this.codec = new PacketCodec(setup.cluster());
         this.election = new LeaderElection(setup.membership().name(), (level == Level.CELL ? CELL_VOTE_LEASES : 1) * times.lease(), time);
-        this.ejectionPolicy = new EjectionPolicy(setup.verdicts().orElse(new EjectionPolicy.Rules(0, 1, 1, 1)));
+        this.ejectionPolicy = new EjectionPolicy(setup.ejectionRules().orElse(new EjectionPolicy.Rules(0, 1, 1, 1)));
         this.nextReportAt = time + setup.membership().period();
         this.nextGossipAt = nextReportAt;
         this.membership =
@@ -424,7 +424,7 @@
     public void reportHealth(long time, MemberHealthReport health) {
         now = Math.max(now, time);
         ListedMember member = members.get(health.member());
-        if (member == null || setup.verdicts().isEmpty()) {
+        if (member == null || setup.ejectionRules().isEmpty()) {
             return;
         }
         if (health.failing()) {
@@ -437,7 +437,7 @@
                                     health.unresponsive() ? Cause.SILENT : Cause.FAILING,
                                     health.consecutiveFailures(),
                                     health.failureRate()),
-                            health.until() + setup.verdicts().get().hold()));
+                            health.until() + setup.ejectionRules().get().hold()));
         } else {
             failureReports.remove(health.member());
         }
@@ -947,10 +947,10 @@
     }
 
     private void decideEjections() {
-        if (!updateLeadership() || setup.verdicts().isEmpty()) {
+        if (!updateLeadership() || setup.ejectionRules().isEmpty()) {
             return;
         }
-        EjectionPolicy.Rules rules = setup.verdicts().get();
+        EjectionPolicy.Rules rules = setup.ejectionRules().get();
         boolean mayEject = now >= election.officeSince() + rules.hold() + rules.guard();
         ejectionPolicy.sit(now, election.ownTerm(), setup.membership().name(), mayEject, ejectableTiers, ejections, routers())
                 .forEach(this::applyEjection);
@@ -959,8 +959,8 @@
     private void applyEjection(Ejection ejection) {
         EjectionTable.Held before = ejections.on(ejection.member());
         boolean wasEjected = before != null && before.verdict().failing() && now < before.until();
-        if (setup.verdicts().isEmpty()
-                || !ejections.take(now, ejection, setup.verdicts().get().hold())) {
+        if (setup.ejectionRules().isEmpty()
+                || !ejections.take(now, ejection, setup.ejectionRules().get().hold())) {
             return;
         }
         ejectionPolicy.heard(ejections.on(ejection.member()));
@@ -1006,7 +1006,7 @@
         Map<Role, Integer> slotsLeft = new HashMap<>();
         for (Role role : Role.values()) {
             long size = members.values().stream().filter(m -> m.role() == role).count();
-            slotsLeft.put(role, (int) Math.floor(setup.verdicts().get().mostOut() * size + 1e-9));
+            slotsLeft.put(role, (int) Math.floor(setup.ejectionRules().get().mostOut() * size + 1e-9));
         }
         List<EjectionTable.Held> active = new ArrayList<>(ejections.standing(now));
         active.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
@@ -1209,7 +1209,7 @@
             events.add(new LimitSharesUpdate(
                     leases.values().stream().map(this::limitShare).toList()));
         }
-        if (ejectionsChanged && setup.verdicts().isPresent()) {
+        if (ejectionsChanged && setup.ejectionRules().isPresent()) {
             events.add(new EjectionsUpdate(ejectedMembers()));
         }
         limitSharesChanged = false;
--- a/src/main/java/pumicemoor/fleet/FleetSetup.java
+++ b/src/main/java/pumicemoor/fleet/FleetSetup.java
@@ -20,7 +20,7 @@
         int size,
         LeaseTimes times,
         List<LimitRule> limits,
-        Optional<EjectionPolicy.Rules> verdicts,
+        Optional<EjectionPolicy.Rules> ejectionRules,
         Optional<DrainTimes> drains,
         Optional<CellSetup> cells) {
 
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -165,7 +165,7 @@
                 setup.size(),
                 setup.times(),
                 setup.limits(),
-                setup.verdicts());
+                setup.ejectionRules());
     }
 
     private Fleet newCell() {
