--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -198,7 +198,7 @@
         this.codec = new PacketCodec(setup.cluster());
         this.election = new LeaderElection(setup.membership().name(), (level == Level.CELL ? CELL_VOTE_LEASES : 1) * times.lease(), time);
         this.ejectionPolicy = new EjectionPolicy(setup.ejectionRules().orElse(new EjectionPolicy.Rules(0, 1, 1, 1)));
-        this.nextReportAt = time + setup.membership().period();
+        this.nextReportAt = time + setup.membership().periodMicros();
         this.nextGossipAt = nextReportAt;
         this.membership =
                 new Membership(setup.membership(), time, seed, instance, level != Level.FLAT, new Membership.Outlet() {
@@ -442,7 +442,7 @@
             failureReports.remove(health.member());
         }
         // Reports to the grantor at once, but at most four times per period however often health reports arrive.
-        nextReportAt = Math.min(nextReportAt, Math.max(now, lastReportAt + setup.membership().period() / 4));
+        nextReportAt = Math.min(nextReportAt, Math.max(now, lastReportAt + setup.membership().periodMicros() / 4));
     }
 
     /** Announces that this router leaves the fleet gracefully. */
@@ -467,7 +467,7 @@
         now = Math.max(now, time);
         membership.advance(now);
         if (now >= nextGossipAt) {
-            nextGossipAt = now + setup.membership().period();
+            nextGossipAt = now + setup.membership().periodMicros();
             if (!routerGossip.isEmpty() || !ejectionGossip.isEmpty()) {
                 membership.gossipTargets().forEach(n -> send(n.address(), new News()));
             }
@@ -482,7 +482,7 @@
             if (level == Level.UPPER) {
                 reportCell();
             } else if (level == Level.FLAT
-                    || now >= startedAt + CELL_REPORT_DELAY_PERIODS * setup.membership().period()) {
+                    || now >= startedAt + CELL_REPORT_DELAY_PERIODS * setup.membership().periodMicros()) {
                 report();
             }
         }
@@ -839,7 +839,7 @@
         } else {
             drains.report(now, to.address(), election.term());
         }
-        nextPlanReportAt = now + (drains.inHaste() ? setup.membership().period() : times.lease() / REPORTS_PER_LEASE);
+        nextPlanReportAt = now + (drains.inHaste() ? setup.membership().periodMicros() : times.lease() / REPORTS_PER_LEASE);
     }
 
     /** Renews the grantor's own leases, which are in its own lease table like those of all other routers. */
@@ -1034,7 +1034,7 @@
      */
     private FleetSnapshot snapshot() {
         boolean actsAsLeader =
-                updateLeadership() && now >= startedAt + FULL_COMPARE_PERIODS * setup.membership().period();
+                updateLeadership() && now >= startedAt + FULL_COMPARE_PERIODS * setup.membership().periodMicros();
         Map<Long, FleetSnapshot.Target> targets = new TreeMap<>();
         members.forEach((id, member) -> {
             if (member.role() != Role.ORIGIN) {
@@ -1109,7 +1109,7 @@
             }
             // Reports to the leader at once, but at most four times per period however often commands arrive.
             nextPlanReportAt = Math.min(
-                    nextPlanReportAt, Math.max(now, lastPlanReportAt + setup.membership().period() / 4));
+                    nextPlanReportAt, Math.max(now, lastPlanReportAt + setup.membership().periodMicros() / 4));
             return "waits " + Long.toUnsignedString(command.id(), 16);
         } catch (DrainCommandParser.Wrong e) {
             return "refused: " + e.getMessage();
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -93,7 +93,7 @@
         this.cellSetup = setup.cells().orElseThrow();
         this.name = setup.membership().name();
         this.address = setup.membership().address();
-        this.cellPeriodMicros = setup.membership().period();
+        this.cellPeriodMicros = setup.membership().periodMicros();
         this.random = new Random(randomSeed);
         this.instance = Math.max(1, (time / 1_000 << 20) | random.nextInt(1 << 20));
         this.joinCodec = new PacketCodec(setup.cluster() + "/join");
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -52,7 +52,7 @@
             String name,
             String address,
             List<String> seeds,
-            long period,
+            long periodMicros,
             int indirect,
             int fanout,
             long remember,
@@ -235,15 +235,15 @@
             return;
         }
         long overdueMicros = now - nextPeriodAt;
-        if (overdueMicros > setup.period()) {
+        if (overdueMicros > setup.periodMicros()) {
             probeTarget = null;
             peers.values().stream().filter(p -> p.suspectUntil < Long.MAX_VALUE).forEach(p -> p.suspectUntil += overdueMicros);
         }
-        nextPeriodAt = now + setup.period();
+        nextPeriodAt = now + setup.periodMicros();
         periods++;
         recordAnswers = 0;
         digestAnswers = 0;
-        pendingRelays.values().removeIf(r -> now - r.sentAt() > 2 * setup.period());
+        pendingRelays.values().removeIf(r -> now - r.sentAt() > 2 * setup.periodMicros());
         if (isSilent(now) || leaving) {
             probeTarget = null;
             return;
@@ -288,7 +288,7 @@
             probeTarget = probeOrder.remove(probeOrder.size() - 1);
             probeNumbers.clear();
             probeNumbers.add(outlet.send(peers.get(probeTarget).entry.address(), new Ping()));
-            indirectProbeAt = now + setup.period() / 3;
+            indirectProbeAt = now + setup.periodMicros() / 3;
         }
     }
 
@@ -322,7 +322,7 @@
 
     /** How long a suspect has to refute the suspicion (microseconds). */
     long suspicionTimeout() {
-        return setup.period() * (long) Math.max(MIN_SUSPICION_PERIODS, SUSPICION_PERIODS_PER_BIT * bitLength());
+        return setup.periodMicros() * (long) Math.max(MIN_SUSPICION_PERIODS, SUSPICION_PERIODS_PER_BIT * bitLength());
     }
 
     /**
@@ -368,7 +368,7 @@
         }
         // True if the sender is a successor or a predecessor of the known process.
         boolean otherInstance = sender.entry.instance() != from.instance();
-        if ((otherInstance || sender.entry.status() != RouterStatus.ALIVE) && now - sender.remindedAt > setup.period() / 2) {
+        if ((otherInstance || sender.entry.status() != RouterStatus.ALIVE) && now - sender.remindedAt > setup.periodMicros() / 2) {
             sender.remindedAt = now; // a router can refute an entry only if it knows of it
             outlet.gossip(sender.entry);
             outlet.send(from.address(), new News());
@@ -503,7 +503,7 @@
                         RouterStatus.ALIVE,
                         "an older router of this name is alive at " + from.address() + ": this one stands aside and sends nothing");
             }
-            silentUntil = now + DUPLICATE_NAME_SILENCE_PERIODS * setup.period();
+            silentUntil = now + DUPLICATE_NAME_SILENCE_PERIODS * setup.periodMicros();
         } else if (now >= silentUntil) {
             outlet.send(from.address(), new Ping());
         }
