--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -158,7 +158,7 @@
                         address,
                         seeds,
                         periodMicros,
-                        membership.indirect(),
+                        membership.indirectProbes(),
                         membership.fanout(),
                         membership.remember(),
                         maxRouters),
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -53,7 +53,7 @@
             String address,
             List<String> seeds,
             long periodMicros,
-            int indirect,
+            int indirectProbes,
             int fanout,
             long remember,
             int maxRouters) {}
@@ -295,7 +295,7 @@
     private void probeIndirectly() {
         if (probeTarget != null && peers.containsKey(probeTarget)) {
             String address = peers.get(probeTarget).entry.address();
-            randomLiving(setup.indirect(), probeTarget).forEach(n -> probeNumbers.add(outlet.send(n.address(), new Relay(address))));
+            randomLiving(setup.indirectProbes(), probeTarget).forEach(n -> probeNumbers.add(outlet.send(n.address(), new Relay(address))));
         }
     }
 
