--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -160,7 +160,7 @@
                         periodMicros,
                         membership.indirectProbes(),
                         membership.fanout(),
-                        membership.remember(),
+                        membership.rememberMicros(),
                         maxRouters),
                 setup.size(),
                 setup.times(),
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -55,7 +55,7 @@
             long periodMicros,
             int indirectProbes,
             int fanout,
-            long remember,
+            long rememberMicros,
             int maxRouters) {}
 
     /** Receives the packets to send and the changes of the membership. */
@@ -260,7 +260,7 @@
         for (Peer peer : List.copyOf(peers.values())) {
             if (now >= peer.suspectUntil) {
                 merge(peer.entry.withStatus(RouterStatus.DEAD), "the suspicion was not refuted in time");
-            } else if (peer.entry.status().compareTo(RouterStatus.DEAD) >= 0 && now - peer.statusSince > setup.remember()) {
+            } else if (peer.entry.status().compareTo(RouterStatus.DEAD) >= 0 && now - peer.statusSince > setup.rememberMicros()) {
                 peers.remove(peer.entry.name());
                 replaceEntry(peer, null);
             }
