--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -296,7 +296,7 @@
         now = Math.max(now, time);
         Packet packet;
         try {
-            packet = codec.read(bytes, Membership.lastIncarnation(now));
+            packet = codec.read(bytes, Membership.maxIncarnation(now));
         } catch (BadPacketException e) {
             drop(lower(e.reason));
             return;
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -456,7 +456,7 @@
     private void receiveDiscovery(byte[] bytes) {
         Packet packet;
         try {
-            packet = joinCodec.read(bytes, Membership.lastIncarnation(now));
+            packet = joinCodec.read(bytes, Membership.maxIncarnation(now));
         } catch (BadPacketException e) {
             countDropped(e.getMessage().toLowerCase(java.util.Locale.ROOT));
             return;
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -140,7 +140,7 @@
      * The highest incarnation accepted at this time. Incarnations begin at the start time in Unix milliseconds, so this
      * is one day ahead of the clock.
      */
-    public static long lastIncarnation(long time) {
+    public static long maxIncarnation(long time) {
         return time / 1_000 + MAX_INCARNATION_LEAD_MILLIS;
     }
 
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -33,7 +33,7 @@
 class PacketCodecTest {
 
     private static final long NOW = 1_790_000_000_000_000L;
-    private static final long LAST_INCARNATION = Membership.lastIncarnation(NOW);
+    private static final long LAST_INCARNATION = Membership.maxIncarnation(NOW);
     private static final RouterRecord FROM =
             new RouterRecord("router-1", "127.0.0.1:7001", 9, 1_790_000_000_000L, RouterStatus.ALIVE);
     private final PacketCodec codec = new PacketCodec("west");
