--- a/src/main/java/pumicemoor/fleet/Bounds.java
+++ b/src/main/java/pumicemoor/fleet/Bounds.java
@@ -14,7 +14,7 @@
     /**
      * Gossip periods until an update has reached every router of a fleet of this size, with up to 30 % of packets lost.
      */
-    public static int spread(int routers) {
+    public static int spreadPeriods(int routers) {
         return 5 + 3 * bitLength(routers);
     }
 
@@ -23,7 +23,7 @@
      * delegates, then within a cell of this many routers with this gossip period (microseconds).
      */
     public static long spreadInCells(int delegates, int routersInCell, long periodMicros) {
-        return spread(delegates) * periodMicros * CellFleet.UPPER_PERIOD + spread(routersInCell) * periodMicros;
+        return spreadPeriods(delegates) * periodMicros * CellFleet.UPPER_PERIOD + spreadPeriods(routersInCell) * periodMicros;
     }
 
     /**
--- a/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
@@ -139,7 +139,7 @@
                 .max()
                 .orElse(0);
         assertTrue(
-                lastEjectedAt - ejectedAt[0] <= Bounds.spread(routerCount) * PERIOD,
+                lastEjectedAt - ejectedAt[0] <= Bounds.spreadPeriods(routerCount) * PERIOD,
                 () -> routerCount + " routers, " + (lastEjectedAt - ejectedAt[0]) / MILLI + " ms until the ejection reached all");
     }
 }
--- a/src/test/java/pumicemoor/fleet/FleetTables.java
+++ b/src/test/java/pumicemoor/fleet/FleetTables.java
@@ -56,7 +56,7 @@
                 (routerCount - 1) * HEARTBEAT_BYTES * SECOND / PERIOD,
                 spreadWithoutLossMillis,
                 spreadWithLossMillis,
-                Bounds.spread(routerCount) * PERIOD / 1_000,
+                Bounds.spreadPeriods(routerCount) * PERIOD / 1_000,
                 maxTotal[0],
                 LIMIT * demandingRouters / routerCount,
                 sharesInUse);
--- a/src/test/java/pumicemoor/fleet/FleetTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetTest.java
@@ -89,17 +89,17 @@
         long reportedAt = fleet.now;
         fleet.reportHealth(fleet.routers.get(2), 1_003, true);
         fleet.reportHealth(fleet.routers.get(9), 1_003, true);
-        fleet.run(Bounds.spread(30) * PERIOD, () -> {});
+        fleet.run(Bounds.spreadPeriods(30) * PERIOD, () -> {});
         fleet.routers.forEach(r -> assertTrue(r.firstEjectedAt.containsKey(1_003L), r.name));
         assertTrue(fleet.routers.stream()
                                 .mapToLong(r -> r.firstEjectedAt.get(1_003L))
                                 .max()
                                 .orElseThrow()
                         - reportedAt
-                <= Bounds.spread(30) * PERIOD);
+                <= Bounds.spreadPeriods(30) * PERIOD);
         fleet.reportHealth(fleet.routers.get(2), 1_003, false);
         fleet.reportHealth(fleet.routers.get(9), 1_003, false);
-        fleet.run(Bounds.spread(30) * PERIOD, () -> {});
+        fleet.run(Bounds.spreadPeriods(30) * PERIOD, () -> {});
         assertTrue(fleet.ejectedAnywhere().isEmpty(), "the failure reports have ended");
     }
 
--- a/src/test/java/pumicemoor/lab/FleetProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/FleetProcessesTest.java
@@ -121,7 +121,7 @@
         List<List<Long>> all =
                 receivedMillisByVersion.values().stream().filter(receivedMillis -> receivedMillis.size() == ROUTERS).toList();
         all.forEach(receivedMillis -> assertTrue(
-                Collections.max(receivedMillis) - Collections.min(receivedMillis) <= Bounds.spread(ROUTERS) * 100 + 500, receivedMillis::toString));
+                Collections.max(receivedMillis) - Collections.min(receivedMillis) <= Bounds.spreadPeriods(ROUTERS) * 100 + 500, receivedMillis::toString));
         return all.size();
     }
 
