--- a/src/main/java/pumicemoor/fleet/Bounds.java
+++ b/src/main/java/pumicemoor/fleet/Bounds.java
@@ -22,7 +22,7 @@
      * Microseconds until an ejection by the leader has reached every router of a fleet of cells: gossip among this many
      * delegates, then within a cell of this many routers with this gossip period (microseconds).
      */
-    public static long spreadInCells(int delegates, int routersInCell, long periodMicros) {
+    public static long spreadInCellsMicros(int delegates, int routersInCell, long periodMicros) {
         return spreadPeriods(delegates) * periodMicros * CellFleet.UPPER_PERIOD + spreadPeriods(routersInCell) * periodMicros;
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/CellEjectionsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellEjectionsTest.java
@@ -70,7 +70,7 @@
 
     private static long spreadBoundMicros(VirtualCells fleet) {
         int delegates = (int) fleet.running().stream().filter(Router::isDelegate).count();
-        return Bounds.spreadInCells(delegates, fleet.largestCell(), PERIOD);
+        return Bounds.spreadInCellsMicros(delegates, fleet.largestCell(), PERIOD);
     }
 
     @Property(tries = 4, seed = "5501", shrinking = ShrinkingMode.OFF)
