--- a/src/main/java/pumicemoor/fleet/Bounds.java
+++ b/src/main/java/pumicemoor/fleet/Bounds.java
@@ -30,7 +30,7 @@
      * The most that all routers together may use of a limit at one moment (in the limit's unit), where
      * {@code restarts} processes were restarted within the last two shrink times of their leases.
      */
-    public static double spent(double limit, int routers, long restarts) {
+    public static double maxTotalShares(double limit, int routers, long restarts) {
         return limit + restarts * limit / routers;
     }
 
--- a/src/test/java/pumicemoor/lab/CellProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/CellProcessesTest.java
@@ -96,7 +96,7 @@
                                 .mapToLong(restart -> Math.max(0, Math.min(endMillis, restart + RESTARTED_MILLIS) - Math.max(beginMillis, restart)))
                                 .sum()
                         / 1e3
-                        * (Bounds.spent(limit, ROUTERS, 1) - limit);
+                        * (Bounds.maxTotalShares(limit, ROUTERS, 1) - limit);
                 double bound = Bounds.requests(limit, (spanMillis + SLACK_MILLIS) * 1_000, BUCKET_MICROS, (int) (ROUTERS + restarted)) + restartAllowance;
                 if (to - from + 1 - bound > maxExcess) {
                     maxExcess = to - from + 1 - bound;
