--- a/src/main/java/pumicemoor/fleet/Bounds.java
+++ b/src/main/java/pumicemoor/fleet/Bounds.java
@@ -39,7 +39,7 @@
      * that time plus the depth of a token bucket (microseconds), and one request for each router, since a bucket always
      * holds at least one.
      */
-    public static double requests(double perSecond, long micros, long bucketMicros, int routers) {
+    public static double maxRequests(double perSecond, long micros, long bucketMicros, int routers) {
         return perSecond * (micros + bucketMicros) / 1e6 + routers;
     }
 }
--- a/src/test/java/pumicemoor/lab/CellProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/CellProcessesTest.java
@@ -97,7 +97,7 @@
                                 .sum()
                         / 1e3
                         * (Bounds.maxTotalShares(limit, ROUTERS, 1) - limit);
-                double bound = Bounds.requests(limit, (spanMillis + SLACK_MILLIS) * 1_000, BUCKET_MICROS, (int) (ROUTERS + restarted)) + restartAllowance;
+                double bound = Bounds.maxRequests(limit, (spanMillis + SLACK_MILLIS) * 1_000, BUCKET_MICROS, (int) (ROUTERS + restarted)) + restartAllowance;
                 if (to - from + 1 - bound > maxExcess) {
                     maxExcess = to - from + 1 - bound;
                     description = member + ": " + (to - from + 1) + " requests in " + spanMillis + " ms until " + endMillis + ", bound "
--- a/src/test/java/pumicemoor/lab/FleetProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/FleetProcessesTest.java
@@ -46,7 +46,7 @@
     private static void assertKept(FleetRig rig, String member, double limit) {
         long[] receivedMillis = rig.receivedAtMillis(member);
         for (long windowMillis : new long[] {3_000, 10_000, 100_000}) {
-            double bound = Bounds.requests(
+            double bound = Bounds.maxRequests(
                     limit, (Math.min(windowMillis, receivedMillis[receivedMillis.length - 1] - receivedMillis[0]) + 500) * 1_000, BUCKET_MICROS, ROUTERS);
             int max = FleetRig.maxInWindow(receivedMillis, windowMillis);
             assertTrue(max <= bound, () -> member + ": " + max + " requests in " + windowMillis + " ms, bound " + bound);
