--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -43,7 +43,7 @@
 import pumicemoor.fleet.limits.CellShare;
 import pumicemoor.fleet.limits.FleetLimit;
 import pumicemoor.fleet.limits.HeldLease;
-import pumicemoor.fleet.limits.LeaseBook;
+import pumicemoor.fleet.limits.LeaseTable;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
@@ -118,7 +118,7 @@
     // Member ids; the ejection itself is read from the table when it is sent.
     private final GossipQueue<Long> ejectionGossip = new GossipQueue<>();
     private final Map<Long, HeldLease> leases = new TreeMap<>();
-    private final Map<Long, LeaseBook> leaseTables = new HashMap<>();
+    private final Map<Long, LeaseTable> leaseTables = new HashMap<>();
     // The shares leased to this router's cell; used on the upper level only.
     private final Map<Long, CellShare> cellShares = new TreeMap<>();
     // Ejections that are new on this level and not yet passed to the other one.
@@ -728,7 +728,7 @@
     }
 
     private CellDemand cellDemand(long id, RouterRecord to, long number) {
-        LeaseBook table = lowerLevel.leaseTables.get(id);
+        LeaseTable table = lowerLevel.leaseTables.get(id);
         return new CellDemand(
                 id,
                 cellShares.get(id).asks(now, to.name(), to.instance(), number, table.held()),
@@ -741,7 +741,7 @@
         return leaseTable(demand.limit())
                 .ask(
                         now,
-                        new LeaseBook.Asker(name, instance, number, demand.grantInForce(), demand.routers()),
+                        new LeaseTable.Asker(name, instance, number, demand.grantInForce(), demand.routers()),
                         demand.demand(),
                         demand.inUse(),
                         routers(),
@@ -750,7 +750,7 @@
 
     /** The number of routers in this cell's lease table for a limit. */
     private int leaseHolders(long id, long time) {
-        LeaseBook table = leaseTables.get(id);
+        LeaseTable table = leaseTables.get(id);
         if (table == null) {
             return 0;
         }
@@ -773,7 +773,7 @@
         return leaseTable(demand.limit())
                 .ask(
                         now,
-                        new LeaseBook.Asker(name, instance, number, demand.grantInForce(), 1),
+                        new LeaseTable.Asker(name, instance, number, demand.grantInForce(), 1),
                         demand.demand(),
                         inUse,
                         routers(),
@@ -855,8 +855,8 @@
         });
     }
 
-    private LeaseBook leaseTable(long id) {
-        return leaseTables.computeIfAbsent(id, i -> new LeaseBook(limitOf(i), times));
+    private LeaseTable leaseTable(long id) {
+        return leaseTables.computeIfAbsent(id, i -> new LeaseTable(limitOf(i), times));
     }
 
     private void handleAsk(Packet packet, Ask ask) {
--- a/src/main/java/pumicemoor/fleet/limits/LeaseBook.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -13,7 +13,7 @@
  * whatever the grantor can't observe. A holder may represent several routers, a cell: it counts with as many even
  * shares, and at least with what the table of its own grantor counts.
  */
-public final class LeaseBook {
+public final class LeaseTable {
 
     // Granted above the reported demand, so that a rising demand can show.
     private static final double DEMAND_HEADROOM_FACTOR = 1.25;
@@ -61,7 +61,7 @@
     private final LeaseTimes times;
     private final Map<String, Holder> holders = new HashMap<>();
 
-    public LeaseBook(FleetLimit limit, LeaseTimes times) {
+    public LeaseTable(FleetLimit limit, LeaseTimes times) {
         this.limit = limit;
         this.times = times;
     }
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -25,9 +25,9 @@
     private static final FleetLimit WHOLE_NUMBER_LIMIT = new FleetLimit("origin", 1, LimitMeasure.IN_FLIGHT, 100);
 
     private static double ask(
-            LeaseBook table, long now, String holder, long number, long holds, int routers, double demand, double inUse) {
+            LeaseTable table, long now, String holder, long number, long holds, int routers, double demand, double inUse) {
         return table.ask(
-                now, new LeaseBook.Asker(holder, 1, number, holds, routers), demand, inUse, 10, held -> held * 10.0);
+                now, new LeaseTable.Asker(holder, 1, number, holds, routers), demand, inUse, 10, held -> held * 10.0);
     }
 
     @Test
@@ -44,7 +44,7 @@
 
     @Test
     void cellsThatDemandTheWholeLimitShareItByTheirRouters() {
-        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         double a = 0;
         double b = 0;
         for (int i = 1; i < 40; i++) {
@@ -59,7 +59,7 @@
 
     @Test
     void unusedShareOfOneCellGoesToTheOther() {
-        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         double a = 0;
         double b = 0;
         for (int i = 1; i < 40; i++) {
@@ -72,7 +72,7 @@
 
     @Test
     void cellCountsWithItsEvenSharesUntilItConfirmsItsLeaseAndAtLeastWithWhatItHasGranted() {
-        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         double a = ask(table, SECOND, "a", 1, 0, 6, 0, 0);
         assertEquals(60, Math.max(a, table.countedOfHolders(10)), 1e-9, "it may not have received its grant");
         ask(table, 2 * SECOND, "a", 2, 1, 6, 0, 35);
@@ -83,17 +83,17 @@
 
     @Test
     void minimumShareIsPerRepresentedRouter() {
-        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         ask(table, SECOND, "a", 1, 0, 5, 1_000, 95);
         assertEquals(3, ask(table, SECOND, "b", 1, 0, 3, 1_000, 0), 1e-9, "a tenth of three even shares");
-        LeaseBook wholeNumberTable = new LeaseBook(WHOLE_NUMBER_LIMIT, UPPER_TIMES);
+        LeaseTable wholeNumberTable = new LeaseTable(WHOLE_NUMBER_LIMIT, UPPER_TIMES);
         ask(wholeNumberTable, SECOND, "a", 1, 0, 5, 1_000, 95);
         assertEquals(3, ask(wholeNumberTable, SECOND, "b", 1, 0, 3, 1_000, 0), 1e-9, "one for each router");
     }
 
     @Test
     void lateRequestChangesNeitherRoutersNorDemand() {
-        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         ask(table, SECOND, "a", 5, 0, 6, 50, 0);
         assertEquals(-1, ask(table, SECOND, "a", 4, 0, 2, 0, 0));
         assertEquals(6, table.held());
@@ -148,7 +148,7 @@
 
     @Test
     void grownCellCountsWithItsOlderGrantPlusTheEvenSharesOfNewRouters() {
-        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         double b = 0;
         for (int i = 1; i < 40; i++) {
             ask(table, i * SECOND, "a", i, i - 1, 4, 0, 4);
@@ -221,7 +221,7 @@
             cells.add(new Cell(i, 1 + random.nextInt(6)));
         }
         int allRouters = cells.stream().mapToInt(c -> c.routers).sum();
-        List<LeaseBook> tables = List.of(new LeaseBook(LIMIT, UPPER_TIMES), new LeaseBook(LIMIT, UPPER_TIMES));
+        List<LeaseTable> tables = List.of(new LeaseTable(LIMIT, UPPER_TIMES), new LeaseTable(LIMIT, UPPER_TIMES));
         List<InFlight> inFlight = new ArrayList<>();
         long[] clock = {SECOND}; // time of the current delivery
         double highest = 0;
@@ -244,7 +244,7 @@
                 cell.demand = random.nextInt(3) == 0 ? 0 : random.nextDouble() * 150;
             }
             long number = step;
-            LeaseBook table = tables.get(cell.grantor);
+            LeaseTable table = tables.get(cell.grantor);
             String grantor = "k" + cell.grantor;
             long holds = cell.share.asks(now, grantor, 1, number, cell.routers);
             if (holds >= 0 && random.nextInt(4) > 0) {
@@ -254,7 +254,7 @@
                     long receivedAt = clock[0];
                     double share = table.ask(
                             receivedAt,
-                            new LeaseBook.Asker(cell.name, 1, number, holds, cell.routers),
+                            new LeaseTable.Asker(cell.name, 1, number, holds, cell.routers),
                             demand,
                             inUse,
                             allRouters,
@@ -291,7 +291,7 @@
         Cell other = new Cell(1, 2 + random.nextInt(3));
         other.demand = 1_000;
         int outside = allRouters - growing.routers - other.routers;
-        LeaseBook table = new LeaseBook(LIMIT, UPPER_TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         List<InFlight> inFlight = new ArrayList<>();
         long[] clock = {SECOND};
         long now = SECOND;
@@ -326,7 +326,7 @@
                     inFlight.add(new InFlight(now + random.nextInt(500_000), () -> {
                         double share = table.ask(
                                 clock[0],
-                                new LeaseBook.Asker(cell.name, 1, number, holds, routers),
+                                new LeaseTable.Asker(cell.name, 1, number, holds, routers),
                                 demand,
                                 inUse,
                                 allRouters,
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -59,7 +59,7 @@
 
     @Test
     void lateRequestIsNotAnswered() {
-        LeaseBook table = new LeaseBook(LIMIT, TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, TIMES);
         assertTrue(table.ask(SECOND, "a", 1, 5, 0, 50, 0, 4) > 0);
         assertEquals(-1, table.ask(SECOND, "a", 1, 4, 0, 50, 0, 4), "a newer request was answered");
         assertEquals(-1, table.ask(SECOND, "a", 1, 5, 0, 50, 0, 4), "duplicate request");
@@ -68,7 +68,7 @@
 
     @Test
     void holderThatHasNotConfirmedItsGrantCountsWithTheEvenShare() {
-        LeaseBook table = new LeaseBook(LIMIT, TIMES);
+        LeaseTable table = new LeaseTable(LIMIT, TIMES);
         double a = table.ask(SECOND, "a", 1, 1, 0, 0, 0, 4);
         table.ask(SECOND, "b", 1, 1, 0, 1_000, 0, 4);
         assertTrue(table.counted(4) <= 100, "the counted sum never exceeds the limit");
