--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -741,7 +741,7 @@
         return leaseTable(demand.limit())
                 .ask(
                         now,
-                        new LeaseTable.Asker(name, instance, number, demand.grantInForce(), demand.routers()),
+                        new LeaseTable.Requester(name, instance, number, demand.grantInForce(), demand.routers()),
                         demand.demand(),
                         demand.inUse(),
                         routers(),
@@ -773,7 +773,7 @@
         return leaseTable(demand.limit())
                 .ask(
                         now,
-                        new LeaseTable.Asker(name, instance, number, demand.grantInForce(), 1),
+                        new LeaseTable.Requester(name, instance, number, demand.grantInForce(), 1),
                         demand.demand(),
                         inUse,
                         routers(),
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -24,7 +24,7 @@
      * The sender of a request: its name and process instance, the number of the request, the number of the request
      * whose grant is in force at it (0 for none), and how many routers it represents.
      */
-    public record Asker(String name, long instance, long number, long holds, int routers) {}
+    public record Requester(String name, long instance, long number, long holds, int routers) {}
 
     /** Gives what the holders in a table may spend together, by the number of routers that they represent. */
     public interface PoolSize {
@@ -112,7 +112,7 @@
             long now, String router, long instance, long number, long holds, double demand, double inUse, int routers) {
         return ask(
                 now,
-                new Asker(router, instance, number, holds, 1),
+                new Requester(router, instance, number, holds, 1),
                 demand,
                 limit.measure().wholeNumbers ? inUse : 0,
                 routers,
@@ -120,7 +120,7 @@
     }
 
     /** Answers a request of a holder that may represent several routers and counts with at least {@code inUse}. */
-    public double ask(long now, Asker asker, double demand, double inUse, int routers, PoolSize pool) {
+    public double ask(long now, Requester asker, double demand, double inUse, int routers, PoolSize pool) {
         expire(now);
         Holder holder = holders.computeIfAbsent(asker.name(), name -> new Holder());
         if (holder.instance != asker.instance()) {
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -27,7 +27,7 @@
     private static double ask(
             LeaseTable table, long now, String holder, long number, long holds, int routers, double demand, double inUse) {
         return table.ask(
-                now, new LeaseTable.Asker(holder, 1, number, holds, routers), demand, inUse, 10, held -> held * 10.0);
+                now, new LeaseTable.Requester(holder, 1, number, holds, routers), demand, inUse, 10, held -> held * 10.0);
     }
 
     @Test
@@ -254,7 +254,7 @@
                     long receivedAt = clock[0];
                     double share = table.ask(
                             receivedAt,
-                            new LeaseTable.Asker(cell.name, 1, number, holds, cell.routers),
+                            new LeaseTable.Requester(cell.name, 1, number, holds, cell.routers),
                             demand,
                             inUse,
                             allRouters,
@@ -326,7 +326,7 @@
                     inFlight.add(new InFlight(now + random.nextInt(500_000), () -> {
                         double share = table.ask(
                                 clock[0],
-                                new LeaseTable.Asker(cell.name, 1, number, holds, routers),
+                                new LeaseTable.Requester(cell.name, 1, number, holds, routers),
                                 demand,
                                 inUse,
                                 allRouters,
