--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -24,7 +24,7 @@
      * The sender of a request: its name and process instance, the number of the request, the number of the request
      * whose grant is in force at it (0 for none), and how many routers it represents.
      */
-    public record Requester(String name, long instance, long number, long holds, int routers) {}
+    public record Requester(String name, long instance, long number, long grantInForce, int routers) {}
 
     /** Gives what the holders in a table may spend together, by the number of routers that they represent. */
     public interface PoolSize {
@@ -138,7 +138,7 @@
         holder.inUse = inUse;
         holder.routers = asker.routers();
         // a confirmed lease that is not in the table has expired here: its holder may be using its even share by now
-        holder.confirmedGrant = holder.grants.stream().anyMatch(g -> g.number() == asker.holds()) ? asker.holds() : 0;
+        holder.confirmedGrant = holder.grants.stream().anyMatch(g -> g.number() == asker.grantInForce()) ? asker.grantInForce() : 0;
         holder.grants.removeIf(g -> g.number() < holder.confirmedGrant);
         double share = shareOf(holder, routers, Math.min(limit.amount(), pool.forRouters(held())));
         holder.grants.add(new Grant(asker.number(), asker.routers(), share, now + times.lease()));
