--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -731,8 +731,8 @@
         LeaseTable table = lowerLevel.leaseTables.get(id);
         return new CellDemand(
                 id,
-                cellShares.get(id).asks(now, to.name(), to.instance(), number, table.held()),
-                table.held(),
+                cellShares.get(id).asks(now, to.name(), to.instance(), number, table.representedRouters()),
+                table.representedRouters(),
                 table.wanted(),
                 table.countedOfHolders(routers()));
     }
@@ -755,7 +755,7 @@
             return 0;
         }
         table.expire(time);
-        return table.held();
+        return table.representedRouters();
     }
 
     /** How much a cell may lease out: its share, or without one the even shares of the routers in its lease table. */
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns how many routers the holders represent. */
-    public int held() {
+    public int representedRouters() {
         int held = 0;
         for (Holder h : holders.values()) {
             held += h.routers;
@@ -100,7 +100,7 @@
 
     /** Returns the most that the whole fleet may be spending, as far as this grantor can know. */
     public double counted(int routers) {
-        return countedOfHolders(routers) + Math.max(0, routers - held()) * limit.evenPart(routers);
+        return countedOfHolders(routers) + Math.max(0, routers - representedRouters()) * limit.evenPart(routers);
     }
 
     /**
@@ -140,7 +140,7 @@
         // a confirmed lease that is not in the table has expired here: its holder may be using its even share by now
         holder.confirmedGrant = holder.grants.stream().anyMatch(g -> g.number() == asker.grantInForce()) ? asker.grantInForce() : 0;
         holder.grants.removeIf(g -> g.number() < holder.confirmedGrant);
-        double share = shareOf(holder, routers, Math.min(limit.amount(), pool.forRouters(held())));
+        double share = shareOf(holder, routers, Math.min(limit.amount(), pool.forRouters(representedRouters())));
         holder.grants.add(new Grant(asker.number(), asker.routers(), share, now + times.lease()));
         return share;
     }
@@ -160,7 +160,7 @@
         List<Holder> byDemand = new ArrayList<>(holders.values());
         byDemand.sort(Comparator.comparingDouble(h -> demandWithHeadroom(h) / h.routers));
         double left = Math.max(0, pool);
-        int totalRouters = held();
+        int totalRouters = representedRouters();
         int remainingRouters = totalRouters;
         double level = 0;
         for (Holder h : byDemand) {
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -53,7 +53,7 @@
         }
         assertEquals(60, a, 1e-6);
         assertEquals(20, b, 1e-6);
-        assertEquals(8, table.held());
+        assertEquals(8, table.representedRouters());
         assertEquals(100, table.counted(10), 1e-6, "two routers without a holder count with their even shares");
     }
 
@@ -96,7 +96,7 @@
         LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         ask(table, SECOND, "a", 5, 0, 6, 50, 0);
         assertEquals(-1, ask(table, SECOND, "a", 4, 0, 2, 0, 0));
-        assertEquals(6, table.held());
+        assertEquals(6, table.representedRouters());
         assertEquals(50, table.wanted(), 1e-9);
     }
 
