--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -733,7 +733,7 @@
                 id,
                 cellShares.get(id).asks(now, to.name(), to.instance(), number, table.representedRouters()),
                 table.representedRouters(),
-                table.wanted(),
+                table.totalDemand(),
                 table.countedOfHolders(routers()));
     }
 
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns the total demand of the holders. */
-    public double wanted() {
+    public double totalDemand() {
         return holders.values().stream().mapToDouble(h -> h.demand).sum();
     }
 
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -97,7 +97,7 @@
         ask(table, SECOND, "a", 5, 0, 6, 50, 0);
         assertEquals(-1, ask(table, SECOND, "a", 4, 0, 2, 0, 0));
         assertEquals(6, table.representedRouters());
-        assertEquals(50, table.wanted(), 1e-9);
+        assertEquals(50, table.totalDemand(), 1e-9);
     }
 
     @Test
