--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1300,7 +1300,7 @@
                 "counted",
                 leaseTables.entrySet().stream()
                         .filter(t -> leases.get(t.getKey()) == lease)
-                        .mapToDouble(t -> t.getValue().counted(routers()))
+                        .mapToDouble(t -> t.getValue().maxFleetSpend(routers()))
                         .sum());
         return row;
     }
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -99,7 +99,7 @@
     }
 
     /** Returns the most that the whole fleet may be spending, as far as this grantor can know. */
-    public double counted(int routers) {
+    public double maxFleetSpend(int routers) {
         return countedOfHolders(routers) + Math.max(0, routers - representedRouters()) * limit.evenPart(routers);
     }
 
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -54,7 +54,7 @@
         assertEquals(60, a, 1e-6);
         assertEquals(20, b, 1e-6);
         assertEquals(8, table.representedRouters());
-        assertEquals(100, table.counted(10), 1e-6, "two routers without a holder count with their even shares");
+        assertEquals(100, table.maxFleetSpend(10), 1e-6, "two routers without a holder count with their even shares");
     }
 
     @Test
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -71,10 +71,10 @@
         LeaseTable table = new LeaseTable(LIMIT, TIMES);
         double a = table.ask(SECOND, "a", 1, 1, 0, 0, 0, 4);
         table.ask(SECOND, "b", 1, 1, 0, 1_000, 0, 4);
-        assertTrue(table.counted(4) <= 100, "the counted sum never exceeds the limit");
+        assertTrue(table.maxFleetSpend(4) <= 100, "the counted sum never exceeds the limit");
         table.ask(SECOND + 1, "a", 1, 2, 1, 0, 0, 4);
         double b = table.ask(SECOND + 2, "b", 1, 2, 1, 1_000, 0, 4);
         assertTrue(a <= 25 && b <= 50, () -> "a " + a + ", b " + b);
-        assertTrue(table.counted(4) <= 100);
+        assertTrue(table.maxFleetSpend(4) <= 100);
     }
 }
