--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -734,7 +734,7 @@
                 cellShares.get(id).asks(now, to.name(), to.instance(), number, table.representedRouters()),
                 table.representedRouters(),
                 table.totalDemand(),
-                table.countedOfHolders(routers()));
+                table.maxHolderSpend(routers()));
     }
 
     private double grantFor(String name, long instance, long number, CellDemand demand) {
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -81,7 +81,7 @@
     }
 
     /** Returns the most that the holders may be spending together. */
-    public double countedOfHolders(int routers) {
+    public double maxHolderSpend(int routers) {
         return countedExcept(null, routers);
     }
 
@@ -100,7 +100,7 @@
 
     /** Returns the most that the whole fleet may be spending, as far as this grantor can know. */
     public double maxFleetSpend(int routers) {
-        return countedOfHolders(routers) + Math.max(0, routers - representedRouters()) * limit.evenPart(routers);
+        return maxHolderSpend(routers) + Math.max(0, routers - representedRouters()) * limit.evenPart(routers);
     }
 
     /**
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -74,9 +74,9 @@
     void cellCountsWithItsEvenSharesUntilItConfirmsItsLeaseAndAtLeastWithWhatItHasGranted() {
         LeaseTable table = new LeaseTable(LIMIT, UPPER_TIMES);
         double a = ask(table, SECOND, "a", 1, 0, 6, 0, 0);
-        assertEquals(60, Math.max(a, table.countedOfHolders(10)), 1e-9, "it may not have received its grant");
+        assertEquals(60, Math.max(a, table.maxHolderSpend(10)), 1e-9, "it may not have received its grant");
         ask(table, 2 * SECOND, "a", 2, 1, 6, 0, 35);
-        assertEquals(Math.max(35, a), table.countedOfHolders(10), 1e-9, "leases granted to its routers stay in force");
+        assertEquals(Math.max(35, a), table.maxHolderSpend(10), 1e-9, "leases granted to its routers stay in force");
         double b = ask(table, 2 * SECOND, "b", 1, 0, 2, 1_000, 0);
         assertTrue(b <= 80 - Math.max(35, a) + 1e-9, () -> "b gets " + b);
     }
@@ -155,17 +155,17 @@
             b = ask(table, i * SECOND, "b", i, i - 1, 4, 1_000, b);
         }
         double counted = b + 4;
-        assertEquals(counted, table.countedOfHolders(10), 1e-6, "a holds the minimum, a tenth of four even shares");
+        assertEquals(counted, table.maxHolderSpend(10), 1e-6, "a holds the minimum, a tenth of four even shares");
         ask(table, 40 * SECOND, "a", 40, 39, 5, 0, 4);
         assertEquals(
                 counted + 10,
-                table.countedOfHolders(10),
+                table.maxHolderSpend(10),
                 1e-6,
                 "the grant for four is in force until the last one is received");
         ask(table, 41 * SECOND, "a", 41, 40, 5, 0, 4);
-        assertEquals(counted + 1, table.countedOfHolders(10), 1e-6, "it confirms a grant for five");
+        assertEquals(counted + 1, table.maxHolderSpend(10), 1e-6, "it confirms a grant for five");
         ask(table, 42 * SECOND, "a", 42, 41, 3, 0, 4);
-        assertEquals(counted + 1, table.countedOfHolders(10), 1e-6, "fewer routers do not reduce an older grant");
+        assertEquals(counted + 1, table.maxHolderSpend(10), 1e-6, "fewer routers do not reduce an older grant");
     }
 
     private static final class Cell {
