--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -652,7 +652,7 @@
         for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.MAX_DEMANDS) {
             List<Demand> batch = new ArrayList<>();
             for (long id : ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_DEMANDS))) {
-                long grantInForce = leases.get(id).asks(now, to.name(), to.instance(), lastNumber + 1);
+                long grantInForce = leases.get(id).recordRequest(now, to.name(), to.instance(), lastNumber + 1);
                 Demand demand = demands.getOrDefault(id, new Demand(id, 0, 0, 0));
                 if (grantInForce >= 0) {
                     batch.add(new Demand(id, grantInForce, demand.demand(), demand.inUse()));
@@ -846,7 +846,7 @@
     private void renewOwnLeases(RouterRecord self) {
         leases.forEach((id, lease) -> {
             long number = ++lastNumber;
-            long grantInForce = lease.asks(now, self.name(), self.instance(), number);
+            long grantInForce = lease.recordRequest(now, self.name(), self.instance(), number);
             Demand demand = demands.getOrDefault(id, new Demand(id, 0, 0, 0));
             if (grantInForce >= 0) {
                 double amount = grantFor(self.name(), self.instance(), number, new Demand(id, grantInForce, demand.demand(), demand.inUse()));
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -58,7 +58,7 @@
      * is none from this grantor), or -1 if no request may be sent yet.
      */
     public long asks(long now, String name, long instance, long number, int routers) {
-        long grantNumber = lease.asks(now, name, instance, number);
+        long grantNumber = lease.recordRequest(now, name, instance, number);
         if (grantNumber >= 0) {
             requestedRouters.put(number, routers);
             if (requestedRouters.size() > MAX_PENDING_REQUESTS) {
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -74,7 +74,7 @@
      * from this grantor), or -1 if this grantor may not be asked yet: a grantor other than the last is asked only when
      * the last one no longer counts on the lease.
      */
-    public long asks(long now, String name, long instance, long number) {
+    public long recordRequest(long now, String name, long instance, long number) {
         boolean sameGrantor = grantor.equals(name) && grantorInstance == instance;
         if (!sameGrantor && grantNumber != 0 && now < expiresAt + times.shrink()) {
             return -1;
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -19,8 +19,8 @@
     @Test
     void olderGrantAfterNewerIsIgnored() {
         HeldLease held = new HeldLease(LIMIT, TIMES, 0);
-        held.asks(SECOND, "g", 1, 10);
-        held.asks(SECOND + 50_000, "g", 1, 11);
+        held.recordRequest(SECOND, "g", 1, 10);
+        held.recordRequest(SECOND + 50_000, "g", 1, 11);
         assertTrue(held.granted(SECOND + 60_000, "g", 1, 11, 20));
         assertFalse(held.granted(SECOND + 70_000, "g", 1, 10, 80), "an older grant must not renew the lease");
         assertFalse(held.granted(SECOND + 70_000, "g", 1, 11, 80), "duplicate grant");
@@ -31,7 +31,7 @@
     @Test
     void lateOrUnrequestedGrantIsIgnored() {
         HeldLease held = new HeldLease(LIMIT, TIMES, 0);
-        held.asks(SECOND, "g", 1, 10);
+        held.recordRequest(SECOND, "g", 1, 10);
         assertFalse(held.granted(2 * SECOND + 1, "g", 1, 10, 20));
         assertFalse(held.granted(SECOND, "g", 1, 12, 20));
         assertFalse(held.leased(2 * SECOND));
@@ -40,14 +40,14 @@
     @Test
     void expiredLeaseFallsBackToTheLowerOfLeaseAndEvenShareThenToTheEvenShare() {
         HeldLease held = new HeldLease(LIMIT, TIMES, 0);
-        held.asks(SECOND, "g", 1, 10);
+        held.recordRequest(SECOND, "g", 1, 10);
         held.granted(SECOND, "g", 1, 10, 7);
         assertEquals(7, held.part(4 * SECOND, 4));
         assertEquals(7, held.part(4 * SECOND + TIMES.shrink() - 1, 4));
         assertEquals(25, held.part(4 * SECOND + TIMES.shrink(), 4));
         assertEquals(
-                -1, held.asks(5 * SECOND, "other", 1, 20), "another grantor is asked only once the first no longer counts on the lease");
-        assertEquals(0, held.asks(4 * SECOND + TIMES.shrink(), "other", 1, 21));
+                -1, held.recordRequest(5 * SECOND, "other", 1, 20), "another grantor is asked only once the first no longer counts on the lease");
+        assertEquals(0, held.recordRequest(4 * SECOND + TIMES.shrink(), "other", 1, 21));
     }
 
     @Test
