--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -907,7 +907,7 @@
     private boolean acceptGrant(HeldLease lease, String name, long instance, long ask, double amount) {
         String grantorBefore = lease.grantor();
         boolean before = lease.leased(now);
-        if (!lease.granted(now, name, instance, ask, amount)) {
+        if (!lease.applyGrant(now, name, instance, ask, amount)) {
             return false;
         }
         limitSharesChanged = true;
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -73,7 +73,7 @@
      */
     public boolean granted(long now, String name, long instance, long number, double share) {
         Integer routers = requestedRouters.get(number);
-        if (routers == null || !lease.granted(now, name, instance, number, share)) {
+        if (routers == null || !lease.applyGrant(now, name, instance, number, share)) {
             return false;
         }
         grantedRouters = routers;
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -89,7 +89,7 @@
     /**
      * Applies a grant; returns false if it is too late, a duplicate, older than the one in force or above the limit.
      */
-    public boolean granted(long now, String name, long instance, long number, double share) {
+    public boolean applyGrant(long now, String name, long instance, long number, double share) {
         Long sentAt = requestSentAt.remove(number);
         boolean sameGrantor = grantor.equals(name) && grantorInstance == instance;
         if (sentAt == null
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -21,9 +21,9 @@
         HeldLease held = new HeldLease(LIMIT, TIMES, 0);
         held.recordRequest(SECOND, "g", 1, 10);
         held.recordRequest(SECOND + 50_000, "g", 1, 11);
-        assertTrue(held.granted(SECOND + 60_000, "g", 1, 11, 20));
-        assertFalse(held.granted(SECOND + 70_000, "g", 1, 10, 80), "an older grant must not renew the lease");
-        assertFalse(held.granted(SECOND + 70_000, "g", 1, 11, 80), "duplicate grant");
+        assertTrue(held.applyGrant(SECOND + 60_000, "g", 1, 11, 20));
+        assertFalse(held.applyGrant(SECOND + 70_000, "g", 1, 10, 80), "an older grant must not renew the lease");
+        assertFalse(held.applyGrant(SECOND + 70_000, "g", 1, 11, 80), "duplicate grant");
         assertEquals(20, held.part(2 * SECOND, 4));
         assertEquals(SECOND + 50_000 + 3 * SECOND, held.until(), "the lease lasts from when its request was sent");
     }
@@ -32,8 +32,8 @@
     void lateOrUnrequestedGrantIsIgnored() {
         HeldLease held = new HeldLease(LIMIT, TIMES, 0);
         held.recordRequest(SECOND, "g", 1, 10);
-        assertFalse(held.granted(2 * SECOND + 1, "g", 1, 10, 20));
-        assertFalse(held.granted(SECOND, "g", 1, 12, 20));
+        assertFalse(held.applyGrant(2 * SECOND + 1, "g", 1, 10, 20));
+        assertFalse(held.applyGrant(SECOND, "g", 1, 12, 20));
         assertFalse(held.leased(2 * SECOND));
     }
 
@@ -41,7 +41,7 @@
     void expiredLeaseFallsBackToTheLowerOfLeaseAndEvenShareThenToTheEvenShare() {
         HeldLease held = new HeldLease(LIMIT, TIMES, 0);
         held.recordRequest(SECOND, "g", 1, 10);
-        held.granted(SECOND, "g", 1, 10, 7);
+        held.applyGrant(SECOND, "g", 1, 10, 7);
         assertEquals(7, held.part(4 * SECOND, 4));
         assertEquals(7, held.part(4 * SECOND + TIMES.shrink() - 1, 4));
         assertEquals(25, held.part(4 * SECOND + TIMES.shrink(), 4));
