--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1222,7 +1222,7 @@
         return new LimitShare(
                 limit.member(),
                 limit.measure(),
-                lease.part(now, routers()),
+                lease.currentShare(now, routers()),
                 lease.leased(now) ? lease.until() : Long.MAX_VALUE,
                 lease.after(routers()));
     }
@@ -1292,7 +1292,7 @@
         row.put("member", nameOf(lease.limit().member()));
         row.put("measure", lower(lease.limit().measure()).replace('_', '-'));
         row.put("fleet", lease.limit().amount());
-        row.put("part", lease.part(now, routers()));
+        row.put("part", lease.currentShare(now, routers()));
         row.put("state", lease.leased(now) ? "leased" : "alone");
         row.put("left-ms", Math.max(0, lease.until() - now) / 1_000);
         row.put("grantor", lease.grantor());
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns what may be spent at this time in a fleet of this many routers. */
-    public double part(long now, int routers) {
+    public double currentShare(long now, int routers) {
         double evenShare = limit.evenPart(routers);
         if (now < expiresAt) {
             return amount;
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -24,7 +24,7 @@
         assertTrue(held.applyGrant(SECOND + 60_000, "g", 1, 11, 20));
         assertFalse(held.applyGrant(SECOND + 70_000, "g", 1, 10, 80), "an older grant must not renew the lease");
         assertFalse(held.applyGrant(SECOND + 70_000, "g", 1, 11, 80), "duplicate grant");
-        assertEquals(20, held.part(2 * SECOND, 4));
+        assertEquals(20, held.currentShare(2 * SECOND, 4));
         assertEquals(SECOND + 50_000 + 3 * SECOND, held.until(), "the lease lasts from when its request was sent");
     }
 
@@ -42,9 +42,9 @@
         HeldLease held = new HeldLease(LIMIT, TIMES, 0);
         held.recordRequest(SECOND, "g", 1, 10);
         held.applyGrant(SECOND, "g", 1, 10, 7);
-        assertEquals(7, held.part(4 * SECOND, 4));
-        assertEquals(7, held.part(4 * SECOND + TIMES.shrink() - 1, 4));
-        assertEquals(25, held.part(4 * SECOND + TIMES.shrink(), 4));
+        assertEquals(7, held.currentShare(4 * SECOND, 4));
+        assertEquals(7, held.currentShare(4 * SECOND + TIMES.shrink() - 1, 4));
+        assertEquals(25, held.currentShare(4 * SECOND + TIMES.shrink(), 4));
         assertEquals(
                 -1, held.recordRequest(5 * SECOND, "other", 1, 20), "another grantor is asked only once the first no longer counts on the lease");
         assertEquals(0, held.recordRequest(4 * SECOND + TIMES.shrink(), "other", 1, 21));
@@ -53,8 +53,8 @@
     @Test
     void newProcessStartsWithTheMinimumShare() {
         HeldLease held = new HeldLease(LIMIT, TIMES, SECOND);
-        assertEquals(2.5, held.part(SECOND, 4));
-        assertEquals(25, held.part(SECOND + TIMES.shrink(), 4));
+        assertEquals(2.5, held.currentShare(SECOND, 4));
+        assertEquals(25, held.currentShare(SECOND + TIMES.shrink(), 4));
     }
 
     @Test
