--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1224,7 +1224,7 @@
                 limit.measure(),
                 lease.currentShare(now, routers()),
                 lease.leased(now) ? lease.until() : Long.MAX_VALUE,
-                lease.after(routers()));
+                lease.shareAfterExpiry(routers()));
     }
 
     @Override
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -47,7 +47,7 @@
     }
 
     /** Returns what may be spent once the lease has expired if no further grant is received. */
-    public double after(int routers) {
+    public double shareAfterExpiry(int routers) {
         return grantNumber == 0 ? limit.minShare(routers) : Math.min(amount, limit.evenPart(routers));
     }
 
