--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1223,7 +1223,7 @@
                 limit.member(),
                 limit.measure(),
                 lease.currentShare(now, routers()),
-                lease.leased(now) ? lease.until() : Long.MAX_VALUE,
+                lease.leased(now) ? lease.expiresAt() : Long.MAX_VALUE,
                 lease.shareAfterExpiry(routers()));
     }
 
@@ -1294,7 +1294,7 @@
         row.put("fleet", lease.limit().amount());
         row.put("part", lease.currentShare(now, routers()));
         row.put("state", lease.leased(now) ? "leased" : "alone");
-        row.put("left-ms", Math.max(0, lease.until() - now) / 1_000);
+        row.put("left-ms", Math.max(0, lease.expiresAt() - now) / 1_000);
         row.put("grantor", lease.grantor());
         row.put(
                 "counted",
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -37,7 +37,7 @@
 
     /** Returns when the lease expires (Unix microseconds); a time long past if there never was one. */
     public long until() {
-        return lease.until();
+        return lease.expiresAt();
     }
 
     /**
@@ -45,7 +45,7 @@
      * spend at most their even shares.
      */
     public boolean over(long now) {
-        return now >= lease.until() + upperTimes.shrink();
+        return now >= lease.expiresAt() + upperTimes.shrink();
     }
 
     /** Returns the name of the grantor of the lease, or an empty string if there was none. */
@@ -90,9 +90,9 @@
      */
     public double pool(long now, int held, int routers) {
         double evenShare = limit().evenPart(routers);
-        double base = now + routerLeaseMicros <= lease.until()
+        double base = now + routerLeaseMicros <= lease.expiresAt()
                 ? amount
-                : now < lease.until() + upperTimes.shrink() ? Math.min(amount, grantedRouters * evenShare) : grantedRouters * evenShare;
+                : now < lease.expiresAt() + upperTimes.shrink() ? Math.min(amount, grantedRouters * evenShare) : grantedRouters * evenShare;
         return base + (held - grantedRouters) * evenShare;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -61,7 +61,7 @@
         return now < expiresAt;
     }
 
-    public long until() {
+    public long expiresAt() {
         return expiresAt;
     }
 
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -25,7 +25,7 @@
         assertFalse(held.applyGrant(SECOND + 70_000, "g", 1, 10, 80), "an older grant must not renew the lease");
         assertFalse(held.applyGrant(SECOND + 70_000, "g", 1, 11, 80), "duplicate grant");
         assertEquals(20, held.currentShare(2 * SECOND, 4));
-        assertEquals(SECOND + 50_000 + 3 * SECOND, held.until(), "the lease lasts from when its request was sent");
+        assertEquals(SECOND + 50_000 + 3 * SECOND, held.expiresAt(), "the lease lasts from when its request was sent");
     }
 
     @Test
