--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -494,7 +494,7 @@
             addLogEvent(ended.verdict(), "ended: it expired without being renewed");
         }
         ejections.forget(now, EJECTION_MEMORY_MICROS);
-        if (routers() != lastRouterCount || leases.values().stream().anyMatch(l -> l.changesAt(before) <= now)) {
+        if (routers() != lastRouterCount || leases.values().stream().anyMatch(l -> l.nextChangeAt(before) <= now)) {
             lastRouterCount = routers();
             limitSharesChanged = true;
         }
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns when the share next changes without a grant, or Long.MAX_VALUE if it doesn't. */
-    public long changesAt(long now) {
+    public long nextChangeAt(long now) {
         long evenShareAt = Math.max(expiresAt, startedAt) + times.shrink();
         return now < expiresAt ? expiresAt : now < evenShareAt ? evenShareAt : Long.MAX_VALUE;
     }
