--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -731,7 +731,7 @@
         LeaseTable table = lowerLevel.leaseTables.get(id);
         return new CellDemand(
                 id,
-                cellShares.get(id).asks(now, to.name(), to.instance(), number, table.representedRouters()),
+                cellShares.get(id).recordRequest(now, to.name(), to.instance(), number, table.representedRouters()),
                 table.representedRouters(),
                 table.totalDemand(),
                 table.maxHolderSpend(routers()));
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -57,7 +57,7 @@
      * Records a request for this many routers and returns the number of the grant in force to send with it (0 if there
      * is none from this grantor), or -1 if no request may be sent yet.
      */
-    public long asks(long now, String name, long instance, long number, int routers) {
+    public long recordRequest(long now, String name, long instance, long number, int routers) {
         long grantNumber = lease.recordRequest(now, name, instance, number);
         if (grantNumber >= 0) {
             requestedRouters.put(number, routers);
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -104,7 +104,7 @@
     void shareFollowsTheRoutersInTheTableAndBacksNoRouterLeaseThatWouldOutlastIt() {
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         assertEquals(40, share.pool(SECOND, 4, 10), 1e-9, "without a lease, the even shares of the routers in the table");
-        assertEquals(0, share.asks(SECOND, "k", 1, 7, 4));
+        assertEquals(0, share.recordRequest(SECOND, "k", 1, 7, 4));
         assertTrue(share.granted(SECOND, "k", 1, 7, 70));
         assertEquals(70, share.pool(SECOND, 4, 10), 1e-9);
         assertEquals(60, share.pool(SECOND, 3, 10), 1e-9, "a router that left the table takes its even share away");
@@ -124,21 +124,21 @@
     @Test
     void expiredShareBelowTheEvenSharesStaysLowWhileOthersAreReduced() {
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
-        share.asks(SECOND, "k", 1, 7, 4);
+        share.recordRequest(SECOND, "k", 1, 7, 4);
         share.granted(SECOND, "k", 1, 7, 4);
         long until = share.until();
         assertEquals(4, share.pool(until, 4, 10), 1e-9);
         assertEquals(4, share.pool(until + UPPER_TIMES.shrink() - 1, 4, 10), 1e-9);
         assertEquals(40, share.pool(until + UPPER_TIMES.shrink(), 4, 10), 1e-9);
-        assertEquals(-1, share.asks(until + UPPER_TIMES.shrink() - 1, "other", 1, 8, 4), "another grantor is asked only after the shrink time");
-        assertEquals(0, share.asks(until + UPPER_TIMES.shrink(), "other", 1, 9, 4));
+        assertEquals(-1, share.recordRequest(until + UPPER_TIMES.shrink() - 1, "other", 1, 8, 4), "another grantor is asked only after the shrink time");
+        assertEquals(0, share.recordRequest(until + UPPER_TIMES.shrink(), "other", 1, 9, 4));
     }
 
     @Test
     void grantIsForTheNumberOfRoutersInItsRequest() {
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
-        share.asks(SECOND, "k", 1, 7, 4);
-        share.asks(SECOND + 1, "k", 1, 8, 6);
+        share.recordRequest(SECOND, "k", 1, 7, 4);
+        share.recordRequest(SECOND + 1, "k", 1, 8, 6);
         assertTrue(share.granted(SECOND + 2, "k", 1, 7, 50));
         assertEquals(70, share.pool(SECOND + 2, 6, 10), 1e-9, "requested for four, now six");
         assertTrue(share.granted(SECOND + 3, "k", 1, 8, 50));
@@ -246,7 +246,7 @@
             long number = step;
             LeaseTable table = tables.get(cell.grantor);
             String grantor = "k" + cell.grantor;
-            long holds = cell.share.asks(now, grantor, 1, number, cell.routers);
+            long holds = cell.share.recordRequest(now, grantor, 1, number, cell.routers);
             if (holds >= 0 && random.nextInt(4) > 0) {
                 double inUse = cell.maxSpend(now, allRouters);
                 double demand = cell.demand;
@@ -321,7 +321,7 @@
                 int routers = cell.routers;
                 double inUse = cell.counted(now);
                 double demand = cell.demand;
-                long holds = cell.share.asks(now, "k", 1, number, routers);
+                long holds = cell.share.recordRequest(now, "k", 1, number, routers);
                 if (random.nextInt(4) > 0) {
                     inFlight.add(new InFlight(now + random.nextInt(500_000), () -> {
                         double share = table.ask(
