--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -810,7 +810,7 @@
     private boolean acceptGrant(CellShare share, String name, long instance, long ask, double amount) {
         String grantorBefore = share.grantor();
         boolean before = share.leased(now);
-        if (!share.granted(now, name, instance, ask, amount)) {
+        if (!share.applyGrant(now, name, instance, ask, amount)) {
             return false;
         }
         if (!before || !grantorBefore.equals(name)) {
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -71,7 +71,7 @@
     /**
      * Applies a grant; returns false if it is too late, a duplicate, older than the one in force or above the limit.
      */
-    public boolean granted(long now, String name, long instance, long number, double share) {
+    public boolean applyGrant(long now, String name, long instance, long number, double share) {
         Integer routers = requestedRouters.get(number);
         if (routers == null || !lease.applyGrant(now, name, instance, number, share)) {
             return false;
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -105,7 +105,7 @@
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         assertEquals(40, share.pool(SECOND, 4, 10), 1e-9, "without a lease, the even shares of the routers in the table");
         assertEquals(0, share.recordRequest(SECOND, "k", 1, 7, 4));
-        assertTrue(share.granted(SECOND, "k", 1, 7, 70));
+        assertTrue(share.applyGrant(SECOND, "k", 1, 7, 70));
         assertEquals(70, share.pool(SECOND, 4, 10), 1e-9);
         assertEquals(60, share.pool(SECOND, 3, 10), 1e-9, "a router that left the table takes its even share away");
         assertEquals(80, share.pool(SECOND, 5, 10), 1e-9, "a router that entered adds its even share");
@@ -125,7 +125,7 @@
     void expiredShareBelowTheEvenSharesStaysLowWhileOthersAreReduced() {
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         share.recordRequest(SECOND, "k", 1, 7, 4);
-        share.granted(SECOND, "k", 1, 7, 4);
+        share.applyGrant(SECOND, "k", 1, 7, 4);
         long until = share.until();
         assertEquals(4, share.pool(until, 4, 10), 1e-9);
         assertEquals(4, share.pool(until + UPPER_TIMES.shrink() - 1, 4, 10), 1e-9);
@@ -139,11 +139,11 @@
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         share.recordRequest(SECOND, "k", 1, 7, 4);
         share.recordRequest(SECOND + 1, "k", 1, 8, 6);
-        assertTrue(share.granted(SECOND + 2, "k", 1, 7, 50));
+        assertTrue(share.applyGrant(SECOND + 2, "k", 1, 7, 50));
         assertEquals(70, share.pool(SECOND + 2, 6, 10), 1e-9, "requested for four, now six");
-        assertTrue(share.granted(SECOND + 3, "k", 1, 8, 50));
+        assertTrue(share.applyGrant(SECOND + 3, "k", 1, 8, 50));
         assertEquals(50, share.pool(SECOND + 3, 6, 10), 1e-9);
-        assertFalse(share.granted(SECOND + 4, "k", 1, 7, 90), "older grant after a newer one");
+        assertFalse(share.applyGrant(SECOND + 4, "k", 1, 7, 90), "older grant after a newer one");
     }
 
     @Test
@@ -261,7 +261,7 @@
                             held -> held * LIMIT.evenPart(allRouters));
                     if (share >= 0 && random.nextInt(4) > 0) {
                         long grantArrivesAt = receivedAt + random.nextInt(900_000);
-                        inFlight.add(new InFlight(grantArrivesAt, () -> cell.share.granted(clock[0], grantor, 1, number, share)));
+                        inFlight.add(new InFlight(grantArrivesAt, () -> cell.share.applyGrant(clock[0], grantor, 1, number, share)));
                     }
                 };
                 inFlight.add(new InFlight(now + random.nextInt(900_000), request));
@@ -334,7 +334,7 @@
                         if (share >= 0 && random.nextInt(4) > 0) {
                             inFlight.add(new InFlight(
                                     clock[0] + random.nextInt(500_000),
-                                    () -> cell.share.granted(clock[0], "k", 1, number, share)));
+                                    () -> cell.share.applyGrant(clock[0], "k", 1, number, share)));
                         }
                     }));
                 }
