--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns when the lease expires (Unix microseconds); a time long past if there never was one. */
-    public long until() {
+    public long expiresAt() {
         return lease.expiresAt();
     }
 
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -110,7 +110,7 @@
         assertEquals(60, share.pool(SECOND, 3, 10), 1e-9, "a router that left the table takes its even share away");
         assertEquals(80, share.pool(SECOND, 5, 10), 1e-9, "a router that entered adds its even share");
         long until = SECOND + UPPER_TIMES.lease();
-        assertEquals(until, share.until());
+        assertEquals(until, share.expiresAt());
         assertEquals(70, share.pool(until - TIMES.lease(), 4, 10), 1e-9);
         assertEquals(
                 40,
@@ -126,7 +126,7 @@
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
         share.recordRequest(SECOND, "k", 1, 7, 4);
         share.applyGrant(SECOND, "k", 1, 7, 4);
-        long until = share.until();
+        long until = share.expiresAt();
         assertEquals(4, share.pool(until, 4, 10), 1e-9);
         assertEquals(4, share.pool(until + UPPER_TIMES.shrink() - 1, 4, 10), 1e-9);
         assertEquals(40, share.pool(until + UPPER_TIMES.shrink(), 4, 10), 1e-9);
