--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -586,7 +586,7 @@
 
     /** Whether all shares that were leased to this cell have ended. */
     public boolean cellSharesEnded(long time) {
-        return cellShares.values().stream().allMatch(s -> s.over(time));
+        return cellShares.values().stream().allMatch(s -> s.hasEnded(time));
     }
 
     /** Exchanges terms and ejections between this cell and the upper level, in both directions. */
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -44,7 +44,7 @@
      * Returns whether this share has ended: its lease and the shrink time after it are over, so that the cell's routers
      * spend at most their even shares.
      */
-    public boolean over(long now) {
+    public boolean hasEnded(long now) {
         return now >= lease.expiresAt() + upperTimes.shrink();
     }
 
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -117,8 +117,8 @@
                 share.pool(until - TIMES.lease() + 1, 4, 10),
                 1e-9,
                 "a router lease granted from now on would outlast the share");
-        assertFalse(share.over(until + UPPER_TIMES.shrink() - 1));
-        assertTrue(share.over(until + UPPER_TIMES.shrink()));
+        assertFalse(share.hasEnded(until + UPPER_TIMES.shrink() - 1));
+        assertTrue(share.hasEnded(until + UPPER_TIMES.shrink()));
     }
 
     @Test
