--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -88,7 +88,7 @@
      * @param held the number of routers in the lease table of the cell's grantor
      * @param routers the number of routers in the fleet
      */
-    public double pool(long now, int held, int routers) {
+    public double grantableAmount(long now, int held, int routers) {
         double evenShare = limit().evenPart(routers);
         double base = now + routerLeaseMicros <= lease.expiresAt()
                 ? amount
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -103,18 +103,18 @@
     @Test
     void shareFollowsTheRoutersInTheTableAndBacksNoRouterLeaseThatWouldOutlastIt() {
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
-        assertEquals(40, share.pool(SECOND, 4, 10), 1e-9, "without a lease, the even shares of the routers in the table");
+        assertEquals(40, share.grantableAmount(SECOND, 4, 10), 1e-9, "without a lease, the even shares of the routers in the table");
         assertEquals(0, share.recordRequest(SECOND, "k", 1, 7, 4));
         assertTrue(share.applyGrant(SECOND, "k", 1, 7, 70));
-        assertEquals(70, share.pool(SECOND, 4, 10), 1e-9);
-        assertEquals(60, share.pool(SECOND, 3, 10), 1e-9, "a router that left the table takes its even share away");
-        assertEquals(80, share.pool(SECOND, 5, 10), 1e-9, "a router that entered adds its even share");
+        assertEquals(70, share.grantableAmount(SECOND, 4, 10), 1e-9);
+        assertEquals(60, share.grantableAmount(SECOND, 3, 10), 1e-9, "a router that left the table takes its even share away");
+        assertEquals(80, share.grantableAmount(SECOND, 5, 10), 1e-9, "a router that entered adds its even share");
         long until = SECOND + UPPER_TIMES.lease();
         assertEquals(until, share.expiresAt());
-        assertEquals(70, share.pool(until - TIMES.lease(), 4, 10), 1e-9);
+        assertEquals(70, share.grantableAmount(until - TIMES.lease(), 4, 10), 1e-9);
         assertEquals(
                 40,
-                share.pool(until - TIMES.lease() + 1, 4, 10),
+                share.grantableAmount(until - TIMES.lease() + 1, 4, 10),
                 1e-9,
                 "a router lease granted from now on would outlast the share");
         assertFalse(share.hasEnded(until + UPPER_TIMES.shrink() - 1));
@@ -127,9 +127,9 @@
         share.recordRequest(SECOND, "k", 1, 7, 4);
         share.applyGrant(SECOND, "k", 1, 7, 4);
         long until = share.expiresAt();
-        assertEquals(4, share.pool(until, 4, 10), 1e-9);
-        assertEquals(4, share.pool(until + UPPER_TIMES.shrink() - 1, 4, 10), 1e-9);
-        assertEquals(40, share.pool(until + UPPER_TIMES.shrink(), 4, 10), 1e-9);
+        assertEquals(4, share.grantableAmount(until, 4, 10), 1e-9);
+        assertEquals(4, share.grantableAmount(until + UPPER_TIMES.shrink() - 1, 4, 10), 1e-9);
+        assertEquals(40, share.grantableAmount(until + UPPER_TIMES.shrink(), 4, 10), 1e-9);
         assertEquals(-1, share.recordRequest(until + UPPER_TIMES.shrink() - 1, "other", 1, 8, 4), "another grantor is asked only after the shrink time");
         assertEquals(0, share.recordRequest(until + UPPER_TIMES.shrink(), "other", 1, 9, 4));
     }
@@ -140,9 +140,9 @@
         share.recordRequest(SECOND, "k", 1, 7, 4);
         share.recordRequest(SECOND + 1, "k", 1, 8, 6);
         assertTrue(share.applyGrant(SECOND + 2, "k", 1, 7, 50));
-        assertEquals(70, share.pool(SECOND + 2, 6, 10), 1e-9, "requested for four, now six");
+        assertEquals(70, share.grantableAmount(SECOND + 2, 6, 10), 1e-9, "requested for four, now six");
         assertTrue(share.applyGrant(SECOND + 3, "k", 1, 8, 50));
-        assertEquals(50, share.pool(SECOND + 3, 6, 10), 1e-9);
+        assertEquals(50, share.grantableAmount(SECOND + 3, 6, 10), 1e-9);
         assertFalse(share.applyGrant(SECOND + 4, "k", 1, 7, 90), "older grant after a newer one");
     }
 
@@ -187,13 +187,13 @@
          * Returns the most that its routers may spend now: what it could grant at any time within their lease duration.
          */
         double maxSpend(long now, int allRouters) {
-            grantable.add(new double[] {now, share.pool(now, routers, allRouters)});
+            grantable.add(new double[] {now, share.grantableAmount(now, routers, allRouters)});
             return max(grantable, now);
         }
 
         /** Grants all that it may now. */
         void grantAll(long now, int allRouters) {
-            granted.add(new double[] {now, share.pool(now, routers, allRouters)});
+            granted.add(new double[] {now, share.grantableAmount(now, routers, allRouters)});
         }
 
         /** Returns the sum of its routers' leases, as its own table counts them. */
