--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -745,7 +745,7 @@
                         demand.demand(),
                         demand.inUse(),
                         routers(),
-                        held -> held * limitOf(demand.limit()).evenPart(routers()));
+                        held -> held * limitOf(demand.limit()).evenShare(routers()));
     }
 
     /** The number of routers in this cell's lease table for a limit. */
@@ -761,7 +761,7 @@
     /** How much a cell may lease out: its share, or without one the even shares of the routers in its lease table. */
     private double grantableAmount(long id, int held) {
         CellShare share = upperLevel == null ? null : upperLevel.cellShares.get(id);
-        return share == null ? held * limitOf(id).evenPart(routers()) : share.grantableAmount(now, held, routers());
+        return share == null ? held * limitOf(id).evenShare(routers()) : share.grantableAmount(now, held, routers());
     }
 
     private FleetLimit limitOf(long id) {
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -89,7 +89,7 @@
      * @param routers the number of routers in the fleet
      */
     public double grantableAmount(long now, int held, int routers) {
-        double evenShare = limit().evenPart(routers);
+        double evenShare = limit().evenShare(routers);
         double base = now + routerLeaseMicros <= lease.expiresAt()
                 ? amount
                 : now < lease.expiresAt() + upperTimes.shrink() ? Math.min(amount, grantedRouters * evenShare) : grantedRouters * evenShare;
--- a/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
+++ b/src/main/java/pumicemoor/fleet/limits/FleetLimit.java
@@ -11,13 +11,13 @@
     private static final double MIN_SHARE_FACTOR = 0.1; // of the even share
 
     /** Returns what each of this many routers may spend without a lease; a share in whole numbers is at least one. */
-    public double evenPart(int routers) {
+    public double evenShare(int routers) {
         double share = amount / Math.max(1, routers);
         return measure.wholeNumbers ? Math.max(1, Math.floor(share)) : share;
     }
 
     /** Returns the smallest share that a lease grants: enough for a router's demand to show. */
     double minShare(int routers) {
-        return measure.wholeNumbers ? 1 : evenPart(routers) * MIN_SHARE_FACTOR;
+        return measure.wholeNumbers ? 1 : evenShare(routers) * MIN_SHARE_FACTOR;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -36,7 +36,7 @@
 
     /** Returns what may be spent at this time in a fleet of this many routers. */
     public double currentShare(long now, int routers) {
-        double evenShare = limit.evenPart(routers);
+        double evenShare = limit.evenShare(routers);
         if (now < expiresAt) {
             return amount;
         }
@@ -48,7 +48,7 @@
 
     /** Returns what may be spent once the lease has expired if no further grant is received. */
     public double shareAfterExpiry(int routers) {
-        return grantNumber == 0 ? limit.minShare(routers) : Math.min(amount, limit.evenPart(routers));
+        return grantNumber == 0 ? limit.minShare(routers) : Math.min(amount, limit.evenShare(routers));
     }
 
     /** Returns when the share next changes without a grant, or Long.MAX_VALUE if it doesn't. */
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -86,7 +86,7 @@
     }
 
     private double countedExcept(Holder excluded, int routers) {
-        double evenShare = limit.evenPart(routers);
+        double evenShare = limit.evenShare(routers);
         return holders.values().stream()
                 .filter(h -> h != excluded)
                 .mapToDouble(h -> h.maxSpend(evenShare))
@@ -100,7 +100,7 @@
 
     /** Returns the most that the whole fleet may be spending, as far as this grantor can know. */
     public double maxFleetSpend(int routers) {
-        return maxHolderSpend(routers) + Math.max(0, routers - representedRouters()) * limit.evenPart(routers);
+        return maxHolderSpend(routers) + Math.max(0, routers - representedRouters()) * limit.evenShare(routers);
     }
 
     /**
@@ -116,7 +116,7 @@
                 demand,
                 limit.measure().wholeNumbers ? inUse : 0,
                 routers,
-                held -> held * limit.evenPart(routers));
+                held -> held * limit.evenShare(routers));
     }
 
     /** Answers a request of a holder that may represent several routers and counts with at least {@code inUse}. */
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -258,7 +258,7 @@
                             demand,
                             inUse,
                             allRouters,
-                            held -> held * LIMIT.evenPart(allRouters));
+                            held -> held * LIMIT.evenShare(allRouters));
                     if (share >= 0 && random.nextInt(4) > 0) {
                         long grantArrivesAt = receivedAt + random.nextInt(900_000);
                         inFlight.add(new InFlight(grantArrivesAt, () -> cell.share.applyGrant(clock[0], grantor, 1, number, share)));
@@ -330,7 +330,7 @@
                                 demand,
                                 inUse,
                                 allRouters,
-                                held -> held * LIMIT.evenPart(allRouters));
+                                held -> held * LIMIT.evenShare(allRouters));
                         if (share >= 0 && random.nextInt(4) > 0) {
                             inFlight.add(new InFlight(
                                     clock[0] + random.nextInt(500_000),
@@ -339,7 +339,7 @@
                     }));
                 }
             }
-            double sum = growing.counted(now) + other.counted(now) + outside * LIMIT.evenPart(allRouters);
+            double sum = growing.counted(now) + other.counted(now) + outside * LIMIT.evenShare(allRouters);
             highest = Math.max(highest, sum);
             assertTrue(sum <= 100 * (1 + 1e-9), "the cells have granted " + sum + " of 100");
         }
