--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -196,7 +196,7 @@
         this.now = time;
         this.startedAt = time;
         this.codec = new PacketCodec(setup.cluster());
-        this.election = new LeaderElection(setup.membership().name(), (level == Level.CELL ? CELL_VOTE_LEASES : 1) * times.lease(), time);
+        this.election = new LeaderElection(setup.membership().name(), (level == Level.CELL ? CELL_VOTE_LEASES : 1) * times.leaseMicros(), time);
         this.ejectionPolicy = new EjectionPolicy(setup.ejectionRules().orElse(new EjectionPolicy.Rules(0, 1, 1, 1)));
         this.nextReportAt = time + setup.membership().periodMicros();
         this.nextGossipAt = nextReportAt;
@@ -371,7 +371,7 @@
         demands.keySet().retainAll(limits.keySet());
         if (level == Level.UPPER) {
             limits.forEach((id, limit) -> cellShares.computeIfAbsent(
-                    id, i -> new CellShare(limit, times, setup.times().lease(), startedAt)));
+                    id, i -> new CellShare(limit, times, setup.times().leaseMicros(), startedAt)));
         } else {
             limits.forEach((id, limit) -> leases.computeIfAbsent(id, i -> new HeldLease(limit, times, startedAt)));
         }
@@ -473,7 +473,7 @@
             }
         }
         if (now >= nextReportAt) {
-            nextReportAt = now + times.lease() / REPORTS_PER_LEASE;
+            nextReportAt = now + times.leaseMicros() / REPORTS_PER_LEASE;
             lastReportAt = now;
             failureReports.values().removeIf(r -> now >= r.until());
             if (isLeader) {
@@ -643,7 +643,7 @@
                         .toList()
                 : List.of();
         if (own) {
-            ejectionPolicy.reported(to.name(), ++lastNumber, now + times.lease(), reports);
+            ejectionPolicy.reported(to.name(), ++lastNumber, now + times.leaseMicros(), reports);
             renewOwnLeases(to);
             decideEjections();
             return;
@@ -693,7 +693,7 @@
         List<Long> ids =
                 cellShares.keySet().stream().filter(id -> lowerLevel.leaseHolders(id, now) > 0).toList();
         if (own) {
-            ejectionPolicy.reported(to.name(), ++lastNumber, now + times.lease(), reports);
+            ejectionPolicy.reported(to.name(), ++lastNumber, now + times.leaseMicros(), reports);
             for (long id : ids) {
                 CellDemand demand = cellDemand(id, to, ++lastNumber);
                 if (demand.grantInForce() >= 0) {
@@ -708,7 +708,7 @@
             decideEjections();
             return;
         }
-        LeaderElection.Backing backing = lowerLevel.election.backing(now + times.lease());
+        LeaderElection.Backing backing = lowerLevel.election.backing(now + times.leaseMicros());
         for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.MAX_CELL_DEMANDS) {
             List<CellDemand> batch = ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_CELL_DEMANDS)).stream()
                     .map(id -> cellDemand(id, to, lastNumber + 1))
@@ -788,7 +788,7 @@
         }
         election.observeTerm(ask.term());
         election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.boundRouters());
-        ejectionPolicy.reported(from.name(), packet.number(), now + times.lease(), ask.failureReports());
+        ejectionPolicy.reported(from.name(), packet.number(), now + times.leaseMicros(), ask.failureReports());
         List<GrantedShare> granted = new ArrayList<>();
         for (CellDemand demand : ask.demands()) {
             if (!cellShares.containsKey(demand.limit())) {
@@ -839,7 +839,7 @@
         } else {
             drains.report(now, to.address(), election.term());
         }
-        nextPlanReportAt = now + (drains.inHaste() ? setup.membership().periodMicros() : times.lease() / REPORTS_PER_LEASE);
+        nextPlanReportAt = now + (drains.inHaste() ? setup.membership().periodMicros() : times.leaseMicros() / REPORTS_PER_LEASE);
     }
 
     /** Renews the grantor's own leases, which are in its own lease table like those of all other routers. */
@@ -866,7 +866,7 @@
             return;
         }
         election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.term());
-        ejectionPolicy.reported(from.name(), packet.number(), now + times.lease(), ask.failureReports());
+        ejectionPolicy.reported(from.name(), packet.number(), now + times.leaseMicros(), ask.failureReports());
         List<GrantedShare> granted = new ArrayList<>();
         for (Demand demand : ask.demands()) {
             if (!leases.containsKey(demand.limit())) {
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -332,7 +332,7 @@
             return;
         }
         if (moveAt == Long.MAX_VALUE) {
-            moveAt = now + MOVE_DELAY_LEASES * setup.times().lease();
+            moveAt = now + MOVE_DELAY_LEASES * setup.times().leaseMicros();
         }
         for (int i = 0; i < Math.min(SPLIT_MESSAGES_PER_PERIOD, living.size()); i++) {
             send(living.get(splitMessages++ % living.size()).address(), new Place(0, targetDepth, List.of(), List.of()));
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -196,7 +196,7 @@
         if (grant.fromLeader()) {
             planStore.confirmInForce(grant.stampInForce());
             if (planStore.applied().stamp() >= grant.stampInForce()) {
-                extendLeaderContact(sentTime + leaseTimes.lease());
+                extendLeaderContact(sentTime + leaseTimes.leaseMicros());
             }
             recordReturns();
             lastLoggedPlan = planStore.applied(); // the leader logs its steps
@@ -237,7 +237,7 @@
 
     /** Returns whether this process knows the plan in force, or has waited for it as long as it may. */
     private boolean settled(long now) {
-        return hadLeaderContact || now >= startedAt + leaseTimes.lease() + leaseTimes.guard();
+        return hadLeaderContact || now >= startedAt + leaseTimes.leaseMicros() + leaseTimes.guard();
     }
 
     /** Returns whether the view may have changed; a cheap check, since it is made at every input. */
@@ -281,7 +281,7 @@
     }
 
     public long nextDue(long now) {
-        long settles = startedAt + leaseTimes.lease() + leaseTimes.guard();
+        long settles = startedAt + leaseTimes.leaseMicros() + leaseTimes.guard();
         return Math.min(leaderContactUntil > now ? leaderContactUntil : Long.MAX_VALUE, settled(now) ? Long.MAX_VALUE : settles);
     }
 
@@ -337,7 +337,7 @@
                 broadcastPlan(snapshot);
             }
             if (leader.inForce() > 0) {
-                extendLeaderContact(snapshot.now() + leaseTimes.lease());
+                extendLeaderContact(snapshot.now() + leaseTimes.leaseMicros());
             }
             recordReturns();
             if (leader.stage() != PlanLeader.Stage.SETTLED) {
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -103,7 +103,7 @@
         grantorInstance = instance;
         grantNumber = number;
         amount = share;
-        expiresAt = sentAt + times.lease();
+        expiresAt = sentAt + times.leaseMicros();
         return true;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -141,7 +141,7 @@
         holder.confirmedGrant = holder.grants.stream().anyMatch(g -> g.number() == asker.grantInForce()) ? asker.grantInForce() : 0;
         holder.grants.removeIf(g -> g.number() < holder.confirmedGrant);
         double share = shareOf(holder, routers, Math.min(limit.amount(), pool.forRouters(representedRouters())));
-        holder.grants.add(new Grant(asker.number(), asker.routers(), share, now + times.lease()));
+        holder.grants.add(new Grant(asker.number(), asker.routers(), share, now + times.leaseMicros()));
         return share;
     }
 
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -6,7 +6,7 @@
  * even share, while the shares of others are reduced (shrink). The grantor counts a lease from when it receives the
  * request, so it may count it longer than the holder does by up to the guard: the time that the request was in flight.
  */
-public record LeaseTimes(long lease, long guard, long shrink) {
+public record LeaseTimes(long leaseMicros, long guard, long shrink) {
 
     // a router's lease ends before that of its cell
     private static final int UPPER_LEASE_FACTOR = 2;
@@ -27,8 +27,8 @@
      * within one upper lease, and the leases of their routers within one router lease.
      */
     public LeaseTimes ofCells() {
-        long upper = UPPER_LEASE_FACTOR * lease;
-        return new LeaseTimes(upper, UPPER_GUARD_FACTOR * guard, UPPER_GUARD_FACTOR * guard + upper + lease);
+        long upper = UPPER_LEASE_FACTOR * leaseMicros;
+        return new LeaseTimes(upper, UPPER_GUARD_FACTOR * guard, UPPER_GUARD_FACTOR * guard + upper + leaseMicros);
     }
 
     /**
@@ -38,6 +38,6 @@
      */
     public LeaseTimes inCells() {
         LeaseTimes upper = ofCells();
-        return new LeaseTimes(lease, guard, guard + upper.lease() + upper.shrink());
+        return new LeaseTimes(leaseMicros, guard, guard + upper.leaseMicros() + upper.shrink());
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
@@ -25,8 +25,8 @@
  */
 class CellBackingTest {
 
-    private static final long VOTE_MICROS = 3 * TIMES.lease();
-    private static final long UPPER_VOTE_MICROS = 2 * TIMES.lease();
+    private static final long VOTE_MICROS = 3 * TIMES.leaseMicros();
+    private static final long UPPER_VOTE_MICROS = 2 * TIMES.leaseMicros();
 
     private record Vote(Router grantor, long grantorStartedAt, long votedAt) {}
 
--- a/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
@@ -267,7 +267,7 @@
                 .orElseThrow();
         assertTrue(router.share() > 2 * LIMIT / SIZE, () -> "may spend " + router.share());
         fleet.cut = (a, b) -> a == router || b == router;
-        fleet.run(TIMES.lease() + VirtualCells.shrinkMicros());
+        fleet.run(TIMES.leaseMicros() + VirtualCells.shrinkMicros());
         fleet.run(40 * SECOND, () -> assertEquals(LIMIT / SIZE, router.share(), LIMIT / SIZE * 0.001));
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -442,9 +442,9 @@
      * the documented g + g2 + 2 D2 + D, where D and g are lease time and guard of a router, D2 and g2 those of a cell.
      */
     static long shrinkMicros() {
-        long upperLease = 2 * TIMES.lease();
+        long upperLease = 2 * TIMES.leaseMicros();
         long upperGuard = 4 * TIMES.guard();
-        return TIMES.guard() + upperGuard + 2 * upperLease + TIMES.lease();
+        return TIMES.guard() + upperGuard + 2 * upperLease + TIMES.leaseMicros();
     }
 
     private void recount(Router router) {
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -32,13 +32,13 @@
 
     @Test
     void upperAndCellTimesFollowFromTheRouterLeaseTimes() {
-        assertEquals(6 * SECOND, UPPER_TIMES.lease());
+        assertEquals(6 * SECOND, UPPER_TIMES.leaseMicros());
         assertEquals(1_200_000, UPPER_TIMES.guard());
-        assertEquals(UPPER_TIMES.guard() + UPPER_TIMES.lease() + TIMES.lease(), UPPER_TIMES.shrink());
+        assertEquals(UPPER_TIMES.guard() + UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(), UPPER_TIMES.shrink());
         assertEquals(
-                TIMES.guard() + UPPER_TIMES.guard() + 2 * UPPER_TIMES.lease() + TIMES.lease(),
+                TIMES.guard() + UPPER_TIMES.guard() + 2 * UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(),
                 TIMES.inCells().shrink());
-        assertEquals(TIMES.lease(), TIMES.inCells().lease());
+        assertEquals(TIMES.leaseMicros(), TIMES.inCells().leaseMicros());
         assertEquals(TIMES.guard(), TIMES.inCells().guard());
     }
 
@@ -102,19 +102,19 @@
 
     @Test
     void shareFollowsTheRoutersInTheTableAndBacksNoRouterLeaseThatWouldOutlastIt() {
-        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
+        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.leaseMicros(), 0);
         assertEquals(40, share.grantableAmount(SECOND, 4, 10), 1e-9, "without a lease, the even shares of the routers in the table");
         assertEquals(0, share.recordRequest(SECOND, "k", 1, 7, 4));
         assertTrue(share.applyGrant(SECOND, "k", 1, 7, 70));
         assertEquals(70, share.grantableAmount(SECOND, 4, 10), 1e-9);
         assertEquals(60, share.grantableAmount(SECOND, 3, 10), 1e-9, "a router that left the table takes its even share away");
         assertEquals(80, share.grantableAmount(SECOND, 5, 10), 1e-9, "a router that entered adds its even share");
-        long until = SECOND + UPPER_TIMES.lease();
+        long until = SECOND + UPPER_TIMES.leaseMicros();
         assertEquals(until, share.expiresAt());
-        assertEquals(70, share.grantableAmount(until - TIMES.lease(), 4, 10), 1e-9);
+        assertEquals(70, share.grantableAmount(until - TIMES.leaseMicros(), 4, 10), 1e-9);
         assertEquals(
                 40,
-                share.grantableAmount(until - TIMES.lease() + 1, 4, 10),
+                share.grantableAmount(until - TIMES.leaseMicros() + 1, 4, 10),
                 1e-9,
                 "a router lease granted from now on would outlast the share");
         assertFalse(share.hasEnded(until + UPPER_TIMES.shrink() - 1));
@@ -123,7 +123,7 @@
 
     @Test
     void expiredShareBelowTheEvenSharesStaysLowWhileOthersAreReduced() {
-        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
+        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.leaseMicros(), 0);
         share.recordRequest(SECOND, "k", 1, 7, 4);
         share.applyGrant(SECOND, "k", 1, 7, 4);
         long until = share.expiresAt();
@@ -136,7 +136,7 @@
 
     @Test
     void grantIsForTheNumberOfRoutersInItsRequest() {
-        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
+        CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.leaseMicros(), 0);
         share.recordRequest(SECOND, "k", 1, 7, 4);
         share.recordRequest(SECOND + 1, "k", 1, 8, 6);
         assertTrue(share.applyGrant(SECOND + 2, "k", 1, 7, 50));
@@ -180,7 +180,7 @@
         Cell(int number, int routers) {
             this.name = "c" + number;
             this.routers = routers;
-            this.share = new CellShare(LIMIT, UPPER_TIMES, TIMES.lease(), 0);
+            this.share = new CellShare(LIMIT, UPPER_TIMES, TIMES.leaseMicros(), 0);
         }
 
         /**
@@ -202,7 +202,7 @@
         }
 
         private static double max(Deque<double[]> amounts, long now) {
-            amounts.removeIf(a -> a[0] <= now - TIMES.lease());
+            amounts.removeIf(a -> a[0] <= now - TIMES.leaseMicros());
             return amounts.stream().mapToDouble(a -> a[1]).max().orElse(0);
         }
     }
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -38,7 +38,7 @@
         FleetSection section = OperatorFile.parse("f", VALID).fleet().orElseThrow();
         assertEquals("127.0.0.1:7946", section.advertise());
         assertEquals(200_000, section.periodMicros());
-        assertEquals(5_000_000, section.leaseTimes().lease());
+        assertEquals(5_000_000, section.leaseTimes().leaseMicros());
         assertEquals(Scope.EACH_CACHE, section.limits().get(0).scope());
         assertEquals(Scope.MEMBER, section.limits().get(1).scope());
         assertEquals(LimitMeasure.IN_FLIGHT, section.limits().get(1).measure());
