--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -237,7 +237,7 @@
 
     /** Returns whether this process knows the plan in force, or has waited for it as long as it may. */
     private boolean settled(long now) {
-        return hadLeaderContact || now >= startedAt + leaseTimes.leaseMicros() + leaseTimes.guard();
+        return hadLeaderContact || now >= startedAt + leaseTimes.leaseMicros() + leaseTimes.guardMicros();
     }
 
     /** Returns whether the view may have changed; a cheap check, since it is made at every input. */
@@ -281,7 +281,7 @@
     }
 
     public long nextDue(long now) {
-        long settles = startedAt + leaseTimes.leaseMicros() + leaseTimes.guard();
+        long settles = startedAt + leaseTimes.leaseMicros() + leaseTimes.guardMicros();
         return Math.min(leaderContactUntil > now ? leaderContactUntil : Long.MAX_VALUE, settled(now) ? Long.MAX_VALUE : settles);
     }
 
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -93,7 +93,7 @@
         Long sentAt = requestSentAt.remove(number);
         boolean sameGrantor = grantor.equals(name) && grantorInstance == instance;
         if (sentAt == null
-                || now - sentAt > times.guard()
+                || now - sentAt > times.guardMicros()
                 || sameGrantor && number <= grantNumber
                 || !sameGrantor && grantNumber != 0 && now < expiresAt + times.shrink()
                 || share > limit.amount()) {
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -6,7 +6,7 @@
  * even share, while the shares of others are reduced (shrink). The grantor counts a lease from when it receives the
  * request, so it may count it longer than the holder does by up to the guard: the time that the request was in flight.
  */
-public record LeaseTimes(long leaseMicros, long guard, long shrink) {
+public record LeaseTimes(long leaseMicros, long guardMicros, long shrink) {
 
     // a router's lease ends before that of its cell
     private static final int UPPER_LEASE_FACTOR = 2;
@@ -28,7 +28,7 @@
      */
     public LeaseTimes ofCells() {
         long upper = UPPER_LEASE_FACTOR * leaseMicros;
-        return new LeaseTimes(upper, UPPER_GUARD_FACTOR * guard, UPPER_GUARD_FACTOR * guard + upper + leaseMicros);
+        return new LeaseTimes(upper, UPPER_GUARD_FACTOR * guardMicros, UPPER_GUARD_FACTOR * guardMicros + upper + leaseMicros);
     }
 
     /**
@@ -38,6 +38,6 @@
      */
     public LeaseTimes inCells() {
         LeaseTimes upper = ofCells();
-        return new LeaseTimes(leaseMicros, guard, guard + upper.leaseMicros() + upper.shrink());
+        return new LeaseTimes(leaseMicros, guardMicros, guardMicros + upper.leaseMicros() + upper.shrink());
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -443,8 +443,8 @@
      */
     static long shrinkMicros() {
         long upperLease = 2 * TIMES.leaseMicros();
-        long upperGuard = 4 * TIMES.guard();
-        return TIMES.guard() + upperGuard + 2 * upperLease + TIMES.leaseMicros();
+        long upperGuard = 4 * TIMES.guardMicros();
+        return TIMES.guardMicros() + upperGuard + 2 * upperLease + TIMES.leaseMicros();
     }
 
     private void recount(Router router) {
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -33,13 +33,13 @@
     @Test
     void upperAndCellTimesFollowFromTheRouterLeaseTimes() {
         assertEquals(6 * SECOND, UPPER_TIMES.leaseMicros());
-        assertEquals(1_200_000, UPPER_TIMES.guard());
-        assertEquals(UPPER_TIMES.guard() + UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(), UPPER_TIMES.shrink());
+        assertEquals(1_200_000, UPPER_TIMES.guardMicros());
+        assertEquals(UPPER_TIMES.guardMicros() + UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(), UPPER_TIMES.shrink());
         assertEquals(
-                TIMES.guard() + UPPER_TIMES.guard() + 2 * UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(),
+                TIMES.guardMicros() + UPPER_TIMES.guardMicros() + 2 * UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(),
                 TIMES.inCells().shrink());
         assertEquals(TIMES.leaseMicros(), TIMES.inCells().leaseMicros());
-        assertEquals(TIMES.guard(), TIMES.inCells().guard());
+        assertEquals(TIMES.guardMicros(), TIMES.inCells().guardMicros());
     }
 
     @Test
