--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -668,7 +668,7 @@
      */
     private boolean mayReportFailures(String to) {
         if (level == Level.CELL && !failureReports.isEmpty()) {
-            if (!to.equals(failureReportsSentTo) && !failureReportsSentTo.isEmpty() && now < failureReportsSentAt + times.shrink()) {
+            if (!to.equals(failureReportsSentTo) && !failureReportsSentTo.isEmpty() && now < failureReportsSentAt + times.shrinkMicros()) {
                 return false;
             }
             failureReportsSentTo = to;
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -45,7 +45,7 @@
      * spend at most their even shares.
      */
     public boolean hasEnded(long now) {
-        return now >= lease.expiresAt() + upperTimes.shrink();
+        return now >= lease.expiresAt() + upperTimes.shrinkMicros();
     }
 
     /** Returns the name of the grantor of the lease, or an empty string if there was none. */
@@ -92,7 +92,7 @@
         double evenShare = limit().evenShare(routers);
         double base = now + routerLeaseMicros <= lease.expiresAt()
                 ? amount
-                : now < lease.expiresAt() + upperTimes.shrink() ? Math.min(amount, grantedRouters * evenShare) : grantedRouters * evenShare;
+                : now < lease.expiresAt() + upperTimes.shrinkMicros() ? Math.min(amount, grantedRouters * evenShare) : grantedRouters * evenShare;
         return base + (held - grantedRouters) * evenShare;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -40,7 +40,7 @@
         if (now < expiresAt) {
             return amount;
         }
-        if (now < Math.max(expiresAt, startedAt) + times.shrink()) {
+        if (now < Math.max(expiresAt, startedAt) + times.shrinkMicros()) {
             return grantNumber == 0 ? limit.minShare(routers) : Math.min(amount, evenShare);
         }
         return evenShare;
@@ -53,7 +53,7 @@
 
     /** Returns when the share next changes without a grant, or Long.MAX_VALUE if it doesn't. */
     public long nextChangeAt(long now) {
-        long evenShareAt = Math.max(expiresAt, startedAt) + times.shrink();
+        long evenShareAt = Math.max(expiresAt, startedAt) + times.shrinkMicros();
         return now < expiresAt ? expiresAt : now < evenShareAt ? evenShareAt : Long.MAX_VALUE;
     }
 
@@ -76,7 +76,7 @@
      */
     public long recordRequest(long now, String name, long instance, long number) {
         boolean sameGrantor = grantor.equals(name) && grantorInstance == instance;
-        if (!sameGrantor && grantNumber != 0 && now < expiresAt + times.shrink()) {
+        if (!sameGrantor && grantNumber != 0 && now < expiresAt + times.shrinkMicros()) {
             return -1;
         }
         if (requestSentAt.size() >= MAX_PENDING_REQUESTS) {
@@ -95,7 +95,7 @@
         if (sentAt == null
                 || now - sentAt > times.guardMicros()
                 || sameGrantor && number <= grantNumber
-                || !sameGrantor && grantNumber != 0 && now < expiresAt + times.shrink()
+                || !sameGrantor && grantNumber != 0 && now < expiresAt + times.shrinkMicros()
                 || share > limit.amount()) {
             return false;
         }
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -6,7 +6,7 @@
  * even share, while the shares of others are reduced (shrink). The grantor counts a lease from when it receives the
  * request, so it may count it longer than the holder does by up to the guard: the time that the request was in flight.
  */
-public record LeaseTimes(long leaseMicros, long guardMicros, long shrink) {
+public record LeaseTimes(long leaseMicros, long guardMicros, long shrinkMicros) {
 
     // a router's lease ends before that of its cell
     private static final int UPPER_LEASE_FACTOR = 2;
@@ -38,6 +38,6 @@
      */
     public LeaseTimes inCells() {
         LeaseTimes upper = ofCells();
-        return new LeaseTimes(leaseMicros, guardMicros, guardMicros + upper.leaseMicros() + upper.shrink());
+        return new LeaseTimes(leaseMicros, guardMicros, guardMicros + upper.leaseMicros() + upper.shrinkMicros());
     }
 }
--- a/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
@@ -51,7 +51,7 @@
         Runnable checkBounds = () -> {
             // A process that was just restarted may not yet be in the lease table of its grantor as its predecessor was.
             long recentRestarts = restarted.values().stream()
-                    .filter(at -> fleet.now - at < 2 * TIMES.shrink())
+                    .filter(at -> fleet.now - at < 2 * TIMES.shrinkMicros())
                     .count();
             double bound = LIMIT + recentRestarts * LIMIT / routerCount;
             assertTrue(fleet.totalLimitShares() <= bound * (1 + 1e-9), () -> "the routers together may use " + fleet.totalLimitShares() + " of " + LIMIT);
--- a/src/test/java/pumicemoor/fleet/FleetTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetTest.java
@@ -73,7 +73,7 @@
         fleet.run(8 * SECOND, () -> {});
         assertTrue(fleet.routers.get(4).limitShare() > 700);
         fleet.cut = (a, b) -> a == fleet.routers.get(4) || b == fleet.routers.get(4);
-        fleet.run(TIMES.leaseMicros() + TIMES.shrink(), () -> {});
+        fleet.run(TIMES.leaseMicros() + TIMES.shrinkMicros(), () -> {});
         fleet.run(
                 60 * SECOND, () -> assertEquals(LIMIT / 5, fleet.routers.get(4).limitShare(), LIMIT / 5 * 0.001));
     }
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -34,10 +34,10 @@
     void upperAndCellTimesFollowFromTheRouterLeaseTimes() {
         assertEquals(6 * SECOND, UPPER_TIMES.leaseMicros());
         assertEquals(1_200_000, UPPER_TIMES.guardMicros());
-        assertEquals(UPPER_TIMES.guardMicros() + UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(), UPPER_TIMES.shrink());
+        assertEquals(UPPER_TIMES.guardMicros() + UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(), UPPER_TIMES.shrinkMicros());
         assertEquals(
                 TIMES.guardMicros() + UPPER_TIMES.guardMicros() + 2 * UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(),
-                TIMES.inCells().shrink());
+                TIMES.inCells().shrinkMicros());
         assertEquals(TIMES.leaseMicros(), TIMES.inCells().leaseMicros());
         assertEquals(TIMES.guardMicros(), TIMES.inCells().guardMicros());
     }
@@ -117,8 +117,8 @@
                 share.grantableAmount(until - TIMES.leaseMicros() + 1, 4, 10),
                 1e-9,
                 "a router lease granted from now on would outlast the share");
-        assertFalse(share.hasEnded(until + UPPER_TIMES.shrink() - 1));
-        assertTrue(share.hasEnded(until + UPPER_TIMES.shrink()));
+        assertFalse(share.hasEnded(until + UPPER_TIMES.shrinkMicros() - 1));
+        assertTrue(share.hasEnded(until + UPPER_TIMES.shrinkMicros()));
     }
 
     @Test
@@ -128,10 +128,10 @@
         share.applyGrant(SECOND, "k", 1, 7, 4);
         long until = share.expiresAt();
         assertEquals(4, share.grantableAmount(until, 4, 10), 1e-9);
-        assertEquals(4, share.grantableAmount(until + UPPER_TIMES.shrink() - 1, 4, 10), 1e-9);
-        assertEquals(40, share.grantableAmount(until + UPPER_TIMES.shrink(), 4, 10), 1e-9);
-        assertEquals(-1, share.recordRequest(until + UPPER_TIMES.shrink() - 1, "other", 1, 8, 4), "another grantor is asked only after the shrink time");
-        assertEquals(0, share.recordRequest(until + UPPER_TIMES.shrink(), "other", 1, 9, 4));
+        assertEquals(4, share.grantableAmount(until + UPPER_TIMES.shrinkMicros() - 1, 4, 10), 1e-9);
+        assertEquals(40, share.grantableAmount(until + UPPER_TIMES.shrinkMicros(), 4, 10), 1e-9);
+        assertEquals(-1, share.recordRequest(until + UPPER_TIMES.shrinkMicros() - 1, "other", 1, 8, 4), "another grantor is asked only after the shrink time");
+        assertEquals(0, share.recordRequest(until + UPPER_TIMES.shrinkMicros(), "other", 1, 9, 4));
     }
 
     @Test
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -43,18 +43,18 @@
         held.recordRequest(SECOND, "g", 1, 10);
         held.applyGrant(SECOND, "g", 1, 10, 7);
         assertEquals(7, held.currentShare(4 * SECOND, 4));
-        assertEquals(7, held.currentShare(4 * SECOND + TIMES.shrink() - 1, 4));
-        assertEquals(25, held.currentShare(4 * SECOND + TIMES.shrink(), 4));
+        assertEquals(7, held.currentShare(4 * SECOND + TIMES.shrinkMicros() - 1, 4));
+        assertEquals(25, held.currentShare(4 * SECOND + TIMES.shrinkMicros(), 4));
         assertEquals(
                 -1, held.recordRequest(5 * SECOND, "other", 1, 20), "another grantor is asked only once the first no longer counts on the lease");
-        assertEquals(0, held.recordRequest(4 * SECOND + TIMES.shrink(), "other", 1, 21));
+        assertEquals(0, held.recordRequest(4 * SECOND + TIMES.shrinkMicros(), "other", 1, 21));
     }
 
     @Test
     void newProcessStartsWithTheMinimumShare() {
         HeldLease held = new HeldLease(LIMIT, TIMES, SECOND);
         assertEquals(2.5, held.currentShare(SECOND, 4));
-        assertEquals(25, held.currentShare(SECOND + TIMES.shrink(), 4));
+        assertEquals(25, held.currentShare(SECOND + TIMES.shrinkMicros(), 4));
     }
 
     @Test
