--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -190,7 +190,7 @@
         this.times = switch (level) {
             case FLAT -> setup.times();
             case CELL -> setup.times().inCells();
-            case UPPER -> setup.times().ofCells();
+            case UPPER -> setup.times().forUpperLevel();
         };
         this.setup = setup;
         this.now = time;
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -26,7 +26,7 @@
      * cell's lease has ended, the upper grantor's table drops it one upper guard later, the other cells' shares end
      * within one upper lease, and the leases of their routers within one router lease.
      */
-    public LeaseTimes ofCells() {
+    public LeaseTimes forUpperLevel() {
         long upper = UPPER_LEASE_FACTOR * leaseMicros;
         return new LeaseTimes(upper, UPPER_GUARD_FACTOR * guardMicros, UPPER_GUARD_FACTOR * guardMicros + upper + leaseMicros);
     }
@@ -37,7 +37,7 @@
      * other cells' shares and the leases of their routers end.
      */
     public LeaseTimes inCells() {
-        LeaseTimes upper = ofCells();
+        LeaseTimes upper = forUpperLevel();
         return new LeaseTimes(leaseMicros, guardMicros, guardMicros + upper.leaseMicros() + upper.shrinkMicros());
     }
 }
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -20,7 +20,7 @@
 
     private static final long SECOND = 1_000_000;
     private static final LeaseTimes TIMES = new LeaseTimes(3 * SECOND, 300_000);
-    private static final LeaseTimes UPPER_TIMES = TIMES.ofCells();
+    private static final LeaseTimes UPPER_TIMES = TIMES.forUpperLevel();
     private static final FleetLimit LIMIT = new FleetLimit("origin", 1, LimitMeasure.PER_SECOND, 100);
     private static final FleetLimit WHOLE_NUMBER_LIMIT = new FleetLimit("origin", 1, LimitMeasure.IN_FLIGHT, 100);
 
