--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -189,7 +189,7 @@
         this.rendezvousSeed = Hashes.of(rendezvousKey);
         this.times = switch (level) {
             case FLAT -> setup.times();
-            case CELL -> setup.times().inCells();
+            case CELL -> setup.times().forCellRouters();
             case UPPER -> setup.times().forUpperLevel();
         };
         this.setup = setup;
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -36,7 +36,7 @@
      * lease has ended, the upper level knows of it at most one upper lease and one upper guard later, and then the
      * other cells' shares and the leases of their routers end.
      */
-    public LeaseTimes inCells() {
+    public LeaseTimes forCellRouters() {
         LeaseTimes upper = forUpperLevel();
         return new LeaseTimes(leaseMicros, guardMicros, guardMicros + upper.leaseMicros() + upper.shrinkMicros());
     }
--- a/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
@@ -273,6 +273,6 @@
 
     @Test
     void documentedShrinkTimeMatchesTheCode() {
-        assertEquals(VirtualCells.shrinkMicros(), TIMES.inCells().shrinkMicros());
+        assertEquals(VirtualCells.shrinkMicros(), TIMES.forCellRouters().shrinkMicros());
     }
 }
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -37,9 +37,9 @@
         assertEquals(UPPER_TIMES.guardMicros() + UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(), UPPER_TIMES.shrinkMicros());
         assertEquals(
                 TIMES.guardMicros() + UPPER_TIMES.guardMicros() + 2 * UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(),
-                TIMES.inCells().shrinkMicros());
-        assertEquals(TIMES.leaseMicros(), TIMES.inCells().leaseMicros());
-        assertEquals(TIMES.guardMicros(), TIMES.inCells().guardMicros());
+                TIMES.forCellRouters().shrinkMicros());
+        assertEquals(TIMES.leaseMicros(), TIMES.forCellRouters().leaseMicros());
+        assertEquals(TIMES.guardMicros(), TIMES.forCellRouters().guardMicros());
     }
 
     @Test
