--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1013,7 +1013,7 @@
         List<EjectedMember> ejected = new ArrayList<>();
         for (EjectionTable.Held held : active) {
             ListedMember member = members.get(held.verdict().member());
-            if (member != null && member.started() == held.verdict().started() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
+            if (member != null && member.started() == held.verdict().memberStartedAt() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
                 ejected.add(new EjectedMember(
                         held.verdict().member(),
                         Math.max(
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -125,7 +125,7 @@
 
     private static void write(ByteBuffer out, Ejection ejection) {
         out.putLong(ejection.member())
-                .putLong(ejection.started())
+                .putLong(ejection.memberStartedAt())
                 .putLong(ejection.version())
                 .put((byte) (ejection.failing() ? 1 : 0))
                 .putLong(ejection.left())
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -11,7 +11,7 @@
  */
 public record Ejection(
         long member,
-        long started,
+        long memberStartedAt,
         long version,
         boolean failing,
         long left,
@@ -36,6 +36,6 @@
 
     /** Returns the same decision with this much time left, in microseconds. */
     public Ejection withLeft(long micros) {
-        return new Ejection(member, started, version, failing, micros, accusers, cause, strikes, failureRate, keeper);
+        return new Ejection(member, memberStartedAt, version, failing, micros, accusers, cause, strikes, failureRate, keeper);
     }
 }
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -81,13 +81,13 @@
             Ejection current = held.verdict();
             List<FailureReport> evidence = byMember.getOrDefault(current.member(), List.of());
             boolean stillFailing =
-                    failingMembers.contains(current.member()) && evidence.get(0).started() == current.started();
+                    failingMembers.contains(current.member()) && evidence.get(0).started() == current.memberStartedAt();
             if (!stillFailing) {
                 decisions.add(
-                        newDecision(current.member(), current.started(), table, term, false, List.of(), leader));
+                        newDecision(current.member(), current.memberStartedAt(), table, term, false, List.of(), leader));
             } else if (now >= renewAt.getOrDefault(current.member(), 0L)) {
                 decisions.add(takeSlot(
-                        now, newDecision(current.member(), current.started(), table, term, true, evidence, leader)));
+                        now, newDecision(current.member(), current.memberStartedAt(), table, term, true, evidence, leader)));
             }
         }
         if (mayEject) {
