--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -128,7 +128,7 @@
                 .putLong(ejection.memberStartedAt())
                 .putLong(ejection.version())
                 .put((byte) (ejection.failing() ? 1 : 0))
-                .putLong(ejection.left())
+                .putLong(ejection.timeLeftMicros())
                 .putShort((short) ejection.accusers())
                 .put((byte) ejection.cause().ordinal())
                 .putShort((short) ejection.strikes())
@@ -343,7 +343,7 @@
                 in.getShort(),
                 in.getFloat(),
                 readText(in, NAME));
-        if (ejection.left() < 0 || ejection.accusers() < 0 || ejection.version() < 1 || !Double.isFinite(ejection.failureRate())) {
+        if (ejection.timeLeftMicros() < 0 || ejection.accusers() < 0 || ejection.version() < 1 || !Double.isFinite(ejection.failureRate())) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return ejection;
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -14,7 +14,7 @@
         long memberStartedAt,
         long version,
         boolean failing,
-        long left,
+        long timeLeftMicros,
         int accusers,
         Cause cause,
         int strikes,
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -26,12 +26,12 @@
     public boolean take(long now, Ejection ejection, long maxMicros) {
         Held held = byMember.get(ejection.member());
         if (!Ejection.isValidVersion(ejection.version())
-                || ejection.left() > maxMicros
+                || ejection.timeLeftMicros() > maxMicros
                 || held != null && held.verdict().version() >= ejection.version()
                 || held == null && byMember.size() >= MAX_MEMBERS) {
             return false;
         }
-        byMember.put(ejection.member(), new Held(ejection, now + ejection.left(), now));
+        byMember.put(ejection.member(), new Held(ejection, now + ejection.timeLeftMicros(), now));
         return true;
     }
 
