--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -604,7 +604,7 @@
     /** Returns the ejection with the time that it has left according to the other level. */
     private Ejection withTimeLeftAt(Ejection ejection, Fleet other) {
         EjectionTable.Held held = other.ejections.on(ejection.member());
-        return held != null && held.verdict().version() == ejection.version() ? ejection.withLeft(Math.max(0, held.until() - other.now)) : ejection;
+        return held != null && held.verdict().version() == ejection.version() ? ejection.withTimeLeft(Math.max(0, held.until() - other.now)) : ejection;
     }
 
     /**
@@ -625,7 +625,7 @@
         old.dropCounters.forEach((counter, count) -> dropCounters.merge(counter, count, Long::sum));
         setMembers(old.members);
         election.observeTerm(old.election.term());
-        old.ejections.all().forEach(h -> applyEjection(h.verdict().withLeft(Math.max(0, h.until() - now))));
+        old.ejections.all().forEach(h -> applyEjection(h.verdict().withTimeLeft(Math.max(0, h.until() - now))));
         limitSharesChanged = true;
         ejectionsChanged = true;
     }
@@ -1154,7 +1154,7 @@
 
     private Ejection currentEjection(long member) {
         EjectionTable.Held held = ejections.on(member);
-        return held.verdict().withLeft(Math.max(0, held.until() - now));
+        return held.verdict().withTimeLeft(Math.max(0, held.until() - now));
     }
 
     private void enqueue(String address, Packet packet) {
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns the same decision with this much time left, in microseconds. */
-    public Ejection withLeft(long micros) {
+    public Ejection withTimeLeft(long micros) {
         return new Ejection(member, memberStartedAt, version, failing, micros, accusers, cause, strikes, failureRate, keeper);
     }
 }
