--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -970,7 +970,7 @@
         ejectionGossip.put(Long.toString(ejection.member()), ejection.member());
         ejectionsChanged = true;
         if (wasEjected != ejection.failing()) {
-            addLogEvent(ejection, ejection.failing() ? ejection.accusers() + " routers report it: " + lower(ejection.cause()) : "the failure reports ended");
+            addLogEvent(ejection, ejection.failing() ? ejection.reporters() + " routers report it: " + lower(ejection.cause()) : "the failure reports ended");
         }
     }
 
@@ -986,7 +986,7 @@
                         "version",
                         ejection.version(),
                         "accusers",
-                        ejection.accusers(),
+                        ejection.reporters(),
                         "strikes",
                         ejection.strikes(),
                         "keeper",
@@ -1312,7 +1312,7 @@
         row.put("out", ejection.failing() && now < held.until());
         row.put("version", ejection.version());
         row.put("left-ms", Math.max(0, held.until() - now) / 1_000);
-        row.put("accusers", ejection.accusers());
+        row.put("accusers", ejection.reporters());
         row.put("cause", lower(ejection.cause()));
         row.put("strikes", ejection.strikes());
         row.put("fail-share", Math.round(ejection.failureRate() * 1_000) / 1_000.0);
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -129,7 +129,7 @@
                 .putLong(ejection.version())
                 .put((byte) (ejection.failing() ? 1 : 0))
                 .putLong(ejection.timeLeftMicros())
-                .putShort((short) ejection.accusers())
+                .putShort((short) ejection.reporters())
                 .put((byte) ejection.cause().ordinal())
                 .putShort((short) ejection.strikes())
                 .putFloat((float) ejection.failureRate());
@@ -343,7 +343,7 @@
                 in.getShort(),
                 in.getFloat(),
                 readText(in, NAME));
-        if (ejection.timeLeftMicros() < 0 || ejection.accusers() < 0 || ejection.version() < 1 || !Double.isFinite(ejection.failureRate())) {
+        if (ejection.timeLeftMicros() < 0 || ejection.reporters() < 0 || ejection.version() < 1 || !Double.isFinite(ejection.failureRate())) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return ejection;
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -15,7 +15,7 @@
         long version,
         boolean failing,
         long timeLeftMicros,
-        int accusers,
+        int reporters,
         Cause cause,
         int strikes,
         double failureRate,
@@ -36,6 +36,6 @@
 
     /** Returns the same decision with this much time left, in microseconds. */
     public Ejection withTimeLeft(long micros) {
-        return new Ejection(member, memberStartedAt, version, failing, micros, accusers, cause, strikes, failureRate, keeper);
+        return new Ejection(member, memberStartedAt, version, failing, micros, reporters, cause, strikes, failureRate, keeper);
     }
 }
