--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -988,7 +988,7 @@
                         "accusers",
                         ejection.reporters(),
                         "strikes",
-                        ejection.strikes(),
+                        ejection.consecutiveFailures(),
                         "keeper",
                         ejection.keeper(),
                         "cause",
@@ -1314,7 +1314,7 @@
         row.put("left-ms", Math.max(0, held.until() - now) / 1_000);
         row.put("accusers", ejection.reporters());
         row.put("cause", lower(ejection.cause()));
-        row.put("strikes", ejection.strikes());
+        row.put("strikes", ejection.consecutiveFailures());
         row.put("fail-share", Math.round(ejection.failureRate() * 1_000) / 1_000.0);
         row.put("keeper", ejection.keeper());
         row.put("heard-at-ms", held.heardAt() / 1_000);
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -131,7 +131,7 @@
                 .putLong(ejection.timeLeftMicros())
                 .putShort((short) ejection.reporters())
                 .put((byte) ejection.cause().ordinal())
-                .putShort((short) ejection.strikes())
+                .putShort((short) ejection.consecutiveFailures())
                 .putFloat((float) ejection.failureRate());
         write(out, ejection.keeper());
     }
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -17,7 +17,7 @@
         long timeLeftMicros,
         int reporters,
         Cause cause,
-        int strikes,
+        int consecutiveFailures,
         double failureRate,
         String keeper) {
 
@@ -36,6 +36,6 @@
 
     /** Returns the same decision with this much time left, in microseconds. */
     public Ejection withTimeLeft(long micros) {
-        return new Ejection(member, memberStartedAt, version, failing, micros, reporters, cause, strikes, failureRate, keeper);
+        return new Ejection(member, memberStartedAt, version, failing, micros, reporters, cause, consecutiveFailures, failureRate, keeper);
     }
 }
