--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -990,7 +990,7 @@
                         "strikes",
                         ejection.consecutiveFailures(),
                         "keeper",
-                        ejection.keeper(),
+                        ejection.leader(),
                         "cause",
                         cause));
     }
@@ -1316,7 +1316,7 @@
         row.put("cause", lower(ejection.cause()));
         row.put("strikes", ejection.consecutiveFailures());
         row.put("fail-share", Math.round(ejection.failureRate() * 1_000) / 1_000.0);
-        row.put("keeper", ejection.keeper());
+        row.put("keeper", ejection.leader());
         row.put("heard-at-ms", held.heardAt() / 1_000);
         return row;
     }
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -76,7 +76,7 @@
     }
 
     static int size(Ejection ejection) {
-        return EJECTION_FIXED_BYTES + ejection.keeper().length();
+        return EJECTION_FIXED_BYTES + ejection.leader().length();
     }
 
     /** The cluster id in an encoded packet; 0 if the packet is too short to have one. */
@@ -133,7 +133,7 @@
                 .put((byte) ejection.cause().ordinal())
                 .putShort((short) ejection.consecutiveFailures())
                 .putFloat((float) ejection.failureRate());
-        write(out, ejection.keeper());
+        write(out, ejection.leader());
     }
 
     private static void write(ByteBuffer out, Body body) {
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -19,7 +19,7 @@
         Cause cause,
         int consecutiveFailures,
         double failureRate,
-        String keeper) {
+        String leader) {
 
     private static final int TERM_SHIFT_BITS = 24;
     private static final long TERM_LIMIT = 1L << 38;
@@ -36,6 +36,6 @@
 
     /** Returns the same decision with this much time left, in microseconds. */
     public Ejection withTimeLeft(long micros) {
-        return new Ejection(member, memberStartedAt, version, failing, micros, reporters, cause, consecutiveFailures, failureRate, keeper);
+        return new Ejection(member, memberStartedAt, version, failing, micros, reporters, cause, consecutiveFailures, failureRate, leader);
     }
 }
