--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -378,7 +378,7 @@
         failureReports.entrySet()
                 .removeIf(entry -> !members.containsKey(entry.getKey())
                         || members.get(entry.getKey()).started()
-                                != entry.getValue().report().started());
+                                != entry.getValue().report().memberStartedAt());
         limitSharesChanged = true;
     }
 
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -234,7 +234,7 @@
 
     private static void write(ByteBuffer out, FailureReport report) {
         out.putLong(report.member())
-                .putLong(report.started())
+                .putLong(report.memberStartedAt())
                 .put((byte) report.cause().ordinal())
                 .putShort((short) Math.min(report.strikes(), Short.MAX_VALUE))
                 .putFloat((float) report.failureRate());
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -81,7 +81,7 @@
             Ejection current = held.verdict();
             List<FailureReport> evidence = byMember.getOrDefault(current.member(), List.of());
             boolean stillFailing =
-                    failingMembers.contains(current.member()) && evidence.get(0).started() == current.memberStartedAt();
+                    failingMembers.contains(current.member()) && evidence.get(0).memberStartedAt() == current.memberStartedAt();
             if (!stillFailing) {
                 decisions.add(
                         newDecision(current.member(), current.memberStartedAt(), table, term, false, List.of(), leader));
@@ -102,7 +102,7 @@
                                     now,
                                     newDecision(
                                             e.getKey(),
-                                            e.getValue().get(0).started(),
+                                            e.getValue().get(0).memberStartedAt(),
                                             table,
                                             term,
                                             true,
@@ -132,7 +132,7 @@
         return byMember().values().stream()
                 .map(sameMember -> new FailureReport(
                         sameMember.get(0).member(),
-                        sameMember.get(0).started(),
+                        sameMember.get(0).memberStartedAt(),
                         sameMember.get(0).cause(),
                         sameMember.get(0).strikes(),
                         sameMember.get(0).failureRate(),
@@ -142,8 +142,8 @@
     }
 
     private static void keepNewestProcess(List<FailureReport> failures) {
-        long started = failures.stream().mapToLong(FailureReport::started).max().orElse(0);
-        failures.removeIf(f -> f.started() != started);
+        long started = failures.stream().mapToLong(FailureReport::memberStartedAt).max().orElse(0);
+        failures.removeIf(f -> f.memberStartedAt() != started);
         failures.sort(Comparator.comparingInt(FailureReport::strikes).reversed());
     }
 
