--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -219,7 +219,7 @@
             out.put((byte) ask.failureReports().size());
             ask.failureReports().forEach(report -> {
                 write(out, report);
-                out.putShort((short) Math.min(report.accusers(), Short.MAX_VALUE));
+                out.putShort((short) Math.min(report.reporters(), Short.MAX_VALUE));
             });
         } else if (body instanceof Packet.Join join) {
             out.put((byte) Type.JOIN.ordinal());
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -123,7 +123,7 @@
     }
 
     private static int countReporters(List<FailureReport> failures) {
-        return failures.stream().mapToInt(FailureReport::accusers).sum();
+        return failures.stream().mapToInt(FailureReport::reporters).sum();
     }
 
     /** Returns one report on each member that sums up all current reports on it, most reporting routers first. */
@@ -137,7 +137,7 @@
                         sameMember.get(0).strikes(),
                         sameMember.get(0).failureRate(),
                         countReporters(sameMember)))
-                .sorted(Comparator.comparingInt(FailureReport::accusers).reversed())
+                .sorted(Comparator.comparingInt(FailureReport::reporters).reversed())
                 .toList();
     }
 
@@ -190,7 +190,7 @@
         return reports.values().stream()
                 .flatMap(r -> r.failures().stream())
                 .collect(Collectors.groupingBy(
-                        FailureReport::member, TreeMap::new, Collectors.summingLong(FailureReport::accusers)));
+                        FailureReport::member, TreeMap::new, Collectors.summingLong(FailureReport::reporters)));
     }
 
     /** Returns the members whose ejections take up a slot. */
