--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -236,7 +236,7 @@
         out.putLong(report.member())
                 .putLong(report.memberStartedAt())
                 .put((byte) report.cause().ordinal())
-                .putShort((short) Math.min(report.strikes(), Short.MAX_VALUE))
+                .putShort((short) Math.min(report.consecutiveFailures(), Short.MAX_VALUE))
                 .putFloat((float) report.failureRate());
     }
 
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -134,7 +134,7 @@
                         sameMember.get(0).member(),
                         sameMember.get(0).memberStartedAt(),
                         sameMember.get(0).cause(),
-                        sameMember.get(0).strikes(),
+                        sameMember.get(0).consecutiveFailures(),
                         sameMember.get(0).failureRate(),
                         countReporters(sameMember)))
                 .sorted(Comparator.comparingInt(FailureReport::reporters).reversed())
@@ -144,7 +144,7 @@
     private static void keepNewestProcess(List<FailureReport> failures) {
         long started = failures.stream().mapToLong(FailureReport::memberStartedAt).max().orElse(0);
         failures.removeIf(f -> f.memberStartedAt() != started);
-        failures.sort(Comparator.comparingInt(FailureReport::strikes).reversed());
+        failures.sort(Comparator.comparingInt(FailureReport::consecutiveFailures).reversed());
     }
 
     private boolean hasFreeSlot(long member, Map<Long, String> tiers) {
@@ -180,7 +180,7 @@
                 rules.hold(),
                 Math.min(countReporters(evidence), Short.MAX_VALUE),
                 worst == null ? FailureReport.Cause.FAILING : worst.cause(),
-                worst == null ? 0 : worst.strikes(),
+                worst == null ? 0 : worst.consecutiveFailures(),
                 worst == null ? 0 : worst.failureRate(),
                 leader);
     }
