--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -960,7 +960,7 @@
         EjectionTable.Held before = ejections.on(ejection.member());
         boolean wasEjected = before != null && before.verdict().failing() && now < before.until();
         if (setup.ejectionRules().isEmpty()
-                || !ejections.take(now, ejection, setup.ejectionRules().get().hold())) {
+                || !ejections.apply(now, ejection, setup.ejectionRules().get().hold())) {
             return;
         }
         ejectionPolicy.heard(ejections.on(ejection.member()));
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -23,7 +23,7 @@
     /**
      * Applies a decision that is newer than the known one and lasts at most as long as given; returns whether it did.
      */
-    public boolean take(long now, Ejection ejection, long maxMicros) {
+    public boolean apply(long now, Ejection ejection, long maxMicros) {
         Held held = byMember.get(ejection.member());
         if (!Ejection.isValidVersion(ejection.version())
                 || ejection.timeLeftMicros() > maxMicros
--- a/src/test/java/pumicemoor/fleet/verdicts/EjectionTableTest.java
+++ b/src/test/java/pumicemoor/fleet/verdicts/EjectionTableTest.java
@@ -30,7 +30,7 @@
         EjectionTable table = new EjectionTable();
         long newest = 0;
         for (Ejection ejection : all) {
-            assertEquals(ejection.version() > newest, table.take(10, ejection, 5_000));
+            assertEquals(ejection.version() > newest, table.apply(10, ejection, 5_000));
             newest = Math.max(newest, ejection.version());
             assertEquals(newest, table.on(7).verdict().version());
         }
@@ -40,10 +40,10 @@
     @Test
     void ejectionExpiresAndOneThatLastsTooLongIsRejected() {
         EjectionTable table = new EjectionTable();
-        assertFalse(table.take(0, ejection(4, true), 999), "lasts longer than the maximum");
-        assertTrue(table.take(0, ejection(4, true), 1_000));
+        assertFalse(table.apply(0, ejection(4, true), 999), "lasts longer than the maximum");
+        assertTrue(table.apply(0, ejection(4, true), 1_000));
         assertEquals(1, table.standing(999).size());
         assertTrue(table.standing(1_000).isEmpty());
-        assertFalse(table.take(1_000, ejection(4, true), 1_000), "same version again");
+        assertFalse(table.apply(1_000, ejection(4, true), 1_000), "same version again");
     }
 }
