--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -603,7 +603,7 @@
 
     /** Returns the ejection with the time that it has left according to the other level. */
     private Ejection withTimeLeftAt(Ejection ejection, Fleet other) {
-        EjectionTable.Held held = other.ejections.on(ejection.member());
+        EjectionTable.Held held = other.ejections.find(ejection.member());
         return held != null && held.verdict().version() == ejection.version() ? ejection.withTimeLeft(Math.max(0, held.until() - other.now)) : ejection;
     }
 
@@ -957,13 +957,13 @@
     }
 
     private void applyEjection(Ejection ejection) {
-        EjectionTable.Held before = ejections.on(ejection.member());
+        EjectionTable.Held before = ejections.find(ejection.member());
         boolean wasEjected = before != null && before.verdict().failing() && now < before.until();
         if (setup.ejectionRules().isEmpty()
                 || !ejections.apply(now, ejection, setup.ejectionRules().get().hold())) {
             return;
         }
-        ejectionPolicy.heard(ejections.on(ejection.member()));
+        ejectionPolicy.heard(ejections.find(ejection.member()));
         if (level != Level.FLAT) {
             ejectionsForOtherLevel.add(ejection);
         }
@@ -1131,9 +1131,9 @@
                 .take(
                         gossipBytes / 2,
                         membership.gossipTransmissions(),
-                        member -> ejections.on(member) == null
+                        member -> ejections.find(member) == null
                                 ? PacketCodec.MAX_PACKET_BYTES
-                                : PacketCodec.size(ejections.on(member).verdict()))
+                                : PacketCodec.size(ejections.find(member).verdict()))
                 .stream()
                 .map(this::currentEjection)
                 .toList();
@@ -1153,7 +1153,7 @@
     }
 
     private Ejection currentEjection(long member) {
-        EjectionTable.Held held = ejections.on(member);
+        EjectionTable.Held held = ejections.find(member);
         return held.verdict().withTimeLeft(Math.max(0, held.until() - now));
     }
 
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -170,7 +170,7 @@
             boolean failing,
             List<FailureReport> evidence,
             String leader) {
-        EjectionTable.Held known = table.on(member);
+        EjectionTable.Held known = table.find(member);
         FailureReport worst = evidence.isEmpty() ? null : evidence.get(0);
         return new Ejection(
                 member,
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns the decision on a member, including withdrawn and ended ones, or null if there is none. */
-    public Held on(long member) {
+    public Held find(long member) {
         return byMember.get(member);
     }
 
