--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1008,7 +1008,7 @@
             long size = members.values().stream().filter(m -> m.role() == role).count();
             slotsLeft.put(role, (int) Math.floor(setup.ejectionRules().get().mostOut() * size + 1e-9));
         }
-        List<EjectionTable.Held> active = new ArrayList<>(ejections.standing(now));
+        List<EjectionTable.Held> active = new ArrayList<>(ejections.inForce(now));
         active.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
         List<EjectedMember> ejected = new ArrayList<>();
         for (EjectionTable.Held held : active) {
@@ -1045,7 +1045,7 @@
             }
         });
         Set<Long> failing =
-                ejections.standing(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
+                ejections.inForce(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
         return new FleetSnapshot(
                 now,
                 actsAsLeader ? election.ownTerm() : 0,
@@ -1249,7 +1249,7 @@
         fields.put("fleet-grantor", grantor().name());
         fields.put("fleet-keeper", isLeader ? "yes" : "no");
         fields.put("fleet-term", Long.toString(election.term()));
-        fields.put("fleet-verdicts", Integer.toString(ejections.standing(now).size()));
+        fields.put("fleet-verdicts", Integer.toString(ejections.inForce(now).size()));
         fields.put("fleet-packets-out", Long.toString(packetsSent));
         fields.put("fleet-bytes-out", Long.toString(bytesSent));
         fields.put("fleet-packets-in", Long.toString(packetsReceived));
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -66,7 +66,7 @@
             int routers) {
         reports.values().removeIf(r -> now >= r.expiresAt);
         slotsTakenUntil.values().removeIf(until -> now >= until);
-        if (table.standing(now).isEmpty()
+        if (table.inForce(now).isEmpty()
                 && reports.values().stream().allMatch(r -> r.failures().isEmpty())) {
             return List.of(); // the common case; the leader evaluates the policy at each report
         }
@@ -77,7 +77,7 @@
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
         List<Ejection> decisions = new ArrayList<>();
-        for (EjectionTable.Held held : table.standing(now)) {
+        for (EjectionTable.Held held : table.inForce(now)) {
             Ejection current = held.verdict();
             List<FailureReport> evidence = byMember.getOrDefault(current.member(), List.of());
             boolean stillFailing =
@@ -92,7 +92,7 @@
         }
         if (mayEject) {
             Set<Long> ejected =
-                    table.standing(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
+                    table.inForce(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
             byMember.entrySet().stream()
                     .filter(e -> failingMembers.contains(e.getKey()) && !ejected.contains(e.getKey()))
                     .sorted(Comparator.comparingInt((Map.Entry<Long, List<FailureReport>> e) -> -countReporters(e.getValue())))
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns the ejections in force now. */
-    public List<Held> standing(long now) {
+    public List<Held> inForce(long now) {
         return byMember.values().stream()
                 .filter(h -> h.verdict().failing() && now < h.until())
                 .toList();
@@ -68,6 +68,6 @@
 
     /** Returns when the next ejection ends, or Long.MAX_VALUE if none is in force. */
     public long nextEnd(long now) {
-        return standing(now).stream().mapToLong(Held::until).min().orElse(Long.MAX_VALUE);
+        return inForce(now).stream().mapToLong(Held::until).min().orElse(Long.MAX_VALUE);
     }
 }
--- a/src/test/java/pumicemoor/fleet/verdicts/EjectionTableTest.java
+++ b/src/test/java/pumicemoor/fleet/verdicts/EjectionTableTest.java
@@ -34,7 +34,7 @@
             newest = Math.max(newest, ejection.version());
             assertEquals(newest, table.find(7).verdict().version());
         }
-        assertTrue(table.standing(10).isEmpty(), "version 9 withdraws the ejection");
+        assertTrue(table.inForce(10).isEmpty(), "version 9 withdraws the ejection");
     }
 
     @Test
@@ -42,8 +42,8 @@
         EjectionTable table = new EjectionTable();
         assertFalse(table.apply(0, ejection(4, true), 999), "lasts longer than the maximum");
         assertTrue(table.apply(0, ejection(4, true), 1_000));
-        assertEquals(1, table.standing(999).size());
-        assertTrue(table.standing(1_000).isEmpty());
+        assertEquals(1, table.inForce(999).size());
+        assertTrue(table.inForce(1_000).isEmpty());
         assertFalse(table.apply(1_000, ejection(4, true), 1_000), "same version again");
     }
 }
