--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -489,7 +489,7 @@
         if (now >= nextPlanReportAt) {
             drains.ifPresent(this::reportPlan);
         }
-        for (EjectionTable.Held ended : ejections.ended(before, now)) {
+        for (EjectionTable.KnownDecision ended : ejections.ended(before, now)) {
             ejectionsChanged = true;
             addLogEvent(ended.verdict(), "ended: it expired without being renewed");
         }
@@ -603,7 +603,7 @@
 
     /** Returns the ejection with the time that it has left according to the other level. */
     private Ejection withTimeLeftAt(Ejection ejection, Fleet other) {
-        EjectionTable.Held held = other.ejections.find(ejection.member());
+        EjectionTable.KnownDecision held = other.ejections.find(ejection.member());
         return held != null && held.verdict().version() == ejection.version() ? ejection.withTimeLeft(Math.max(0, held.until() - other.now)) : ejection;
     }
 
@@ -957,7 +957,7 @@
     }
 
     private void applyEjection(Ejection ejection) {
-        EjectionTable.Held before = ejections.find(ejection.member());
+        EjectionTable.KnownDecision before = ejections.find(ejection.member());
         boolean wasEjected = before != null && before.verdict().failing() && now < before.until();
         if (setup.ejectionRules().isEmpty()
                 || !ejections.apply(now, ejection, setup.ejectionRules().get().hold())) {
@@ -1008,10 +1008,10 @@
             long size = members.values().stream().filter(m -> m.role() == role).count();
             slotsLeft.put(role, (int) Math.floor(setup.ejectionRules().get().mostOut() * size + 1e-9));
         }
-        List<EjectionTable.Held> active = new ArrayList<>(ejections.inForce(now));
+        List<EjectionTable.KnownDecision> active = new ArrayList<>(ejections.inForce(now));
         active.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
         List<EjectedMember> ejected = new ArrayList<>();
-        for (EjectionTable.Held held : active) {
+        for (EjectionTable.KnownDecision held : active) {
             ListedMember member = members.get(held.verdict().member());
             if (member != null && member.started() == held.verdict().memberStartedAt() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
                 ejected.add(new EjectedMember(
@@ -1153,7 +1153,7 @@
     }
 
     private Ejection currentEjection(long member) {
-        EjectionTable.Held held = ejections.find(member);
+        EjectionTable.KnownDecision held = ejections.find(member);
         return held.verdict().withTimeLeft(Math.max(0, held.until() - now));
     }
 
@@ -1183,7 +1183,7 @@
             routers.add(router);
             bytesUsed += PacketCodec.size(router);
         }
-        for (EjectionTable.Held held : ejections.all()) {
+        for (EjectionTable.KnownDecision held : ejections.all()) {
             if (bytesUsed + PacketCodec.size(held.verdict()) > gossipBytes || gossiped.size() == MAX_LIST_ENTRIES) {
                 enqueue(address, new Packet(self, ++lastNumber, new News(), routers, gossiped));
                 routers = new ArrayList<>();
@@ -1305,7 +1305,7 @@
         return row;
     }
 
-    private Map<String, Object> row(EjectionTable.Held held) {
+    private Map<String, Object> row(EjectionTable.KnownDecision held) {
         Ejection ejection = held.verdict();
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("member", nameOf(ejection.member()));
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -45,7 +45,7 @@
      * Records that an ejection takes up a slot, whichever leader decided it, so that a new leader knows the slots
      * taken.
      */
-    public void heard(EjectionTable.Held held) {
+    public void heard(EjectionTable.KnownDecision held) {
         if (held.verdict().failing()) {
             slotsTakenUntil.merge(held.verdict().member(), held.until() + rules.guard(), Math::max);
         }
@@ -77,7 +77,7 @@
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
         List<Ejection> decisions = new ArrayList<>();
-        for (EjectionTable.Held held : table.inForce(now)) {
+        for (EjectionTable.KnownDecision held : table.inForce(now)) {
             Ejection current = held.verdict();
             List<FailureReport> evidence = byMember.getOrDefault(current.member(), List.of());
             boolean stillFailing =
@@ -170,7 +170,7 @@
             boolean failing,
             List<FailureReport> evidence,
             String leader) {
-        EjectionTable.Held known = table.find(member);
+        EjectionTable.KnownDecision known = table.find(member);
         FailureReport worst = evidence.isEmpty() ? null : evidence.get(0);
         return new Ejection(
                 member,
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -14,46 +14,46 @@
 public final class EjectionTable {
 
     /** A decision, the time until which it is in force here, and the time at which it was received. */
-    public record Held(Ejection verdict, long until, long heardAt) {}
+    public record KnownDecision(Ejection verdict, long until, long heardAt) {}
 
     private static final int MAX_MEMBERS = 4_096;
 
-    private final Map<Long, Held> byMember = new TreeMap<>();
+    private final Map<Long, KnownDecision> byMember = new TreeMap<>();
 
     /**
      * Applies a decision that is newer than the known one and lasts at most as long as given; returns whether it did.
      */
     public boolean apply(long now, Ejection ejection, long maxMicros) {
-        Held held = byMember.get(ejection.member());
+        KnownDecision held = byMember.get(ejection.member());
         if (!Ejection.isValidVersion(ejection.version())
                 || ejection.timeLeftMicros() > maxMicros
                 || held != null && held.verdict().version() >= ejection.version()
                 || held == null && byMember.size() >= MAX_MEMBERS) {
             return false;
         }
-        byMember.put(ejection.member(), new Held(ejection, now + ejection.timeLeftMicros(), now));
+        byMember.put(ejection.member(), new KnownDecision(ejection, now + ejection.timeLeftMicros(), now));
         return true;
     }
 
     /** Returns the decision on a member, including withdrawn and ended ones, or null if there is none. */
-    public Held find(long member) {
+    public KnownDecision find(long member) {
         return byMember.get(member);
     }
 
-    public Collection<Held> all() {
+    public Collection<KnownDecision> all() {
         return List.copyOf(byMember.values());
     }
 
     /** Returns the ejections in force now. */
-    public List<Held> inForce(long now) {
+    public List<KnownDecision> inForce(long now) {
         return byMember.values().stream()
                 .filter(h -> h.verdict().failing() && now < h.until())
                 .toList();
     }
 
     /** Returns the ejections whose time ended after one instant and up to another, and that nothing newer replaced. */
-    public List<Held> ended(long after, long upTo) {
-        List<Held> ended = new ArrayList<>(byMember.values());
+    public List<KnownDecision> ended(long after, long upTo) {
+        List<KnownDecision> ended = new ArrayList<>(byMember.values());
         ended.removeIf(h -> !h.verdict().failing() || h.until() <= after || h.until() > upTo);
         return ended;
     }
@@ -68,6 +68,6 @@
 
     /** Returns when the next ejection ends, or Long.MAX_VALUE if none is in force. */
     public long nextEnd(long now) {
-        return inForce(now).stream().mapToLong(Held::until).min().orElse(Long.MAX_VALUE);
+        return inForce(now).stream().mapToLong(KnownDecision::until).min().orElse(Long.MAX_VALUE);
     }
 }
