--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -491,7 +491,7 @@
         }
         for (EjectionTable.KnownDecision ended : ejections.ended(before, now)) {
             ejectionsChanged = true;
-            addLogEvent(ended.verdict(), "ended: it expired without being renewed");
+            addLogEvent(ended.decision(), "ended: it expired without being renewed");
         }
         ejections.forget(now, EJECTION_MEMORY_MICROS);
         if (routers() != lastRouterCount || leases.values().stream().anyMatch(l -> l.nextChangeAt(before) <= now)) {
@@ -604,7 +604,7 @@
     /** Returns the ejection with the time that it has left according to the other level. */
     private Ejection withTimeLeftAt(Ejection ejection, Fleet other) {
         EjectionTable.KnownDecision held = other.ejections.find(ejection.member());
-        return held != null && held.verdict().version() == ejection.version() ? ejection.withTimeLeft(Math.max(0, held.until() - other.now)) : ejection;
+        return held != null && held.decision().version() == ejection.version() ? ejection.withTimeLeft(Math.max(0, held.until() - other.now)) : ejection;
     }
 
     /**
@@ -625,7 +625,7 @@
         old.dropCounters.forEach((counter, count) -> dropCounters.merge(counter, count, Long::sum));
         setMembers(old.members);
         election.observeTerm(old.election.term());
-        old.ejections.all().forEach(h -> applyEjection(h.verdict().withTimeLeft(Math.max(0, h.until() - now))));
+        old.ejections.all().forEach(h -> applyEjection(h.decision().withTimeLeft(Math.max(0, h.until() - now))));
         limitSharesChanged = true;
         ejectionsChanged = true;
     }
@@ -958,7 +958,7 @@
 
     private void applyEjection(Ejection ejection) {
         EjectionTable.KnownDecision before = ejections.find(ejection.member());
-        boolean wasEjected = before != null && before.verdict().failing() && now < before.until();
+        boolean wasEjected = before != null && before.decision().failing() && now < before.until();
         if (setup.ejectionRules().isEmpty()
                 || !ejections.apply(now, ejection, setup.ejectionRules().get().hold())) {
             return;
@@ -1009,16 +1009,16 @@
             slotsLeft.put(role, (int) Math.floor(setup.ejectionRules().get().mostOut() * size + 1e-9));
         }
         List<EjectionTable.KnownDecision> active = new ArrayList<>(ejections.inForce(now));
-        active.sort(java.util.Comparator.comparingLong(h -> -h.verdict().version()));
+        active.sort(java.util.Comparator.comparingLong(h -> -h.decision().version()));
         List<EjectedMember> ejected = new ArrayList<>();
         for (EjectionTable.KnownDecision held : active) {
-            ListedMember member = members.get(held.verdict().member());
-            if (member != null && member.started() == held.verdict().memberStartedAt() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
+            ListedMember member = members.get(held.decision().member());
+            if (member != null && member.started() == held.decision().memberStartedAt() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
                 ejected.add(new EjectedMember(
-                        held.verdict().member(),
+                        held.decision().member(),
                         Math.max(
                                 member.started(),
-                                drains.map(d -> d.returned(held.verdict().member()))
+                                drains.map(d -> d.returned(held.decision().member()))
                                         .orElse(0L)),
                         held.until()));
             }
@@ -1045,7 +1045,7 @@
             }
         });
         Set<Long> failing =
-                ejections.inForce(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
+                ejections.inForce(now).stream().map(h -> h.decision().member()).collect(Collectors.toSet());
         return new FleetSnapshot(
                 now,
                 actsAsLeader ? election.ownTerm() : 0,
@@ -1133,7 +1133,7 @@
                         membership.gossipTransmissions(),
                         member -> ejections.find(member) == null
                                 ? PacketCodec.MAX_PACKET_BYTES
-                                : PacketCodec.size(ejections.find(member).verdict()))
+                                : PacketCodec.size(ejections.find(member).decision()))
                 .stream()
                 .map(this::currentEjection)
                 .toList();
@@ -1154,7 +1154,7 @@
 
     private Ejection currentEjection(long member) {
         EjectionTable.KnownDecision held = ejections.find(member);
-        return held.verdict().withTimeLeft(Math.max(0, held.until() - now));
+        return held.decision().withTimeLeft(Math.max(0, held.until() - now));
     }
 
     private void enqueue(String address, Packet packet) {
@@ -1184,14 +1184,14 @@
             bytesUsed += PacketCodec.size(router);
         }
         for (EjectionTable.KnownDecision held : ejections.all()) {
-            if (bytesUsed + PacketCodec.size(held.verdict()) > gossipBytes || gossiped.size() == MAX_LIST_ENTRIES) {
+            if (bytesUsed + PacketCodec.size(held.decision()) > gossipBytes || gossiped.size() == MAX_LIST_ENTRIES) {
                 enqueue(address, new Packet(self, ++lastNumber, new News(), routers, gossiped));
                 routers = new ArrayList<>();
                 gossiped = new ArrayList<>();
                 bytesUsed = 0;
             }
-            gossiped.add(currentEjection(held.verdict().member()));
-            bytesUsed += PacketCodec.size(held.verdict());
+            gossiped.add(currentEjection(held.decision().member()));
+            bytesUsed += PacketCodec.size(held.decision());
         }
         enqueue(address, new Packet(self, ++lastNumber, new News(), routers, gossiped));
     }
@@ -1306,7 +1306,7 @@
     }
 
     private Map<String, Object> row(EjectionTable.KnownDecision held) {
-        Ejection ejection = held.verdict();
+        Ejection ejection = held.decision();
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("member", nameOf(ejection.member()));
         row.put("out", ejection.failing() && now < held.until());
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -46,8 +46,8 @@
      * taken.
      */
     public void heard(EjectionTable.KnownDecision held) {
-        if (held.verdict().failing()) {
-            slotsTakenUntil.merge(held.verdict().member(), held.until() + rules.guard(), Math::max);
+        if (held.decision().failing()) {
+            slotsTakenUntil.merge(held.decision().member(), held.until() + rules.guard(), Math::max);
         }
     }
 
@@ -78,7 +78,7 @@
                 .collect(Collectors.toSet());
         List<Ejection> decisions = new ArrayList<>();
         for (EjectionTable.KnownDecision held : table.inForce(now)) {
-            Ejection current = held.verdict();
+            Ejection current = held.decision();
             List<FailureReport> evidence = byMember.getOrDefault(current.member(), List.of());
             boolean stillFailing =
                     failingMembers.contains(current.member()) && evidence.get(0).memberStartedAt() == current.memberStartedAt();
@@ -92,7 +92,7 @@
         }
         if (mayEject) {
             Set<Long> ejected =
-                    table.inForce(now).stream().map(h -> h.verdict().member()).collect(Collectors.toSet());
+                    table.inForce(now).stream().map(h -> h.decision().member()).collect(Collectors.toSet());
             byMember.entrySet().stream()
                     .filter(e -> failingMembers.contains(e.getKey()) && !ejected.contains(e.getKey()))
                     .sorted(Comparator.comparingInt((Map.Entry<Long, List<FailureReport>> e) -> -countReporters(e.getValue())))
@@ -175,7 +175,7 @@
         return new Ejection(
                 member,
                 started,
-                Ejection.nextVersion(known == null ? 0 : known.verdict().version(), term),
+                Ejection.nextVersion(known == null ? 0 : known.decision().version(), term),
                 failing,
                 rules.hold(),
                 Math.min(countReporters(evidence), Short.MAX_VALUE),
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -14,7 +14,7 @@
 public final class EjectionTable {
 
     /** A decision, the time until which it is in force here, and the time at which it was received. */
-    public record KnownDecision(Ejection verdict, long until, long heardAt) {}
+    public record KnownDecision(Ejection decision, long until, long heardAt) {}
 
     private static final int MAX_MEMBERS = 4_096;
 
@@ -27,7 +27,7 @@
         KnownDecision held = byMember.get(ejection.member());
         if (!Ejection.isValidVersion(ejection.version())
                 || ejection.timeLeftMicros() > maxMicros
-                || held != null && held.verdict().version() >= ejection.version()
+                || held != null && held.decision().version() >= ejection.version()
                 || held == null && byMember.size() >= MAX_MEMBERS) {
             return false;
         }
@@ -47,14 +47,14 @@
     /** Returns the ejections in force now. */
     public List<KnownDecision> inForce(long now) {
         return byMember.values().stream()
-                .filter(h -> h.verdict().failing() && now < h.until())
+                .filter(h -> h.decision().failing() && now < h.until())
                 .toList();
     }
 
     /** Returns the ejections whose time ended after one instant and up to another, and that nothing newer replaced. */
     public List<KnownDecision> ended(long after, long upTo) {
         List<KnownDecision> ended = new ArrayList<>(byMember.values());
-        ended.removeIf(h -> !h.verdict().failing() || h.until() <= after || h.until() > upTo);
+        ended.removeIf(h -> !h.decision().failing() || h.until() <= after || h.until() > upTo);
         return ended;
     }
 
--- a/src/test/java/pumicemoor/fleet/verdicts/EjectionTableTest.java
+++ b/src/test/java/pumicemoor/fleet/verdicts/EjectionTableTest.java
@@ -32,7 +32,7 @@
         for (Ejection ejection : all) {
             assertEquals(ejection.version() > newest, table.apply(10, ejection, 5_000));
             newest = Math.max(newest, ejection.version());
-            assertEquals(newest, table.find(7).verdict().version());
+            assertEquals(newest, table.find(7).decision().version());
         }
         assertTrue(table.inForce(10).isEmpty(), "version 9 withdraws the ejection");
     }
