--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -604,7 +604,7 @@
     /** Returns the ejection with the time that it has left according to the other level. */
     private Ejection withTimeLeftAt(Ejection ejection, Fleet other) {
         EjectionTable.KnownDecision held = other.ejections.find(ejection.member());
-        return held != null && held.decision().version() == ejection.version() ? ejection.withTimeLeft(Math.max(0, held.until() - other.now)) : ejection;
+        return held != null && held.decision().version() == ejection.version() ? ejection.withTimeLeft(Math.max(0, held.endsAt() - other.now)) : ejection;
     }
 
     /**
@@ -625,7 +625,7 @@
         old.dropCounters.forEach((counter, count) -> dropCounters.merge(counter, count, Long::sum));
         setMembers(old.members);
         election.observeTerm(old.election.term());
-        old.ejections.all().forEach(h -> applyEjection(h.decision().withTimeLeft(Math.max(0, h.until() - now))));
+        old.ejections.all().forEach(h -> applyEjection(h.decision().withTimeLeft(Math.max(0, h.endsAt() - now))));
         limitSharesChanged = true;
         ejectionsChanged = true;
     }
@@ -958,7 +958,7 @@
 
     private void applyEjection(Ejection ejection) {
         EjectionTable.KnownDecision before = ejections.find(ejection.member());
-        boolean wasEjected = before != null && before.decision().failing() && now < before.until();
+        boolean wasEjected = before != null && before.decision().failing() && now < before.endsAt();
         if (setup.ejectionRules().isEmpty()
                 || !ejections.apply(now, ejection, setup.ejectionRules().get().hold())) {
             return;
@@ -1020,7 +1020,7 @@
                                 member.started(),
                                 drains.map(d -> d.returned(held.decision().member()))
                                         .orElse(0L)),
-                        held.until()));
+                        held.endsAt()));
             }
         }
         return ejected;
@@ -1154,7 +1154,7 @@
 
     private Ejection currentEjection(long member) {
         EjectionTable.KnownDecision held = ejections.find(member);
-        return held.decision().withTimeLeft(Math.max(0, held.until() - now));
+        return held.decision().withTimeLeft(Math.max(0, held.endsAt() - now));
     }
 
     private void enqueue(String address, Packet packet) {
@@ -1309,9 +1309,9 @@
         Ejection ejection = held.decision();
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("member", nameOf(ejection.member()));
-        row.put("out", ejection.failing() && now < held.until());
+        row.put("out", ejection.failing() && now < held.endsAt());
         row.put("version", ejection.version());
-        row.put("left-ms", Math.max(0, held.until() - now) / 1_000);
+        row.put("left-ms", Math.max(0, held.endsAt() - now) / 1_000);
         row.put("accusers", ejection.reporters());
         row.put("cause", lower(ejection.cause()));
         row.put("strikes", ejection.consecutiveFailures());
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -47,7 +47,7 @@
      */
     public void heard(EjectionTable.KnownDecision held) {
         if (held.decision().failing()) {
-            slotsTakenUntil.merge(held.decision().member(), held.until() + rules.guard(), Math::max);
+            slotsTakenUntil.merge(held.decision().member(), held.endsAt() + rules.guard(), Math::max);
         }
     }
 
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -14,7 +14,7 @@
 public final class EjectionTable {
 
     /** A decision, the time until which it is in force here, and the time at which it was received. */
-    public record KnownDecision(Ejection decision, long until, long heardAt) {}
+    public record KnownDecision(Ejection decision, long endsAt, long heardAt) {}
 
     private static final int MAX_MEMBERS = 4_096;
 
@@ -47,14 +47,14 @@
     /** Returns the ejections in force now. */
     public List<KnownDecision> inForce(long now) {
         return byMember.values().stream()
-                .filter(h -> h.decision().failing() && now < h.until())
+                .filter(h -> h.decision().failing() && now < h.endsAt())
                 .toList();
     }
 
     /** Returns the ejections whose time ended after one instant and up to another, and that nothing newer replaced. */
     public List<KnownDecision> ended(long after, long upTo) {
         List<KnownDecision> ended = new ArrayList<>(byMember.values());
-        ended.removeIf(h -> !h.decision().failing() || h.until() <= after || h.until() > upTo);
+        ended.removeIf(h -> !h.decision().failing() || h.endsAt() <= after || h.endsAt() > upTo);
         return ended;
     }
 
@@ -63,11 +63,11 @@
      * then.
      */
     public void forget(long now, long ageMicros) {
-        byMember.values().removeIf(h -> now - h.until() > ageMicros);
+        byMember.values().removeIf(h -> now - h.endsAt() > ageMicros);
     }
 
     /** Returns when the next ejection ends, or Long.MAX_VALUE if none is in force. */
     public long nextEnd(long now) {
-        return inForce(now).stream().mapToLong(KnownDecision::until).min().orElse(Long.MAX_VALUE);
+        return inForce(now).stream().mapToLong(KnownDecision::endsAt).min().orElse(Long.MAX_VALUE);
     }
 }
