--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1317,7 +1317,7 @@
         row.put("strikes", ejection.consecutiveFailures());
         row.put("fail-share", Math.round(ejection.failureRate() * 1_000) / 1_000.0);
         row.put("keeper", ejection.leader());
-        row.put("heard-at-ms", held.heardAt() / 1_000);
+        row.put("heard-at-ms", held.receivedAt() / 1_000);
         return row;
     }
 }
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionTable.java
@@ -14,7 +14,7 @@
 public final class EjectionTable {
 
     /** A decision, the time until which it is in force here, and the time at which it was received. */
-    public record KnownDecision(Ejection decision, long endsAt, long heardAt) {}
+    public record KnownDecision(Ejection decision, long endsAt, long receivedAt) {}
 
     private static final int MAX_MEMBERS = 4_096;
 
