--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -643,7 +643,7 @@
                         .toList()
                 : List.of();
         if (own) {
-            ejectionPolicy.reported(to.name(), ++lastNumber, now + times.leaseMicros(), reports);
+            ejectionPolicy.recordReport(to.name(), ++lastNumber, now + times.leaseMicros(), reports);
             renewOwnLeases(to);
             decideEjections();
             return;
@@ -693,7 +693,7 @@
         List<Long> ids =
                 cellShares.keySet().stream().filter(id -> lowerLevel.leaseHolders(id, now) > 0).toList();
         if (own) {
-            ejectionPolicy.reported(to.name(), ++lastNumber, now + times.leaseMicros(), reports);
+            ejectionPolicy.recordReport(to.name(), ++lastNumber, now + times.leaseMicros(), reports);
             for (long id : ids) {
                 CellDemand demand = cellDemand(id, to, ++lastNumber);
                 if (demand.grantInForce() >= 0) {
@@ -788,7 +788,7 @@
         }
         election.observeTerm(ask.term());
         election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.boundRouters());
-        ejectionPolicy.reported(from.name(), packet.number(), now + times.leaseMicros(), ask.failureReports());
+        ejectionPolicy.recordReport(from.name(), packet.number(), now + times.leaseMicros(), ask.failureReports());
         List<GrantedShare> granted = new ArrayList<>();
         for (CellDemand demand : ask.demands()) {
             if (!cellShares.containsKey(demand.limit())) {
@@ -866,7 +866,7 @@
             return;
         }
         election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.term());
-        ejectionPolicy.reported(from.name(), packet.number(), now + times.leaseMicros(), ask.failureReports());
+        ejectionPolicy.recordReport(from.name(), packet.number(), now + times.leaseMicros(), ask.failureReports());
         List<GrantedShare> granted = new ArrayList<>();
         for (Demand demand : ask.demands()) {
             if (!leases.containsKey(demand.limit())) {
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -34,7 +34,7 @@
     }
 
     /** Records a router's report in place of its earlier one; an older report that arrives late changes nothing. */
-    public void reported(String router, long number, long expiresAt, List<FailureReport> failures) {
+    public void recordReport(String router, long number, long expiresAt, List<FailureReport> failures) {
         RouterReport previous = reports.get(router);
         if (previous == null || number > previous.number) {
             reports.put(router, new RouterReport(number, expiresAt, failures));
