--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -963,7 +963,7 @@
                 || !ejections.apply(now, ejection, setup.ejectionRules().get().hold())) {
             return;
         }
-        ejectionPolicy.heard(ejections.find(ejection.member()));
+        ejectionPolicy.recordEjection(ejections.find(ejection.member()));
         if (level != Level.FLAT) {
             ejectionsForOtherLevel.add(ejection);
         }
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -45,7 +45,7 @@
      * Records that an ejection takes up a slot, whichever leader decided it, so that a new leader knows the slots
      * taken.
      */
-    public void heard(EjectionTable.KnownDecision held) {
+    public void recordEjection(EjectionTable.KnownDecision held) {
         if (held.decision().failing()) {
             slotsTakenUntil.merge(held.decision().member(), held.endsAt() + rules.guard(), Math::max);
         }
