--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -952,7 +952,7 @@
         }
         EjectionPolicy.Rules rules = setup.ejectionRules().get();
         boolean mayEject = now >= election.officeSince() + rules.hold() + rules.guard();
-        ejectionPolicy.sit(now, election.ownTerm(), setup.membership().name(), mayEject, ejectableTiers, ejections, routers())
+        ejectionPolicy.decide(now, election.ownTerm(), setup.membership().name(), mayEject, ejectableTiers, ejections, routers())
                 .forEach(this::applyEjection);
     }
 
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -56,7 +56,7 @@
      * may be ejected to its tier. Members are newly ejected only if {@code mayEject} is true, that is once every
      * ejection that an earlier leader may have issued is known or has ended.
      */
-    public List<Ejection> sit(
+    public List<Ejection> decide(
             long now,
             long term,
             String leader,
