--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -689,7 +689,7 @@
         boolean own = to.name().equals(setup.membership().name());
         boolean vote = election.vote(now, to.name(), to.instance());
         List<FailureReport> reports =
-                lowerLevel.ejectionPolicy.inSum(now).stream().limit(PacketCodec.MAX_FAILURE_REPORTS).toList();
+                lowerLevel.ejectionPolicy.aggregatedReports(now).stream().limit(PacketCodec.MAX_FAILURE_REPORTS).toList();
         List<Long> ids =
                 cellShares.keySet().stream().filter(id -> lowerLevel.leaseHolders(id, now) > 0).toList();
         if (own) {
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -127,7 +127,7 @@
     }
 
     /** Returns one report on each member that sums up all current reports on it, most reporting routers first. */
-    public List<FailureReport> inSum(long now) {
+    public List<FailureReport> aggregatedReports(long now) {
         reports.values().removeIf(r -> now >= r.expiresAt);
         return byMember().values().stream()
                 .map(sameMember -> new FailureReport(
