--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1006,7 +1006,7 @@
         Map<Role, Integer> slotsLeft = new HashMap<>();
         for (Role role : Role.values()) {
             long size = members.values().stream().filter(m -> m.role() == role).count();
-            slotsLeft.put(role, (int) Math.floor(setup.ejectionRules().get().mostOut() * size + 1e-9));
+            slotsLeft.put(role, (int) Math.floor(setup.ejectionRules().get().maxEjectedShare() * size + 1e-9));
         }
         List<EjectionTable.KnownDecision> active = new ArrayList<>(ejections.inForce(now));
         active.sort(java.util.Comparator.comparingLong(h -> -h.decision().version()));
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -20,7 +20,7 @@
      * The largest share of a tier that may be ejected at once, the number of routers that must report a member, how
      * long an ejection lasts, and how much longer its slot stays taken (both microseconds).
      */
-    public record Rules(double mostOut, int witnesses, long hold, long guard) {}
+    public record Rules(double maxEjectedShare, int witnesses, long hold, long guard) {}
 
     private record RouterReport(long number, long expiresAt, List<FailureReport> failures) {}
 
@@ -153,7 +153,7 @@
         long taken = slotsTakenUntil.keySet().stream()
                 .filter(m -> tier.equals(tiers.get(m)) && m != member)
                 .count();
-        return taken + 1 <= Math.floor(rules.mostOut() * size + 1e-9);
+        return taken + 1 <= Math.floor(rules.maxEjectedShare() * size + 1e-9);
     }
 
     private Ejection takeSlot(long now, Ejection ejection) {
