--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -20,7 +20,7 @@
      * The largest share of a tier that may be ejected at once, the number of routers that must report a member, how
      * long an ejection lasts, and how much longer its slot stays taken (both microseconds).
      */
-    public record Rules(double maxEjectedShare, int witnesses, long hold, long guard) {}
+    public record Rules(double maxEjectedShare, int minReporters, long hold, long guard) {}
 
     private record RouterReport(long number, long expiresAt, List<FailureReport> failures) {}
 
@@ -73,7 +73,7 @@
         Map<Long, List<FailureReport>> byMember = byMember();
         byMember.keySet().retainAll(tiers.keySet());
         Set<Long> failingMembers = byMember.entrySet().stream()
-                .filter(e -> countReporters(e.getValue()) >= Math.min(rules.witnesses(), routers))
+                .filter(e -> countReporters(e.getValue()) >= Math.min(rules.minReporters(), routers))
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
         List<Ejection> decisions = new ArrayList<>();
