--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -437,7 +437,7 @@
                                     health.unresponsive() ? Cause.SILENT : Cause.FAILING,
                                     health.consecutiveFailures(),
                                     health.failureRate()),
-                            health.until() + setup.ejectionRules().get().hold()));
+                            health.until() + setup.ejectionRules().get().ejectionMicros()));
         } else {
             failureReports.remove(health.member());
         }
@@ -951,7 +951,7 @@
             return;
         }
         EjectionPolicy.Rules rules = setup.ejectionRules().get();
-        boolean mayEject = now >= election.officeSince() + rules.hold() + rules.guard();
+        boolean mayEject = now >= election.officeSince() + rules.ejectionMicros() + rules.guard();
         ejectionPolicy.decide(now, election.ownTerm(), setup.membership().name(), mayEject, ejectableTiers, ejections, routers())
                 .forEach(this::applyEjection);
     }
@@ -960,7 +960,7 @@
         EjectionTable.KnownDecision before = ejections.find(ejection.member());
         boolean wasEjected = before != null && before.decision().failing() && now < before.endsAt();
         if (setup.ejectionRules().isEmpty()
-                || !ejections.apply(now, ejection, setup.ejectionRules().get().hold())) {
+                || !ejections.apply(now, ejection, setup.ejectionRules().get().ejectionMicros())) {
             return;
         }
         ejectionPolicy.recordEjection(ejections.find(ejection.member()));
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -20,7 +20,7 @@
      * The largest share of a tier that may be ejected at once, the number of routers that must report a member, how
      * long an ejection lasts, and how much longer its slot stays taken (both microseconds).
      */
-    public record Rules(double maxEjectedShare, int minReporters, long hold, long guard) {}
+    public record Rules(double maxEjectedShare, int minReporters, long ejectionMicros, long guard) {}
 
     private record RouterReport(long number, long expiresAt, List<FailureReport> failures) {}
 
@@ -157,8 +157,8 @@
     }
 
     private Ejection takeSlot(long now, Ejection ejection) {
-        slotsTakenUntil.put(ejection.member(), now + rules.hold() + rules.guard());
-        renewAt.put(ejection.member(), now + rules.hold() / 3);
+        slotsTakenUntil.put(ejection.member(), now + rules.ejectionMicros() + rules.guard());
+        renewAt.put(ejection.member(), now + rules.ejectionMicros() / 3);
         return ejection;
     }
 
@@ -177,7 +177,7 @@
                 started,
                 Ejection.nextVersion(known == null ? 0 : known.decision().version(), term),
                 failing,
-                rules.hold(),
+                rules.ejectionMicros(),
                 Math.min(countReporters(evidence), Short.MAX_VALUE),
                 worst == null ? FailureReport.Cause.FAILING : worst.cause(),
                 worst == null ? 0 : worst.consecutiveFailures(),
