--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -951,7 +951,7 @@
             return;
         }
         EjectionPolicy.Rules rules = setup.ejectionRules().get();
-        boolean mayEject = now >= election.officeSince() + rules.ejectionMicros() + rules.guard();
+        boolean mayEject = now >= election.officeSince() + rules.ejectionMicros() + rules.slotGuardMicros();
         ejectionPolicy.decide(now, election.ownTerm(), setup.membership().name(), mayEject, ejectableTiers, ejections, routers())
                 .forEach(this::applyEjection);
     }
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -20,7 +20,7 @@
      * The largest share of a tier that may be ejected at once, the number of routers that must report a member, how
      * long an ejection lasts, and how much longer its slot stays taken (both microseconds).
      */
-    public record Rules(double maxEjectedShare, int minReporters, long ejectionMicros, long guard) {}
+    public record Rules(double maxEjectedShare, int minReporters, long ejectionMicros, long slotGuardMicros) {}
 
     private record RouterReport(long number, long expiresAt, List<FailureReport> failures) {}
 
@@ -47,7 +47,7 @@
      */
     public void recordEjection(EjectionTable.KnownDecision held) {
         if (held.decision().failing()) {
-            slotsTakenUntil.merge(held.decision().member(), held.endsAt() + rules.guard(), Math::max);
+            slotsTakenUntil.merge(held.decision().member(), held.endsAt() + rules.slotGuardMicros(), Math::max);
         }
     }
 
@@ -157,7 +157,7 @@
     }
 
     private Ejection takeSlot(long now, Ejection ejection) {
-        slotsTakenUntil.put(ejection.member(), now + rules.ejectionMicros() + rules.guard());
+        slotsTakenUntil.put(ejection.member(), now + rules.ejectionMicros() + rules.slotGuardMicros());
         renewAt.put(ejection.member(), now + rules.ejectionMicros() / 3);
         return ejection;
     }
