--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -41,7 +41,7 @@
 public final class CellFleet implements FleetParticipant {
 
     /** The gossip period of the upper level in periods of a cell: packets between regions take longer. */
-    public static final int UPPER_PERIOD = 5;
+    public static final int UPPER_PERIOD_FACTOR = 5;
 
     private static final int MAX_UPPER_ROUTERS = 8_192; // delegates in the membership table of the upper level
     private static final int SETTLING_PERIODS = 24; // in a cell before a router may become a delegate or split the cell
@@ -271,7 +271,7 @@
                             setup.cluster() + "/^",
                             cellSetup.root() + "." + label(name),
                             upperSeeds,
-                            UPPER_PERIOD * cellPeriodMicros,
+                            UPPER_PERIOD_FACTOR * cellPeriodMicros,
                             MAX_UPPER_ROUTERS),
                     now,
                     random.nextLong(),
