--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -170,7 +170,7 @@
 
     private Fleet newCell() {
         return Fleet.ofCell(
-                levelSetup(setup.cluster() + "/" + cellName(), name, cellSeeds, cellPeriodMicros, 4 * cellSetup.most() + 64),
+                levelSetup(setup.cluster() + "/" + cellName(), name, cellSeeds, cellPeriodMicros, 4 * cellSetup.maxRouters() + 64),
                 setup.cluster() + "/" + cellSetup.root(),
                 now,
                 random.nextLong(),
@@ -316,7 +316,7 @@
             return;
         }
         List<RouterRecord> living = cell.living();
-        boolean oversize = living.size() + 1 > cellSetup.most() && depth < PacketCodec.MAX_CELL_DEPTH;
+        boolean oversize = living.size() + 1 > cellSetup.maxRouters() && depth < PacketCodec.MAX_CELL_DEPTH;
         oversizeSince = oversize ? Math.min(oversizeSince, now) : Long.MAX_VALUE;
         if (oversize
                 && targetDepth == depth
@@ -325,7 +325,7 @@
             targetDepth = Math.min(PacketCodec.MAX_CELL_DEPTH, depth + bitsFor(living.size() + 1));
             log(
                     "cell " + cellName() + " is being split: it has " + (living.size() + 1) + " routers, over the bound of "
-                            + cellSetup.most(),
+                            + cellSetup.maxRouters(),
                     Map.of("cell", cellName(), "routers", living.size() + 1, "depth", targetDepth));
         }
         if (targetDepth <= depth) {
@@ -347,7 +347,7 @@
      */
     private int bitsFor(int routers) {
         int bits = 1;
-        while (routers >> bits > cellSetup.most()) {
+        while (routers >> bits > cellSetup.maxRouters()) {
             bits++;
         }
         return bits;
