--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1111,7 +1111,7 @@
             nextPlanReportAt = Math.min(
                     nextPlanReportAt, Math.max(now, lastPlanReportAt + setup.membership().periodMicros() / 4));
             return "waits " + Long.toUnsignedString(command.id(), 16);
-        } catch (DrainCommandParser.Wrong e) {
+        } catch (DrainCommandParser.InvalidCommandException e) {
             return "refused: " + e.getMessage();
         }
     }
--- a/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
@@ -16,11 +16,11 @@
 public final class DrainCommandParser {
 
     /** Thrown if a command is invalid; the message begins with the name of the field. */
-    public static final class Wrong extends Exception {
+    public static final class InvalidCommandException extends Exception {
 
         private static final long serialVersionUID = 1;
 
-        Wrong(String field, String reason) {
+        InvalidCommandException(String field, String reason) {
             super(field + ": " + reason);
         }
     }
@@ -29,17 +29,17 @@
 
     /** Parses a command. A done command without a fence refers to the member's phase as this router knows it. */
     public static DrainCommand command(Map<String, String> fields, String cluster, FleetSnapshot snapshot, Plan plan)
-            throws Wrong {
+            throws InvalidCommandException {
         String requestedCluster = fields.getOrDefault("cluster", cluster);
         if (!requestedCluster.equals(cluster)) {
-            throw new Wrong("cluster", "this is a router of '" + cluster + "', not of '" + requestedCluster + "'");
+            throw new InvalidCommandException("cluster", "this is a router of '" + cluster + "', not of '" + requestedCluster + "'");
         }
         DrainCommand.Kind kind =
                 switch (fields.getOrDefault("drain", "")) {
                     case "request" -> DrainCommand.Kind.REQUEST;
                     case "done" -> DrainCommand.Kind.DONE;
                     case "cancel" -> DrainCommand.Kind.CANCEL;
-                    default -> throw new Wrong("drain", "must be one of request, done, cancel");
+                    default -> throw new InvalidCommandException("drain", "must be one of request, done, cancel");
                 };
         List<Long> members = parseMembers(fields.getOrDefault("members", ""), snapshot, plan);
         long id = parseId(fields.get("id"));
@@ -51,15 +51,15 @@
         };
     }
 
-    private static long parseId(String text) throws Wrong {
+    private static long parseId(String text) throws InvalidCommandException {
         try {
             return Long.parseUnsignedLong(text == null ? "" : text, 16);
         } catch (NumberFormatException e) {
-            throw new Wrong("id", "must have 1 to 16 hexadecimal digits");
+            throw new InvalidCommandException("id", "must have 1 to 16 hexadecimal digits");
         }
     }
 
-    private static List<Long> parseMembers(String text, FleetSnapshot snapshot, Plan plan) throws Wrong {
+    private static List<Long> parseMembers(String text, FleetSnapshot snapshot, Plan plan) throws InvalidCommandException {
         Map<String, Long> byName = new HashMap<>();
         snapshot.peers().forEach(p -> byName.put(p.memberName(), p.id()));
         snapshot.targets().forEach((id, t) -> byName.put(t.name(), id));
@@ -70,14 +70,14 @@
             // a member that is out may be missing from the list of members during the work
             long member = id != null ? id : memberId(name);
             if (id == null && plan.of(member).isEmpty()) {
-                throw new Wrong("members", name.isEmpty() ? "a name is empty" : "'" + name + "' is not known to this router");
+                throw new InvalidCommandException("members", name.isEmpty() ? "a name is empty" : "'" + name + "' is not known to this router");
             }
             if (!members.contains(member)) {
                 members.add(member);
             }
         }
         if (members.size() > Drains.MAX_MEMBERS_PER_REQUEST) {
-            throw new Wrong(
+            throw new InvalidCommandException(
                     "members", members.size() + " members exceed the " + Drains.MAX_MEMBERS_PER_REQUEST + " that one request may have");
         }
         return members;
@@ -102,32 +102,32 @@
         return sizes;
     }
 
-    private static int parseNumber(Map<String, String> fields, String name) throws Wrong {
+    private static int parseNumber(Map<String, String> fields, String name) throws InvalidCommandException {
         try {
             return Integer.parseInt(fields.getOrDefault(name, ""));
         } catch (NumberFormatException e) {
-            throw new Wrong(name, "is missing or not a whole number");
+            throw new InvalidCommandException(name, "is missing or not a whole number");
         }
     }
 
-    private static int parseMaxAtOnce(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot) throws Wrong {
+    private static int parseMaxAtOnce(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot) throws InvalidCommandException {
         int maxAtOnce = parseNumber(fields, "max-at-once");
         if (maxAtOnce < 1 || maxAtOnce > Drains.MOST_OUT) {
-            throw new Wrong("max-at-once", maxAtOnce + " is out of range: 1 to " + Drains.MOST_OUT);
+            throw new InvalidCommandException("max-at-once", maxAtOnce + " is out of range: 1 to " + Drains.MOST_OUT);
         }
         for (Map.Entry<MemberKind, Integer> tier : tierSizes(members, snapshot).entrySet()) {
             if (maxAtOnce > tier.getValue()) {
-                throw new Wrong("max-at-once", maxAtOnce + " exceeds the size of the tier: " + describe(tier));
+                throw new InvalidCommandException("max-at-once", maxAtOnce + " exceeds the size of the tier: " + describe(tier));
             }
         }
         return maxAtOnce;
     }
 
-    private static int parseMinServing(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot) throws Wrong {
+    private static int parseMinServing(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot) throws InvalidCommandException {
         int minServing = parseNumber(fields, "min-serving");
         for (Map.Entry<MemberKind, Integer> tier : tierSizes(members, snapshot).entrySet()) {
             if (minServing < 0 || minServing >= tier.getValue()) {
-                throw new Wrong(
+                throw new InvalidCommandException(
                         "min-serving",
                         minServing
                                 + (minServing < 0
@@ -144,23 +144,23 @@
         return tier.getValue() + " of kind " + tier.getKey().name().toLowerCase(Locale.ROOT);
     }
 
-    private static long parseFence(Map<String, String> fields, List<Long> members, Plan plan) throws Wrong {
+    private static long parseFence(Map<String, String> fields, List<Long> members, Plan plan) throws InvalidCommandException {
         if (members.size() != 1) {
-            throw new Wrong("members", "this command takes exactly one member");
+            throw new InvalidCommandException("members", "this command takes exactly one member");
         }
         DrainOrder order = plan.of(members.get(0)).orElse(null);
         if (order == null || order.phase() != Phase.OUT) {
-            throw new Wrong("members", "the member is not out, as far as this router knows");
+            throw new InvalidCommandException("members", "the member is not out, as far as this router knows");
         }
         if (fields.get("fence") == null) {
             return order.fence();
         }
         try {
             if (Long.parseLong(fields.get("fence")) != order.fence()) {
-                throw new Wrong("fence", fields.get("fence") + " is not the fence of the member's current phase, " + order.fence());
+                throw new InvalidCommandException("fence", fields.get("fence") + " is not the fence of the member's current phase, " + order.fence());
             }
         } catch (NumberFormatException e) {
-            throw new Wrong("fence", "is not a whole number");
+            throw new InvalidCommandException("fence", "is not a whole number");
         }
         return order.fence();
     }
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -323,7 +323,7 @@
         String message = "";
         try {
             DrainCommandParser.command(fields, "west", snapshot(), Plan.NONE);
-        } catch (DrainCommandParser.Wrong e) {
+        } catch (DrainCommandParser.InvalidCommandException e) {
             message = e.getMessage();
         }
         assertTrue(message.startsWith(expectedStart), message);
@@ -332,7 +332,7 @@
     private static DrainCommand parse(Map<String, String> fields) {
         try {
             return DrainCommandParser.command(fields, "west", snapshot(), Plan.NONE);
-        } catch (DrainCommandParser.Wrong e) {
+        } catch (DrainCommandParser.InvalidCommandException e) {
             throw new AssertionError(e);
         }
     }
@@ -353,7 +353,7 @@
         String message = "";
         try {
             DrainCommandParser.command(done, "west", snapshot(), out);
-        } catch (DrainCommandParser.Wrong e) {
+        } catch (DrainCommandParser.InvalidCommandException e) {
             message = e.getMessage();
         }
         assertEquals("fence: 7 is not the fence of the member's current phase, 8", message);
