--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -106,7 +106,7 @@
 
     @Override
     public String routerStillUsing(DrainOrder order) {
-        if (snapshot.now() < order.since() + times.least()) {
+        if (snapshot.now() < order.since() + times.minDrainMicros()) {
             return "any router";
         }
         if (order.tier() == MemberKind.ROUTER) {
