--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -77,7 +77,7 @@
 
     private boolean isGone(Peer peer) {
         long statusAge = snapshot.now() - peer.since();
-        return peer.standing() == RouterStatus.LEFT && statusAge > times.drain()
+        return peer.standing() == RouterStatus.LEFT && statusAge > times.drainMicros()
                 || peer.standing() == RouterStatus.DEAD && statusAge > times.gone();
     }
 
@@ -121,12 +121,12 @@
 
     private boolean mayUse(Peer peer, DrainOrder order) {
         if (appliedStamp(peer) < order.fence()) {
-            return snapshot.now() < avoidsNamedMembersFrom(peer) + times.drain();
+            return snapshot.now() < avoidsNamedMembersFrom(peer) + times.drainMicros();
         }
         long appliedAt =
                 phaseAppliedAt.computeIfAbsent(peer.name(), n -> new HashMap<>()).computeIfAbsent(orderKey(order), k -> snapshot.now());
         return inFlightByRouter.getOrDefault(peer.name(), Map.of()).getOrDefault(order.member(), 0) > 0
-                && snapshot.now() < appliedAt + times.drain();
+                && snapshot.now() < appliedAt + times.drainMicros();
     }
 
     @Override
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -43,7 +43,7 @@
         assertEquals(Scope.MEMBER, section.limits().get(1).scope());
         assertEquals(LimitMeasure.IN_FLIGHT, section.limits().get(1).measure());
         assertEquals(5_000_000, section.ejectionRules().orElseThrow().ejectionMicros());
-        assertEquals(4_000_000, section.drainTimes().orElseThrow().drain());
+        assertEquals(4_000_000, section.drainTimes().orElseThrow().drainMicros());
         assertEquals(60_000_000, section.drainTimes().orElseThrow().gone());
         assertTrue(OperatorFile.parse("f", VALID.replace("  drains: {drain-ms: 4000}\n", ""))
                 .fleet()
