--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -78,7 +78,7 @@
     private boolean isGone(Peer peer) {
         long statusAge = snapshot.now() - peer.since();
         return peer.standing() == RouterStatus.LEFT && statusAge > times.drainMicros()
-                || peer.standing() == RouterStatus.DEAD && statusAge > times.gone();
+                || peer.standing() == RouterStatus.DEAD && statusAge > times.goneMicros();
     }
 
     /** Returns when a router begins to avoid the members named to it if it gets no further answer from any leader. */
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -44,7 +44,7 @@
         assertEquals(LimitMeasure.IN_FLIGHT, section.limits().get(1).measure());
         assertEquals(5_000_000, section.ejectionRules().orElseThrow().ejectionMicros());
         assertEquals(4_000_000, section.drainTimes().orElseThrow().drainMicros());
-        assertEquals(60_000_000, section.drainTimes().orElseThrow().gone());
+        assertEquals(60_000_000, section.drainTimes().orElseThrow().goneMicros());
         assertTrue(OperatorFile.parse("f", VALID.replace("  drains: {drain-ms: 4000}\n", ""))
                 .fleet()
                 .orElseThrow()
