--- a/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
@@ -5,11 +5,11 @@
  * sent to it may take to end; after how long a dead router counts as gone, so that drains proceed without it; after
  * how long a member that is still out is reported as overdue; and how long a cache and a parent take to warm up.
  */
-public record DrainTimes(long minDrainMicros, long drainMicros, long goneMicros, long overdue, long cacheWarm, long parentWarm) {
+public record DrainTimes(long minDrainMicros, long drainMicros, long goneMicros, long overdueMicros, long cacheWarm, long parentWarm) {
 
     /** Returns a copy with these warm-up times. */
     public DrainTimes warming(long caches, long parents) {
-        return new DrainTimes(minDrainMicros, drainMicros, goneMicros, overdue, caches, parents);
+        return new DrainTimes(minDrainMicros, drainMicros, goneMicros, overdueMicros, caches, parents);
     }
 
     long warmTime(MemberKind tier) {
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -466,7 +466,7 @@
             row.put("since-ms", order.since() / 1_000);
             row.put("fence", order.fence());
             row.put("confirmed", snapshot.now() < leaderContactUntil);
-            row.put("overdue", order.phase() == Phase.OUT && snapshot.now() - order.since() > times.overdue());
+            row.put("overdue", order.phase() == Phase.OUT && snapshot.now() - order.since() > times.overdueMicros());
             row.put(
                     "held-up",
                     isLeader
