--- a/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
@@ -5,7 +5,7 @@
  * sent to it may take to end; after how long a dead router counts as gone, so that drains proceed without it; after
  * how long a member that is still out is reported as overdue; and how long a cache and a parent take to warm up.
  */
-public record DrainTimes(long minDrainMicros, long drainMicros, long goneMicros, long overdueMicros, long cacheWarmMicros, long parentWarm) {
+public record DrainTimes(long minDrainMicros, long drainMicros, long goneMicros, long overdueMicros, long cacheWarmMicros, long parentWarmMicros) {
 
     /** Returns a copy with these warm-up times. */
     public DrainTimes warming(long caches, long parents) {
@@ -13,6 +13,6 @@
     }
 
     long warmTime(MemberKind tier) {
-        return tier == MemberKind.CACHE ? cacheWarmMicros : tier == MemberKind.PARENT ? parentWarm : 0;
+        return tier == MemberKind.CACHE ? cacheWarmMicros : tier == MemberKind.PARENT ? parentWarmMicros : 0;
     }
 }
