--- a/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
@@ -8,7 +8,7 @@
 public record DrainTimes(long minDrainMicros, long drainMicros, long goneMicros, long overdueMicros, long cacheWarmMicros, long parentWarmMicros) {
 
     /** Returns a copy with these warm-up times. */
-    public DrainTimes warming(long caches, long parents) {
+    public DrainTimes withWarmTimes(long caches, long parents) {
         return new DrainTimes(minDrainMicros, drainMicros, goneMicros, overdueMicros, caches, parents);
     }
 
--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -46,7 +46,7 @@
                 limits,
                 ejectionRules,
                 drainTimes.map(
-                        times -> times.warming(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
+                        times -> times.withWarmTimes(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
                 cellSetup);
     }
 }
