--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -465,7 +465,7 @@
         }
         if (members.isEmpty()
                 || minServing < 0
-                || kind == DrainCommand.Kind.REQUEST && (maxOut < 1 || maxOut > Drains.MOST_OUT)) {
+                || kind == DrainCommand.Kind.REQUEST && (maxOut < 1 || maxOut > Drains.MAX_MEMBERS_OUT)) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return new Packet.DrainAsk(new DrainCommand(kind, id, maxOut, minServing, fence, members));
--- a/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
@@ -112,8 +112,8 @@
 
     private static int parseMaxAtOnce(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot) throws InvalidCommandException {
         int maxAtOnce = parseNumber(fields, "max-at-once");
-        if (maxAtOnce < 1 || maxAtOnce > Drains.MOST_OUT) {
-            throw new InvalidCommandException("max-at-once", maxAtOnce + " is out of range: 1 to " + Drains.MOST_OUT);
+        if (maxAtOnce < 1 || maxAtOnce > Drains.MAX_MEMBERS_OUT) {
+            throw new InvalidCommandException("max-at-once", maxAtOnce + " is out of range: 1 to " + Drains.MAX_MEMBERS_OUT);
         }
         for (Map.Entry<MemberKind, Integer> tier : tierSizes(members, snapshot).entrySet()) {
             if (maxAtOnce > tier.getValue()) {
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -27,7 +27,7 @@
 public final class Drains {
 
     /** The largest number of members that may be out at once; the usage of each of them fits in one report. */
-    public static final int MOST_OUT = 50;
+    public static final int MAX_MEMBERS_OUT = 50;
 
     /** The largest number of members in one request; a command fits in one packet. */
     public static final int MAX_MEMBERS_PER_REQUEST = 120;
