--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -839,7 +839,7 @@
         } else {
             drains.report(now, to.address(), election.term());
         }
-        nextPlanReportAt = now + (drains.inHaste() ? setup.membership().periodMicros() : times.leaseMicros() / REPORTS_PER_LEASE);
+        nextPlanReportAt = now + (drains.needsPromptReport() ? setup.membership().periodMicros() : times.leaseMicros() / REPORTS_PER_LEASE);
     }
 
     /** Renews the grantor's own leases, which are in its own lease table like those of all other routers. */
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -124,7 +124,7 @@
      * Returns whether the next report should not be delayed: a plan is not known to be in force yet, a command waits,
      * or there has been no contact with a leader since the start.
      */
-    public boolean inHaste() {
+    public boolean needsPromptReport() {
         return planStore.newest().stamp() > planStore.applied().stamp() || !pendingCommands.isEmpty() || !hadLeaderContact;
     }
 
