--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -835,7 +835,7 @@
         lastPlanReportAt = now;
         RouterRecord to = grantor();
         if (to.name().equals(setup.membership().name())) {
-            drains.sit(snapshot());
+            drains.runLeader(snapshot());
         } else {
             drains.report(now, to.address(), election.term());
         }
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -294,7 +294,7 @@
         leader.recordReport(
                 from.name(), new PlanLeader.Report(from.instance(), report.term(), report.heldStamp(), report.appliedStamp(), report.recovered()));
         acknowledgements.recordUsage(from.name(), report.uses());
-        sit(snapshot);
+        runLeader(snapshot);
         boolean isLeader = snapshot.term() > 0 && leader.inForce() > 0;
         if (isLeader) {
             acknowledgements.recordAnswer(from.name(), snapshot.now());
@@ -318,12 +318,12 @@
     public void passedOn(FleetSnapshot snapshot, DrainCommand command) {
         if (snapshot.term() > 0) {
             command(snapshot.now(), command);
-            sit(snapshot);
+            runLeader(snapshot);
         }
     }
 
     /** Does the leader's work if this router is the leader, and resets the leader's state if it is not. */
-    public void sit(FleetSnapshot snapshot) {
+    public void runLeader(FleetSnapshot snapshot) {
         acknowledgements.update(snapshot, viewStamp, planStore.newest());
         acknowledgements.recordUsage(localName, reportedUsage());
         if (snapshot.term() == 0) {
