--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -340,7 +340,7 @@
         } else if (packet.body() instanceof PlanReport report) {
             drains.reported(snapshot(), peer(from), packet.number(), report);
         } else if (packet.body() instanceof DrainAsk ask) {
-            drains.passedOn(snapshot(), ask.command());
+            drains.commandForwarded(snapshot(), ask.command());
         }
     }
 
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -315,7 +315,7 @@
     }
 
     /** Processes a command that another router forwarded. */
-    public void passedOn(FleetSnapshot snapshot, DrainCommand command) {
+    public void commandForwarded(FleetSnapshot snapshot, DrainCommand command) {
         if (snapshot.term() > 0) {
             command(snapshot.now(), command);
             runLeader(snapshot);
