--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -332,7 +332,7 @@
         if (packet.body() instanceof PlanGrant grant) {
             drains.answered(now, from.address(), grant);
         } else if (packet.body() instanceof Piece piece) {
-            if (drains.take(piece)) {
+            if (drains.acceptPiece(piece)) {
                 nextPlanReportAt = now; // the leader waits until a majority holds the plan
             }
         } else if (isDrainBody(packet.body()) && !isGrantor()) {
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -212,7 +212,7 @@
     }
 
     /** Accepts a piece of a plan; returns true if it completes a newer plan. */
-    public boolean take(Piece piece) {
+    public boolean acceptPiece(Piece piece) {
         boolean whole = planStore.addPiece(piece.stamp(), piece.index(), piece.count(), piece.bytes());
         if (whole) {
             outlet.observeTerm(Plan.termOf(planStore.newest().stamp()));
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -91,7 +91,7 @@
         sender.store(plan);
         List<byte[]> pieces = sender.pieces();
         for (int i = 0; i < pieces.size(); i++) {
-            drains.take(new Piece(plan.stamp(), i, pieces.size(), pieces.get(i)));
+            drains.acceptPiece(new Piece(plan.stamp(), i, pieces.size(), pieces.get(i)));
         }
     }
 
