--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -338,7 +338,7 @@
         } else if (isDrainBody(packet.body()) && !isGrantor()) {
             drop("asked-not-grantor");
         } else if (packet.body() instanceof PlanReport report) {
-            drains.reported(snapshot(), peer(from), packet.number(), report);
+            drains.reportReceived(snapshot(), peer(from), packet.number(), report);
         } else if (packet.body() instanceof DrainAsk ask) {
             drains.commandForwarded(snapshot(), ask.command());
         }
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -288,7 +288,7 @@
     // ---- the leader -----------------------------------------------------------------------------------
 
     /** Processes a router's report and answers it at once. */
-    public void reported(FleetSnapshot snapshot, Peer from, long number, PlanReport report) {
+    public void reportReceived(FleetSnapshot snapshot, Peer from, long number, PlanReport report) {
         outlet.observeTerm(report.term());
         outlet.observeTerm(Plan.termOf(report.heldStamp()));
         leader.recordReport(
