--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -330,7 +330,7 @@
     private void handleDrainPacket(Drains drains, Packet packet) {
         RouterRecord from = packet.from();
         if (packet.body() instanceof PlanGrant grant) {
-            drains.answered(now, from.address(), grant);
+            drains.answerReceived(now, from.address(), grant);
         } else if (packet.body() instanceof Piece piece) {
             if (drains.acceptPiece(piece)) {
                 nextPlanReportAt = now; // the leader waits until a majority holds the plan
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -186,7 +186,7 @@
     }
 
     /** Processes the answer to one of this router's reports. */
-    public void answered(long now, String address, PlanGrant grant) {
+    public void answerReceived(long now, String address, PlanGrant grant) {
         Long sentTime = reportSentAt.get(grant.reportNumber());
         if (grant.instance() != instance || sentTime == null) {
             outlet.dropped("late-plan-grant");
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -100,7 +100,7 @@
         drains.report(reportedAt, LEADER, 1);
         // a command may follow the report
         long report = sent.size() - (sent.get(sent.size() - 1) instanceof PlanReport ? 0 : 1);
-        drains.answered(answeredAt, LEADER, new PlanGrant(report, instance, 1, fromLeader, inForce, inForce));
+        drains.answerReceived(answeredAt, LEADER, new PlanGrant(report, instance, 1, fromLeader, inForce, inForce));
     }
 
     private Set<Long> avoidedMembers(long now) {
