--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -59,7 +59,7 @@
      * for it as long as it may; the members that no requests are sent to; and when members returned from a drain, in
      * Unix microseconds.
      */
-    public record View(boolean settled, Set<Long> alone, Map<Long, Long> returned) {}
+    public record View(boolean settled, Set<Long> avoidedMembers, Map<Long, Long> returned) {}
 
     /** This router's use of a member, queried for each report. */
     public interface Usage {
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -65,7 +65,7 @@
     }
 
     private Member withDrains(Member member) {
-        State state = member.state() == State.READY && view.alone().contains(member.id()) ? State.DRAINING : member.state();
+        State state = member.state() == State.READY && view.avoidedMembers().contains(member.id()) ? State.DRAINING : member.state();
         return new Member(
                 member.id(),
                 member.role(),
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -89,7 +89,7 @@
             }
             boolean knowsNothing =
                     fleet.plan().orElseThrow().stamp() == 0; // it has reached no other router, so nothing is guaranteed
-            if (!view.settled() || view.alone().contains(member) || knowsNothing) {
+            if (!view.settled() || view.avoidedMembers().contains(member) || knowsNothing) {
                 return false;
             }
             List<Long> ends = attemptEnds.computeIfAbsent(member, m -> new ArrayList<>());
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -105,7 +105,7 @@
 
     private Set<Long> avoidedMembers(long now) {
         Drains.View view = drains.takeView(now, snapshot(now));
-        return view == null ? null : view.alone();
+        return view == null ? null : view.avoidedMembers();
     }
 
     @Test
@@ -119,7 +119,7 @@
         assertEquals(List.of("late-plan-grant"), dropped, "the answer was for the previous process");
         reportAndAnswer(300, 310, INSTANCE, true, 11);
         Drains.View view = drains.takeView(310, snapshot(310));
-        assertTrue(view.settled() && view.alone().isEmpty());
+        assertTrue(view.settled() && view.avoidedMembers().isEmpty());
         assertEquals(11, drains.plan().stamp());
         assertEquals(300 + LEASE_MICROS, drains.nextDue(310), "the lease counts from when the report was sent");
         assertNull(avoidedMembers(1_299));
@@ -131,7 +131,7 @@
         assertNull(avoidedMembers(1_420), "the plan is not known to be in force");
         reportAndAnswer(1_500, 1_510, INSTANCE, true, 12);
         view = drains.takeView(1_510, snapshot(1_510));
-        assertTrue(view.alone().isEmpty());
+        assertTrue(view.avoidedMembers().isEmpty());
         assertEquals(Map.of(1L, 40L), view.returned(), "the member returned and is in slow start");
     }
 
@@ -141,7 +141,7 @@
         deliver(plan(11, Phase.OUT, Phase.NAMED));
         assertEquals(Set.of(1L, 2L), avoidedMembers(10));
         Drains.View view = drains.takeView(LEASE_MICROS + GUARD_MICROS, snapshot(LEASE_MICROS + GUARD_MICROS));
-        assertTrue(view.settled() && view.alone().equals(Set.of(1L, 2L)), "it has waited as long as it may");
+        assertTrue(view.settled() && view.avoidedMembers().equals(Set.of(1L, 2L)), "it has waited as long as it may");
         assertTrue(!((PlanReport) sendReport(LEASE_MICROS + GUARD_MICROS)).recovered(), "but it has not recovered");
     }
 
