--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -331,7 +331,7 @@
             stepCauses.clear();
             return;
         }
-        boolean readTimedOut = snapshot.now() - snapshot.officeSince() >= times.goneMicros();
+        boolean readTimedOut = snapshot.now() - snapshot.leaderSince() >= times.goneMicros();
         for (int i = 0; i < MAX_ROUNDS_PER_CALL; i++) {
             if (leader.advance(snapshot.term(), snapshot.routers(), readTimedOut)) {
                 broadcastPlan(snapshot);
--- a/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
+++ b/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
@@ -13,7 +13,7 @@
 public record FleetSnapshot(
         long now,
         long term,
-        long officeSince,
+        long leaderSince,
         int routers,
         Collection<Peer> peers,
         Map<Long, Target> targets,
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -83,7 +83,7 @@
 
     /** Returns when a router begins to avoid the members named to it if it gets no further answer from any leader. */
     private long avoidsNamedMembersFrom(Peer peer) {
-        return Math.max(answeredAt.getOrDefault(peer.name(), 0L), snapshot.officeSince()) + leaseTimes.leaseMicros() + leaseTimes.guardMicros();
+        return Math.max(answeredAt.getOrDefault(peer.name(), 0L), snapshot.leaderSince()) + leaseTimes.leaseMicros() + leaseTimes.guardMicros();
     }
 
     /** Returns the stamp of the plan that the router acts on, or -1 if its current process has not reported. */
