--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -333,7 +333,7 @@
         }
         boolean readTimedOut = snapshot.now() - snapshot.leaderSince() >= times.goneMicros();
         for (int i = 0; i < MAX_ROUNDS_PER_CALL; i++) {
-            if (leader.advance(snapshot.term(), snapshot.routers(), readTimedOut)) {
+            if (leader.advance(snapshot.term(), snapshot.assumedRouters(), readTimedOut)) {
                 broadcastPlan(snapshot);
             }
             if (leader.inForce() > 0) {
--- a/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
+++ b/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
@@ -14,7 +14,7 @@
         long now,
         long term,
         long leaderSince,
-        int routers,
+        int assumedRouters,
         Collection<Peer> peers,
         Map<Long, Target> targets,
         Set<Long> failing) {
@@ -39,6 +39,6 @@
     public record Target(String name, MemberKind tier, boolean ready, long started) {}
 
     int majority() {
-        return routers / 2 + 1;
+        return assumedRouters / 2 + 1;
     }
 }
