--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -1058,7 +1058,7 @@
 
     private FleetSnapshot.Peer peer(RouterRecord router) {
         return new FleetSnapshot.Peer(
-                Hashes.of(FleetSnapshot.ROUTERS + router.name()),
+                Hashes.of(FleetSnapshot.ROUTER_NAME_PREFIX + router.name()),
                 router.name(),
                 router.address(),
                 router.instance(),
--- a/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
@@ -85,7 +85,7 @@
 
     /** Returns the id of a member by its name, computed as in the rest of the program. */
     private static long memberId(String name) {
-        return name.startsWith(FleetSnapshot.ROUTERS) ? Hashes.of(name) : Hashes.fnv(name);
+        return name.startsWith(FleetSnapshot.ROUTER_NAME_PREFIX) ? Hashes.of(name) : Hashes.fnv(name);
     }
 
     private static Map<MemberKind, Integer> tierSizes(List<Long> members, FleetSnapshot snapshot) {
--- a/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
+++ b/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
@@ -20,14 +20,14 @@
         Set<Long> failing) {
 
     /** The prefix of a router's name where routers and other members share a name space. */
-    public static final String ROUTERS = "router/";
+    public static final String ROUTER_NAME_PREFIX = "router/";
 
     /** A router, with its status in the membership protocol and since when it has that status. */
     public record Peer(long id, String name, String address, long instance, RouterStatus standing, long since) {
 
         /** Returns the router's name as a member that can be drained. */
         String memberName() {
-            return ROUTERS + name;
+            return ROUTER_NAME_PREFIX + name;
         }
 
         boolean isAlive() {
