--- a/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
+++ b/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
@@ -23,7 +23,7 @@
     public static final String ROUTER_NAME_PREFIX = "router/";
 
     /** A router, with its status in the membership protocol and since when it has that status. */
-    public record Peer(long id, String name, String address, long instance, RouterStatus standing, long since) {
+    public record Peer(long id, String name, String address, long instance, RouterStatus status, long since) {
 
         /** Returns the router's name as a member that can be drained. */
         String memberName() {
@@ -31,7 +31,7 @@
         }
 
         boolean isAlive() {
-            return standing == RouterStatus.ALIVE || standing == RouterStatus.SUSPECT;
+            return status == RouterStatus.ALIVE || status == RouterStatus.SUSPECT;
         }
     }
 
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -77,8 +77,8 @@
 
     private boolean isGone(Peer peer) {
         long statusAge = snapshot.now() - peer.since();
-        return peer.standing() == RouterStatus.LEFT && statusAge > times.drainMicros()
-                || peer.standing() == RouterStatus.DEAD && statusAge > times.goneMicros();
+        return peer.status() == RouterStatus.LEFT && statusAge > times.drainMicros()
+                || peer.status() == RouterStatus.DEAD && statusAge > times.goneMicros();
     }
 
     /** Returns when a router begins to avoid the members named to it if it gets no further answer from any leader. */
