--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -421,7 +421,7 @@
     }
 
     private static long checkedTerm(long term) throws BadPacketException {
-        if (term < 0 || term >= Plan.MOST_TERM) {
+        if (term < 0 || term >= Plan.TERM_LIMIT) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return term;
--- a/src/main/java/pumicemoor/fleet/drains/Plan.java
+++ b/src/main/java/pumicemoor/fleet/drains/Plan.java
@@ -20,7 +20,7 @@
     public static final Plan NONE = new Plan(0, List.of(), List.of(), List.of());
 
     /** Terms must be below this limit, so that they fit in a stamp. */
-    public static final long MOST_TERM = 1L << 38;
+    public static final long TERM_LIMIT = 1L << 38;
 
     static final int MAX_OPEN_REQUESTS = 31; // one bit each in DrainOrder.requests
     static final int MAX_ORDERS = 256;
