--- a/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
@@ -69,7 +69,7 @@
             Long id = byName.get(name);
             // a member that is out may be missing from the list of members during the work
             long member = id != null ? id : memberId(name);
-            if (id == null && plan.of(member).isEmpty()) {
+            if (id == null && plan.orderFor(member).isEmpty()) {
                 throw new InvalidCommandException("members", name.isEmpty() ? "a name is empty" : "'" + name + "' is not known to this router");
             }
             if (!members.contains(member)) {
@@ -148,7 +148,7 @@
         if (members.size() != 1) {
             throw new InvalidCommandException("members", "this command takes exactly one member");
         }
-        DrainOrder order = plan.of(members.get(0)).orElse(null);
+        DrainOrder order = plan.orderFor(members.get(0)).orElse(null);
         if (order == null || order.phase() != Phase.OUT) {
             throw new InvalidCommandException("members", "the member is not out, as far as this router knows");
         }
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -168,7 +168,7 @@
             return planStore.applied().containsRequest(command.id());
         }
         return command.members().stream().allMatch(m -> planStore.applied()
-                .of(m)
+                .orderFor(m)
                 .map(o -> command.kind() == DrainCommand.Kind.DONE
                         ? o.fence() != command.fence()
                         : !o.phase().isWaiting() && o.phase() != Phase.DRAINING)
@@ -257,7 +257,7 @@
         });
         returnedAt.keySet()
                 .removeIf(id -> !snapshot.targets().containsKey(id)
-                        && planStore.applied().of(id).isEmpty());
+                        && planStore.applied().orderFor(id).isEmpty());
         viewStamp = planStore.applied().stamp();
         viewCutOff = now >= leaderContactUntil;
         Set<Long> avoided = new HashSet<>();
--- a/src/main/java/pumicemoor/fleet/drains/Plan.java
+++ b/src/main/java/pumicemoor/fleet/drains/Plan.java
@@ -42,7 +42,7 @@
     }
 
     /** Returns the order for a member, if there is one. */
-    public Optional<DrainOrder> of(long member) {
+    public Optional<DrainOrder> orderFor(long member) {
         return orders.stream().filter(o -> o.member() == member).findFirst();
     }
 
@@ -90,7 +90,7 @@
         }
         Map<Long, DrainOrder> added = new TreeMap<>();
         command.members().stream().filter(tiers::containsKey).forEach(m -> added.put(m, null));
-        long newMembers = added.keySet().stream().filter(m -> of(m).isEmpty()).count();
+        long newMembers = added.keySet().stream().filter(m -> orderFor(m).isEmpty()).count();
         if (containsRequest(command.id()) || slot == MAX_OPEN_REQUESTS || added.isEmpty() || orders.size() + newMembers > MAX_ORDERS) {
             return this;
         }
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -162,7 +162,7 @@
             // The operator relies on what this router shows, and repeats the command until it no longer shows the member
             // as out under that fence.
             if (plan.stamp() > entry.getValue()
-                    && plan.of(entry.getKey()).map(o -> o.fence() > entry.getValue()).orElse(true)) {
+                    && plan.orderFor(entry.getKey()).map(o -> o.fence() > entry.getValue()).orElse(true)) {
                 finishedWork.remove(entry.getKey());
             } else {
                 String answer = router.fleet.handleCommand(
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -109,7 +109,7 @@
                                 1,
                                 0,
                                 0,
-                                plan.of(member).orElseThrow().fence(),
+                                plan.orderFor(member).orElseThrow().fence(),
                                 List.of(member)),
                         conditions.tiers,
                         plan.stamp() + 1,
@@ -182,7 +182,7 @@
                 .findFirst()
                 .orElseThrow()
                 .member();
-        assertTrue(PlanTransitions.waitReason(plan, plan.of(waitingMember).orElseThrow(), 0, 3, conditions).contains("would serve, 8 must"));
+        assertTrue(PlanTransitions.waitReason(plan, plan.orderFor(waitingMember).orElseThrow(), 0, 3, conditions).contains("would serve, 8 must"));
         conditions.failing.add(waitingMember);
         runUntilStable();
         assertEquals(2, plan.out(), "a failing member is out of use already");
@@ -222,7 +222,7 @@
         assertEquals("router router-7 has not been told", PlanTransitions.waitReason(plan, named, 0, 3, conditions));
         conditions.tiers.remove(named.member());
         runUntilStable();
-        assertEquals(Phase.FINISHED, plan.of(named.member()).orElseThrow().phase());
+        assertEquals(Phase.FINISHED, plan.orderFor(named.member()).orElseThrow().phase());
     }
 
     @Test
@@ -242,7 +242,7 @@
                 .member());
         runUntilStable();
         assertEquals(2, plan.out());
-        assertEquals(Phase.OUT, plan.of(out.get(1)).orElseThrow().phase());
+        assertEquals(Phase.OUT, plan.orderFor(out.get(1)).orElseThrow().phase());
     }
 
     @Test
@@ -272,7 +272,7 @@
                         plan.stamp() + 1,
                         0)
                 .plan();
-        assertEquals(Phase.OUT, plan.of(out.member()).orElseThrow().phase());
+        assertEquals(Phase.OUT, plan.orderFor(out.member()).orElseThrow().phase());
         assertEquals(
                 2,
                 plan.orders().stream().filter(o -> o.phase() == Phase.FINISHED).count());
--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -330,7 +330,7 @@
                 assertTrue(
                         router.planStore.applied().out() <= 1, () -> "more members out than allowed: " + router.planStore.applied() + " after " + path);
                 for (long member : outMembers.keySet()) {
-                    Phase phase = router.planStore.applied().of(member).map(DrainOrder::phase).orElse(Phase.FINISHED);
+                    Phase phase = router.planStore.applied().orderFor(member).map(DrainOrder::phase).orElse(Phase.FINISHED);
                     boolean avoided = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !router.hasLeaderContact;
                     assertTrue(
                             !router.alive || !router.hadLeaderContact || avoided,
