--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -274,7 +274,7 @@
     }
 
     /** Accepts the coordinator's confirmation that no update after this number was announced until {@code asOf}. */
-    public void certain(long now, long asOf, long lastNumber) {
+    public void confirmUpdates(long now, long asOf, long lastNumber) {
         if (number >= lastNumber) {
             certainUntil = Math.max(certainUntil, Math.min(now, asOf));
         }
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -842,7 +842,7 @@
         if (message instanceof TopologyMessage.Told update) {
             hierarchy.get().take(now, update.piece());
         } else if (message instanceof TopologyMessage.Certain certain) {
-            hierarchy.get().certain(now, certain.asOf(), certain.lastNumber());
+            hierarchy.get().confirmUpdates(now, certain.asOf(), certain.lastNumber());
         }
     }
 
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -153,11 +153,11 @@
     void updatesOfAWholeTopologyAreAppliedTogetherOrNotAtAll() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
         hierarchy.take(START_MICROS, update(1, START_MICROS, 2, "d:h2"));
-        hierarchy.certain(START_MICROS + 3 * SECOND_MICROS, START_MICROS + 3 * SECOND_MICROS, 1);
+        hierarchy.confirmUpdates(START_MICROS + 3 * SECOND_MICROS, START_MICROS + 3 * SECOND_MICROS, 1);
         assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, START_MICROS + 3 * SECOND_MICROS)));
         assertEquals(Stage.WAITING_FOR_NEWS, hierarchy.snapshot().stage());
         hierarchy.take(START_MICROS + 3 * SECOND_MICROS, update(2, START_MICROS + 3 * SECOND_MICROS, 2, "h2:h1"));
-        hierarchy.certain(START_MICROS + 6 * SECOND_MICROS, START_MICROS + 6 * SECOND_MICROS, 2);
+        hierarchy.confirmUpdates(START_MICROS + 6 * SECOND_MICROS, START_MICROS + 6 * SECOND_MICROS, 2);
         assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, START_MICROS + 6 * SECOND_MICROS)));
         hierarchy.take(START_MICROS + 6 * SECOND_MICROS, update(3, START_MICROS + 6 * SECOND_MICROS, 2, "h1:h2"));
         hierarchy.take(START_MICROS + 6 * SECOND_MICROS, update(4, START_MICROS + 6 * SECOND_MICROS, 2, "d:h1"));
@@ -193,9 +193,9 @@
         hierarchy.advance(START_MICROS + 4 * SECOND_MICROS);
         assertTrue(hierarchy.sources(HierarchyTest::id).lists().isEmpty(), "the ordinary path decides");
         assertEquals(Stage.TOO_OLD, hierarchy.snapshot().stage());
-        hierarchy.certain(START_MICROS + 9 * SECOND_MICROS, START_MICROS + 9 * SECOND_MICROS, 1);
+        hierarchy.confirmUpdates(START_MICROS + 9 * SECOND_MICROS, START_MICROS + 9 * SECOND_MICROS, 1);
         assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, START_MICROS + 9 * SECOND_MICROS)));
-        hierarchy.certain(START_MICROS + 20 * SECOND_MICROS, START_MICROS + 20 * SECOND_MICROS, 2);
+        hierarchy.confirmUpdates(START_MICROS + 20 * SECOND_MICROS, START_MICROS + 20 * SECOND_MICROS, 2);
         hierarchy.advance(START_MICROS + 20 * SECOND_MICROS);
         assertEquals(Stage.TOO_OLD, hierarchy.snapshot().stage(), "an update is missing, so nothing after it is confirmed");
     }
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -135,7 +135,7 @@
                 if (random.nextInt(4) > 0) {
                     long delay = random.nextInt((int) (2 * SECOND_MICROS));
                     inbox.get(index).add(new Delivery(now + delay, () -> routers.get(router)
-                            .certain(localTime(router, now + delay), now, last)));
+                            .confirmUpdates(localTime(router, now + delay), now, last)));
                 }
             }
         }
