--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -44,7 +44,7 @@
      * The configuration of a router: the unit that represents the caches of its location, the source of the topology,
      * the durations of a change, and how long a member that has started is in slow start, in microseconds.
      */
-    public record Setup(String depot, UpdateSource news, MigrationTiming timing, long coldTime) {}
+    public record Setup(String depot, UpdateSource updateSource, MigrationTiming timing, long coldTime) {}
 
     /**
      * The progress of a topology change. HELD: a link waits because it would close a loop. WAITING_FOR_NEWS: an update
@@ -191,7 +191,7 @@
     public List<Violation> take(long now, Topology topology, Set<String> members) {
         advance(now);
         List<Violation> problems = new ArrayList<>(TopologyValidator.problems(topology, members));
-        if (setup.news() != UpdateSource.FILE) {
+        if (setup.updateSource() != UpdateSource.FILE) {
             problems.add(new Violation(TopologyValidator.ViolationKind.NOT_APPLICABLE, "", "this router receives the topology from the coordinator, not from the file"));
         }
         if (topology.version() <= version && !topology.units().equals(target)) {
@@ -397,7 +397,7 @@
      * known here may take effect from then on.
      */
     public void advance(long now) {
-        if (setup.news() == UpdateSource.FILE) {
+        if (setup.updateSource() == UpdateSource.FILE) {
             certainUntil = Math.max(certainUntil, now);
         }
         timeline.advance(Math.min(now, certainUntil + setup.timing().lead()));
@@ -419,7 +419,7 @@
     /** Returns when {@link #advance} must be called next, or Long.MAX_VALUE if it need not be. */
     public long nextDue() {
         long next = Math.min(timeline.nextChange(), tooOld && suspendedUntil > certainUntil ? suspendedUntil : Long.MAX_VALUE);
-        if (setup.news() == UpdateSource.FILE) {
+        if (setup.updateSource() == UpdateSource.FILE) {
             return next;
         }
         long staleAt = tooOld
