--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -44,7 +44,7 @@
      * The configuration of a router: the unit that represents the caches of its location, the source of the topology,
      * the durations of a change, and how long a member that has started is in slow start, in microseconds.
      */
-    public record Setup(String depot, UpdateSource updateSource, MigrationTiming timing, long coldTime) {}
+    public record Setup(String depot, UpdateSource updateSource, MigrationTiming timing, long slowStartMicros) {}
 
     /**
      * The progress of a topology change. HELD: a link waits because it would close a loop. WAITING_FOR_NEWS: an update
@@ -473,11 +473,11 @@
         List<FillSource> sources = new ArrayList<>();
         parents.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(parent -> {
             long startTime = startTimes.getOrDefault(parent.getKey(), 0L);
-            boolean restarted = startTime > 0 && state.moving() && state.moveEnd - startTime < setup.coldTime()
+            boolean restarted = startTime > 0 && state.moving() && state.moveEnd - startTime < setup.slowStartMicros()
                     || startTime > state.moveStart && state.moving();
             long rampStart = restarted ? Math.max(state.moveStart, startTime) : state.moveStart;
             long rampEnd = restarted
-                    ? Math.max(state.moveEnd, startTime + Math.max(setup.timing().move(), setup.coldTime()))
+                    ? Math.max(state.moveEnd, startTime + Math.max(setup.timing().move(), setup.slowStartMicros()))
                     : state.moveEnd;
             sources.add(new FillSource(
                     memberId.applyAsLong(parent.getKey()),
