--- a/src/main/java/pumicemoor/cli/HierarchyCommand.java
+++ b/src/main/java/pumicemoor/cli/HierarchyCommand.java
@@ -64,9 +64,9 @@
             MigrationPlan plan = MigrationPlan.between(current.shape(), next.shape(), next.timing());
             if (!plan.usable()) {
                 throw new WireException(nextFile + ": refused: "
-                        + (plan.problems().isEmpty()
+                        + (plan.violations().isEmpty()
                                 ? "the migration would never complete"
-                                : plan.problems().get(0)));
+                                : plan.violations().get(0)));
             }
             System.out.println("version " + current.shape().version() + " to "
                     + next.shape().version() + ", " + plan.steps().size() + " steps; times count from the announcement");
--- a/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -11,7 +11,7 @@
  * The steps by which one topology replaces another, computed by running the same timeline that routers follow. It
  * keeps no state beyond the result, and must not compute a change in any other way than through the timeline.
  */
-public record MigrationPlan(List<Step> steps, List<Violation> problems, boolean completes) {
+public record MigrationPlan(List<Step> steps, List<Violation> violations, boolean completes) {
 
     /**
      * The changes at one moment, in microseconds since the announcement: links that come into use, links whose
@@ -28,7 +28,7 @@
 
     /** Returns whether the new topology is valid and the change completes. */
     public boolean usable() {
-        return problems.isEmpty() && completes;
+        return violations.isEmpty() && completes;
     }
 
     /** Computes the migration from one topology to the next. The old topology must be valid. */
