--- a/src/main/java/pumicemoor/cli/HierarchyCommand.java
+++ b/src/main/java/pumicemoor/cli/HierarchyCommand.java
@@ -71,7 +71,7 @@
             System.out.println("version " + current.shape().version() + " to "
                     + next.shape().version() + ", " + plan.steps().size() + " steps; times count from the announcement");
             for (MigrationPlan.Step step : plan.steps()) {
-                System.out.printf("at %.1f s%n", step.after() / 1e6);
+                System.out.printf("at %.1f s%n", step.afterMicros() / 1e6);
                 print("begins to fill from", step.begin());
                 print("leaves by a rising share", step.leave());
                 print("may fill from the one before", step.seeds());
--- a/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -19,7 +19,7 @@
      * close a loop, and links over which a new parent may fill from a previous one.
      */
     public record Step(
-            long after,
+            long afterMicros,
             List<String> begin,
             List<String> leave,
             List<String> end,
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -257,7 +257,7 @@
                 .filter(s -> s.begin().contains("h2 <- h1"))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(TIMING.lead() + TIMING.move() + TIMING.gap(), second.after());
+        assertEquals(TIMING.lead() + TIMING.move() + TIMING.gap(), second.afterMicros());
         assertFalse(MigrationPlan.between(old, Topologies.topology(2, 0, "d:h1", "h1:h2", "h2:h1"), TIMING)
                 .usable());
     }
