--- a/src/main/java/pumicemoor/cli/HierarchyCommand.java
+++ b/src/main/java/pumicemoor/cli/HierarchyCommand.java
@@ -76,7 +76,7 @@
                 print("leaves by a rising share", step.leave());
                 print("may fill from the one before", step.seeds());
                 print("out of use", step.end());
-                print("held back, it would close a loop", step.held());
+                print("held back, it would close a loop", step.blocked());
             }
         }
 
--- a/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -23,7 +23,7 @@
             List<String> begin,
             List<String> leave,
             List<String> end,
-            List<String> held,
+            List<String> blocked,
             List<String> seeds) {}
 
     /** Returns whether the new topology is valid and the change completes. */
@@ -74,7 +74,7 @@
             if (step.begin().size()
                             + step.leave().size()
                             + step.end().size()
-                            + step.held().size()
+                            + step.blocked().size()
                     > 0) {
                 steps.add(step);
             }
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -252,7 +252,7 @@
         MigrationPlan plan = MigrationPlan.between(old, Topologies.topology(2, 0, "d:h1", "h1:o", "h2:h1"), TIMING);
         assertTrue(plan.usable());
         assertEquals(List.of("h1 <- o"), plan.steps().get(0).begin());
-        assertEquals(List.of("h2 <- h1"), plan.steps().get(0).held());
+        assertEquals(List.of("h2 <- h1"), plan.steps().get(0).blocked());
         MigrationPlan.Step second = plan.steps().stream()
                 .filter(s -> s.begin().contains("h2 <- h1"))
                 .findFirst()
