--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -168,7 +168,7 @@
         MigrationTiming timing = setup.timing();
         hierarchy.suspendedUntil = topology.announced() == 0
                 ? 0
-                : topology.announced() + timing.lead() + (hubs + 1) * (timing.move() + timing.gap());
+                : topology.announced() + timing.leadMicros() + (hubs + 1) * (timing.move() + timing.gap());
         return hierarchy;
     }
 
@@ -400,10 +400,10 @@
         if (setup.updateSource() == UpdateSource.FILE) {
             certainUntil = Math.max(certainUntil, now);
         }
-        timeline.advance(Math.min(now, certainUntil + setup.timing().lead()));
+        timeline.advance(Math.min(now, certainUntil + setup.timing().leadMicros()));
         // the other half of the gap allows for clock skew
         boolean stale =
-                now < suspendedUntil || now - certainUntil > setup.timing().lead() + setup.timing().gap() / 2;
+                now < suspendedUntil || now - certainUntil > setup.timing().leadMicros() + setup.timing().gap() / 2;
         if (stale != tooOld) {
             tooOld = stale;
             changed = true;
@@ -424,8 +424,8 @@
         }
         long staleAt = tooOld
                 ? Long.MAX_VALUE
-                : certainUntil + setup.timing().lead() + setup.timing().gap() / 2 + 1;
-        return next <= certainUntil + setup.timing().lead() ? Math.min(next, staleAt) : staleAt;
+                : certainUntil + setup.timing().leadMicros() + setup.timing().gap() / 2 + 1;
+        return next <= certainUntil + setup.timing().leadMicros() ? Math.min(next, staleAt) : staleAt;
     }
 
     private void linkChanged(Timeline.Change change) {
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -35,7 +35,7 @@
     void absentKeysOfAValidFileGetTheirDefaults() throws Exception {
         HierarchySection section = OperatorFile.parse("f", VALID).hierarchy().orElseThrow();
         assertEquals(UpdateSource.FILE, section.news());
-        assertEquals(4_000_000, section.timing().lead());
+        assertEquals(4_000_000, section.timing().leadMicros());
         assertEquals(60_000_000, section.timing().move());
         assertEquals(4, section.shape().units().size());
         assertEquals(0.5, section.shape().units().get("west").parents().get("hub-b"));
