--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -168,7 +168,7 @@
         MigrationTiming timing = setup.timing();
         hierarchy.suspendedUntil = topology.announced() == 0
                 ? 0
-                : topology.announced() + timing.leadMicros() + (hubs + 1) * (timing.move() + timing.gap());
+                : topology.announced() + timing.leadMicros() + (hubs + 1) * (timing.moveMicros() + timing.gap());
         return hierarchy;
     }
 
@@ -477,7 +477,7 @@
                     || startTime > state.moveStart && state.moving();
             long rampStart = restarted ? Math.max(state.moveStart, startTime) : state.moveStart;
             long rampEnd = restarted
-                    ? Math.max(state.moveEnd, startTime + Math.max(setup.timing().move(), setup.slowStartMicros()))
+                    ? Math.max(state.moveEnd, startTime + Math.max(setup.timing().moveMicros(), setup.slowStartMicros()))
                     : state.moveEnd;
             sources.add(new FillSource(
                     memberId.applyAsLong(parent.getKey()),
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -309,7 +309,7 @@
         state.current = Map.copyOf(to);
         state.previous = Map.copyOf(from);
         state.moveStart = now;
-        state.moveEnd = now + Math.round(timing.move() * (1 - state.startShare));
+        state.moveEnd = now + Math.round(timing.moveMicros() * (1 - state.startShare));
         to.keySet().stream().sorted().forEach(p -> markInUse(state, p));
         if (from.isEmpty()) {
             return; // the unit had no parents: there is nothing to migrate
@@ -459,7 +459,7 @@
         if (!state.moving()) {
             return 1;
         }
-        double remaining = timing.move() == 0 ? 0 : (state.moveEnd - now) / (double) timing.move();
+        double remaining = timing.moveMicros() == 0 ? 0 : (state.moveEnd - now) / (double) timing.moveMicros();
         return Math.max(0, Math.min(1, 1 - remaining));
     }
 
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -36,7 +36,7 @@
         HierarchySection section = OperatorFile.parse("f", VALID).hierarchy().orElseThrow();
         assertEquals(UpdateSource.FILE, section.news());
         assertEquals(4_000_000, section.timing().leadMicros());
-        assertEquals(60_000_000, section.timing().move());
+        assertEquals(60_000_000, section.timing().moveMicros());
         assertEquals(4, section.shape().units().size());
         assertEquals(0.5, section.shape().units().get("west").parents().get("hub-b"));
         assertEquals(1_796_140_800_000_000L, section.shape().announced());
