--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -168,7 +168,7 @@
         MigrationTiming timing = setup.timing();
         hierarchy.suspendedUntil = topology.announced() == 0
                 ? 0
-                : topology.announced() + timing.leadMicros() + (hubs + 1) * (timing.moveMicros() + timing.gap());
+                : topology.announced() + timing.leadMicros() + (hubs + 1) * (timing.moveMicros() + timing.gapMicros());
         return hierarchy;
     }
 
@@ -403,7 +403,7 @@
         timeline.advance(Math.min(now, certainUntil + setup.timing().leadMicros()));
         // the other half of the gap allows for clock skew
         boolean stale =
-                now < suspendedUntil || now - certainUntil > setup.timing().leadMicros() + setup.timing().gap() / 2;
+                now < suspendedUntil || now - certainUntil > setup.timing().leadMicros() + setup.timing().gapMicros() / 2;
         if (stale != tooOld) {
             tooOld = stale;
             changed = true;
@@ -424,7 +424,7 @@
         }
         long staleAt = tooOld
                 ? Long.MAX_VALUE
-                : certainUntil + setup.timing().leadMicros() + setup.timing().gap() / 2 + 1;
+                : certainUntil + setup.timing().leadMicros() + setup.timing().gapMicros() / 2 + 1;
         return next <= certainUntil + setup.timing().leadMicros() ? Math.min(next, staleAt) : staleAt;
     }
 
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -415,8 +415,8 @@
 
     /** Takes a link out of use but keeps it in the order for the gap, since other routers may still use it. */
     private void linger(Link link) {
-        lingering.put(link, now + timing.gap());
-        linkRemovals.add(new Timer(now + timing.gap(), link));
+        lingering.put(link, now + timing.gapMicros());
+        linkRemovals.add(new Timer(now + timing.gapMicros(), link));
         notifyChange(Change.Type.OUT_OF_USE, link);
     }
 
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -241,7 +241,7 @@
         Hierarchy withoutPrevious = Hierarchy.start(topology, Optional.empty(), 0, START_MICROS + 7 * SECOND_MICROS, setup, log::add);
         withoutPrevious.advance(START_MICROS + 7 * SECOND_MICROS);
         assertTrue(withoutPrevious.sources(HierarchyTest::id).lists().isEmpty());
-        long changeOver = START_MICROS + TIMING.leadMicros() + 3 * (TIMING.moveMicros() + TIMING.gap());
+        long changeOver = START_MICROS + TIMING.leadMicros() + 3 * (TIMING.moveMicros() + TIMING.gapMicros());
         assertEquals(changeOver, withoutPrevious.nextDue());
         assertFalse(localSources(withoutPrevious, changeOver) == null);
     }
@@ -257,7 +257,7 @@
                 .filter(s -> s.begin().contains("h2 <- h1"))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(TIMING.leadMicros() + TIMING.moveMicros() + TIMING.gap(), second.afterMicros());
+        assertEquals(TIMING.leadMicros() + TIMING.moveMicros() + TIMING.gapMicros(), second.afterMicros());
         assertFalse(MigrationPlan.between(old, Topologies.topology(2, 0, "d:h1", "h1:h2", "h2:h1"), TIMING)
                 .usable());
     }
