--- a/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
@@ -9,12 +9,12 @@
  * have ended; it covers the longest fill and the clock skew between routers. The last value is how long after a
  * migration a new parent may still fill from the previous one.
  */
-public record MigrationTiming(long leadMicros, long moveMicros, long gapMicros, long remember) {
+public record MigrationTiming(long leadMicros, long moveMicros, long gapMicros, long rememberMicros) {
 
     public MigrationTiming {
-        if (leadMicros < 0 || moveMicros < 0 || gapMicros <= 0 || remember < 0) {
+        if (leadMicros < 0 || moveMicros < 0 || gapMicros <= 0 || rememberMicros < 0) {
             throw new IllegalArgumentException(
-                    "a topology change needs a positive gap and no negative durations: lead " + leadMicros + ", move " + moveMicros + ", gap " + gapMicros + ", remember " + remember);
+                    "a topology change needs a positive gap and no negative durations: lead " + leadMicros + ", move " + moveMicros + ", gap " + gapMicros + ", remember " + rememberMicros);
         }
     }
 }
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -321,7 +321,7 @@
                 .sorted()
                 .forEach(p -> notifyChange(Change.Type.LEAVING, new Link(state.name, p)));
         state.earlier = state.previous;
-        seedsFor(to, from).forEach(l -> addSeed(l, state.moveEnd + timing.remember()));
+        seedsFor(to, from).forEach(l -> addSeed(l, state.moveEnd + timing.rememberMicros()));
     }
 
     private void markInUse(UnitState state, String parent) {
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -185,7 +185,7 @@
             run.deliver(now);
             run.check(now);
         }
-        long end = now + 40 * SECOND_MICROS + (HUBS + 2) * 3 * (TIMING.moveMicros() + 2 * TIMING.gapMicros() + TIMING.remember());
+        long end = now + 40 * SECOND_MICROS + (HUBS + 2) * 3 * (TIMING.moveMicros() + 2 * TIMING.gapMicros() + TIMING.rememberMicros());
         for (; now < end; now += 4 * STEP_MICROS) {
             run.heartbeat(now);
             run.deliver(now);
