--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -154,7 +154,7 @@
     public static Hierarchy start(
             Topology topology, Optional<Topology> before, long number, long now, Setup setup, Consumer<LogEvent> log) {
         if (before.isPresent()) {
-            Hierarchy hierarchy = new Hierarchy(before.get(), number, Math.min(now, topology.announced()), setup, log);
+            Hierarchy hierarchy = new Hierarchy(before.get(), number, Math.min(now, topology.announcedMicros()), setup, log);
             updatesBetween(before.get().units(), topology, hierarchy.number + 1).forEach(hierarchy::apply);
             hierarchy.number = number;
             hierarchy.version = topology.version();
@@ -166,9 +166,9 @@
                 .filter(unit -> unit.kind() == Kind.HUB)
                 .count();
         MigrationTiming timing = setup.timing();
-        hierarchy.suspendedUntil = topology.announced() == 0
+        hierarchy.suspendedUntil = topology.announcedMicros() == 0
                 ? 0
-                : topology.announced() + timing.leadMicros() + (hubs + 1) * (timing.moveMicros() + timing.gapMicros());
+                : topology.announcedMicros() + timing.leadMicros() + (hubs + 1) * (timing.moveMicros() + timing.gapMicros());
         return hierarchy;
     }
 
@@ -228,7 +228,7 @@
         for (Unit unit : changed) {
             updates.add(new TopologyUpdate(
                     firstNumber + updates.size(),
-                    to.announced(),
+                    to.announcedMicros(),
                     to.version(),
                     count,
                     unit.name(),
@@ -239,7 +239,7 @@
         for (Unit unit : removed) {
             updates.add(new TopologyUpdate(
                     firstNumber + updates.size(),
-                    to.announced(),
+                    to.announcedMicros(),
                     to.version(),
                     count,
                     unit.name(),
--- a/src/main/java/pumicemoor/hierarchy/Topology.java
+++ b/src/main/java/pumicemoor/hierarchy/Topology.java
@@ -8,7 +8,7 @@
  * members' addresses nor which topology is in force. The time of the announcement is in Unix microseconds. If skips are
  * allowed, a unit may fill from a level more than one above its own although there are hubs.
  */
-public record Topology(long version, long announced, boolean skipsAllowed, Map<String, Unit> units) {
+public record Topology(long version, long announcedMicros, boolean skipsAllowed, Map<String, Unit> units) {
 
     /** The kinds of units, from the clients up. A depot stands for all its caches that are not units themselves. */
     public enum Kind {
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -39,7 +39,7 @@
         assertEquals(60_000_000, section.timing().moveMicros());
         assertEquals(4, section.shape().units().size());
         assertEquals(0.5, section.shape().units().get("west").parents().get("hub-b"));
-        assertEquals(1_796_140_800_000_000L, section.shape().announced());
+        assertEquals(1_796_140_800_000_000L, section.shape().announcedMicros());
         assertEquals(OperatorConfig.NONE, OperatorFile.parse("f", ""));
     }
 
