--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -351,7 +351,7 @@
         Map<String, Unit> result = new TreeMap<>(target);
         long announced = 0;
         for (TopologyUpdate update : updates) {
-            announced = Math.max(announced, update.announced());
+            announced = Math.max(announced, update.announcedMicros());
             if (update.removed()) {
                 result.remove(update.unit());
             } else {
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -122,7 +122,7 @@
 
     /** Adds the next update in sequence. It takes effect the lead time after its announcement. */
     void add(TopologyUpdate update) {
-        long at = Math.max(lastEffectiveAt, update.announced() + timing.leadMicros());
+        long at = Math.max(lastEffectiveAt, update.announcedMicros() + timing.leadMicros());
         if (at < now) {
             counts[Count.LATE.ordinal()]++;
             at = now;
--- a/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
@@ -14,7 +14,7 @@
  */
 public record TopologyUpdate(
         long number,
-        long announced,
+        long announcedMicros,
         long version,
         int pieces,
         String unit,
