--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -285,20 +285,20 @@
         number = update.number();
         if (!partialTopology.isEmpty()
                 && (update.version() != partialTopology.get(0).version()
-                        || update.pieces() != partialTopology.get(0).pieces())) {
+                        || update.updatesInTopology() != partialTopology.get(0).updatesInTopology())) {
             rejectTopology(
                     partialTopology.get(0).version(),
                     "update " + update.number() + " belongs to another topology, but only " + partialTopology.size() + " of "
-                            + partialTopology.get(0).pieces() + " updates of this one have arrived");
+                            + partialTopology.get(0).updatesInTopology() + " updates of this one have arrived");
             partialTopology.clear();
         }
-        if (update.pieces() <= 0) {
+        if (update.updatesInTopology() <= 0) {
             applyIndependent(update);
-        } else if (update.pieces() > MAX_UPDATES_PER_TOPOLOGY) {
-            rejectTopology(update.version(), "it has " + update.pieces() + " updates; the limit is " + MAX_UPDATES_PER_TOPOLOGY);
+        } else if (update.updatesInTopology() > MAX_UPDATES_PER_TOPOLOGY) {
+            rejectTopology(update.version(), "it has " + update.updatesInTopology() + " updates; the limit is " + MAX_UPDATES_PER_TOPOLOGY);
         } else {
             partialTopology.add(update);
-            if (partialTopology.size() == update.pieces()) {
+            if (partialTopology.size() == update.updatesInTopology()) {
                 applyTopology(List.copyOf(partialTopology));
                 partialTopology.clear();
             }
@@ -365,7 +365,7 @@
             return;
         }
         for (TopologyUpdate update : updates) {
-            apply(new TopologyUpdate(update.number(), announced, version, update.pieces(), update.unit(), update.kind(), update.parents(), update.removed()));
+            apply(new TopologyUpdate(update.number(), announced, version, update.updatesInTopology(), update.unit(), update.kind(), update.parents(), update.removed()));
         }
         this.version = Math.max(this.version, version);
         topologiesAccepted++;
--- a/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -51,7 +51,7 @@
         Timeline timeline = new Timeline(old, 0, timing, changes::add);
         for (TopologyUpdate update : Hierarchy.updatesBetween(old.units(), next, 1)) {
             timeline.add(
-                    new TopologyUpdate(update.number(), 0, update.version(), update.pieces(), update.unit(), update.kind(), update.parents(), update.removed()));
+                    new TopologyUpdate(update.number(), 0, update.version(), update.updatesInTopology(), update.unit(), update.kind(), update.parents(), update.removed()));
         }
         for (long at = timeline.nextChange(); at < Long.MAX_VALUE; at = timeline.nextChange()) {
             timeline.advance(at);
--- a/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyUpdate.java
@@ -16,7 +16,7 @@
         long number,
         long announcedMicros,
         long version,
-        int pieces,
+        int updatesInTopology,
         String unit,
         Kind kind,
         Map<String, Double> parents,
