--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -190,7 +190,7 @@
      */
     public List<Violation> take(long now, Topology topology, Set<String> members) {
         advance(now);
-        List<Violation> problems = new ArrayList<>(TopologyValidator.problems(topology, members));
+        List<Violation> problems = new ArrayList<>(TopologyValidator.findViolations(topology, members));
         if (setup.updateSource() != UpdateSource.FILE) {
             problems.add(new Violation(TopologyValidator.ViolationKind.NOT_APPLICABLE, "", "this router receives the topology from the coordinator, not from the file"));
         }
@@ -359,7 +359,7 @@
             }
         }
         long version = updates.get(0).version();
-        List<Violation> problems = TopologyValidator.problems(new Topology(version, announced, skipsAllowed, result), Set.of());
+        List<Violation> problems = TopologyValidator.findViolations(new Topology(version, announced, skipsAllowed, result), Set.of());
         if (!problems.isEmpty()) {
             rejectTopology(version, problems.get(0).text());
             return;
--- a/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -33,7 +33,7 @@
 
     /** Computes the migration from one topology to the next. The old topology must be valid. */
     public static MigrationPlan between(Topology old, Topology next, MigrationTiming timing) {
-        List<Violation> violations = new ArrayList<>(TopologyValidator.problems(next, Set.of()));
+        List<Violation> violations = new ArrayList<>(TopologyValidator.findViolations(next, Set.of()));
         next.units().values().stream()
                 .filter(u -> old.units().containsKey(u.name())
                         && old.units().get(u.name()).kind() != u.kind()
--- a/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
@@ -54,7 +54,7 @@
      * Returns the violations, at most the first 20. If {@code members} is empty, the members are not known yet and
      * the units are not compared with them.
      */
-    public static List<Violation> problems(Topology topology, Set<String> members) {
+    public static List<Violation> findViolations(Topology topology, Set<String> members) {
         List<Violation> violations = new ArrayList<>();
         Map<String, Unit> units = topology.units();
         if (units.size() > MAX_UNITS) {
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -549,7 +549,7 @@
         addUnits(units, path + ".caches", Kind.CACHE, form.caches());
         Topology topology = new Topology(
                 form.version(), announcedMicros(path, form.announced()), Boolean.TRUE.equals(form.allowSkips()), units);
-        List<Violation> violations = TopologyValidator.problems(topology, Set.of());
+        List<Violation> violations = TopologyValidator.findViolations(topology, Set.of());
         if (!violations.isEmpty()) {
             Violation first = violations.get(0);
             Unit unit = units.get(first.unit());
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -277,7 +277,7 @@
     void violationsAreReported(String lines, ViolationKind expected) {
         assertEquals(
                 expected,
-                TopologyValidator.problems(Topologies.topology(1, 0, lines.split(";")), Set.of())
+                TopologyValidator.findViolations(Topologies.topology(1, 0, lines.split(";")), Set.of())
                         .get(0)
                         .kind());
     }
