--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.Optional;
-import pumicemoor.wire.Message;
+import pumicemoor.wire.JsonObject;
 import pumicemoor.wire.SettingsReader;
 import pumicemoor.wire.WireException;
 
@@ -20,8 +20,8 @@
         Resources resources,
         SettingsReader settingsReader,
         long initialIndex,
-        List<Message> initialUpdates,
-        Message document) {
+        List<JsonObject> initialUpdates,
+        JsonObject document) {
 
     private static final int MAX_PORT = 65_535;
 
@@ -33,11 +33,11 @@
 
     /** Parses the configuration; the exception names the invalid field. */
     public static NodeConfig parse(String json) throws WireException {
-        Message document = Message.parse(json);
-        Message limits = document.objectOrEmpty("limits");
-        Message settings = document.object("settings");
-        Message policy = settings.object("policy-limits");
-        Message initial = document.objectOrEmpty("known");
+        JsonObject document = JsonObject.parse(json);
+        JsonObject limits = document.objectOrEmpty("limits");
+        JsonObject settings = document.object("settings");
+        JsonObject policy = settings.object("policy-limits");
+        JsonObject initial = document.objectOrEmpty("known");
         String coordinator = document.text("coordinator", "");
         return new NodeConfig(
                 document.text("name", ""),
@@ -67,7 +67,7 @@
                 .findFirst();
     }
 
-    static String address(Message document, String field) throws WireException {
+    static String address(JsonObject document, String field) throws WireException {
         String address = document.text(field);
         if (!address.matches("[^:\\s]+:\\d{1,5}")
                 || Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)) > MAX_PORT) {
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -54,7 +54,7 @@
 import pumicemoor.node.Input.AnswerStatus;
 import pumicemoor.operator.HierarchySection;
 import pumicemoor.operator.OperatorConfig;
-import pumicemoor.wire.Message;
+import pumicemoor.wire.JsonObject;
 import pumicemoor.wire.Rows;
 import pumicemoor.wire.TopologyMessage;
 import pumicemoor.wire.SettingsReader;
@@ -689,7 +689,7 @@
 
     private void applyUpdate(String json) {
         try {
-            applyUpdate(Message.parse(json));
+            applyUpdate(JsonObject.parse(json));
         } catch (WireException e) {
             counters.add(Name.BAD_INPUT);
             warningLog.warn(now, "an event of the coordinator is skipped: " + e.getMessage());
@@ -728,7 +728,7 @@
         now = time;
         wallNow = time;
         effectSink = effects;
-        for (Message update : config.initialUpdates()) {
+        for (JsonObject update : config.initialUpdates()) {
             try {
                 applyUpdate(update);
             } catch (WireException e) {
@@ -934,7 +934,7 @@
      * Applies an event once and in order. On a gap, reopens the coordinator's stream from the last applied event, once
      * per gap; if the missing event is not sent then either, applies the later one.
      */
-    private void applyUpdate(Message update) throws WireException {
+    private void applyUpdate(JsonObject update) throws WireException {
         long index = update.integer("index", lastEventIndex + 1);
         if (index <= lastEventIndex) {
             return; // already applied
@@ -957,10 +957,10 @@
 
     /** Reads and applies one part of an event; it must read the whole part before it applies anything. */
     private interface PartReader {
-        void apply(Message part) throws WireException;
+        void apply(JsonObject part) throws WireException;
     }
 
-    private void applyPart(long index, String name, Message update, PartReader reader) {
+    private void applyPart(long index, String name, JsonObject update, PartReader reader) {
         if (update.has(name)) {
             try {
                 reader.apply(update.object(name));
@@ -971,7 +971,7 @@
         }
     }
 
-    private void applyPurge(Message purge) throws WireException {
+    private void applyPurge(JsonObject purge) throws WireException {
         counters.add(Name.PURGES);
         pendingEvents.add(new Purged(
                 purge.text("ref", null), (int) purge.integer("shard", -1), ageOf(purge.integer("unix_ms") * MICROS_PER_MILLI)));
@@ -1001,7 +1001,7 @@
     /** A valid entry of a member list. */
     private record ListEntry(Member member, Endpoint endpoint) {}
 
-    private ListEntry parseListEntry(Message entry) throws WireException {
+    private ListEntry parseListEntry(JsonObject entry) throws WireException {
         String instance = entry.text("instanceId");
         State state = STATE_BY_LIFECYCLE.get(entry.text("lifecycle"));
         if (state == null) {
@@ -1025,12 +1025,12 @@
      * Applies a member list. The whole list is read before any entry is applied; an unreadable entry affects only its
      * own member, which stays as it was.
      */
-    private void applyMemberList(Message list) throws WireException {
+    private void applyMemberList(JsonObject list) throws WireException {
         boolean snapshot = list.flag("reset");
         long version = list.integer("generation", 0);
         List<ListEntry> entries = new ArrayList<>();
         Set<Long> unreadable = new HashSet<>();
-        for (Message each : list.objects("instances")) {
+        for (JsonObject each : list.objects("instances")) {
             counters.add(Name.LIST_LINES);
             try {
                 entries.add(parseListEntry(each));
--- a/src/main/java/pumicemoor/wire/Message.java
+++ b/src/main/java/pumicemoor/wire/JsonObject.java
@@ -14,20 +14,20 @@
  * An immutable JSON object, parsed completely, with typed access to its fields. A field whose value is null counts as
  * absent. Errors name the field by its path in the object, such as {@code info.classes[0].aim-us}.
  */
-public final class Message {
+public final class JsonObject {
 
     private static final JsonFactory JSON = new JsonFactory();
 
     private final String pathPrefix;
     private final Map<String, Object> fields;
 
-    private Message(String pathPrefix, Map<String, Object> fields) {
+    private JsonObject(String pathPrefix, Map<String, Object> fields) {
         this.pathPrefix = pathPrefix;
         this.fields = fields;
     }
 
     /** Parses a line, which must hold exactly one JSON object. */
-    public static Message parse(String line) throws WireException {
+    public static JsonObject parse(String line) throws WireException {
         try (JsonParser parser = JSON.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new WireException("not a JSON object");
@@ -36,7 +36,7 @@
             if (parser.nextToken() != null) {
                 throw new WireException("the line has more than one JSON value");
             }
-            return new Message("", fields);
+            return new JsonObject("", fields);
         } catch (JsonProcessingException e) {
             throw new WireException(
                     "not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
@@ -107,18 +107,18 @@
         return has(name) && required(name, Boolean.class);
     }
 
-    public Message object(String name) throws WireException {
+    public JsonObject object(String name) throws WireException {
         return object(pathPrefix + name, required(name, Map.class));
     }
 
     /** Returns the object of that name, or an object without fields if it is absent. */
-    public Message objectOrEmpty(String name) throws WireException {
-        return has(name) ? object(name) : new Message(pathPrefix + name + ".", Map.of());
+    public JsonObject objectOrEmpty(String name) throws WireException {
+        return has(name) ? object(name) : new JsonObject(pathPrefix + name + ".", Map.of());
     }
 
     /** Returns the elements of a list of objects; an absent list counts as empty. */
-    public List<Message> objects(String name) throws WireException {
-        List<Message> objects = new ArrayList<>();
+    public List<JsonObject> objects(String name) throws WireException {
+        List<JsonObject> objects = new ArrayList<>();
         for (Object element : list(name)) {
             if (!(element instanceof Map)) {
                 throw wrongType(name);
@@ -181,9 +181,9 @@
         return new WireException("field '" + pathPrefix + name + "' has a value of the wrong type");
     }
 
-    private static Message object(String path, Object value) {
+    private static JsonObject object(String path, Object value) {
         Map<String, Object> fields = new LinkedHashMap<>();
         ((Map<?, ?>) value).forEach((key, element) -> fields.put((String) key, element));
-        return new Message(path + ".", fields);
+        return new JsonObject(path + ".", fields);
     }
 }
--- a/src/main/java/pumicemoor/wire/SettingsReader.java
+++ b/src/main/java/pumicemoor/wire/SettingsReader.java
@@ -68,21 +68,21 @@
     private final int originKind; // index in kindNames; -1 if none
     private final List<String> kindNames;
 
-    public SettingsReader(Message info) throws WireException {
-        Message specifics = info.objectOrEmpty("specifics");
+    public SettingsReader(JsonObject info) throws WireException {
+        JsonObject specifics = info.objectOrEmpty("specifics");
         zoneNames = info.texts("zones");
         kindNames = info.texts("kinds");
         parentKind = (int) specifics.integer("shield-kind", -1);
         originKind = (int) specifics.integer("store-kind", -1);
         List<RequestClass> requestClasses = new ArrayList<>();
-        for (Message entry : info.objects("classes")) {
+        for (JsonObject entry : info.objects("classes")) {
             requestClasses.add(requestClass(entry, specifics, classNames.size()));
             classNames.add(entry.text("name"));
         }
-        Message limits = info.object("policy-limits");
-        Message rules = info.object("obligations");
-        Message prices = info.objectOrEmpty("prices");
-        Message telemetry = info.objectOrEmpty("telemetry");
+        JsonObject limits = info.object("policy-limits");
+        JsonObject rules = info.object("obligations");
+        JsonObject prices = info.objectOrEmpty("prices");
+        JsonObject telemetry = info.objectOrEmpty("telemetry");
         List<Integer> routersByLocation = integers(specifics.numbers("crew-by-zone"));
         settings = new Settings(
                 (int) info.integer("me"),
@@ -161,7 +161,7 @@
     }
 
     /** Reads an entry of the member list. */
-    Member member(Message entry) throws WireException {
+    Member member(JsonObject entry) throws WireException {
         return new Member(
                 entry.integer("server"),
                 role(entry.text("generation-hw", null)),
@@ -185,7 +185,7 @@
         return index(zoneNames, name, "zone");
     }
 
-    private static RequestClass requestClass(Message entry, Message specifics, int index) throws WireException {
+    private static RequestClass requestClass(JsonObject entry, JsonObject specifics, int index) throws WireException {
         return new RequestClass(
                 entry.text("name"),
                 entry.integer("aim-us"),
@@ -205,13 +205,13 @@
     }
 
     /** Returns an element of a list of numbers, or 0 if the list is absent or too short. */
-    private static double numberAt(Message message, String name, int index) throws WireException {
+    private static double numberAt(JsonObject message, String name, int index) throws WireException {
         List<Number> numbers = message.numbers(name);
         return index < numbers.size() ? numbers.get(index).doubleValue() : 0;
     }
 
     /** Returns an element of a list of booleans, or false if the list is absent or too short. */
-    private static boolean flagAt(Message message, String name, int index) throws WireException {
+    private static boolean flagAt(JsonObject message, String name, int index) throws WireException {
         List<Boolean> flags = message.flags(name);
         return index < flags.size() && flags.get(index);
     }
--- a/src/main/java/pumicemoor/wire/SimulatorAdapter.java
+++ b/src/main/java/pumicemoor/wire/SimulatorAdapter.java
@@ -53,7 +53,7 @@
     private final ActionWriter writer;
     private final BiFunction<Settings, Long, RouterApi> routerFactory; // from settings and salt
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Long, List<Message>> memberLists = new HashMap<>(); // by the number in the field 'sheet'
+    private final Map<Long, List<JsonObject>> memberLists = new HashMap<>(); // by the number in the field 'sheet'
     private long clockMicros;
     private long round;
     private boolean batchOpen;
@@ -78,7 +78,7 @@
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             lineNumber++;
             try {
-                process(Message.parse(line));
+                process(JsonObject.parse(line));
             } catch (WireException e) {
                 throw new WireException("line " + lineNumber + ": " + e.getMessage());
             }
@@ -88,7 +88,7 @@
         }
     }
 
-    private void process(Message message) throws IOException, WireException {
+    private void process(JsonObject message) throws IOException, WireException {
         String messageName = message.text("msg");
         if (messageName.equals("Sync")) {
             startBatch(message);
@@ -115,7 +115,7 @@
         }
     }
 
-    private void startBatch(Message message) throws WireException {
+    private void startBatch(JsonObject message) throws WireException {
         long nextClockMicros = message.integer("clock-us");
         long nextRound = message.integer("round");
         if (batchOpen) {
@@ -131,7 +131,7 @@
         anyBatchStarted = true;
     }
 
-    private void startInstance(Message message) throws IOException, WireException {
+    private void startInstance(JsonObject message) throws IOException, WireException {
         int number = (int) message.integer("router");
         SettingsReader settings = new SettingsReader(message.object("info"));
         long salt = message.integer("salt");
@@ -142,7 +142,7 @@
         }
     }
 
-    private Instance instance(Message message) throws WireException {
+    private Instance instance(JsonObject message) throws WireException {
         int number = (int) message.integer("router");
         Instance instance = instances.get(number);
         if (instance == null) {
@@ -173,7 +173,7 @@
         return e + (trace.length > 0 ? " at " + trace[0] : "");
     }
 
-    private Event event(String messageName, Message message, SettingsReader settings) throws WireException {
+    private Event event(String messageName, JsonObject message, SettingsReader settings) throws WireException {
         return switch (messageName) {
             case "Fleet" -> memberListUpdate(message, settings);
             case "Arrival" ->
@@ -214,18 +214,18 @@
         };
     }
 
-    private MemberListUpdate memberListUpdate(Message message, SettingsReader settings) throws WireException {
+    private MemberListUpdate memberListUpdate(JsonObject message, SettingsReader settings) throws WireException {
         MemberListKind kind = LIST_KINDS.get(message.text("mode"));
         if (kind == null) {
             throw new WireException("field 'mode' has the unknown value '" + message.text("mode") + "'");
         }
         List<Member> members = new ArrayList<>();
         if (kind != MemberListKind.FAILED) {
-            List<Message> entries = memberLists.get(message.integer("sheet"));
+            List<JsonObject> entries = memberLists.get(message.integer("sheet"));
             if (entries == null) {
                 throw new WireException("member list " + message.integer("sheet") + " was never sent");
             }
-            for (Message entry : entries) {
+            for (JsonObject entry : entries) {
                 members.add(settings.member(entry));
             }
         }
@@ -233,7 +233,7 @@
     }
 
     /** Returns the result of a fill from its number on the wire; a number that is not known counts as no result. */
-    private static FillResult fillResult(Message message) throws WireException {
+    private static FillResult fillResult(JsonObject message) throws WireException {
         long number = message.integer("info", 0);
         return number >= 0 && number < FILL_RESULTS.length ? FILL_RESULTS[(int) number] : FillResult.NONE;
     }
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -35,7 +35,7 @@
     }
 
     /** Parses a message; times become microseconds. The exception names the invalid field. */
-    static TopologyMessage read(Message message) throws WireException {
+    static TopologyMessage read(JsonObject message) throws WireException {
         long number = message.integer("piece");
         if (message.has("certain_ms")) {
             return new Certain(message.integer("certain_ms") * 1_000, number);
--- a/src/test/java/pumicemoor/node/NodeTestConfig.java
+++ b/src/test/java/pumicemoor/node/NodeTestConfig.java
@@ -1,6 +1,6 @@
 package pumicemoor.node;
 
-import pumicemoor.wire.Message;
+import pumicemoor.wire.JsonObject;
 import pumicemoor.wire.WireException;
 
 /**
@@ -58,7 +58,7 @@
         return NodeConfig.parse(json);
     }
 
-    static Message message(String json) throws WireException {
-        return Message.parse(json);
+    static JsonObject message(String json) throws WireException {
+        return JsonObject.parse(json);
     }
 }
