--- a/src/main/java/pumicemoor/cli/Command.java
+++ b/src/main/java/pumicemoor/cli/Command.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.kohsuke.args4j.Option;
 import pumicemoor.operator.OperatorException;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /** A sub-command of the command line. The process exits with 0 when it is done and with 1 on bad input. */
 abstract class Command {
@@ -16,5 +16,5 @@
         return this;
     }
 
-    abstract void run() throws IOException, WireException, OperatorException, InterruptedException;
+    abstract void run() throws IOException, InvalidInputException, OperatorException, InterruptedException;
 }
--- a/src/main/java/pumicemoor/cli/DrainCommands.java
+++ b/src/main/java/pumicemoor/cli/DrainCommands.java
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.spi.SubCommand;
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * The command 'drain': sends drain requests for maintenance to the fleet of a running router, and shows the drain plan.
@@ -74,10 +74,10 @@
         abstract void addFields(Map<String, String> fields);
 
         /** Returns whether the plan in force shows that the command has taken effect. */
-        abstract boolean hasTakenEffect(String address, String id) throws IOException, WireException;
+        abstract boolean hasTakenEffect(String address, String id) throws IOException, InvalidInputException;
 
         @Override
-        void run() throws IOException, WireException, InterruptedException {
+        void run() throws IOException, InvalidInputException, InterruptedException {
             Map<String, String> fields = new LinkedHashMap<>();
             fields.put("drain", verb);
             fields.put("id", id);
@@ -88,12 +88,12 @@
             addFields(fields);
             String answer = Status.command(address, fields);
             if (!answer.startsWith("waits")) {
-                throw new WireException(answer);
+                throw new InvalidInputException(answer);
             }
             long deadlineNanos = System.nanoTime() + waitSeconds * 1_000_000_000L;
             while (!hasTakenEffect(address, id)) {
                 if (System.nanoTime() > deadlineNanos) {
-                    throw new WireException(
+                    throw new InvalidInputException(
                             "not agreed within " + waitSeconds + " s: there is no majority of the routers, or they do not"
                                     + " list these members; " + address + " keeps trying for a minute, and --id " + id
                                     + " repeats the command with no second effect");
@@ -103,12 +103,12 @@
             System.out.println("agreed: " + verb + " " + id);
         }
 
-        static List<Map<String, Object>> drainRows(String address) throws IOException, WireException {
+        static List<Map<String, Object>> drainRows(String address) throws IOException, InvalidInputException {
             return Status.rows(address, "drains");
         }
 
         /** Returns the rows of the drain plan for the members of this command. */
-        List<Map<String, Object>> rowsOfMembers(String address) throws IOException, WireException {
+        List<Map<String, Object>> rowsOfMembers(String address) throws IOException, InvalidInputException {
             List<String> names = List.of(members.split("\\s*,\\s*"));
             return drainRows(address).stream()
                     .filter(row -> names.contains(row.get("member")))
@@ -145,7 +145,7 @@
         }
 
         @Override
-        boolean hasTakenEffect(String address, String id) throws IOException, WireException {
+        boolean hasTakenEffect(String address, String id) throws IOException, InvalidInputException {
             return Status.rows(address, "drain-requests").stream()
                     .anyMatch(row -> row.get("id").equals(id) && !row.get("state").equals("not-taken"));
         }
@@ -173,7 +173,7 @@
         }
 
         @Override
-        boolean hasTakenEffect(String address, String id) throws IOException, WireException {
+        boolean hasTakenEffect(String address, String id) throws IOException, InvalidInputException {
             return rowsOfMembers(address).stream().noneMatch(row -> row.get("phase").equals("out"));
         }
     }
@@ -192,7 +192,7 @@
         }
 
         @Override
-        boolean hasTakenEffect(String address, String id) throws IOException, WireException {
+        boolean hasTakenEffect(String address, String id) throws IOException, InvalidInputException {
             return rowsOfMembers(address).stream()
                     .noneMatch(row -> List.of("queued", "named", "draining").contains(row.get("phase")));
         }
--- a/src/main/java/pumicemoor/cli/FleetRows.java
+++ b/src/main/java/pumicemoor/cli/FleetRows.java
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import pumicemoor.wire.Rows;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * Prints rows about the fleet that a running router knows, as a table or as JSON. It only reads: it must not change
@@ -31,7 +31,7 @@
     }
 
     @Override
-    void run() throws IOException, WireException {
+    void run() throws IOException, InvalidInputException {
         List<Map<String, Object>> rows = Status.rows(address, subject);
         System.out.print(json ? Rows.json(rows) + "\n" : table(rows));
     }
--- a/src/main/java/pumicemoor/cli/HierarchyCommand.java
+++ b/src/main/java/pumicemoor/cli/HierarchyCommand.java
@@ -10,7 +10,7 @@
 import pumicemoor.operator.HierarchySection;
 import pumicemoor.operator.OperatorException;
 import pumicemoor.operator.OperatorFile;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * The command 'hierarchy': validates a topology, or computes the migration from one to another, with the code that
@@ -54,16 +54,16 @@
         private String nextFile;
 
         @Override
-        void run() throws OperatorException, WireException {
+        void run() throws OperatorException, InvalidInputException {
             HierarchySection next = OperatorFile.readHierarchy(Path.of(nextFile));
             HierarchySection current = OperatorFile.readHierarchy(Path.of(currentFile));
             if (next.shape().version() <= current.shape().version()) {
-                throw new WireException(nextFile + ": version " + next.shape().version() + " is not above version "
+                throw new InvalidInputException(nextFile + ": version " + next.shape().version() + " is not above version "
                         + current.shape().version() + " of " + currentFile);
             }
             MigrationPlan plan = MigrationPlan.between(current.shape(), next.shape(), next.timing());
             if (!plan.usable()) {
-                throw new WireException(nextFile + ": refused: "
+                throw new InvalidInputException(nextFile + ": refused: "
                         + (plan.violations().isEmpty()
                                 ? "the migration would never complete"
                                 : plan.violations().get(0)));
--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -33,7 +33,7 @@
 import pumicemoor.operator.OperatorException;
 import pumicemoor.operator.OperatorFile;
 import pumicemoor.wire.SimulatorAdapter;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -95,16 +95,16 @@
         } catch (NoSuchFileException e) {
             System.err.println("pumicemoor: there is no file '" + e.getMessage() + "'");
             System.exit(1);
-        } catch (WireException | IOException | OperatorException e) {
+        } catch (InvalidInputException | IOException | OperatorException e) {
             System.err.println("pumicemoor: " + e.getMessage());
             System.exit(1);
         }
     }
 
     /** Reads a configuration; used at the start, at a reload and by check-config. */
-    private static NodeConfig readConfig(String file) throws IOException, WireException {
+    private static NodeConfig readConfig(String file) throws IOException, InvalidInputException {
         if (file == null) {
-            throw new WireException("no configuration: RELAY_CONFIG is not set");
+            throw new InvalidInputException("no configuration: RELAY_CONFIG is not set");
         }
         return NodeConfig.parse(Files.readString(Path.of(file)));
     }
@@ -126,7 +126,7 @@
         private String operatorFile;
 
         @Override
-        void run() throws IOException, WireException, OperatorException, InterruptedException {
+        void run() throws IOException, InvalidInputException, OperatorException, InterruptedException {
             String configFile = System.getenv("RELAY_CONFIG");
             // From here on SIGHUP does not end the process; a signal that arrives before the server can reload stays
             // pending until it can.
@@ -207,7 +207,7 @@
                     try {
                         next = readConfig(configFile);
                         nextOperator = readOperatorConfig(operatorFile);
-                    } catch (WireException | IOException | OperatorException | RuntimeException e) {
+                    } catch (InvalidInputException | IOException | OperatorException | RuntimeException e) {
                         next = null;
                         problem = e.toString();
                     }
@@ -233,7 +233,7 @@
     @Usage.Summary("decides for the simulator: events on standard input, actions on standard output")
     public static final class ServeSimulator extends Command {
         @Override
-        void run() throws IOException, WireException {
+        void run() throws IOException, InvalidInputException {
             try (FileInputStream in = new FileInputStream(FileDescriptor.in);
                     BufferedOutputStream out =
                             new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
@@ -252,7 +252,7 @@
         private String operatorFile;
 
         @Override
-        void run() throws IOException, WireException, OperatorException {
+        void run() throws IOException, InvalidInputException, OperatorException {
             if (operatorFile != null) {
                 OperatorConfig operator = readOperatorConfig(operatorFile);
                 System.out.println("usable: " + operatorFile
--- a/src/main/java/pumicemoor/cli/NestedCommand.java
+++ b/src/main/java/pumicemoor/cli/NestedCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import pumicemoor.operator.OperatorException;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /** A sub-command that only groups other sub-commands. */
 abstract class NestedCommand extends Command {
@@ -16,7 +16,7 @@
     }
 
     @Override
-    void run() throws IOException, WireException, OperatorException, InterruptedException {
+    void run() throws IOException, InvalidInputException, OperatorException, InterruptedException {
         selected().run();
     }
 }
--- a/src/main/java/pumicemoor/cli/SelfCheck.java
+++ b/src/main/java/pumicemoor/cli/SelfCheck.java
@@ -14,7 +14,7 @@
 import pumicemoor.net.NodeServer;
 import pumicemoor.node.NodeConfig;
 import pumicemoor.operator.OperatorConfig;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * The command 'self-check': starts a router on loopback in front of a stub cache, sends it one request, prints its
@@ -41,7 +41,7 @@
             """;
 
     @Override
-    void run() throws IOException, WireException, InterruptedException {
+    void run() throws IOException, InvalidInputException, InterruptedException {
         try (ServerSocket cache = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Thread acceptor = new Thread(() -> acceptConnections(cache));
             acceptor.setDaemon(true);
--- a/src/main/java/pumicemoor/cli/Status.java
+++ b/src/main/java/pumicemoor/cli/Status.java
@@ -6,7 +6,7 @@
 import org.kohsuke.args4j.Argument;
 import pumicemoor.client.FrameClient;
 import pumicemoor.wire.Rows;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * The command 'status': queries a running router's readiness, counters and state with the frame in which clients ask
@@ -23,35 +23,35 @@
     private String address;
 
     @Override
-    void run() throws IOException, WireException {
+    void run() throws IOException, InvalidInputException {
         int colon = portSeparator(address);
         print(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
     /** Returns the index of the colon before the port in an address. */
-    private static int portSeparator(String address) throws WireException {
+    private static int portSeparator(String address) throws InvalidInputException {
         int colon = address.lastIndexOf(':');
         if (colon < 1 || !address.substring(colon + 1).matches("\\d{1,5}")) {
-            throw new WireException("not an address of the form HOST:PORT: '" + address + "'");
+            throw new InvalidInputException("not an address of the form HOST:PORT: '" + address + "'");
         }
         return colon;
     }
 
     /** Returns a router's rows about a subject; throws an exception if the router has none. */
-    static List<Map<String, Object>> rows(String address, String subject) throws IOException, WireException {
+    static List<Map<String, Object>> rows(String address, String subject) throws IOException, InvalidInputException {
         int colon = portSeparator(address);
         try (FrameClient client =
                 connect(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))) {
             FrameClient.Answer answer = client.ask(READY_REQUEST_TYPE, Map.of("rows", subject), READY_ANSWER_TYPE);
             if (answer.fields().isEmpty()) {
-                throw new WireException(address + ": this router has no section 'fleet' in its operator's file");
+                throw new InvalidInputException(address + ": this router has no section 'fleet' in its operator's file");
             }
             return Rows.read(String.join("", answer.fields().values()));
         }
     }
 
     /** Sends an operator's command to a router and returns its answer. */
-    static String command(String address, Map<String, String> fields) throws IOException, WireException {
+    static String command(String address, Map<String, String> fields) throws IOException, InvalidInputException {
         int colon = portSeparator(address);
         try (FrameClient client =
                 connect(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))) {
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -50,7 +50,7 @@
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.ProcessorSection;
 import pumicemoor.wire.SettingsReader;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * The gRPC server for other proxies, and the adapter between its streams and the router's event loop. It owns the
@@ -180,7 +180,7 @@
     }
 
     /** Checks that the request classes in the rules exist; the exception names the first class that does not. */
-    public static void check(ProcessorSection section, SettingsReader settingsReader) throws WireException {
+    public static void check(ProcessorSection section, SettingsReader settingsReader) throws InvalidInputException {
         for (ProcessorSection.RuleText rule : section.rules()) {
             settingsReader.requestClass(rule.requestClass());
         }
@@ -327,7 +327,7 @@
         int requestClass;
         try {
             requestClass = settingsReader.requestClass(attributes.requestClass());
-        } catch (WireException e) {
+        } catch (InvalidInputException e) {
             execute(stream, malformed(stream, "an unknown class"));
             return;
         }
@@ -555,7 +555,7 @@
         operator.processor().ifPresent(next -> {
             try {
                 check(next, settingsReader);
-            } catch (WireException e) {
+            } catch (InvalidInputException e) {
                 LOG.error("reloading the processor section failed, the rules in force are kept: {}", e.getMessage());
                 return;
             }
--- a/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
@@ -16,7 +16,7 @@
 import pumicemoor.node.Reducer;
 import pumicemoor.node.ResourceLimits;
 import pumicemoor.operator.OperatorConfig;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * One router without sockets: the production reducer and decision code in virtual time, with simulated members that
@@ -64,7 +64,7 @@
     private static NodeConfig parse(String config) {
         try {
             return NodeConfig.parse(config);
-        } catch (WireException e) {
+        } catch (InvalidInputException e) {
             throw new IllegalStateException("the measurement's own configuration can't be read", e);
         }
     }
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import pumicemoor.wire.JsonObject;
 import pumicemoor.wire.SettingsReader;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * The platform's configuration of a router, parsed from the JSON file that RELAY_CONFIG names. It checks the format
@@ -32,7 +32,7 @@
     public record Resources(int memoryMb, int sockets, long keepAlive, int multiplex) {}
 
     /** Parses the configuration; the exception names the invalid field. */
-    public static NodeConfig parse(String json) throws WireException {
+    public static NodeConfig parse(String json) throws InvalidInputException {
         JsonObject document = JsonObject.parse(json);
         JsonObject limits = document.objectOrEmpty("limits");
         JsonObject settings = document.object("settings");
@@ -67,20 +67,20 @@
                 .findFirst();
     }
 
-    static String address(JsonObject document, String field) throws WireException {
+    static String address(JsonObject document, String field) throws InvalidInputException {
         String address = document.text(field);
         if (!address.matches("[^:\\s]+:\\d{1,5}")
                 || Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)) > MAX_PORT) {
-            throw new WireException("field '" + field + "' is not a HOST:PORT address: '" + address + "'");
+            throw new InvalidInputException("field '" + field + "' is not a HOST:PORT address: '" + address + "'");
         }
         return address;
     }
 
-    private static long seed(String text) throws WireException {
+    private static long seed(String text) throws InvalidInputException {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new WireException("field 'seed' is not a hexadecimal number: '" + text + "'");
+            throw new InvalidInputException("field 'seed' is not a hexadecimal number: '" + text + "'");
         }
     }
 }
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -58,7 +58,7 @@
 import pumicemoor.wire.Rows;
 import pumicemoor.wire.TopologyMessage;
 import pumicemoor.wire.SettingsReader;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * Holds the mutable state of a router and is the only class that changes it. It owns the open requests, their
@@ -383,7 +383,7 @@
     private int requestClass(Input.Request input) {
         try {
             return settingsReader.requestClass(input.requestClass());
-        } catch (WireException e) {
+        } catch (InvalidInputException e) {
             return -1;
         }
     }
@@ -690,7 +690,7 @@
     private void applyUpdate(String json) {
         try {
             applyUpdate(JsonObject.parse(json));
-        } catch (WireException e) {
+        } catch (InvalidInputException e) {
             counters.add(Name.BAD_INPUT);
             warningLog.warn(now, "an event of the coordinator is skipped: " + e.getMessage());
         }
@@ -731,7 +731,7 @@
         for (JsonObject update : config.initialUpdates()) {
             try {
                 applyUpdate(update);
-            } catch (WireException e) {
+            } catch (InvalidInputException e) {
                 counters.add(Name.BAD_INPUT);
                 LOG.error("an event of the configuration is skipped: {}", e.getMessage());
             }
@@ -934,7 +934,7 @@
      * Applies an event once and in order. On a gap, reopens the coordinator's stream from the last applied event, once
      * per gap; if the missing event is not sent then either, applies the later one.
      */
-    private void applyUpdate(JsonObject update) throws WireException {
+    private void applyUpdate(JsonObject update) throws InvalidInputException {
         long index = update.integer("index", lastEventIndex + 1);
         if (index <= lastEventIndex) {
             return; // already applied
@@ -957,21 +957,21 @@
 
     /** Reads and applies one part of an event; it must read the whole part before it applies anything. */
     private interface PartReader {
-        void apply(JsonObject part) throws WireException;
+        void apply(JsonObject part) throws InvalidInputException;
     }
 
     private void applyPart(long index, String name, JsonObject update, PartReader reader) {
         if (update.has(name)) {
             try {
                 reader.apply(update.object(name));
-            } catch (WireException e) {
+            } catch (InvalidInputException e) {
                 counters.add(Name.BAD_INPUT);
                 warningLog.warn(now, "'" + name + "' of event " + index + " is skipped: " + e.getMessage());
             }
         }
     }
 
-    private void applyPurge(JsonObject purge) throws WireException {
+    private void applyPurge(JsonObject purge) throws InvalidInputException {
         counters.add(Name.PURGES);
         pendingEvents.add(new Purged(
                 purge.text("ref", null), (int) purge.integer("shard", -1), ageOf(purge.integer("unix_ms") * MICROS_PER_MILLI)));
@@ -1001,11 +1001,11 @@
     /** A valid entry of a member list. */
     private record ListEntry(Member member, Endpoint endpoint) {}
 
-    private ListEntry parseListEntry(JsonObject entry) throws WireException {
+    private ListEntry parseListEntry(JsonObject entry) throws InvalidInputException {
         String instance = entry.text("instanceId");
         State state = STATE_BY_LIFECYCLE.get(entry.text("lifecycle"));
         if (state == null) {
-            throw new WireException("unknown lifecycle '" + entry.text("lifecycle") + "'");
+            throw new InvalidInputException("unknown lifecycle '" + entry.text("lifecycle") + "'");
         }
         long reportedStart = entry.integer("startedAtMs", 0) * MICROS_PER_MILLI;
         Member member = new Member(
@@ -1025,7 +1025,7 @@
      * Applies a member list. The whole list is read before any entry is applied; an unreadable entry affects only its
      * own member, which stays as it was.
      */
-    private void applyMemberList(JsonObject list) throws WireException {
+    private void applyMemberList(JsonObject list) throws InvalidInputException {
         boolean snapshot = list.flag("reset");
         long version = list.integer("generation", 0);
         List<ListEntry> entries = new ArrayList<>();
@@ -1034,7 +1034,7 @@
             counters.add(Name.LIST_LINES);
             try {
                 entries.add(parseListEntry(each));
-            } catch (WireException e) {
+            } catch (InvalidInputException e) {
                 counters.add(Name.BAD_INPUT);
                 warningLog.warn(now, "an entry of a member list is skipped: " + e.getMessage());
                 unreadable.add(memberId(String.valueOf(each.value("instanceId"))));
--- a/src/main/java/pumicemoor/wire/JsonObject.java
+++ b/src/main/java/pumicemoor/wire/JsonObject.java
@@ -27,21 +27,21 @@
     }
 
     /** Parses a line, which must hold exactly one JSON object. */
-    public static JsonObject parse(String line) throws WireException {
+    public static JsonObject parse(String line) throws InvalidInputException {
         try (JsonParser parser = JSON.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new WireException("not a JSON object");
+                throw new InvalidInputException("not a JSON object");
             }
             Map<String, Object> fields = readObject(parser);
             if (parser.nextToken() != null) {
-                throw new WireException("the line has more than one JSON value");
+                throw new InvalidInputException("the line has more than one JSON value");
             }
             return new JsonObject("", fields);
         } catch (JsonProcessingException e) {
-            throw new WireException(
+            throw new InvalidInputException(
                     "not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
-            throw new WireException("not JSON: " + e.getMessage());
+            throw new InvalidInputException("not JSON: " + e.getMessage());
         }
     }
 
@@ -82,42 +82,42 @@
         return fields.get(name);
     }
 
-    public String text(String name) throws WireException {
+    public String text(String name) throws InvalidInputException {
         return required(name, String.class);
     }
 
-    public String text(String name, String defaultValue) throws WireException {
+    public String text(String name, String defaultValue) throws InvalidInputException {
         return has(name) ? text(name) : defaultValue;
     }
 
-    public long integer(String name) throws WireException {
+    public long integer(String name) throws InvalidInputException {
         return required(name, Number.class).longValue();
     }
 
-    public long integer(String name, long defaultValue) throws WireException {
+    public long integer(String name, long defaultValue) throws InvalidInputException {
         return has(name) ? integer(name) : defaultValue;
     }
 
-    public double number(String name, double defaultValue) throws WireException {
+    public double number(String name, double defaultValue) throws InvalidInputException {
         return has(name) ? required(name, Number.class).doubleValue() : defaultValue;
     }
 
     /** Returns a boolean field; an absent one counts as false. */
-    public boolean flag(String name) throws WireException {
+    public boolean flag(String name) throws InvalidInputException {
         return has(name) && required(name, Boolean.class);
     }
 
-    public JsonObject object(String name) throws WireException {
+    public JsonObject object(String name) throws InvalidInputException {
         return object(pathPrefix + name, required(name, Map.class));
     }
 
     /** Returns the object of that name, or an object without fields if it is absent. */
-    public JsonObject objectOrEmpty(String name) throws WireException {
+    public JsonObject objectOrEmpty(String name) throws InvalidInputException {
         return has(name) ? object(name) : new JsonObject(pathPrefix + name + ".", Map.of());
     }
 
     /** Returns the elements of a list of objects; an absent list counts as empty. */
-    public List<JsonObject> objects(String name) throws WireException {
+    public List<JsonObject> objects(String name) throws InvalidInputException {
         List<JsonObject> objects = new ArrayList<>();
         for (Object element : list(name)) {
             if (!(element instanceof Map)) {
@@ -128,15 +128,15 @@
         return objects;
     }
 
-    public List<String> texts(String name) throws WireException {
+    public List<String> texts(String name) throws InvalidInputException {
         return elements(name, String.class);
     }
 
-    public List<Number> numbers(String name) throws WireException {
+    public List<Number> numbers(String name) throws InvalidInputException {
         return elements(name, Number.class);
     }
 
-    List<Boolean> flags(String name) throws WireException {
+    List<Boolean> flags(String name) throws InvalidInputException {
         return elements(name, Boolean.class);
     }
 
@@ -151,7 +151,7 @@
         return numbers;
     }
 
-    private <T> List<T> elements(String name, Class<T> type) throws WireException {
+    private <T> List<T> elements(String name, Class<T> type) throws InvalidInputException {
         List<T> elements = new ArrayList<>();
         for (Object element : list(name)) {
             if (!type.isInstance(element)) {
@@ -162,14 +162,14 @@
         return elements;
     }
 
-    private List<?> list(String name) throws WireException {
+    private List<?> list(String name) throws InvalidInputException {
         return has(name) ? required(name, List.class) : List.of();
     }
 
-    private <T> T required(String name, Class<T> type) throws WireException {
+    private <T> T required(String name, Class<T> type) throws InvalidInputException {
         Object value = fields.get(name);
         if (value == null) {
-            throw new WireException("field '" + pathPrefix + name + "' is missing");
+            throw new InvalidInputException("field '" + pathPrefix + name + "' is missing");
         }
         if (!type.isInstance(value)) {
             throw wrongType(name);
@@ -177,8 +177,8 @@
         return type.cast(value);
     }
 
-    private WireException wrongType(String name) {
-        return new WireException("field '" + pathPrefix + name + "' has a value of the wrong type");
+    private InvalidInputException wrongType(String name) {
+        return new InvalidInputException("field '" + pathPrefix + name + "' has a value of the wrong type");
     }
 
     private static JsonObject object(String path, Object value) {
--- a/src/main/java/pumicemoor/wire/Rows.java
+++ b/src/main/java/pumicemoor/wire/Rows.java
@@ -25,11 +25,11 @@
     }
 
     /** Decodes the JSON text of rows; the exception says why the text cannot be read as rows. */
-    public static List<Map<String, Object>> read(String json) throws WireException {
+    public static List<Map<String, Object>> read(String json) throws InvalidInputException {
         try {
             return JSON.readValue(json, new TypeReference<List<Map<String, Object>>>() {});
         } catch (JsonProcessingException e) {
-            throw new WireException("the answer is not a JSON array of rows: " + e.getOriginalMessage());
+            throw new InvalidInputException("the answer is not a JSON array of rows: " + e.getOriginalMessage());
         }
     }
 }
--- a/src/main/java/pumicemoor/wire/SettingsReader.java
+++ b/src/main/java/pumicemoor/wire/SettingsReader.java
@@ -68,7 +68,7 @@
     private final int originKind; // index in kindNames; -1 if none
     private final List<String> kindNames;
 
-    public SettingsReader(JsonObject info) throws WireException {
+    public SettingsReader(JsonObject info) throws InvalidInputException {
         JsonObject specifics = info.objectOrEmpty("specifics");
         zoneNames = info.texts("zones");
         kindNames = info.texts("kinds");
@@ -151,17 +151,17 @@
     }
 
     /** Returns the index of a request class in the settings. */
-    public int requestClass(String name) throws WireException {
+    public int requestClass(String name) throws InvalidInputException {
         return index(classNames, name, "class");
     }
 
     /** Returns the outcome that a result code of the simulator stands for. */
-    Outcome outcome(long code) throws WireException {
+    Outcome outcome(long code) throws InvalidInputException {
         return constant(OUTCOMES_BY_CODE, code, "rc");
     }
 
     /** Reads an entry of the member list. */
-    Member member(JsonObject entry) throws WireException {
+    Member member(JsonObject entry) throws InvalidInputException {
         return new Member(
                 entry.integer("server"),
                 role(entry.text("generation-hw", null)),
@@ -173,7 +173,7 @@
     }
 
     /** Returns the role of a member by its kind of machine; a member without a kind (null) is a cache. */
-    public Role role(String kindName) throws WireException {
+    public Role role(String kindName) throws InvalidInputException {
         int kind = kindName == null ? -1 : index(kindNames, kindName, "kind");
         return kind >= 0 && kind == parentKind
                 ? Role.PARENT
@@ -181,11 +181,11 @@
     }
 
     /** Returns the index of a zone in the settings. */
-    public int zone(String name) throws WireException {
+    public int zone(String name) throws InvalidInputException {
         return index(zoneNames, name, "zone");
     }
 
-    private static RequestClass requestClass(JsonObject entry, JsonObject specifics, int index) throws WireException {
+    private static RequestClass requestClass(JsonObject entry, JsonObject specifics, int index) throws InvalidInputException {
         return new RequestClass(
                 entry.text("name"),
                 entry.integer("aim-us"),
@@ -205,13 +205,13 @@
     }
 
     /** Returns an element of a list of numbers, or 0 if the list is absent or too short. */
-    private static double numberAt(JsonObject message, String name, int index) throws WireException {
+    private static double numberAt(JsonObject message, String name, int index) throws InvalidInputException {
         List<Number> numbers = message.numbers(name);
         return index < numbers.size() ? numbers.get(index).doubleValue() : 0;
     }
 
     /** Returns an element of a list of booleans, or false if the list is absent or too short. */
-    private static boolean flagAt(JsonObject message, String name, int index) throws WireException {
+    private static boolean flagAt(JsonObject message, String name, int index) throws InvalidInputException {
         List<Boolean> flags = message.flags(name);
         return index < flags.size() && flags.get(index);
     }
@@ -220,19 +220,19 @@
         return numbers.stream().map(Number::intValue).toList();
     }
 
-    private static int index(List<String> names, String name, String category) throws WireException {
+    private static int index(List<String> names, String name, String category) throws InvalidInputException {
         int index = names.indexOf(name);
         if (index < 0) {
-            throw new WireException("unknown " + category + " '" + name + "'");
+            throw new InvalidInputException("unknown " + category + " '" + name + "'");
         }
         return index;
     }
 
     /** Maps the value of a field to its enum constant. */
-    private static <K, V> V constant(Map<K, V> constants, K value, String field) throws WireException {
+    private static <K, V> V constant(Map<K, V> constants, K value, String field) throws InvalidInputException {
         V constant = constants.get(value);
         if (constant == null) {
-            throw new WireException("field '" + field + "' has the unknown value '" + value + "'");
+            throw new InvalidInputException("field '" + field + "' has the unknown value '" + value + "'");
         }
         return constant;
     }
--- a/src/main/java/pumicemoor/wire/SimulatorAdapter.java
+++ b/src/main/java/pumicemoor/wire/SimulatorAdapter.java
@@ -73,29 +73,29 @@
     }
 
     /** Processes batches until the end of the input. */
-    public void run() throws IOException, WireException {
+    public void run() throws IOException, InvalidInputException {
         long lineNumber = 0;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             lineNumber++;
             try {
                 process(JsonObject.parse(line));
-            } catch (WireException e) {
-                throw new WireException("line " + lineNumber + ": " + e.getMessage());
+            } catch (InvalidInputException e) {
+                throw new InvalidInputException("line " + lineNumber + ": " + e.getMessage());
             }
         }
         if (batchOpen) {
-            throw new WireException("line " + lineNumber + ": input ends within batch " + round);
+            throw new InvalidInputException("line " + lineNumber + ": input ends within batch " + round);
         }
     }
 
-    private void process(JsonObject message) throws IOException, WireException {
+    private void process(JsonObject message) throws IOException, InvalidInputException {
         String messageName = message.text("msg");
         if (messageName.equals("Sync")) {
             startBatch(message);
             return;
         }
         if (!batchOpen) {
-            throw new WireException("'" + messageName + "' outside of a batch");
+            throw new InvalidInputException("'" + messageName + "' outside of a batch");
         }
         switch (messageName) {
             case "YourTurn" -> {
@@ -115,14 +115,14 @@
         }
     }
 
-    private void startBatch(JsonObject message) throws WireException {
+    private void startBatch(JsonObject message) throws InvalidInputException {
         long nextClockMicros = message.integer("clock-us");
         long nextRound = message.integer("round");
         if (batchOpen) {
-            throw new WireException("batch " + nextRound + " opens within batch " + round);
+            throw new InvalidInputException("batch " + nextRound + " opens within batch " + round);
         }
         if (anyBatchStarted && (nextRound != round + 1 || nextClockMicros < clockMicros)) {
-            throw new WireException("batch " + nextRound + " at " + nextClockMicros + " is out of order after batch " + round
+            throw new InvalidInputException("batch " + nextRound + " at " + nextClockMicros + " is out of order after batch " + round
                     + " at " + clockMicros);
         }
         clockMicros = nextClockMicros;
@@ -131,7 +131,7 @@
         anyBatchStarted = true;
     }
 
-    private void startInstance(JsonObject message) throws IOException, WireException {
+    private void startInstance(JsonObject message) throws IOException, InvalidInputException {
         int number = (int) message.integer("router");
         SettingsReader settings = new SettingsReader(message.object("info"));
         long salt = message.integer("salt");
@@ -142,11 +142,11 @@
         }
     }
 
-    private Instance instance(JsonObject message) throws WireException {
+    private Instance instance(JsonObject message) throws InvalidInputException {
         int number = (int) message.integer("router");
         Instance instance = instances.get(number);
         if (instance == null) {
-            throw new WireException("'" + message.text("msg") + "' for router " + number + ", which is not running");
+            throw new InvalidInputException("'" + message.text("msg") + "' for router " + number + ", which is not running");
         }
         return instance;
     }
@@ -173,7 +173,7 @@
         return e + (trace.length > 0 ? " at " + trace[0] : "");
     }
 
-    private Event event(String messageName, JsonObject message, SettingsReader settings) throws WireException {
+    private Event event(String messageName, JsonObject message, SettingsReader settings) throws InvalidInputException {
         return switch (messageName) {
             case "Fleet" -> memberListUpdate(message, settings);
             case "Arrival" ->
@@ -210,20 +210,20 @@
             case "Invalidated" ->
                 new Purged(message.text("asset", null), (int) message.integer("set-no", -1), message.integer("how-old-us", 0));
             case "FromPeer" -> new PeerMessage((int) message.integer("origin-peer"), decodeBase64(message.text("bytes", "")));
-            default -> throw new WireException("unknown message '" + messageName + "'");
+            default -> throw new InvalidInputException("unknown message '" + messageName + "'");
         };
     }
 
-    private MemberListUpdate memberListUpdate(JsonObject message, SettingsReader settings) throws WireException {
+    private MemberListUpdate memberListUpdate(JsonObject message, SettingsReader settings) throws InvalidInputException {
         MemberListKind kind = LIST_KINDS.get(message.text("mode"));
         if (kind == null) {
-            throw new WireException("field 'mode' has the unknown value '" + message.text("mode") + "'");
+            throw new InvalidInputException("field 'mode' has the unknown value '" + message.text("mode") + "'");
         }
         List<Member> members = new ArrayList<>();
         if (kind != MemberListKind.FAILED) {
             List<JsonObject> entries = memberLists.get(message.integer("sheet"));
             if (entries == null) {
-                throw new WireException("member list " + message.integer("sheet") + " was never sent");
+                throw new InvalidInputException("member list " + message.integer("sheet") + " was never sent");
             }
             for (JsonObject entry : entries) {
                 members.add(settings.member(entry));
@@ -233,16 +233,16 @@
     }
 
     /** Returns the result of a fill from its number on the wire; a number that is not known counts as no result. */
-    private static FillResult fillResult(JsonObject message) throws WireException {
+    private static FillResult fillResult(JsonObject message) throws InvalidInputException {
         long number = message.integer("info", 0);
         return number >= 0 && number < FILL_RESULTS.length ? FILL_RESULTS[(int) number] : FillResult.NONE;
     }
 
-    private static byte[] decodeBase64(String text) throws WireException {
+    private static byte[] decodeBase64(String text) throws InvalidInputException {
         try {
             return Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
-            throw new WireException("field 'bytes' is not base64");
+            throw new InvalidInputException("field 'bytes' is not base64");
         }
     }
 }
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -25,17 +25,17 @@
     /** States that every update announced until a time (Unix microseconds) has this number or a lower one. */
     record Certain(long asOf, long lastNumber) implements TopologyMessage {}
 
-    private static Kind kind(String text) throws WireException {
+    private static Kind kind(String text) throws InvalidInputException {
         for (Kind kind : Kind.values()) {
             if (kind.name().toLowerCase(Locale.ROOT).equals(text)) {
                 return kind;
             }
         }
-        throw new WireException("field 'shape.kind' has the unknown value '" + text + "'");
+        throw new InvalidInputException("field 'shape.kind' has the unknown value '" + text + "'");
     }
 
     /** Parses a message; times become microseconds. The exception names the invalid field. */
-    static TopologyMessage read(JsonObject message) throws WireException {
+    static TopologyMessage read(JsonObject message) throws InvalidInputException {
         long number = message.integer("piece");
         if (message.has("certain_ms")) {
             return new Certain(message.integer("certain_ms") * 1_000, number);
--- a/src/test/java/pumicemoor/lab/FleetRig.java
+++ b/src/test/java/pumicemoor/lab/FleetRig.java
@@ -291,7 +291,7 @@
         try (FrameClient client = new FrameClient(address[0], Integer.parseInt(address[1]))) {
             return Rows.read(String.join(
                     "", client.ask(1, Map.of("rows", subject), 2).fields().values()));
-        } catch (IOException | pumicemoor.wire.WireException e) {
+        } catch (IOException | pumicemoor.wire.InvalidInputException e) {
             return List.of();
         }
     }
--- a/src/test/java/pumicemoor/node/NodeTestConfig.java
+++ b/src/test/java/pumicemoor/node/NodeTestConfig.java
@@ -1,7 +1,7 @@
 package pumicemoor.node;
 
 import pumicemoor.wire.JsonObject;
-import pumicemoor.wire.WireException;
+import pumicemoor.wire.InvalidInputException;
 
 /**
  * Router configurations for tests: a location with caches, a parent and an origin, a cacheable class and one that is
@@ -54,11 +54,11 @@
                 .formatted(listen, coordinator, updates.length, String.join(",", updates), maxOpen);
     }
 
-    public static NodeConfig parse(String json) throws WireException {
+    public static NodeConfig parse(String json) throws InvalidInputException {
         return NodeConfig.parse(json);
     }
 
-    static JsonObject message(String json) throws WireException {
+    static JsonObject message(String json) throws InvalidInputException {
         return JsonObject.parse(json);
     }
 }
--- a/src/test/java/pumicemoor/wire/SimulatorAdapterTest.java
+++ b/src/test/java/pumicemoor/wire/SimulatorAdapterTest.java
@@ -37,12 +37,12 @@
     private static final String ARRIVAL = "{\"msg\":\"Arrival\",\"router\":3,\"id\":\"r-a\",\"grade\":\"page\","
             + "\"asset\":\"/o/x\",\"time-left-us\":800000,\"unheard\":true}\n";
 
-    private static String run(String input) throws IOException, WireException {
+    private static String run(String input) throws IOException, InvalidInputException {
         return run(input, Logic::new);
     }
 
     private static String run(String input, BiFunction<Settings, Long, RouterApi> routerFactory)
-            throws IOException, WireException {
+            throws IOException, InvalidInputException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, routerFactory).run();
         return out.toString(StandardCharsets.UTF_8);
@@ -97,7 +97,7 @@
                 "{\"msg\":\"Sync\",\"clock-us\":2000,\"round\":2} | line 2: batch 2 opens within batch 1"
             })
     void invalidLineInABatchFailsWithALineNumberInOneLine(String line, String message) {
-        WireException e = assertThrows(WireException.class, () -> run(SYNC + line + "\n" + YOUR_TURN));
+        InvalidInputException e = assertThrows(InvalidInputException.class, () -> run(SYNC + line + "\n" + YOUR_TURN));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
         assertEquals(1, e.getMessage().lines().count());
     }
@@ -111,28 +111,28 @@
                 "{\"msg\":\"YourTurn\"} | line 3: 'YourTurn' outside of a batch"
             })
     void batchOutOfOrderFailsWithALineNumber(String line, String message) {
-        WireException e = assertThrows(WireException.class, () -> run(SYNC + YOUR_TURN + line + "\n"));
+        InvalidInputException e = assertThrows(InvalidInputException.class, () -> run(SYNC + YOUR_TURN + line + "\n"));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 
     @Test
     void missingAndInvalidFieldsAreNamedInTheError() {
-        WireException missing =
-                assertThrows(WireException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"grade\":\"page\",", "")));
+        InvalidInputException missing =
+                assertThrows(InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"grade\":\"page\",", "")));
         assertEquals("line 3: field 'grade' is missing", missing.getMessage());
-        WireException wrongType =
-                assertThrows(WireException.class, () -> run(SYNC + BORN + ARRIVAL.replace("800000", "\"soon\"")));
+        InvalidInputException wrongType =
+                assertThrows(InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("800000", "\"soon\"")));
         assertEquals("line 3: field 'time-left-us' has a value of the wrong type", wrongType.getMessage());
-        WireException unknownClass =
-                assertThrows(WireException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"page\"", "\"film\"")));
+        InvalidInputException unknownClass =
+                assertThrows(InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"page\"", "\"film\"")));
         assertEquals("line 3: unknown class 'film'", unknownClass.getMessage());
-        WireException nested =
-                assertThrows(WireException.class, () -> run(SYNC + BORN.replace("\"aim-us\":100000,", "")));
+        InvalidInputException nested =
+                assertThrows(InvalidInputException.class, () -> run(SYNC + BORN.replace("\"aim-us\":100000,", "")));
         assertEquals("line 2: field 'info.classes[0].aim-us' is missing", nested.getMessage());
     }
 
     @Test
     void endOfInputWithinABatchIsAnError() {
-        assertThrows(WireException.class, () -> run(SYNC));
+        assertThrows(InvalidInputException.class, () -> run(SYNC));
     }
 }
