--- a/src/main/java/pumicemoor/cli/FleetRows.java
+++ b/src/main/java/pumicemoor/cli/FleetRows.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import pumicemoor.wire.Rows;
+import pumicemoor.wire.JsonRows;
 import pumicemoor.wire.InvalidInputException;
 
 /**
@@ -33,7 +33,7 @@
     @Override
     void run() throws IOException, InvalidInputException {
         List<Map<String, Object>> rows = Status.rows(address, subject);
-        System.out.print(json ? Rows.json(rows) + "\n" : table(rows));
+        System.out.print(json ? JsonRows.json(rows) + "\n" : table(rows));
     }
 
     /**
--- a/src/main/java/pumicemoor/cli/Status.java
+++ b/src/main/java/pumicemoor/cli/Status.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.kohsuke.args4j.Argument;
 import pumicemoor.client.FrameClient;
-import pumicemoor.wire.Rows;
+import pumicemoor.wire.JsonRows;
 import pumicemoor.wire.InvalidInputException;
 
 /**
@@ -46,7 +46,7 @@
             if (answer.fields().isEmpty()) {
                 throw new InvalidInputException(address + ": this router has no section 'fleet' in its operator's file");
             }
-            return Rows.read(String.join("", answer.fields().values()));
+            return JsonRows.read(String.join("", answer.fields().values()));
         }
     }
 
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -55,7 +55,7 @@
 import pumicemoor.operator.HierarchySection;
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.wire.JsonObject;
-import pumicemoor.wire.Rows;
+import pumicemoor.wire.JsonRows;
 import pumicemoor.wire.TopologyMessage;
 import pumicemoor.wire.SettingsReader;
 import pumicemoor.wire.InvalidInputException;
@@ -832,7 +832,7 @@
 
     /** Returns the fleet's table on one subject as JSON text; empty if there is no fleet or no such subject. */
     public Optional<String> fleetTable(String subject) {
-        return fleet.flatMap(f -> f.rows(subject)).map(Rows::json);
+        return fleet.flatMap(f -> f.rows(subject)).map(JsonRows::json);
     }
 
     private void applyTopologyMessage(TopologyMessage message) {
--- a/src/main/java/pumicemoor/wire/Rows.java
+++ b/src/main/java/pumicemoor/wire/JsonRows.java
@@ -10,11 +10,11 @@
  * Encodes and decodes the rows of a status table as the JSON text that a router sends to the operator's commands: an
  * array with one object a row. The keys are the columns.
  */
-public final class Rows {
+public final class JsonRows {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Rows() {}
+    private JsonRows() {}
 
     public static String json(List<Map<String, Object>> rows) {
         try {
--- a/src/test/java/pumicemoor/lab/FleetRig.java
+++ b/src/test/java/pumicemoor/lab/FleetRig.java
@@ -16,7 +16,7 @@
 import pumicemoor.lab.MemberStandIn.Kind;
 import pumicemoor.lab.Scenario.Change;
 import pumicemoor.lab.Scenario.ChangeDelivery;
-import pumicemoor.wire.Rows;
+import pumicemoor.wire.JsonRows;
 
 /**
  * Test fixture: processes of the program with a fault network between them, in front of stand-in caches that log what
@@ -289,7 +289,7 @@
         }
         String[] address = routers.get(router).address().split(":");
         try (FrameClient client = new FrameClient(address[0], Integer.parseInt(address[1]))) {
-            return Rows.read(String.join(
+            return JsonRows.read(String.join(
                     "", client.ask(1, Map.of("rows", subject), 2).fields().values()));
         } catch (IOException | pumicemoor.wire.InvalidInputException e) {
             return List.of();
