--- a/src/main/java/pumicemoor/cli/FleetRows.java
+++ b/src/main/java/pumicemoor/cli/FleetRows.java
@@ -33,7 +33,7 @@
     @Override
     void run() throws IOException, InvalidInputException {
         List<Map<String, Object>> rows = Status.rows(address, subject);
-        System.out.print(json ? JsonRows.json(rows) + "\n" : table(rows));
+        System.out.print(json ? JsonRows.encode(rows) + "\n" : table(rows));
     }
 
     /**
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -832,7 +832,7 @@
 
     /** Returns the fleet's table on one subject as JSON text; empty if there is no fleet or no such subject. */
     public Optional<String> fleetTable(String subject) {
-        return fleet.flatMap(f -> f.rows(subject)).map(JsonRows::json);
+        return fleet.flatMap(f -> f.rows(subject)).map(JsonRows::encode);
     }
 
     private void applyTopologyMessage(TopologyMessage message) {
--- a/src/main/java/pumicemoor/wire/JsonRows.java
+++ b/src/main/java/pumicemoor/wire/JsonRows.java
@@ -16,7 +16,7 @@
 
     private JsonRows() {}
 
-    public static String json(List<Map<String, Object>> rows) {
+    public static String encode(List<Map<String, Object>> rows) {
         try {
             return JSON.writeValueAsString(rows);
         } catch (JsonProcessingException e) {
