--- a/src/main/java/pumicemoor/cli/Status.java
+++ b/src/main/java/pumicemoor/cli/Status.java
@@ -46,7 +46,7 @@
             if (answer.fields().isEmpty()) {
                 throw new InvalidInputException(address + ": this router has no section 'fleet' in its operator's file");
             }
-            return JsonRows.read(String.join("", answer.fields().values()));
+            return JsonRows.decode(String.join("", answer.fields().values()));
         }
     }
 
--- a/src/main/java/pumicemoor/wire/JsonRows.java
+++ b/src/main/java/pumicemoor/wire/JsonRows.java
@@ -25,7 +25,7 @@
     }
 
     /** Decodes the JSON text of rows; the exception says why the text cannot be read as rows. */
-    public static List<Map<String, Object>> read(String json) throws InvalidInputException {
+    public static List<Map<String, Object>> decode(String json) throws InvalidInputException {
         try {
             return JSON.readValue(json, new TypeReference<List<Map<String, Object>>>() {});
         } catch (JsonProcessingException e) {
--- a/src/test/java/pumicemoor/lab/FleetRig.java
+++ b/src/test/java/pumicemoor/lab/FleetRig.java
@@ -289,7 +289,7 @@
         }
         String[] address = routers.get(router).address().split(":");
         try (FrameClient client = new FrameClient(address[0], Integer.parseInt(address[1]))) {
-            return JsonRows.read(String.join(
+            return JsonRows.decode(String.join(
                     "", client.ask(1, Map.of("rows", subject), 2).fields().values()));
         } catch (IOException | pumicemoor.wire.InvalidInputException e) {
             return List.of();
