--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -839,7 +839,7 @@
         if (hierarchy.isEmpty()) {
             return; // the operator's file configures no hierarchy
         }
-        if (message instanceof TopologyMessage.Told update) {
+        if (message instanceof TopologyMessage.Update update) {
             hierarchy.get().take(now, update.piece());
         } else if (message instanceof TopologyMessage.Certain certain) {
             hierarchy.get().confirmUpdates(now, certain.asOf(), certain.lastNumber());
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -20,7 +20,7 @@
 public sealed interface TopologyMessage {
 
     /** A topology update; it carries its own number. */
-    record Told(TopologyUpdate piece) implements TopologyMessage {}
+    record Update(TopologyUpdate piece) implements TopologyMessage {}
 
     /** States that every update announced until a time (Unix microseconds) has this number or a lower one. */
     record Certain(long asOf, long lastNumber) implements TopologyMessage {}
@@ -43,7 +43,7 @@
         String unit = message.text("unit");
         Map<String, Double> parents =
                 new LinkedHashMap<>(message.objectOrEmpty("parents").numbersByName());
-        return new Told(new TopologyUpdate(
+        return new Update(new TopologyUpdate(
                 number,
                 message.integer("announced_ms") * 1_000,
                 message.integer("version"),
