--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -840,7 +840,7 @@
             return; // the operator's file configures no hierarchy
         }
         if (message instanceof TopologyMessage.Update update) {
-            hierarchy.get().take(now, update.piece());
+            hierarchy.get().take(now, update.update());
         } else if (message instanceof TopologyMessage.Certain certain) {
             hierarchy.get().confirmUpdates(now, certain.asOf(), certain.lastNumber());
         }
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -20,7 +20,7 @@
 public sealed interface TopologyMessage {
 
     /** A topology update; it carries its own number. */
-    record Update(TopologyUpdate piece) implements TopologyMessage {}
+    record Update(TopologyUpdate update) implements TopologyMessage {}
 
     /** States that every update announced until a time (Unix microseconds) has this number or a lower one. */
     record Certain(long asOf, long lastNumber) implements TopologyMessage {}
