--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -841,7 +841,7 @@
         }
         if (message instanceof TopologyMessage.Update update) {
             hierarchy.get().take(now, update.update());
-        } else if (message instanceof TopologyMessage.Certain certain) {
+        } else if (message instanceof TopologyMessage.Watermark certain) {
             hierarchy.get().confirmUpdates(now, certain.asOf(), certain.lastNumber());
         }
     }
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -23,7 +23,7 @@
     record Update(TopologyUpdate update) implements TopologyMessage {}
 
     /** States that every update announced until a time (Unix microseconds) has this number or a lower one. */
-    record Certain(long asOf, long lastNumber) implements TopologyMessage {}
+    record Watermark(long asOf, long lastNumber) implements TopologyMessage {}
 
     private static Kind kind(String text) throws InvalidInputException {
         for (Kind kind : Kind.values()) {
@@ -38,7 +38,7 @@
     static TopologyMessage read(JsonObject message) throws InvalidInputException {
         long number = message.integer("piece");
         if (message.has("certain_ms")) {
-            return new Certain(message.integer("certain_ms") * 1_000, number);
+            return new Watermark(message.integer("certain_ms") * 1_000, number);
         }
         String unit = message.text("unit");
         Map<String, Double> parents =
