--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -842,7 +842,7 @@
         if (message instanceof TopologyMessage.Update update) {
             hierarchy.get().take(now, update.update());
         } else if (message instanceof TopologyMessage.Watermark certain) {
-            hierarchy.get().confirmUpdates(now, certain.asOfMicros(), certain.lastNumber());
+            hierarchy.get().confirmUpdates(now, certain.asOfMicros(), certain.lastUpdateNumber());
         }
     }
 
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -23,7 +23,7 @@
     record Update(TopologyUpdate update) implements TopologyMessage {}
 
     /** States that every update announced until a time (Unix microseconds) has this number or a lower one. */
-    record Watermark(long asOfMicros, long lastNumber) implements TopologyMessage {}
+    record Watermark(long asOfMicros, long lastUpdateNumber) implements TopologyMessage {}
 
     private static Kind kind(String text) throws InvalidInputException {
         for (Kind kind : Kind.values()) {
