--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -774,7 +774,7 @@
         initial.hierarchy().ifPresent(section -> {
             long slowStartMicros = settings.rules().parentSlowStart().rampDuration();
             Hierarchy.Setup setup =
-                    new Hierarchy.Setup(section.depot().isEmpty() ? location : section.depot(), section.news(), section.timing(), slowStartMicros);
+                    new Hierarchy.Setup(section.depot().isEmpty() ? location : section.depot(), section.updateSource(), section.timing(), slowStartMicros);
             hierarchy = Optional.of(Hierarchy.start(
                     section.shape(),
                     section.before(),
@@ -885,7 +885,7 @@
         }
         HierarchySection current = operatorConfig.hierarchy().get();
         HierarchySection proposed = next.hierarchy().get();
-        if (current.news() != proposed.news()
+        if (current.updateSource() != proposed.updateSource()
                 || !current.timing().equals(proposed.timing())
                 || !current.depot().equals(proposed.depot())) {
             return "'news', 'depot' and the times of the section 'hierarchy' can't be changed while running";
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -34,7 +34,7 @@
     @Test
     void absentKeysOfAValidFileGetTheirDefaults() throws Exception {
         HierarchySection section = OperatorFile.parse("f", VALID).hierarchy().orElseThrow();
-        assertEquals(UpdateSource.FILE, section.news());
+        assertEquals(UpdateSource.FILE, section.updateSource());
         assertEquals(4_000_000, section.timing().leadMicros());
         assertEquals(60_000_000, section.timing().moveMicros());
         assertEquals(4, section.shape().units().size());
