--- a/src/main/java/pumicemoor/cli/HierarchyCommand.java
+++ b/src/main/java/pumicemoor/cli/HierarchyCommand.java
@@ -37,9 +37,9 @@
         @Override
         void run() throws OperatorException {
             HierarchySection section = OperatorFile.readHierarchy(Path.of(file));
-            System.out.println("usable: version " + section.shape().version() + ", "
-                    + section.shape().units().size() + " units, "
-                    + section.shape().links() + " links");
+            System.out.println("usable: version " + section.topology().version() + ", "
+                    + section.topology().units().size() + " units, "
+                    + section.topology().links() + " links");
         }
     }
 
@@ -57,19 +57,19 @@
         void run() throws OperatorException, InvalidInputException {
             HierarchySection next = OperatorFile.readHierarchy(Path.of(nextFile));
             HierarchySection current = OperatorFile.readHierarchy(Path.of(currentFile));
-            if (next.shape().version() <= current.shape().version()) {
-                throw new InvalidInputException(nextFile + ": version " + next.shape().version() + " is not above version "
-                        + current.shape().version() + " of " + currentFile);
+            if (next.topology().version() <= current.topology().version()) {
+                throw new InvalidInputException(nextFile + ": version " + next.topology().version() + " is not above version "
+                        + current.topology().version() + " of " + currentFile);
             }
-            MigrationPlan plan = MigrationPlan.between(current.shape(), next.shape(), next.timing());
+            MigrationPlan plan = MigrationPlan.between(current.topology(), next.topology(), next.timing());
             if (!plan.usable()) {
                 throw new InvalidInputException(nextFile + ": refused: "
                         + (plan.violations().isEmpty()
                                 ? "the migration would never complete"
                                 : plan.violations().get(0)));
             }
-            System.out.println("version " + current.shape().version() + " to "
-                    + next.shape().version() + ", " + plan.steps().size() + " steps; times count from the announcement");
+            System.out.println("version " + current.topology().version() + " to "
+                    + next.topology().version() + ", " + plan.steps().size() + " steps; times count from the announcement");
             for (MigrationPlan.Step step : plan.steps()) {
                 System.out.printf("at %.1f s%n", step.afterMicros() / 1e6);
                 print("begins to fill from", step.begin());
--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -257,8 +257,8 @@
                 OperatorConfig operator = readOperatorConfig(operatorFile);
                 System.out.println("usable: " + operatorFile
                         + operator.hierarchy()
-                                .map(hierarchy -> ", hierarchy of version " + hierarchy.shape().version() + " with "
-                                        + hierarchy.shape().units().size() + " units")
+                                .map(hierarchy -> ", hierarchy of version " + hierarchy.topology().version() + " with "
+                                        + hierarchy.topology().units().size() + " units")
                                 .orElse(operator.fleet()
                                         .map(fleet -> ", fleet '" + fleet.cluster() + "' of " + fleet.size() + " routers with "
                                                 + fleet.limits().size() + " limits")
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -776,7 +776,7 @@
             Hierarchy.Setup setup =
                     new Hierarchy.Setup(section.depot().isEmpty() ? location : section.depot(), section.updateSource(), section.timing(), slowStartMicros);
             hierarchy = Optional.of(Hierarchy.start(
-                    section.shape(),
+                    section.topology(),
                     section.before(),
                     section.lastPiece(),
                     time,
@@ -890,15 +890,15 @@
                 || !current.depot().equals(proposed.depot())) {
             return "'news', 'depot' and the times of the section 'hierarchy' can't be changed while running";
         }
-        if (!current.shape().equals(proposed.shape())) {
+        if (!current.topology().equals(proposed.topology())) {
             List<Violation> problems = hierarchy
                     .get()
                     .take(
                             now,
-                            proposed.shape(),
+                            proposed.topology(),
                             endpointsByMember.values().stream().map(Endpoint::instance).collect(Collectors.toSet()));
             if (!problems.isEmpty()) {
-                return "the topology of version " + proposed.shape().version() + ": "
+                return "the topology of version " + proposed.topology().version() + ": "
                         + problems.get(0).text();
             }
         }
--- a/src/test/java/pumicemoor/operator/OperatorFileTest.java
+++ b/src/test/java/pumicemoor/operator/OperatorFileTest.java
@@ -37,9 +37,9 @@
         assertEquals(UpdateSource.FILE, section.updateSource());
         assertEquals(4_000_000, section.timing().leadMicros());
         assertEquals(60_000_000, section.timing().moveMicros());
-        assertEquals(4, section.shape().units().size());
-        assertEquals(0.5, section.shape().units().get("west").parents().get("hub-b"));
-        assertEquals(1_796_140_800_000_000L, section.shape().announcedMicros());
+        assertEquals(4, section.topology().units().size());
+        assertEquals(0.5, section.topology().units().get("west").parents().get("hub-b"));
+        assertEquals(1_796_140_800_000_000L, section.topology().announcedMicros());
         assertEquals(OperatorConfig.NONE, OperatorFile.parse("f", ""));
     }
 
