--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -777,7 +777,7 @@
                     new Hierarchy.Setup(section.depot().isEmpty() ? location : section.depot(), section.updateSource(), section.timing(), slowStartMicros);
             hierarchy = Optional.of(Hierarchy.start(
                     section.topology(),
-                    section.before(),
+                    section.previousTopology(),
                     section.lastPiece(),
                     time,
                     setup,
