--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -778,7 +778,7 @@
             hierarchy = Optional.of(Hierarchy.start(
                     section.topology(),
                     section.previousTopology(),
-                    section.lastPiece(),
+                    section.lastUpdateNumber(),
                     time,
                     setup,
                     notice -> warningLog.warn(now, notice.text(), notice.fields())));
--- a/src/main/java/pumicemoor/operator/HierarchySection.java
+++ b/src/main/java/pumicemoor/operator/HierarchySection.java
@@ -12,4 +12,4 @@
  * topology has number 1; the topology in the file includes all updates up to the number given by the last component.
  */
 public record HierarchySection(
-        UpdateSource updateSource, String depot, MigrationTiming timing, Topology topology, Optional<Topology> previousTopology, long lastPiece) {}
+        UpdateSource updateSource, String depot, MigrationTiming timing, Topology topology, Optional<Topology> previousTopology, long lastUpdateNumber) {}
