--- a/src/main/java/pumicemoor/extproc/FrontWarmUp.java
+++ b/src/main/java/pumicemoor/extproc/FrontWarmUp.java
@@ -46,7 +46,7 @@
         ProcessorSection section = new ProcessorSection(
                 "127.0.0.1:0",
                 Optional.empty(),
-                servingSection.messageTimeout(),
+                servingSection.messageTimeoutMicros(),
                 0,
                 servingSection.headerBytes(),
                 1_000,
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -377,7 +377,7 @@
         long timeoutMillis = ttlMillis > 0 ? Math.min(ttlMillis, settings.deadline() / MICROS_PER_MILLI) : settings.deadline() / MICROS_PER_MILLI;
         List<StreamAction> actions = stream.state.request();
         stream.timers.add(loop.schedule(
-                Math.max(1, Math.min(section.messageTimeout(), timeoutMillis * MICROS_PER_MILLI) - ANSWER_MARGIN_MICROS), () -> onMessageTimeout(stream)));
+                Math.max(1, Math.min(section.messageTimeoutMicros(), timeoutMillis * MICROS_PER_MILLI) - ANSWER_MARGIN_MICROS), () -> onMessageTimeout(stream)));
         stream.timers.add(loop.schedule(timeoutMillis * MICROS_PER_MILLI + STREAM_GRACE_MICROS, () -> expire(stream)));
         for (StreamAction action : actions) {
             if (action instanceof StreamAction.RequestDecision) {
@@ -396,7 +396,7 @@
 
     private void onMessageTimeout(Stream stream) {
         if (!stream.ended && stream.state.phase() == Phase.DECIDING) {
-            List<StreamAction> actions = stream.state.messageTimeUp(section.messageTimeout());
+            List<StreamAction> actions = stream.state.messageTimeUp(section.messageTimeoutMicros());
             if (!actions.isEmpty()) {
                 count(Count.REFUSED_LATE);
             }
--- a/src/main/java/pumicemoor/operator/ProcessorSection.java
+++ b/src/main/java/pumicemoor/operator/ProcessorSection.java
@@ -14,7 +14,7 @@
 public record ProcessorSection(
         String listen,
         Optional<Tls> tls,
-        long messageTimeout,
+        long messageTimeoutMicros,
         long retryWait,
         int headerBytes,
         int callsPerConnection,
