--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -506,7 +506,7 @@
         if (stream == null) {
             return; // the call was cancelled meanwhile
         }
-        if (stream.state.phase() == Phase.RESPONDED && section.retryWait() > 0) {
+        if (stream.state.phase() == Phase.RESPONDED && section.retryWaitMicros() > 0) {
             keepReady(stream, attempt);
             return;
         }
@@ -522,7 +522,7 @@
         ReadyAttempt ready = new ReadyAttempt(attempt.call(), attempt, stream.registryId, stream.state.mayHaveRun());
         stream.registryId = null;
         readyAttempts.put(stream.id, ready);
-        loop.schedule(section.retryWait(), () -> {
+        loop.schedule(section.retryWaitMicros(), () -> {
             if (readyAttempts.remove(stream.id, ready)) {
                 discard(ready);
                 loop.submit(new Input.RequestCancelled(ready.requestNumber(), 0));
--- a/src/main/java/pumicemoor/operator/ProcessorSection.java
+++ b/src/main/java/pumicemoor/operator/ProcessorSection.java
@@ -15,7 +15,7 @@
         String listen,
         Optional<Tls> tls,
         long messageTimeoutMicros,
-        long retryWait,
+        long retryWaitMicros,
         int headerBytes,
         int callsPerConnection,
         FairAdmission.Limits limits,
