--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -869,7 +869,7 @@
         }
         if (next.processor().isPresent() != operatorConfig.processor().isPresent()
                 || next.processor().isPresent()
-                        && !next.processor().get().follows(operatorConfig.processor().get())) {
+                        && !next.processor().get().canReplaceWhileRunning(operatorConfig.processor().get())) {
             return "the section 'processor' can't be added, removed or given another 'listen' or 'tls' while running";
         }
         if (!next.fleet().equals(operatorConfig.fleet())) {
--- a/src/main/java/pumicemoor/operator/ProcessorSection.java
+++ b/src/main/java/pumicemoor/operator/ProcessorSection.java
@@ -51,7 +51,7 @@
      * Returns whether a running router can switch from the other section to this one: the address, TLS, and the bounds
      * that are fixed when the server is built (header bytes, calls per connection) must be the same.
      */
-    public boolean follows(ProcessorSection other) {
+    public boolean canReplaceWhileRunning(ProcessorSection other) {
         return listen.equals(other.listen)
                 && tls.equals(other.tls)
                 && headerBytes == other.headerBytes
