--- a/src/main/java/pumicemoor/extproc/FrontWarmUp.java
+++ b/src/main/java/pumicemoor/extproc/FrontWarmUp.java
@@ -52,7 +52,7 @@
                 1_000,
                 NO_LIMITS,
                 servingSection.noRule(),
-                List.of(new ProcessorSection.RuleText("GET", "/(?P<object>.+)", Map.of(), requestClass, null)));
+                List.of(new ProcessorSection.RuleSpec("GET", "/(?P<object>.+)", Map.of(), requestClass, null)));
         ProcessorFront front = new ProcessorFront(section, settingsReader);
         WarmUpLoop loop = new WarmUpLoop(front);
         front.open(loop);
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -181,7 +181,7 @@
 
     /** Checks that the request classes in the rules exist; the exception names the first class that does not. */
     public static void check(ProcessorSection section, SettingsReader settingsReader) throws InvalidInputException {
-        for (ProcessorSection.RuleText rule : section.rules()) {
+        for (ProcessorSection.RuleSpec rule : section.rules()) {
             settingsReader.requestClass(rule.requestClass());
         }
     }
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -443,7 +443,7 @@
         if (form.rules() == null || form.rules().isEmpty() || form.rules().size() > CallRules.MAX_RULES) {
             throw invalid("processor.rules", "between 1 and " + CallRules.MAX_RULES + " rules are required");
         }
-        List<ProcessorSection.RuleText> rules = new ArrayList<>();
+        List<ProcessorSection.RuleSpec> rules = new ArrayList<>();
         for (RuleForm rule : form.rules()) {
             if (rule.path() == null || rule.requestClass() == null) {
                 throw invalid("processor.rules", "a rule must have a path and a class");
@@ -453,7 +453,7 @@
             } catch (IllegalArgumentException e) {
                 throw invalid("processor.rules", "the path '" + rule.path() + "' is invalid: " + e.getMessage());
             }
-            rules.add(new ProcessorSection.RuleText(
+            rules.add(new ProcessorSection.RuleSpec(
                     rule.method(),
                     rule.path(),
                     rule.headers() == null ? Map.of() : Map.copyOf(rule.headers()),
--- a/src/main/java/pumicemoor/operator/ProcessorSection.java
+++ b/src/main/java/pumicemoor/operator/ProcessorSection.java
@@ -20,13 +20,13 @@
         int callsPerConnection,
         FairAdmission.Limits limits,
         CallRules.NoRule noRule,
-        List<RuleText> rules) {
+        List<RuleSpec> rules) {
 
     /** PEM files: this router's certificate and key, and the authorities that sign the callers' certificates. */
     public record Tls(String certificate, String key, String callers) {}
 
     /** A rule as written in the file; its pattern is not compiled, so that reading a file twice gives equal rules. */
-    public record RuleText(
+    public record RuleSpec(
             String method,
             String path,
             java.util.Map<String, String> headers,
