--- a/src/main/java/pumicemoor/cli/SelfCheck.java
+++ b/src/main/java/pumicemoor/cli/SelfCheck.java
@@ -52,7 +52,7 @@
             server.start();
             try (FrameClient client =
                     new FrameClient("127.0.0.1", server.address().getPort())) {
-                FrameClient.Answer answer = client.ask(
+                FrameClient.Answer answer = client.request(
                         REQUEST_TYPE,
                         Map.of("op", "any", "call", "0123456789abcdef", "row", "0123456789abcdef", "ttl", "2000"),
                         ANSWER_TYPE);
--- a/src/main/java/pumicemoor/cli/Status.java
+++ b/src/main/java/pumicemoor/cli/Status.java
@@ -42,7 +42,7 @@
         int colon = portSeparator(address);
         try (FrameClient client =
                 connect(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))) {
-            FrameClient.Answer answer = client.ask(READY_REQUEST_TYPE, Map.of("rows", subject), READY_ANSWER_TYPE);
+            FrameClient.Answer answer = client.request(READY_REQUEST_TYPE, Map.of("rows", subject), READY_ANSWER_TYPE);
             if (answer.fields().isEmpty()) {
                 throw new InvalidInputException(address + ": this router has no section 'fleet' in its operator's file");
             }
@@ -55,7 +55,7 @@
         int colon = portSeparator(address);
         try (FrameClient client =
                 connect(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))) {
-            return client.ask(READY_REQUEST_TYPE, fields, READY_ANSWER_TYPE).fields().getOrDefault("said", "refused: the router did not answer this command");
+            return client.request(READY_REQUEST_TYPE, fields, READY_ANSWER_TYPE).fields().getOrDefault("said", "refused: the router did not answer this command");
         }
     }
 
@@ -70,7 +70,7 @@
     /** Prints a router's readiness, counters and state. */
     static void print(String host, int port) throws IOException {
         try (FrameClient client = connect(host, port)) {
-            FrameClient.Answer answer = client.ask(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE);
+            FrameClient.Answer answer = client.request(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE);
             System.out.println("ready " + (answer.code() == READY_CODE ? "yes" : "no"));
             answer.fields().forEach((name, value) -> System.out.println(name + " " + value));
         }
--- a/src/main/java/pumicemoor/client/FrameClient.java
+++ b/src/main/java/pumicemoor/client/FrameClient.java
@@ -39,7 +39,7 @@
     }
 
     /** Sends a frame with these fields and returns the next frame of the answer type; skips frames of other types. */
-    public Answer ask(int requestType, Map<String, String> fields, int answerType) throws IOException {
+    public Answer request(int requestType, Map<String, String> fields, int answerType) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream frame = new DataOutputStream(bytes);
         frame.writeByte(requestType);
--- a/src/main/java/pumicemoor/lab/RouterProcess.java
+++ b/src/main/java/pumicemoor/lab/RouterProcess.java
@@ -124,7 +124,7 @@
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
         while (System.nanoTime() < deadlineNanos && process.isAlive()) {
             try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                if (client.ask(READY_REQUEST_FRAME, Map.of(), READY_RESPONSE_FRAME).code() == 1) {
+                if (client.request(READY_REQUEST_FRAME, Map.of(), READY_RESPONSE_FRAME).code() == 1) {
                     return;
                 }
             } catch (IOException e) {
@@ -138,7 +138,7 @@
     /** Returns the counters and state that the router reports; reports list them beside the stand-ins' results. */
     Map<String, String> status() {
         try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-            return client.ask(READY_REQUEST_FRAME, Map.of("counters", "1"), READY_RESPONSE_FRAME).fields();
+            return client.request(READY_REQUEST_FRAME, Map.of("counters", "1"), READY_RESPONSE_FRAME).fields();
         } catch (IOException e) {
             return Map.of("status", e.toString());
         }
--- a/src/test/java/pumicemoor/cli/MainTest.java
+++ b/src/test/java/pumicemoor/cli/MainTest.java
@@ -73,7 +73,7 @@
             FrameClient.Answer state = null;
             while (state == null && router.isAlive()) {
                 try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                    state = client.ask(READY_REQUEST_TYPE, Map.of(), READY_ANSWER_TYPE);
+                    state = client.request(READY_REQUEST_TYPE, Map.of(), READY_ANSWER_TYPE);
                 } catch (ConnectException e) {
                     Thread.sleep(20); // the router does not listen yet
                 }
@@ -118,7 +118,7 @@
         while (!count.equals(expectedCount)) {
             assertTrue(router.isAlive(), "SIGHUP ended the router");
             try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                count = client.ask(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE).fields().get(counter);
+                count = client.request(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE).fields().get(counter);
             }
         }
     }
--- a/src/test/java/pumicemoor/lab/AcceptFailuresProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/AcceptFailuresProcessesTest.java
@@ -34,7 +34,7 @@
             for (int i = 0; i < CONNECTIONS; i++) {
                 long startNanos = System.nanoTime();
                 try (FrameClient client = new FrameClient(address[0], Integer.parseInt(address[1]))) {
-                    assertEquals(1, client.ask(1, Map.of(), 2).code());
+                    assertEquals(1, client.request(1, Map.of(), 2).code());
                 }
                 long millis = (System.nanoTime() - startNanos) / 1_000_000;
                 assertTrue(millis < MAX_RESPONSE_MILLIS, () -> "response took " + millis + " ms");
--- a/src/test/java/pumicemoor/lab/FleetRig.java
+++ b/src/test/java/pumicemoor/lab/FleetRig.java
@@ -246,7 +246,7 @@
     String command(int router, Map<String, String> fields) {
         String[] address = routers.get(router).address().split(":");
         try (FrameClient client = new FrameClient(address[0], Integer.parseInt(address[1]))) {
-            return client.ask(1, fields, 2).fields().getOrDefault("said", "");
+            return client.request(1, fields, 2).fields().getOrDefault("said", "");
         } catch (IOException e) {
             return "";
         }
@@ -290,7 +290,7 @@
         String[] address = routers.get(router).address().split(":");
         try (FrameClient client = new FrameClient(address[0], Integer.parseInt(address[1]))) {
             return JsonRows.decode(String.join(
-                    "", client.ask(1, Map.of("rows", subject), 2).fields().values()));
+                    "", client.request(1, Map.of("rows", subject), 2).fields().values()));
         } catch (IOException | pumicemoor.wire.InvalidInputException e) {
             return List.of();
         }
