--- a/src/main/java/pumicemoor/cli/LabCommand.java
+++ b/src/main/java/pumicemoor/cli/LabCommand.java
@@ -45,7 +45,7 @@
 
         @Override
         void run() throws IOException, InterruptedException {
-            String table = LabRun.table(Path.of(file), updatePath, Path.of(folder), System.out);
+            String table = LabRun.playToMarkdown(Path.of(file), updatePath, Path.of(folder), System.out);
             System.out.println();
             System.out.print(table);
         }
--- a/src/main/java/pumicemoor/lab/LabRun.java
+++ b/src/main/java/pumicemoor/lab/LabRun.java
@@ -55,7 +55,7 @@
     }
 
     /** Plays the scenario in a file, with clients or with proxies, and returns the results as Markdown tables. */
-    public static String table(Path scenario, String changesBy, Path folder, PrintStream progress)
+    public static String playToMarkdown(Path scenario, String changesBy, Path folder, PrintStream progress)
             throws IOException, InterruptedException {
         Scenario parsed = Scenario.read(scenario);
         return parsed.proxies() == null
