--- a/src/main/java/pumicemoor/cli/LabCommand.java
+++ b/src/main/java/pumicemoor/cli/LabCommand.java
@@ -62,7 +62,7 @@
 
         @Override
         void run() throws IOException, InterruptedException {
-            String tables = ProcessRun.table(Path.of(file), Path.of(folder), System.out);
+            String tables = ProcessRun.measureToMarkdown(Path.of(file), Path.of(folder), System.out);
             System.out.println();
             System.out.print(tables);
         }
--- a/src/main/java/pumicemoor/lab/ProcessRun.java
+++ b/src/main/java/pumicemoor/lab/ProcessRun.java
@@ -57,7 +57,7 @@
     }
 
     /** Measures each size in the file, writes NAME-SIZE.json and NAME-SIZE.md to the folder, and returns the tables. */
-    public static String table(Path file, Path folder, PrintStream progress) throws IOException, InterruptedException {
+    public static String measureToMarkdown(Path file, Path folder, PrintStream progress) throws IOException, InterruptedException {
         ScaleConfig config = ScaleConfig.read(file);
         for (int size : config.routers()) {
             if (size > MAX_PROCESSES) {
--- a/src/test/java/pumicemoor/lab/ProcessRunTest.java
+++ b/src/test/java/pumicemoor/lab/ProcessRunTest.java
@@ -28,7 +28,7 @@
     private final PrintStream progress = new PrintStream(new ByteArrayOutputStream());
 
     private String run(String yaml) throws Exception {
-        return ProcessRun.table(Files.writeString(folder.resolve("run.yaml"), yaml), folder.resolve("out"), progress);
+        return ProcessRun.measureToMarkdown(Files.writeString(folder.resolve("run.yaml"), yaml), folder.resolve("out"), progress);
     }
 
     @Test
