--- a/src/main/java/pumicemoor/calls/CallState.java
+++ b/src/main/java/pumicemoor/calls/CallState.java
@@ -61,7 +61,7 @@
         record Complete() implements StreamAction {}
 
         /** Ends the stream with an error after a violation of the protocol. */
-        record Abort(String why) implements StreamAction {}
+        record Abort(String reason) implements StreamAction {}
     }
 
     private final Style style;
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -472,9 +472,9 @@
                 stream.complete();
             } else if (action instanceof StreamAction.Abort abort) {
                 count(Count.ABORTED);
-                loop.reportError("a call from a proxy was aborted: " + abort.why());
+                loop.reportError("a call from a proxy was aborted: " + abort.reason());
                 finish(stream);
-                stream.abort(Status.INVALID_ARGUMENT.withDescription(abort.why()));
+                stream.abort(Status.INVALID_ARGUMENT.withDescription(abort.reason()));
             }
         }
         if (stream.state.phase() == Phase.ENDED) {
