--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -586,7 +586,7 @@
     }
 
     @Override
-    public Map<String, String> state() {
+    public Map<String, String> statusFields() {
         Map<String, String> state = new LinkedHashMap<>();
         counts.forEach((counter, value) ->
                 state.put("processor-" + counter.name().toLowerCase(Locale.ROOT).replace('_', '-'), Long.toString(value)));
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -271,7 +271,7 @@
     @Override
     public Map<String, String> state() {
         Map<String, String> state = new LinkedHashMap<>(reducer.statusFields());
-        callFront.ifPresent(f -> state.putAll(f.state()));
+        callFront.ifPresent(f -> state.putAll(f.statusFields()));
         return state;
     }
 
--- a/src/main/java/pumicemoor/node/CallFront.java
+++ b/src/main/java/pumicemoor/node/CallFront.java
@@ -28,5 +28,5 @@
     void close();
 
     /** Returns its status fields by name. */
-    Map<String, String> state();
+    Map<String, String> statusFields();
 }
