--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -22,7 +22,7 @@
             String object,
             int part,
             int group,
-            String tag,
+            String clientCopyVersion,
             long ttlMillis,
             boolean clientRetry,
             Bytes body)
@@ -38,7 +38,7 @@
                     object,
                     part,
                     group,
-                    tag,
+                    clientCopyVersion,
                     Math.max(0, ttlMillis - micros / 1_000),
                     clientRetry,
                     body);
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -542,7 +542,7 @@
                 fetch.onlyIfCached(),
                 fetch.bypassParent(),
                 fetch.renew(),
-                input.tag(),
+                input.clientCopyVersion(),
                 !settings.classes().get(request.requestClass).uncacheable(),
                 fillPath,
                 input.body().retain()));
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -262,7 +262,7 @@
     void tagWithIllegalCharactersIsNotPassedOn() {
         write(request(5, "ver", "a,b"));
         Input.Request request = (Input.Request) inputs().get(0);
-        assertNull(request.tag());
+        assertNull(request.clientCopyVersion());
         request.body().release();
     }
 
