--- a/src/main/java/pumicemoor/net/CacheProtocol.java
+++ b/src/main/java/pumicemoor/net/CacheProtocol.java
@@ -68,8 +68,8 @@
             flags.add("refresh");
         }
         line.append(flags);
-        if (request.tag() != null) {
-            line.append(",mine=").append(request.tag());
+        if (request.clientCopyVersion() != null) {
+            line.append(",mine=").append(request.clientCopyVersion());
         }
         if (!request.fillPath().isEmpty()) {
             line.append(",way=").append(String.join("+", request.fillPath()));
@@ -121,7 +121,7 @@
                 && !ISSUED_TIME.matcher(answer.fields().getOrDefault("issued", "")).matches()) {
             return "field 'issued' of an answer is missing or invalid";
         }
-        return status == AnswerStatus.UNCHANGED && (answer.body().isReadable() || request.tag() == null)
+        return status == AnswerStatus.UNCHANGED && (answer.body().isReadable() || request.clientCopyVersion() == null)
                 ? "answer 'unchanged' has a body, or its request had no tag"
                 : null;
     }
--- a/src/main/java/pumicemoor/node/Effect.java
+++ b/src/main/java/pumicemoor/node/Effect.java
@@ -38,7 +38,7 @@
             boolean onlyIfCached,
             boolean bypassParent,
             boolean renew,
-            String tag,
+            String clientCopyVersion,
             boolean cacheable,
             List<String> fillPath,
             Bytes body)
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -172,7 +172,7 @@
         assertEquals("9b1f03aa5c7e2d41", sent.id());
         assertEquals("7f3a9c21e0b4d655", sent.object());
         assertEquals(1500, sent.timeoutMillis());
-        assertEquals("4be0", sent.tag());
+        assertEquals("4be0", sent.clientCopyVersion());
         accept(new Input.AttemptWritten(sent.attempt()));
         CountedBody body = new CountedBody();
         now += 90 * MICROS_PER_MILLI;
