--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -249,7 +249,7 @@
         } else if (event instanceof PeerMessage e) {
             handlePeerMessage(e);
         } else if (event instanceof FillSourcesUpdate e) {
-            fillSources = e.lists();
+            fillSources = e.sourcesByMember();
         } else if (event instanceof LimitSharesUpdate e) {
             quotas.update(e.shares(), now);
         } else if (event instanceof EjectionsUpdate e) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -222,7 +222,7 @@
      * the caches of this location that have none of their own. A member without an entry is filled from the listed
      * parents and the origin.
      */
-    record FillSourcesUpdate(long version, Map<Long, FillSources> lists) implements Event {
+    record FillSourcesUpdate(long version, Map<Long, FillSources> sourcesByMember) implements Event {
         public static final long LOCATION = 0;
     }
 
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -39,7 +39,7 @@
 
     private static FillSources localSources(Hierarchy hierarchy, long now) {
         hierarchy.advance(now);
-        return hierarchy.sources(HierarchyTest::id).lists().get(FillSourcesUpdate.LOCATION);
+        return hierarchy.sources(HierarchyTest::id).sourcesByMember().get(FillSourcesUpdate.LOCATION);
     }
 
     private static Set<Long> currentMembers(FillSources sources) {
@@ -64,7 +64,7 @@
         assertEquals(START_MICROS + 12 * SECOND_MICROS, moving.current().get(0).rampEnd());
         assertEquals(
                 List.of(id("h1")),
-                hierarchy.sources(HierarchyTest::id).lists().get(id("h2")).seeds());
+                hierarchy.sources(HierarchyTest::id).sourcesByMember().get(id("h2")).seeds());
         hierarchy.advance(START_MICROS + 7 * SECOND_MICROS);
         assertEquals(0.5, hierarchy.snapshot().shareMoved(), 0.001);
         assertEquals(Stage.MOVING, hierarchy.snapshot().stage());
@@ -74,7 +74,7 @@
         hierarchy.advance(START_MICROS + 60 * SECOND_MICROS);
         assertEquals(Stage.AS_WANTED, hierarchy.snapshot().stage());
         assertEquals(
-                List.of(), hierarchy.sources(HierarchyTest::id).lists().get(id("h2")).seeds());
+                List.of(), hierarchy.sources(HierarchyTest::id).sourcesByMember().get(id("h2")).seeds());
     }
 
     @Test
@@ -189,9 +189,9 @@
         assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, START_MICROS + SECOND_MICROS)));
         assertEquals(START_MICROS + 2 * SECOND_MICROS, hierarchy.nextDue(), "the next call is due when the update takes effect");
         hierarchy.advance(START_MICROS + 3 * SECOND_MICROS);
-        assertFalse(hierarchy.sources(HierarchyTest::id).lists().isEmpty(), "the sources stay valid until half a gap after the lead");
+        assertFalse(hierarchy.sources(HierarchyTest::id).sourcesByMember().isEmpty(), "the sources stay valid until half a gap after the lead");
         hierarchy.advance(START_MICROS + 4 * SECOND_MICROS);
-        assertTrue(hierarchy.sources(HierarchyTest::id).lists().isEmpty(), "the ordinary path decides");
+        assertTrue(hierarchy.sources(HierarchyTest::id).sourcesByMember().isEmpty(), "the ordinary path decides");
         assertEquals(Stage.TOO_OLD, hierarchy.snapshot().stage());
         hierarchy.confirmUpdates(START_MICROS + 9 * SECOND_MICROS, START_MICROS + 9 * SECOND_MICROS, 1);
         assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, START_MICROS + 9 * SECOND_MICROS)));
@@ -240,7 +240,7 @@
         assertEquals(0.5, withPrevious.snapshot().shareMoved(), 0.001);
         Hierarchy withoutPrevious = Hierarchy.start(topology, Optional.empty(), 0, START_MICROS + 7 * SECOND_MICROS, setup, log::add);
         withoutPrevious.advance(START_MICROS + 7 * SECOND_MICROS);
-        assertTrue(withoutPrevious.sources(HierarchyTest::id).lists().isEmpty());
+        assertTrue(withoutPrevious.sources(HierarchyTest::id).sourcesByMember().isEmpty());
         long changeOver = START_MICROS + TIMING.leadMicros() + 3 * (TIMING.moveMicros() + TIMING.gapMicros());
         assertEquals(changeOver, withoutPrevious.nextDue());
         assertFalse(localSources(withoutPrevious, changeOver) == null);
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -160,7 +160,7 @@
             Set<Link> union = new HashSet<>();
             for (Hierarchy hierarchy : routers) {
                 boolean noSources = hierarchy.snapshot().stage() == Hierarchy.Stage.TOO_OLD;
-                assertEquals(noSources, hierarchy.sources(String::hashCode).lists().isEmpty() && noSources);
+                assertEquals(noSources, hierarchy.sources(String::hashCode).sourcesByMember().isEmpty() && noSources);
                 Set<Link> links = hierarchy.timeline().linksInUse();
                 if (!noSources) {
                     union.addAll(links);
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -784,9 +784,9 @@
     private long currentParent() {
         FillSourcesUpdate last = ofType(events, FillSourcesUpdate.class)
                 .get(ofType(events, FillSourcesUpdate.class).size() - 1);
-        return last.lists().isEmpty()
+        return last.sourcesByMember().isEmpty()
                 ? 0
-                : last.lists().get(FillSourcesUpdate.LOCATION).current().get(0).member();
+                : last.sourcesByMember().get(FillSourcesUpdate.LOCATION).current().get(0).member();
     }
 
     @Test
