--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -192,7 +192,7 @@
     private void warmUp() throws InterruptedException {
         long startNanos = System.nanoTime();
         long answered = new WarmUp(config, limits, clock())
-                .run(limits.warmUpRequests(), limits.rehearsalTime(), () -> loop.submit(() -> {})
+                .run(limits.warmUpRequests(), limits.maxWarmUpTime(), () -> loop.submit(() -> {})
                         .sync());
         LOG.info(
                 "{} warmed up with {} requests in {} ms",
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -50,7 +50,7 @@
         long minTimeBeforeExit, // shortest time from SIGTERM to the exit, even if no request is open
         long exitDeadline, // from SIGTERM until all requests still open are failed
         int warmUpRequests, // requests of the rehearsal before the start
-        long rehearsalTime, // longest duration of the rehearsal
+        long maxWarmUpTime, // longest duration of the rehearsal
         int fleetLogLinesPerSecond // lines a second of the fleet's log, and of the log of endpoint changes
         ) {
 
