--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -544,7 +544,7 @@
         double rampMicros = source.rampEnd() - source.rampStart();
         double progress = rampMicros <= 0 ? 1 : (now - source.rampStart()) / rampMicros;
         return (sources.reverting() ? 1 - position : position)
-                < source.share() + (1 - source.share()) * Math.max(0, progress);
+                < source.initialShare() + (1 - source.initialShare()) * Math.max(0, progress);
     }
 
     /**
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -207,7 +207,7 @@
      * A member that may be filled from, with the weight of its part of the objects. While objects migrate to it, the
      * share that it serves rises linearly, from the given one at rampStart to all of them at rampEnd.
      */
-    record FillSource(long member, double weight, double share, long rampStart, long rampEnd) {}
+    record FillSource(long member, double weight, double initialShare, long rampStart, long rampEnd) {}
 
     /**
      * The current fill sources of a member, and the previous ones, which serve the objects that have not migrated yet;
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -107,7 +107,7 @@
         FillSources back = localSources(hierarchy, START_MICROS + 10 * SECOND_MICROS);
         assertEquals(Set.of(id("h1")), currentMembers(back));
         assertTrue(back.reverting());
-        assertEquals(0.2, back.current().get(0).share(), 0.001);
+        assertEquals(0.2, back.current().get(0).initialShare(), 0.001);
         assertEquals(START_MICROS + 18 * SECOND_MICROS, back.current().get(0).rampEnd());
         assertEquals(1, hierarchy.snapshot().movesBack());
         assertFalse(localSources(hierarchy, START_MICROS + 60 * SECOND_MICROS).reverting());
@@ -146,7 +146,7 @@
         var source = localSources(hierarchy, START_MICROS + 6 * SECOND_MICROS).current().get(0);
         assertEquals(START_MICROS + 6 * SECOND_MICROS, source.rampStart());
         assertEquals(START_MICROS + 16 * SECOND_MICROS, source.rampEnd());
-        assertEquals(0, source.share());
+        assertEquals(0, source.initialShare());
     }
 
     @Test
