--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -188,7 +188,7 @@
      *
      * @return the violations because of which the topology was refused, with nothing changed; empty if it was accepted
      */
-    public List<Violation> take(long now, Topology topology, Set<String> members) {
+    public List<Violation> accept(long now, Topology topology, Set<String> members) {
         advance(now);
         List<Violation> problems = new ArrayList<>(TopologyValidator.findViolations(topology, members));
         if (setup.updateSource() != UpdateSource.FILE) {
@@ -254,7 +254,7 @@
      * Accepts an update from the coordinator. A duplicate is ignored; an update after a gap in the numbers waits for
      * the missing ones.
      */
-    public void take(long now, TopologyUpdate update) {
+    public void accept(long now, TopologyUpdate update) {
         advance(now);
         if (update.number() <= number || early.containsKey(update.number())) {
             duplicates++;
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -840,7 +840,7 @@
             return; // the operator's file configures no hierarchy
         }
         if (message instanceof TopologyMessage.Update update) {
-            hierarchy.get().take(now, update.update());
+            hierarchy.get().accept(now, update.update());
         } else if (message instanceof TopologyMessage.Watermark certain) {
             hierarchy.get().confirmUpdates(now, certain.asOfMicros(), certain.lastUpdateNumber());
         }
@@ -893,7 +893,7 @@
         if (!current.topology().equals(proposed.topology())) {
             List<Violation> problems = hierarchy
                     .get()
-                    .take(
+                    .accept(
                             now,
                             proposed.topology(),
                             endpointsByMember.values().stream().map(Endpoint::instance).collect(Collectors.toSet()));
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -55,7 +55,7 @@
     @Test
     void aNewTopologyTakesEffectAfterTheLeadAndMovesObjectsByARisingShare() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
-        assertEquals(List.of(), hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of("h1", "h2", "o")));
+        assertEquals(List.of(), hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of("h1", "h2", "o")));
         assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, START_MICROS + 2 * SECOND_MICROS - 1)));
         FillSources moving = localSources(hierarchy, START_MICROS + 2 * SECOND_MICROS);
         assertEquals(Set.of(id("h2")), currentMembers(moving));
@@ -80,7 +80,7 @@
     @Test
     void aLinkThatWouldCloseALoopIsBlockedUntilTheOppositeLinkIsGone() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:h2", "h2:o");
-        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:o", "h2:h1"), Set.of());
+        hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:o", "h2:h1"), Set.of());
         hierarchy.advance(START_MICROS + 3 * SECOND_MICROS);
         assertEquals(Stage.HELD, hierarchy.snapshot().stage());
         assertEquals(1, hierarchy.snapshot().linksHeld());
@@ -101,8 +101,8 @@
     @Test
     void aRollbackDuringAMigrationReturnsTheShareThatHadMoved() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of());
-        hierarchy.take(START_MICROS + 5 * SECOND_MICROS, Topologies.topology(3, START_MICROS + 5 * SECOND_MICROS, "d:h1", "h1:o", "h2:o"), Set.of());
+        hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of());
+        hierarchy.accept(START_MICROS + 5 * SECOND_MICROS, Topologies.topology(3, START_MICROS + 5 * SECOND_MICROS, "d:h1", "h1:o", "h2:o"), Set.of());
         // the rollback takes effect at 7 s, with half moved; seed links must reverse first, which takes the gap
         FillSources back = localSources(hierarchy, START_MICROS + 10 * SECOND_MICROS);
         assertEquals(Set.of(id("h1")), currentMembers(back));
@@ -116,8 +116,8 @@
     @Test
     void anotherTopologyDuringAMigrationWaitsForItsEnd() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o", "h3:o");
-        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o", "h3:o"), Set.of());
-        hierarchy.take(START_MICROS + 4 * SECOND_MICROS, Topologies.topology(3, START_MICROS + 4 * SECOND_MICROS, "d:h3", "h1:o", "h2:o", "h3:o"), Set.of());
+        hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o", "h3:o"), Set.of());
+        hierarchy.accept(START_MICROS + 4 * SECOND_MICROS, Topologies.topology(3, START_MICROS + 4 * SECOND_MICROS, "d:h3", "h1:o", "h2:o", "h3:o"), Set.of());
         assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, START_MICROS + 11 * SECOND_MICROS)));
         FillSources next = localSources(hierarchy, START_MICROS + 12 * SECOND_MICROS);
         assertEquals(Set.of(id("h3")), currentMembers(next));
@@ -127,7 +127,7 @@
     @Test
     void aRemovedHubStaysUntilNoUnitFillsThroughIt() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o");
-        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:o"), Set.of()); // nothing else filled from h1
+        hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:o"), Set.of()); // nothing else filled from h1
         hierarchy.advance(START_MICROS + 8 * SECOND_MICROS);
         assertTrue(hierarchy.timeline().linksInUse().contains(new Topology.Link("h1", "o")));
         assertEquals(Set.of(id("o")), currentMembers(localSources(hierarchy, START_MICROS + 8 * SECOND_MICROS)));
@@ -139,7 +139,7 @@
     @Test
     void aHubThatRestartsDuringAMigrationRampsUpFromZero() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of());
+        hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of());
         hierarchy.advance(START_MICROS + 6 * SECOND_MICROS);
         hierarchy.members(Map.of("h1", 0L, "h2", START_MICROS + 6 * SECOND_MICROS));
         assertTrue(hierarchy.changed());
@@ -152,15 +152,15 @@
     @Test
     void updatesOfAWholeTopologyAreAppliedTogetherOrNotAtAll() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(START_MICROS, update(1, START_MICROS, 2, "d:h2"));
+        hierarchy.accept(START_MICROS, update(1, START_MICROS, 2, "d:h2"));
         hierarchy.confirmUpdates(START_MICROS + 3 * SECOND_MICROS, START_MICROS + 3 * SECOND_MICROS, 1);
         assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, START_MICROS + 3 * SECOND_MICROS)));
         assertEquals(Stage.WAITING_FOR_NEWS, hierarchy.snapshot().stage());
-        hierarchy.take(START_MICROS + 3 * SECOND_MICROS, update(2, START_MICROS + 3 * SECOND_MICROS, 2, "h2:h1"));
+        hierarchy.accept(START_MICROS + 3 * SECOND_MICROS, update(2, START_MICROS + 3 * SECOND_MICROS, 2, "h2:h1"));
         hierarchy.confirmUpdates(START_MICROS + 6 * SECOND_MICROS, START_MICROS + 6 * SECOND_MICROS, 2);
         assertEquals(Set.of(id("h2")), currentMembers(localSources(hierarchy, START_MICROS + 6 * SECOND_MICROS)));
-        hierarchy.take(START_MICROS + 6 * SECOND_MICROS, update(3, START_MICROS + 6 * SECOND_MICROS, 2, "h1:h2"));
-        hierarchy.take(START_MICROS + 6 * SECOND_MICROS, update(4, START_MICROS + 6 * SECOND_MICROS, 2, "d:h1"));
+        hierarchy.accept(START_MICROS + 6 * SECOND_MICROS, update(3, START_MICROS + 6 * SECOND_MICROS, 2, "h1:h2"));
+        hierarchy.accept(START_MICROS + 6 * SECOND_MICROS, update(4, START_MICROS + 6 * SECOND_MICROS, 2, "d:h1"));
         assertEquals(1, hierarchy.snapshot().shapesRefused());
         assertTrue(
                 hierarchy.snapshot().lastRefusal().contains("a loop: h1 <- h2 <- h1"),
@@ -171,11 +171,11 @@
     @Test
     void duplicateAndOutOfOrderUpdatesAreAppliedOnceAndInOrder() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(START_MICROS, update(2, START_MICROS, 0, "d:h1,h2"));
-        hierarchy.take(START_MICROS, update(2, START_MICROS, 0, "d:h1,h2"));
+        hierarchy.accept(START_MICROS, update(2, START_MICROS, 0, "d:h1,h2"));
+        hierarchy.accept(START_MICROS, update(2, START_MICROS, 0, "d:h1,h2"));
         assertEquals(Stage.WAITING_FOR_NEWS, hierarchy.snapshot().stage());
-        hierarchy.take(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
-        hierarchy.take(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
+        hierarchy.accept(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
+        hierarchy.accept(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
         assertEquals(Map.of("h1", 1.0, "h2", 1.0), hierarchy.wanted().get("d").parents());
         Snapshot snapshot = hierarchy.snapshot();
         assertEquals(2, snapshot.piecesTwice());
@@ -185,7 +185,7 @@
     @Test
     void withoutConfirmationNothingMovesAndAfterTheGapNoSourcesAreGiven() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o", "h2:o");
-        hierarchy.take(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
+        hierarchy.accept(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
         assertEquals(Set.of(id("h1")), currentMembers(localSources(hierarchy, START_MICROS + SECOND_MICROS)));
         assertEquals(START_MICROS + 2 * SECOND_MICROS, hierarchy.nextDue(), "the next call is due when the update takes effect");
         hierarchy.advance(START_MICROS + 3 * SECOND_MICROS);
@@ -205,9 +205,9 @@
     void anInvalidIndependentUpdateIsRefusedAlone(String line) {
         Hierarchy hierarchy = hierarchy(UpdateSource.FEED, "d:h1", "h1:o");
         TopologyUpdate invalid = update(1, START_MICROS, 0, line);
-        hierarchy.take(START_MICROS, line.equals("d:") ? new TopologyUpdate(1, START_MICROS, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : invalid);
+        hierarchy.accept(START_MICROS, line.equals("d:") ? new TopologyUpdate(1, START_MICROS, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : invalid);
         assertEquals(1, hierarchy.snapshot().piecesRefused());
-        hierarchy.take(START_MICROS, update(2, START_MICROS, 0, "d:o"));
+        hierarchy.accept(START_MICROS, update(2, START_MICROS, 0, "d:o"));
         assertEquals(Map.of("o", 1.0), hierarchy.wanted().get("d").parents());
     }
 
@@ -216,15 +216,15 @@
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o");
         assertEquals(
                 ViolationKind.LOOP,
-                hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:h2", "h2:h1"), Set.of())
+                hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:h2", "h2:h1"), Set.of())
                         .get(0)
                         .kind());
         assertEquals(
                 ViolationKind.UNKNOWN_MEMBER,
-                hierarchy.take(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:o"), Set.of("o"))
+                hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:h1", "h1:o"), Set.of("o"))
                         .get(0)
                         .kind());
-        assertFalse(hierarchy.take(START_MICROS, Topologies.topology(1, START_MICROS, "d:o", "h1:o"), Set.of()).isEmpty(), "the version must rise");
+        assertFalse(hierarchy.accept(START_MICROS, Topologies.topology(1, START_MICROS, "d:o", "h1:o"), Set.of()).isEmpty(), "the version must rise");
         assertEquals(3, hierarchy.snapshot().shapesRefused());
         assertEquals(1, hierarchy.snapshot().version());
         hierarchy.advance(START_MICROS + 100 * SECOND_MICROS);
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -125,7 +125,7 @@
 
         void deliverLater(int router, long now, TopologyUpdate update) {
             long delay = random.nextInt(10) == 0 ? random.nextInt((int) (20 * SECOND_MICROS)) : random.nextInt((int) SECOND_MICROS);
-            inbox.get(router).add(new Delivery(now + delay, () -> routers.get(router).take(localTime(router, now + delay), update)));
+            inbox.get(router).add(new Delivery(now + delay, () -> routers.get(router).accept(localTime(router, now + delay), update)));
         }
 
         void heartbeat(long now) {
