--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -527,7 +527,7 @@
     }
 
     /** Returns the target topology, whether or not the timeline has reached it. */
-    public Map<String, Unit> wanted() {
+    public Map<String, Unit> targetUnits() {
         return Map.copyOf(target);
     }
 }
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -165,7 +165,7 @@
         assertTrue(
                 hierarchy.snapshot().lastRefusal().contains("a loop: h1 <- h2 <- h1"),
                 hierarchy.snapshot().lastRefusal());
-        assertEquals(Map.of("h1", 1.0), hierarchy.wanted().get("h2").parents(), "no update of the refused topology is applied");
+        assertEquals(Map.of("h1", 1.0), hierarchy.targetUnits().get("h2").parents(), "no update of the refused topology is applied");
     }
 
     @Test
@@ -176,7 +176,7 @@
         assertEquals(Stage.WAITING_FOR_NEWS, hierarchy.snapshot().stage());
         hierarchy.accept(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
         hierarchy.accept(START_MICROS, update(1, START_MICROS, 0, "d:h2"));
-        assertEquals(Map.of("h1", 1.0, "h2", 1.0), hierarchy.wanted().get("d").parents());
+        assertEquals(Map.of("h1", 1.0, "h2", 1.0), hierarchy.targetUnits().get("d").parents());
         Snapshot snapshot = hierarchy.snapshot();
         assertEquals(2, snapshot.piecesTwice());
         assertEquals(1, snapshot.piecesEarly());
@@ -208,7 +208,7 @@
         hierarchy.accept(START_MICROS, line.equals("d:") ? new TopologyUpdate(1, START_MICROS, 2, 0, "d", Topology.Kind.DEPOT, Map.of(), false) : invalid);
         assertEquals(1, hierarchy.snapshot().piecesRefused());
         hierarchy.accept(START_MICROS, update(2, START_MICROS, 0, "d:o"));
-        assertEquals(Map.of("o", 1.0), hierarchy.wanted().get("d").parents());
+        assertEquals(Map.of("o", 1.0), hierarchy.targetUnits().get("d").parents());
     }
 
     @Test
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -197,7 +197,7 @@
                 .collect(Collectors.toSet());
         for (Hierarchy hierarchy : run.routers) {
             assertEquals(finalLinks, hierarchy.timeline().linksInUse(), "all routers end with the same links");
-            assertEquals(run.target, hierarchy.wanted());
+            assertEquals(run.target, hierarchy.targetUnits());
             assertEquals(finalLinks.size(), hierarchy.timeline().linksInOrder(), "the order contains no stale links");
         }
         boolean allParentsExist = targetLinks.stream().allMatch(l -> run.target.containsKey(l.parent()));
