--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -175,7 +175,7 @@
     /**
      * Sets when members started. Only shares depend on it, since routers may differ in it but must agree on the links.
      */
-    public void members(Map<String, Long> startedByName) {
+    public void updateStartTimes(Map<String, Long> startedByName) {
         if (!startTimes.equals(startedByName)) {
             startTimes.clear();
             startTimes.putAll(startedByName);
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -1073,7 +1073,7 @@
             fleetMembers.keySet().retainAll(listed);
         }
         fleet.ifPresent(f -> f.updateMembers(now, fleetMembers));
-        hierarchy.ifPresent(h -> h.members(endpointsByMember.values().stream()
+        hierarchy.ifPresent(h -> h.updateStartTimes(endpointsByMember.values().stream()
                 .collect(Collectors.toMap(Endpoint::instance, Endpoint::started, Math::max))));
         MemberListUpdate memberList = new MemberListUpdate(snapshot ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, members);
         if (drainedMembers.isEmpty()) {
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -141,7 +141,7 @@
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o", "h2:o");
         hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:h2", "h1:o", "h2:o"), Set.of());
         hierarchy.advance(START_MICROS + 6 * SECOND_MICROS);
-        hierarchy.members(Map.of("h1", 0L, "h2", START_MICROS + 6 * SECOND_MICROS));
+        hierarchy.updateStartTimes(Map.of("h1", 0L, "h2", START_MICROS + 6 * SECOND_MICROS));
         assertTrue(hierarchy.changed());
         var source = localSources(hierarchy, START_MICROS + 6 * SECOND_MICROS).current().get(0);
         assertEquals(START_MICROS + 6 * SECOND_MICROS, source.rampStart());
