--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -78,7 +78,7 @@
     private static final int MAX_LIST_ENTRIES = 255; // the largest count that fits the byte before a list in a packet
 
     /** A member in the list of members; {@code ready} if the list allows its use. */
-    public record ListedMember(String name, Role role, long started, boolean ready) {
+    public record ListedMember(String name, Role role, long startedAt, boolean ready) {
 
         /** A member that is ready. */
         public ListedMember(String name, Role role, long started) {
@@ -377,7 +377,7 @@
         }
         failureReports.entrySet()
                 .removeIf(entry -> !members.containsKey(entry.getKey())
-                        || members.get(entry.getKey()).started()
+                        || members.get(entry.getKey()).startedAt()
                                 != entry.getValue().report().memberStartedAt());
         limitSharesChanged = true;
     }
@@ -433,7 +433,7 @@
                     new ActiveReport(
                             new FailureReport(
                                     health.member(),
-                                    member.started(),
+                                    member.startedAt(),
                                     health.unresponsive() ? Cause.SILENT : Cause.FAILING,
                                     health.consecutiveFailures(),
                                     health.failureRate()),
@@ -1013,11 +1013,11 @@
         List<EjectedMember> ejected = new ArrayList<>();
         for (EjectionTable.KnownDecision held : active) {
             ListedMember member = members.get(held.decision().member());
-            if (member != null && member.started() == held.decision().memberStartedAt() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
+            if (member != null && member.startedAt() == held.decision().memberStartedAt() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
                 ejected.add(new EjectedMember(
                         held.decision().member(),
                         Math.max(
-                                member.started(),
+                                member.startedAt(),
                                 drains.map(d -> d.returned(held.decision().member()))
                                         .orElse(0L)),
                         held.endsAt()));
@@ -1041,7 +1041,7 @@
                 targets.put(
                         id,
                         new FleetSnapshot.Target(
-                                member.name(), member.role() == Role.CACHE ? MemberKind.CACHE : MemberKind.PARENT, member.ready(), member.started()));
+                                member.name(), member.role() == Role.CACHE ? MemberKind.CACHE : MemberKind.PARENT, member.ready(), member.startedAt()));
             }
         });
         Set<Long> failing =
