--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -251,7 +251,7 @@
     /** Returns the view for routing decisions from now on, or null if it has not changed. */
     public View takeView(long now, FleetSnapshot snapshot) {
         snapshot.targets().forEach((id, target) -> {
-            if (returnedAt.getOrDefault(id, Long.MAX_VALUE) <= target.started()) {
+            if (returnedAt.getOrDefault(id, Long.MAX_VALUE) <= target.startedAt()) {
                 returnedAt.remove(id);
             }
         });
--- a/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
+++ b/src/main/java/pumicemoor/fleet/drains/FleetSnapshot.java
@@ -36,7 +36,7 @@
     }
 
     /** A member that can be drained; ready and started (Unix microseconds) are as in the list of members. */
-    public record Target(String name, MemberKind tier, boolean ready, long started) {}
+    public record Target(String name, MemberKind tier, boolean ready, long startedAt) {}
 
     int majority() {
         return assumedRouters / 2 + 1;
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -171,6 +171,6 @@
                     .anyMatch(p -> p.id() == order.member() && p.isAlive() && appliedStamp(p) >= order.fence());
         }
         Target target = snapshot.targets().get(order.member());
-        return target != null && target.ready() && snapshot.now() >= Math.max(order.since(), target.started()) + times.warmTime(order.tier());
+        return target != null && target.ready() && snapshot.now() >= Math.max(order.since(), target.startedAt()) + times.warmTime(order.tier());
     }
 }
