--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -59,7 +59,7 @@
      * for it as long as it may; the members that no requests are sent to; and when members returned from a drain, in
      * Unix microseconds.
      */
-    public record View(boolean settled, Set<Long> avoidedMembers, Map<Long, Long> returned) {}
+    public record View(boolean settled, Set<Long> avoidedMembers, Map<Long, Long> returnedAt) {}
 
     /** This router's use of a member, queried for each report. */
     public interface Usage {
@@ -444,7 +444,7 @@
      * did not.
      */
     public long returned(long member) {
-        return lastView == null ? 0 : lastView.returned().getOrDefault(member, 0L);
+        return lastView == null ? 0 : lastView.returnedAt().getOrDefault(member, 0L);
     }
 
     /** Returns whether routing decisions know which members to avoid, or have waited for that as long as they may. */
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -72,7 +72,7 @@
                 member.zone(),
                 member.cell(),
                 member.weight(),
-                Math.max(member.startedAt(), view.returned().getOrDefault(member.id(), 0L)),
+                Math.max(member.startedAt(), view.returnedAt().getOrDefault(member.id(), 0L)),
                 state);
     }
 }
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -132,7 +132,7 @@
         reportAndAnswer(1_500, 1_510, INSTANCE, true, 12);
         view = drains.takeView(1_510, snapshot(1_510));
         assertTrue(view.avoidedMembers().isEmpty());
-        assertEquals(Map.of(1L, 40L), view.returned(), "the member returned and is in slow start");
+        assertEquals(Map.of(1L, 40L), view.returnedAt(), "the member returned and is in slow start");
     }
 
     @Test
