--- a/src/main/java/pumicemoor/Logic.java
+++ b/src/main/java/pumicemoor/Logic.java
@@ -212,8 +212,10 @@
                 : Math.max(1, settings.routersByLocation().get(settings.location()));
         this.retryTokens = Math.max(1, RETRY_BURST_TOKENS / localRouters);
         this.weighted = settings.weights() == WeightMeaning.NOMINAL || settings.weights() == WeightMeaning.ROUGH;
-        this.tightestLatencyTarget =
-                settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElse(0);
+        this.tightestLatencyTarget = settings.classes().stream()
+                .mapToLong(RequestClass::latencyTarget)
+                .min()
+                .orElse(0);
         this.meanWorkMicros = new double[settings.classes().size()];
     }
 
@@ -328,8 +330,7 @@
             rewatchAt = Long.MAX_VALUE;
             actions.accept(new WatchMembers(true));
         }
-        quotas.reportDemand(
-                now, id -> members.containsKey(id) ? members.get(id).reachingAttempts : 0, actions::accept);
+        quotas.reportDemand(now, id -> members.containsKey(id) ? members.get(id).reachingAttempts : 0, actions::accept);
         List.copyOf(waiting).forEach(this::route);
         for (RequestState request : new ArrayList<>(requests.values())) {
             for (Attempt attempt : request.open.values()) {
@@ -474,8 +475,8 @@
      * neither, if there is one.
      */
     private MemberState fillSource(RequestState request, MemberState edge) {
-        Predicate<MemberState> usable = m ->
-                isUsable(m) && !request.failedMembers.contains(m.listing.id()) && slowStartAllows(m, request);
+        Predicate<MemberState> usable =
+                m -> isUsable(m) && !request.failedMembers.contains(m.listing.id()) && slowStartAllows(m, request);
         if (edge != null && settings.fills().siblings() != SiblingScope.NONE) {
             for (Holder holder : history(request).holders) {
                 if (holder.cache != edge
@@ -553,13 +554,15 @@
      */
     private List<MemberState> fillPath(RequestState request, MemberState source, MemberState child) {
         List<MemberState> path = new ArrayList<>();
-        Predicate<MemberState> usable = m ->
-                isUsable(m) && !request.failedMembers.contains(m.listing.id()) && slowStartAllows(m, request);
+        Predicate<MemberState> usable =
+                m -> isUsable(m) && !request.failedMembers.contains(m.listing.id()) && slowStartAllows(m, request);
         FillSources migrating = source.listing.role() == Role.PARENT ? fillSourcesOf(child) : null;
         List<MemberState> oldHomes =
                 migrating == null ? List.of() : rendezvousOrder(migrating.earlier(), request.arrival.object());
         for (MemberState current = source;
-                current != null && fillSources.containsKey(current.listing.id()) && path.size() < MAX_FILL_PATH_MEMBERS; ) {
+                current != null
+                        && fillSources.containsKey(current.listing.id())
+                        && path.size() < MAX_FILL_PATH_MEMBERS; ) {
             MemberState oldHome = current != source || oldHomes.isEmpty() ? null : oldHomes.get(0);
             boolean seeded = oldHome != null
                     && usable.test(oldHome)
@@ -597,7 +600,8 @@
     private boolean isFull(MemberState member, double addedLoad, RequestState request) {
         double relativePriority = request.priority / (request.priority + meanPriority);
         boolean full = !quotaAllows(member, request)
-                || locationLoad(member) + addedLoad > member.limit * (1 - LARGE_REQUEST_RESERVE * (1 - relativePriority));
+                || locationLoad(member) + addedLoad
+                        > member.limit * (1 - LARGE_REQUEST_RESERVE * (1 - relativePriority));
         member.limitReachedAt = full ? now : member.limitReachedAt;
         return full;
     }
@@ -679,9 +683,7 @@
         member.meanLoad += (member.load - member.meanLoad)
                 * (localRouters == 1
                         ? 1
-                        : 1
-                                - Math.exp((member.loadUpdatedAt - now)
-                                        / (LOAD_MICROS_PER_ROUTER * (localRouters - 1))));
+                        : 1 - Math.exp((member.loadUpdatedAt - now) / (LOAD_MICROS_PER_ROUTER * (localRouters - 1))));
         member.loadUpdatedAt = now;
         return localRouters * member.meanLoad;
     }
@@ -714,7 +716,8 @@
             member.load = Math.max(0, member.load - load);
         });
         quotas.endAttempt(
-                attempt.mayCrossZones, inOtherZone(attempt.target) || event.filled(!attempt.expectHit) ? event.bodyKb() : 0);
+                attempt.mayCrossZones,
+                inOtherZone(attempt.target) || event.filled(!attempt.expectHit) ? event.bodyKb() : 0);
         request.mayHaveRun = !event.outcome().provesNotRun || !request.open.isEmpty();
         recordOutcome(request, attempt, event);
         if (event.closed()) {
@@ -875,15 +878,14 @@
      */
     private void handleSilence(RequestState request, Attempt attempt) {
         boolean targetSilent = attempt.target.lastAnswerAt < attempt.sentAt;
-        MemberState silent =
-                targetSilent && (attempt.expectHit || attempt.source.lastAnswerAt >= attempt.sentAt)
-                        ? attempt.target
-                        : !targetSilent
-                                        && !attempt.expectHit
-                                        && attempt.source.lastAnswerAt < attempt.sentAt
-                                        && lastFillAt >= attempt.sentAt
-                                ? attempt.source
-                                : null;
+        MemberState silent = targetSilent && (attempt.expectHit || attempt.source.lastAnswerAt >= attempt.sentAt)
+                ? attempt.target
+                : !targetSilent
+                                && !attempt.expectHit
+                                && attempt.source.lastAnswerAt < attempt.sentAt
+                                && lastFillAt >= attempt.sentAt
+                        ? attempt.source
+                        : null;
         if (silent != null) {
             countFailure(silent, true);
             cancel(request, attempt);
@@ -927,8 +929,7 @@
         if (unresponsive) {
             member.slowStartFrom = Math.max(member.slowStartFrom, member.ejectedUntil);
         }
-        reportHealth(
-                member, true, unresponsive, " is out for " + member.ejectionMicros / MICROS_PER_MILLI + " ms");
+        reportHealth(member, true, unresponsive, " is out for " + member.ejectionMicros / MICROS_PER_MILLI + " ms");
     }
 
     private void recordAnswer(MemberState member) {
@@ -1067,8 +1068,7 @@
             String key = StandardCharsets.UTF_8.decode(payload).toString();
             if (caches.contains(cache)) {
                 localPeers.add(message.from());
-                remember(
-                        objects.computeIfAbsent(key, k -> new ObjectHistory()), cache, now, now + HOLDING_TTL_MICROS);
+                remember(objects.computeIfAbsent(key, k -> new ObjectHistory()), cache, now, now + HOLDING_TTL_MICROS);
             }
         }
     }
@@ -1091,8 +1091,7 @@
         long sincePurge = Math.min(
                 lastPurgedAt == Long.MIN_VALUE ? Long.MAX_VALUE : Math.max(1, now - lastPurgedAt),
                 updatesMissing ? PURGE_DELIVERY_MICROS : Long.MAX_VALUE);
-        long freshFor =
-                request.requestClass.freshFor() + (request.acceptStale ? request.requestClass.staleGrace() : 0);
+        long freshFor = request.requestClass.freshFor() + (request.acceptStale ? request.requestClass.staleGrace() : 0);
         return freshFor > 0 ? Math.min(freshFor, sincePurge) : sincePurge == Long.MAX_VALUE ? 0 : sincePurge;
     }
 
@@ -1135,7 +1134,8 @@
             return true;
         }
         boolean parent = member.listing.role() == Role.PARENT;
-        SlowStart slowStart = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
+        SlowStart slowStart =
+                parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
         int routers = parent ? Math.max(1, settings.routers()) : localRouters;
         double capacity = weighted
                 ? member.listing.weight() / routers
--- a/src/main/java/pumicemoor/Quota.java
+++ b/src/main/java/pumicemoor/Quota.java
@@ -42,8 +42,7 @@
     /** Adds the tokens earned since the last refill and returns the amount in force now. */
     private double refill(long now) {
         double amount = now < share.expiresAt() ? share.amount() : share.amountAfterExpiry();
-        tokens = Math.min(
-                Math.max(1, amount * burstMicros / 1e6), tokens + amount * (now - refilledAt) / 1e6);
+        tokens = Math.min(Math.max(1, amount * burstMicros / 1e6), tokens + amount * (now - refilledAt) / 1e6);
         refilledAt = now;
         return amount;
     }
@@ -82,8 +81,8 @@
      * requests in flight, it is the number in flight now plus the requests that were denied.
      */
     LimitDemand takeDemand(int inFlight) {
-        LimitDemand taken =
-                new LimitDemand(share.member(), share.measure(), demand + (share.measure().wholeNumbers ? inFlight : 0), inFlight);
+        LimitDemand taken = new LimitDemand(
+                share.member(), share.measure(), demand + (share.measure().wholeNumbers ? inFlight : 0), inFlight);
         demand = 0;
         return taken;
     }
--- a/src/main/java/pumicemoor/Quotas.java
+++ b/src/main/java/pumicemoor/Quotas.java
@@ -52,7 +52,8 @@
         return quotasOf(member).stream()
                         .allMatch(q ->
                                 q.measure() == LimitMeasure.COLD_IN_FLIGHT && warm || q.allows(now, inFlight, request))
-                && (!inOtherZone || quotasOf(LimitShare.ACROSS_ZONES).stream().allMatch(q -> q.allows(now, 0, request)));
+                && (!inOtherZone
+                        || quotasOf(LimitShare.ACROSS_ZONES).stream().allMatch(q -> q.allows(now, 0, request)));
     }
 
     void spend(long member) {
--- a/src/main/java/pumicemoor/RouterApi.java
+++ b/src/main/java/pumicemoor/RouterApi.java
@@ -115,7 +115,13 @@
 
     /** Costs that are subtracted from a result, each multiplied by its rate. */
     record Costs(
-            double crossZone, double waste, double probe, double peer, double lateFailure, double origin, double inboundLink) {}
+            double crossZone,
+            double waste,
+            double probe,
+            double peer,
+            double lateFailure,
+            double origin,
+            double inboundLink) {}
 
     /** Which caches may be the source of a fill. */
     enum SiblingScope {
@@ -215,7 +221,12 @@
      * change, for as long as they are remembered. Seeds are the members that this one may fill from instead, for
      * objects whose home they were.
      */
-    record FillSources(List<FillSource> current, List<FillSource> previous, List<FillSource> earlier, boolean reverting, List<Long> seeds) {}
+    record FillSources(
+            List<FillSource> current,
+            List<FillSource> previous,
+            List<FillSource> earlier,
+            boolean reverting,
+            List<Long> seeds) {}
 
     /**
      * The fill sources by member, which replace the listed parents and the origin. The entry under LOCATION applies to
@@ -352,7 +363,9 @@
 
         /** Whether this attempt caused a fill itself; where that is not reported, whether one was expected. */
         public boolean filled(boolean expected) {
-            return fillResult == FillResult.FILLED || fillResult == FillResult.FILLED_BY_ORIGIN || fillResult == FillResult.NONE && expected;
+            return fillResult == FillResult.FILLED
+                    || fillResult == FillResult.FILLED_BY_ORIGIN
+                    || fillResult == FillResult.NONE && expected;
         }
     }
 
@@ -468,7 +481,8 @@
      * This router has ejected a member until the given time, or found it healthy again; unresponsive means that the
      * member sent nothing at all.
      */
-    record MemberHealthReport(long member, boolean failing, boolean unresponsive, int consecutiveFailures, double failureRate, long until)
+    record MemberHealthReport(
+            long member, boolean failing, boolean unresponsive, int consecutiveFailures, double failureRate, long until)
             implements Action {}
 
     /** A log line for on-call staff. */
--- a/src/main/java/pumicemoor/calls/CallRules.java
+++ b/src/main/java/pumicemoor/calls/CallRules.java
@@ -80,11 +80,13 @@
         return Optional.empty();
     }
 
-    private static Optional<RequestAttributes> attributes(Rule rule, Matcher matcher, String pathWithoutQuery, Map<String, String> headers) {
+    private static Optional<RequestAttributes> attributes(
+            Rule rule, Matcher matcher, String pathWithoutQuery, Map<String, String> headers) {
         String object = namedGroup(rule, matcher, "object");
         object = object == null ? pathWithoutQuery : object;
         String part = namedGroup(rule, matcher, "part");
-        String group = rule.groupHeader() == null ? namedGroup(rule, matcher, "group") : headers.get(rule.groupHeader());
+        String group =
+                rule.groupHeader() == null ? namedGroup(rule, matcher, "group") : headers.get(rule.groupHeader());
         try {
             int partNumber = part == null ? 0 : Integer.parseInt(part);
             int groupNumber = group == null ? -1 : Integer.parseInt(group);
--- a/src/main/java/pumicemoor/calls/FairAdmission.java
+++ b/src/main/java/pumicemoor/calls/FairAdmission.java
@@ -84,7 +84,8 @@
         }
         if (!takeToken(now, account)) {
             double share = limits.fair() ? limits.rate() / activeCallers(now) : limits.rate();
-            return new Decision(false, "rate", (long) Math.min(MICROS_PER_SECOND, Math.max(1, MICROS_PER_SECOND / share)));
+            return new Decision(
+                    false, "rate", (long) Math.min(MICROS_PER_SECOND, Math.max(1, MICROS_PER_SECOND / share)));
         }
         account.openCalls++;
         openCalls++;
@@ -101,15 +102,17 @@
     }
 
     private boolean takeToken(long now, Account account) {
-        reserveTokens = Math.min(burstTokens(), reserveTokens + (now - reserveRefilledAt) / MICROS_PER_SECOND * limits.rate());
+        reserveTokens =
+                Math.min(burstTokens(), reserveTokens + (now - reserveRefilledAt) / MICROS_PER_SECOND * limits.rate());
         reserveRefilledAt = now;
         if (!limits.fair()) {
             return takeFromReserve();
         }
         // the reserve bounds the calls of all callers together; the account shows the caller's own share of them
         double share = limits.rate() / activeCallers(now);
-        account.tokens =
-                Math.min(Math.max(1, share * BURST_SECONDS), account.tokens + (now - account.refilledAt) / MICROS_PER_SECOND * share);
+        account.tokens = Math.min(
+                Math.max(1, share * BURST_SECONDS),
+                account.tokens + (now - account.refilledAt) / MICROS_PER_SECOND * share);
         account.refilledAt = now;
         if (account.tokens >= 1 && reserveTokens >= 1) {
             account.tokens--;
--- a/src/main/java/pumicemoor/cli/DrainCommands.java
+++ b/src/main/java/pumicemoor/cli/DrainCommands.java
@@ -93,10 +93,10 @@
             long deadlineNanos = System.nanoTime() + waitSeconds * 1_000_000_000L;
             while (!hasTakenEffect(address, id)) {
                 if (System.nanoTime() > deadlineNanos) {
-                    throw new InvalidInputException(
-                            "not agreed within " + waitSeconds + " s: there is no majority of the routers, or they do not"
-                                    + " list these members; " + address + " keeps trying for a minute, and --id " + id
-                                    + " repeats the command with no second effect");
+                    throw new InvalidInputException("not agreed within " + waitSeconds
+                            + " s: there is no majority of the routers, or they do not"
+                            + " list these members; " + address + " keeps trying for a minute, and --id " + id
+                            + " repeats the command with no second effect");
                 }
                 Thread.sleep(POLL_INTERVAL_MILLIS);
             }
@@ -147,7 +147,8 @@
         @Override
         boolean hasTakenEffect(String address, String id) throws IOException, InvalidInputException {
             return Status.rows(address, "drain-requests").stream()
-                    .anyMatch(row -> row.get("id").equals(id) && !row.get("state").equals("not-taken"));
+                    .anyMatch(
+                            row -> row.get("id").equals(id) && !row.get("state").equals("not-taken"));
         }
     }
 
@@ -174,7 +175,8 @@
 
         @Override
         boolean hasTakenEffect(String address, String id) throws IOException, InvalidInputException {
-            return rowsOfMembers(address).stream().noneMatch(row -> row.get("phase").equals("out"));
+            return rowsOfMembers(address).stream()
+                    .noneMatch(row -> row.get("phase").equals("out"));
         }
     }
 
--- a/src/main/java/pumicemoor/cli/FleetRows.java
+++ b/src/main/java/pumicemoor/cli/FleetRows.java
@@ -9,8 +9,8 @@
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import pumicemoor.wire.JsonRows;
 import pumicemoor.wire.InvalidInputException;
+import pumicemoor.wire.JsonRows;
 
 /**
  * Prints rows about the fleet that a running router knows, as a table or as JSON. It only reads: it must not change
@@ -54,8 +54,10 @@
         List<Integer> widths = new ArrayList<>();
         for (int i = 0; i < columns.size(); i++) {
             int column = i;
-            widths.add(
-                    lines.stream().mapToInt(line -> line.get(column).length()).max().orElse(0));
+            widths.add(lines.stream()
+                    .mapToInt(line -> line.get(column).length())
+                    .max()
+                    .orElse(0));
         }
         StringBuilder table = new StringBuilder();
         for (List<String> line : lines) {
--- a/src/main/java/pumicemoor/cli/HierarchyCommand.java
+++ b/src/main/java/pumicemoor/cli/HierarchyCommand.java
@@ -16,7 +16,8 @@
  * The command 'hierarchy': validates a topology, or computes the migration from one to another, with the code that
  * routers run. It works on files only and must not contact a router.
  */
-@Usage.Summary("checks a hierarchy, or shows the steps from one to another: hierarchy check FILE, hierarchy plan OLD NEW")
+@Usage.Summary(
+        "checks a hierarchy, or shows the steps from one to another: hierarchy check FILE, hierarchy plan OLD NEW")
 public final class HierarchyCommand extends NestedCommand {
 
     @Argument(handler = SubCommandHandler.class, metaVar = "check|plan", required = true)
@@ -29,7 +30,8 @@
     }
 
     /** Validates the topology of an operator's file. */
-    @Usage.Summary("checks the hierarchy of an operator's file; exits 1 with the file, line and key of the first trouble")
+    @Usage.Summary(
+            "checks the hierarchy of an operator's file; exits 1 with the file, line and key of the first trouble")
     public static final class Check extends Command {
         @Argument(metaVar = "FILE", required = true, usage = "an operator's file with a section 'hierarchy'")
         private String file;
@@ -44,8 +46,9 @@
     }
 
     /** Prints the steps of the migration from one topology to another. */
-    @Usage.Summary("shows the steps from the hierarchy in OLD to that in NEW with the times of NEW, and what each moves;"
-            + " exits 1 where NEW would be refused")
+    @Usage.Summary(
+            "shows the steps from the hierarchy in OLD to that in NEW with the times of NEW, and what each moves;"
+                    + " exits 1 where NEW would be refused")
     public static final class Plan extends Command {
         @Argument(index = 0, metaVar = "OLD", required = true, usage = "the operator's file that is in force")
         private String currentFile;
@@ -58,8 +61,9 @@
             HierarchySection next = OperatorFile.readHierarchy(Path.of(nextFile));
             HierarchySection current = OperatorFile.readHierarchy(Path.of(currentFile));
             if (next.topology().version() <= current.topology().version()) {
-                throw new InvalidInputException(nextFile + ": version " + next.topology().version() + " is not above version "
-                        + current.topology().version() + " of " + currentFile);
+                throw new InvalidInputException(
+                        nextFile + ": version " + next.topology().version() + " is not above version "
+                                + current.topology().version() + " of " + currentFile);
             }
             MigrationPlan plan = MigrationPlan.between(current.topology(), next.topology(), next.timing());
             if (!plan.usable()) {
@@ -69,7 +73,8 @@
                                 : plan.violations().get(0)));
             }
             System.out.println("version " + current.topology().version() + " to "
-                    + next.topology().version() + ", " + plan.steps().size() + " steps; times count from the announcement");
+                    + next.topology().version() + ", " + plan.steps().size()
+                    + " steps; times count from the announcement");
             for (MigrationPlan.Step step : plan.steps()) {
                 System.out.printf("at %.1f s%n", step.afterMicros() / 1e6);
                 print("begins to fill from", step.begin());
--- a/src/main/java/pumicemoor/cli/LabCommand.java
+++ b/src/main/java/pumicemoor/cli/LabCommand.java
@@ -29,7 +29,8 @@
     }
 
     /** Runs one scenario and prints its report. */
-    @Usage.Summary("plays a scenario and prints what was measured; report.md, report.csv and asked.csv stay in the folder")
+    @Usage.Summary(
+            "plays a scenario and prints what was measured; report.md, report.csv and asked.csv stay in the folder")
     public static final class Run extends Command {
         @Argument(metaVar = "FILE", required = true, usage = "the scenario, as YAML (docs/lab.md)")
         private String file;
--- a/src/main/java/pumicemoor/cli/Main.java
+++ b/src/main/java/pumicemoor/cli/Main.java
@@ -32,8 +32,8 @@
 import pumicemoor.operator.OperatorConfig.LogFormat;
 import pumicemoor.operator.OperatorException;
 import pumicemoor.operator.OperatorFile;
-import pumicemoor.wire.SimulatorAdapter;
 import pumicemoor.wire.InvalidInputException;
+import pumicemoor.wire.SimulatorAdapter;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -132,7 +132,8 @@
             // pending until it can.
             Semaphore reloadRequests = new Semaphore(0);
             CountDownLatch stopRequested = new CountDownLatch(1);
-            boolean hangupIgnored = Signal.handle(new Signal("HUP"), signal -> reloadRequests.release()) == SignalHandler.SIG_IGN;
+            boolean hangupIgnored =
+                    Signal.handle(new Signal("HUP"), signal -> reloadRequests.release()) == SignalHandler.SIG_IGN;
             Signal.handle(new Signal("TERM"), signal -> stopRequested.countDown());
             Signal.handle(new Signal("INT"), signal -> stopRequested.countDown());
             OperatorConfig operator = readOperatorConfig(operatorFile);
@@ -140,7 +141,8 @@
             Logger log = LoggerFactory.getLogger(Serve.class);
             // The JVM silently installs no handler for a signal that the parent process set to ignored, as nohup does.
             if (hangupIgnored) {
-                log.warn("SIGHUP was ignored when this process started; the configuration files are reloaded when they change instead");
+                log.warn(
+                        "SIGHUP was ignored when this process started; the configuration files are reloaded when they change instead");
                 watch(configFile, operatorFile, reloadRequests);
             }
             NodeConfig config = readConfig(configFile);
@@ -243,7 +245,8 @@
     }
 
     /** Validates a configuration and an operator's file, and prints a summary of them. */
-    @Usage.Summary("reads a configuration, and the operator's file where one is named, and says whether they can be used")
+    @Usage.Summary(
+            "reads a configuration, and the operator's file where one is named, and says whether they can be used")
     public static final class CheckConfig extends Command {
         @Argument(metaVar = "FILE", usage = "the configuration; RELAY_CONFIG names it otherwise")
         private String configFile = System.getenv("RELAY_CONFIG");
@@ -257,10 +260,12 @@
                 OperatorConfig operator = readOperatorConfig(operatorFile);
                 System.out.println("usable: " + operatorFile
                         + operator.hierarchy()
-                                .map(hierarchy -> ", hierarchy of version " + hierarchy.topology().version() + " with "
+                                .map(hierarchy -> ", hierarchy of version "
+                                        + hierarchy.topology().version() + " with "
                                         + hierarchy.topology().units().size() + " units")
                                 .orElse(operator.fleet()
-                                        .map(fleet -> ", fleet '" + fleet.cluster() + "' of " + fleet.size() + " routers with "
+                                        .map(fleet -> ", fleet '" + fleet.cluster() + "' of " + fleet.size()
+                                                + " routers with "
                                                 + fleet.limits().size() + " limits")
                                         .orElse(", all off")));
                 if (configFile == null) {
--- a/src/main/java/pumicemoor/cli/SelfCheck.java
+++ b/src/main/java/pumicemoor/cli/SelfCheck.java
@@ -28,7 +28,8 @@
     private static final int ANSWER_TYPE = 8;
     private static final int SERVED_CODE = 1;
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 10_000;
-    private static final String COORDINATOR_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n:\n\n";
+    private static final String COORDINATOR_RESPONSE =
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n:\n\n";
     private static final String BODY = "whole and unaltered";
     private static final String CONFIG =
             """
--- a/src/main/java/pumicemoor/cli/Status.java
+++ b/src/main/java/pumicemoor/cli/Status.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import org.kohsuke.args4j.Argument;
 import pumicemoor.client.FrameClient;
-import pumicemoor.wire.JsonRows;
 import pumicemoor.wire.InvalidInputException;
+import pumicemoor.wire.JsonRows;
 
 /**
  * The command 'status': queries a running router's readiness, counters and state with the frame in which clients ask
@@ -44,7 +44,8 @@
                 connect(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))) {
             FrameClient.Answer answer = client.request(READY_REQUEST_TYPE, Map.of("rows", subject), READY_ANSWER_TYPE);
             if (answer.fields().isEmpty()) {
-                throw new InvalidInputException(address + ": this router has no section 'fleet' in its operator's file");
+                throw new InvalidInputException(
+                        address + ": this router has no section 'fleet' in its operator's file");
             }
             return JsonRows.decode(String.join("", answer.fields().values()));
         }
@@ -55,7 +56,9 @@
         int colon = portSeparator(address);
         try (FrameClient client =
                 connect(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))) {
-            return client.request(READY_REQUEST_TYPE, fields, READY_ANSWER_TYPE).fields().getOrDefault("said", "refused: the router did not answer this command");
+            return client.request(READY_REQUEST_TYPE, fields, READY_ANSWER_TYPE)
+                    .fields()
+                    .getOrDefault("said", "refused: the router did not answer this command");
         }
     }
 
--- a/src/main/java/pumicemoor/client/FrameClient.java
+++ b/src/main/java/pumicemoor/client/FrameClient.java
@@ -61,7 +61,8 @@
             }
             byte[] received = in.readNBytes(length);
             if (received.length == length && received[0] == answerType) {
-                return parse(new DataInputStream(new ByteArrayInputStream(received, HEADER_BYTES, length - HEADER_BYTES)));
+                return parse(
+                        new DataInputStream(new ByteArrayInputStream(received, HEADER_BYTES, length - HEADER_BYTES)));
             }
         }
     }
--- a/src/main/java/pumicemoor/extproc/DecisionsService.java
+++ b/src/main/java/pumicemoor/extproc/DecisionsService.java
@@ -51,7 +51,8 @@
                     front.request(
                             stream,
                             ask.getId(),
-                            new CallRules.RequestAttributes(ask.getRequestClass(), ask.getObject(), ask.getPart(), ask.getGroup()),
+                            new CallRules.RequestAttributes(
+                                    ask.getRequestClass(), ask.getObject(), ask.getPart(), ask.getGroup()),
                             ask.getTimeLeftMs(),
                             ask.getAttempt() > 0);
                 }
--- a/src/main/java/pumicemoor/extproc/ExtProcService.java
+++ b/src/main/java/pumicemoor/extproc/ExtProcService.java
@@ -95,7 +95,8 @@
             boolean refused = code == CallState.Code.REFUSED;
             send(ProcessingResponse.newBuilder()
                     .setImmediateResponse(ImmediateResponse.newBuilder()
-                            .setStatus(HttpStatus.newBuilder().setCode(refused ? REFUSED_HTTP_STATUS : FAILED_HTTP_STATUS))
+                            .setStatus(
+                                    HttpStatus.newBuilder().setCode(refused ? REFUSED_HTTP_STATUS : FAILED_HTTP_STATUS))
                             .setHeaders(Headers.refusal(refused ? "refused" : "failed", retryAfterMillis))
                             .setBody(ByteString.EMPTY)
                             .setDetails(refused ? "refused" : "failed")));
--- a/src/main/java/pumicemoor/extproc/FrontWarmUp.java
+++ b/src/main/java/pumicemoor/extproc/FrontWarmUp.java
@@ -36,12 +36,14 @@
     private static final int CALLS = 1_500;
     private static final int MAX_CONCURRENT_CALLS = 16;
     private static final long MAX_SECONDS = 5;
-    private static final FairAdmission.Limits NO_LIMITS = new FairAdmission.Limits(1_000_000, 1_000_000, 1_000_000, true);
+    private static final FairAdmission.Limits NO_LIMITS =
+            new FairAdmission.Limits(1_000_000, 1_000_000, 1_000_000, true);
 
     private FrontWarmUp() {}
 
     /** Runs until all calls are made or the time limit has passed; returns the number of calls begun. */
-    static int run(ProcessorSection servingSection, SettingsReader settingsReader) throws IOException, InterruptedException {
+    static int run(ProcessorSection servingSection, SettingsReader settingsReader)
+            throws IOException, InterruptedException {
         String requestClass = servingSection.rules().get(0).requestClass();
         ProcessorSection section = new ProcessorSection(
                 "127.0.0.1:0",
@@ -64,10 +66,12 @@
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
         int begun = 0;
         try {
-            while (begun < CALLS && slots.tryAcquire(Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS)) {
+            while (begun < CALLS
+                    && slots.tryAcquire(Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS)) {
                 new OneCall(slots).begin(ExternalProcessorGrpc.newStub(channel), begun++);
             }
-            slots.tryAcquire(MAX_CONCURRENT_CALLS, Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
+            slots.tryAcquire(
+                    MAX_CONCURRENT_CALLS, Math.max(1, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
         } finally {
             channel.shutdownNow();
             front.close();
--- a/src/main/java/pumicemoor/extproc/ProcessorFront.java
+++ b/src/main/java/pumicemoor/extproc/ProcessorFront.java
@@ -37,8 +37,8 @@
 import pumicemoor.calls.CallRules;
 import pumicemoor.calls.CallRules.RequestAttributes;
 import pumicemoor.calls.CallState;
-import pumicemoor.calls.CallState.StreamAction;
 import pumicemoor.calls.CallState.Phase;
+import pumicemoor.calls.CallState.StreamAction;
 import pumicemoor.calls.CallState.Style;
 import pumicemoor.calls.FairAdmission;
 import pumicemoor.node.Bytes;
@@ -49,8 +49,8 @@
 import pumicemoor.node.Input.AnswerStatus;
 import pumicemoor.operator.OperatorConfig;
 import pumicemoor.operator.ProcessorSection;
-import pumicemoor.wire.SettingsReader;
 import pumicemoor.wire.InvalidInputException;
+import pumicemoor.wire.SettingsReader;
 
 /**
  * The gRPC server for other proxies, and the adapter between its streams and the router's event loop. It owns the
@@ -110,7 +110,8 @@
     private boolean draining;
 
     /** An attempt that is kept ready until the caller itself retries the request. */
-    private record ReadyAttempt(long requestNumber, Effect.AnnounceAttempt attempt, String registryId, boolean mayHaveRun) {}
+    private record ReadyAttempt(
+            long requestNumber, Effect.AnnounceAttempt attempt, String registryId, boolean mayHaveRun) {}
 
     /** One stream of a caller, of either service. */
     abstract static class Stream {
@@ -254,7 +255,8 @@
             }
             String caller = name == null ? String.valueOf(address) : name;
             return Contexts.interceptCall(
-                    Context.current().withValue(CALLER, caller.substring(0, Math.min(MAX_NAME_LENGTH, caller.length()))),
+                    Context.current()
+                            .withValue(CALLER, caller.substring(0, Math.min(MAX_NAME_LENGTH, caller.length()))),
                     call,
                     headers,
                     next);
@@ -268,7 +270,8 @@
     // ---- messages from callers, on the transport's thread ---------------------------------------------
 
     /** Passes messages to the event loop one at a time: the next is requested when one has been processed. */
-    <Q> StreamObserver<Q> receive(Stream stream, ServerCallStreamObserver<?> out, java.util.function.Consumer<Q> handler) {
+    <Q> StreamObserver<Q> receive(
+            Stream stream, ServerCallStreamObserver<?> out, java.util.function.Consumer<Q> handler) {
         out.disableAutoRequest();
         out.setOnCancelHandler(() -> loop.execute(() -> execute(stream, stream.state.callerGone())));
         out.request(1);
@@ -349,7 +352,8 @@
             }
             execute(
                     stream,
-                    stream.state.answerLocally(CallState.Code.REFUSED, decision == null ? 1_000_000 : decision.retryAfterMicros()));
+                    stream.state.answerLocally(
+                            CallState.Code.REFUSED, decision == null ? 1_000_000 : decision.retryAfterMicros()));
             return;
         }
         stream.admitted = true;
@@ -374,10 +378,16 @@
         }
         stream.requestNumber = --lastRequestNumber;
         streams.put(stream.requestNumber, stream);
-        long timeoutMillis = ttlMillis > 0 ? Math.min(ttlMillis, settings.deadline() / MICROS_PER_MILLI) : settings.deadline() / MICROS_PER_MILLI;
+        long timeoutMillis = ttlMillis > 0
+                ? Math.min(ttlMillis, settings.deadline() / MICROS_PER_MILLI)
+                : settings.deadline() / MICROS_PER_MILLI;
         List<StreamAction> actions = stream.state.request();
         stream.timers.add(loop.schedule(
-                Math.max(1, Math.min(section.messageTimeoutMicros(), timeoutMillis * MICROS_PER_MILLI) - ANSWER_MARGIN_MICROS), () -> onMessageTimeout(stream)));
+                Math.max(
+                        1,
+                        Math.min(section.messageTimeoutMicros(), timeoutMillis * MICROS_PER_MILLI)
+                                - ANSWER_MARGIN_MICROS),
+                () -> onMessageTimeout(stream)));
         stream.timers.add(loop.schedule(timeoutMillis * MICROS_PER_MILLI + STREAM_GRACE_MICROS, () -> expire(stream)));
         for (StreamAction action : actions) {
             if (action instanceof StreamAction.RequestDecision) {
@@ -417,7 +427,11 @@
     void response(Stream stream, int attemptNumber, AnswerStatus status, String note) {
         stream.endStatus = status;
         stream.note = note;
-        execute(stream, stream.state.response(attemptNumber, status == AnswerStatus.ABSENT || status == AnswerStatus.FULL || status == AnswerStatus.MOOT));
+        execute(
+                stream,
+                stream.state.response(
+                        attemptNumber,
+                        status == AnswerStatus.ABSENT || status == AnswerStatus.FULL || status == AnswerStatus.MOOT));
     }
 
     /** Reports that the last attempt sent to the caller never reached its member. */
@@ -462,7 +476,8 @@
                                 ? new Input.AttemptNeverSent(ended.key())
                                 : status == null
                                         ? new Input.ConnectionLost(ended.key())
-                                        : new Input.AttemptAnswered(ended.key(), status, stream.note, Map.of(), Bytes.NONE));
+                                        : new Input.AttemptAnswered(
+                                                ended.key(), status, stream.note, Map.of(), Bytes.NONE));
             } else if (action instanceof StreamAction.Withdraw) {
                 count(Count.WITHDRAWN);
                 streams.remove(stream.requestNumber);
@@ -534,13 +549,18 @@
     public void answered(long call, Effect.Code code, long retryAfterMillis) {
         Stream stream = streams.remove(call);
         if (stream != null) {
-            execute(stream, stream.state.finalAnswer(CallState.Code.valueOf(code.name()), retryAfterMillis * MICROS_PER_MILLI));
+            execute(
+                    stream,
+                    stream.state.finalAnswer(CallState.Code.valueOf(code.name()), retryAfterMillis * MICROS_PER_MILLI));
             return;
         }
-        readyAttempts.values().stream().filter(ready -> ready.requestNumber() == call).findFirst().ifPresent(ready -> {
-            readyAttempts.values().remove(ready);
-            discard(ready);
-        });
+        readyAttempts.values().stream()
+                .filter(ready -> ready.requestNumber() == call)
+                .findFirst()
+                .ifPresent(ready -> {
+                    readyAttempts.values().remove(ready);
+                    discard(ready);
+                });
     }
 
     /** Discards a ready attempt that was not used; whether its request may have run is still recorded. */
@@ -588,8 +608,8 @@
     @Override
     public Map<String, String> statusFields() {
         Map<String, String> state = new LinkedHashMap<>();
-        counts.forEach((counter, value) ->
-                state.put("processor-" + counter.name().toLowerCase(Locale.ROOT).replace('_', '-'), Long.toString(value)));
+        counts.forEach((counter, value) -> state.put(
+                "processor-" + counter.name().toLowerCase(Locale.ROOT).replace('_', '-'), Long.toString(value)));
         state.put("processor-open", Integer.toString(admission.openCalls()));
         state.put("processor-held-ready", Integer.toString(readyAttempts.size()));
         state.put("processor-ids-kept", Integer.toString(callRegistry.size()));
--- a/src/main/java/pumicemoor/fleet/Bounds.java
+++ b/src/main/java/pumicemoor/fleet/Bounds.java
@@ -23,7 +23,8 @@
      * delegates, then within a cell of this many routers with this gossip period (microseconds).
      */
     public static long spreadInCellsMicros(int delegates, int routersInCell, long periodMicros) {
-        return spreadPeriods(delegates) * periodMicros * CellFleet.UPPER_PERIOD_FACTOR + spreadPeriods(routersInCell) * periodMicros;
+        return spreadPeriods(delegates) * periodMicros * CellFleet.UPPER_PERIOD_FACTOR
+                + spreadPeriods(routersInCell) * periodMicros;
     }
 
     /**
--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -12,34 +12,34 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import pumicemoor.Hashes;
+import pumicemoor.RouterApi.EjectedMember;
+import pumicemoor.RouterApi.EjectionsUpdate;
+import pumicemoor.RouterApi.Event;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
-import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.MemberHealthReport;
-import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.EjectionsUpdate;
-import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.FleetSetup.Scope;
 import pumicemoor.fleet.Packet.Ask;
 import pumicemoor.fleet.Packet.Body;
 import pumicemoor.fleet.Packet.CellAsk;
 import pumicemoor.fleet.Packet.CellDemand;
+import pumicemoor.fleet.Packet.Demand;
 import pumicemoor.fleet.Packet.DrainAsk;
 import pumicemoor.fleet.Packet.Grant;
-import pumicemoor.fleet.Packet.News;
 import pumicemoor.fleet.Packet.GrantedShare;
+import pumicemoor.fleet.Packet.News;
 import pumicemoor.fleet.Packet.Piece;
 import pumicemoor.fleet.Packet.PlanGrant;
 import pumicemoor.fleet.Packet.PlanReport;
-import pumicemoor.fleet.Packet.Demand;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.drains.DrainCommandParser;
 import pumicemoor.fleet.drains.Drains;
-import pumicemoor.fleet.drains.Plan;
-import pumicemoor.fleet.drains.MemberKind;
 import pumicemoor.fleet.drains.FleetSnapshot;
+import pumicemoor.fleet.drains.MemberKind;
+import pumicemoor.fleet.drains.Plan;
 import pumicemoor.fleet.limits.CellShare;
 import pumicemoor.fleet.limits.FleetLimit;
 import pumicemoor.fleet.limits.HeldLease;
@@ -48,11 +48,11 @@
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.RouterStatus;
-import pumicemoor.fleet.verdicts.FailureReport;
-import pumicemoor.fleet.verdicts.FailureReport.Cause;
-import pumicemoor.fleet.verdicts.EjectionPolicy;
 import pumicemoor.fleet.verdicts.Ejection;
+import pumicemoor.fleet.verdicts.EjectionPolicy;
 import pumicemoor.fleet.verdicts.EjectionTable;
+import pumicemoor.fleet.verdicts.FailureReport;
+import pumicemoor.fleet.verdicts.FailureReport.Cause;
 
 /**
  * One router's participation in its fleet: membership, leases and ejections, which share the same packets. Owns the
@@ -184,7 +184,13 @@
     }
 
     private Fleet(
-            FleetSetup setup, String rendezvousKey, long time, long seed, Drains.Usage usage, Level level, long instance) {
+            FleetSetup setup,
+            String rendezvousKey,
+            long time,
+            long seed,
+            Drains.Usage usage,
+            Level level,
+            long instance) {
         this.level = level;
         this.rendezvousSeed = Hashes.of(rendezvousKey);
         this.times = switch (level) {
@@ -196,7 +202,8 @@
         this.now = time;
         this.startedAt = time;
         this.codec = new PacketCodec(setup.cluster());
-        this.election = new LeaderElection(setup.membership().name(), (level == Level.CELL ? CELL_VOTE_LEASES : 1) * times.leaseMicros(), time);
+        this.election = new LeaderElection(
+                setup.membership().name(), (level == Level.CELL ? CELL_VOTE_LEASES : 1) * times.leaseMicros(), time);
         this.ejectionPolicy = new EjectionPolicy(setup.ejectionRules().orElse(new EjectionPolicy.Rules(0, 1, 1, 1)));
         this.nextReportAt = time + setup.membership().periodMicros();
         this.nextGossipAt = nextReportAt;
@@ -357,9 +364,11 @@
         members.forEach((id, member) -> setup.limits().stream()
                 .filter(rule -> appliesTo(rule, member)
                         && setup.limits().stream()
-                                .noneMatch(o -> appliesTo(o, member) && o.measure() == rule.measure() && isTighter(o, rule)))
+                                .noneMatch(o ->
+                                        appliesTo(o, member) && o.measure() == rule.measure() && isTighter(o, rule)))
                 .forEach(rule -> limits.put(
-                        Hashes.of(rule.name() + "/" + member.name()), new FleetLimit(rule.name(), id, rule.measure(), rule.amount()))));
+                        Hashes.of(rule.name() + "/" + member.name()),
+                        new FleetLimit(rule.name(), id, rule.measure(), rule.amount()))));
         setup.limits().stream()
                 .filter(r -> r.scope() == Scope.ACROSS_ZONES)
                 .forEach(rule -> limits.put(
@@ -375,7 +384,8 @@
         } else {
             limits.forEach((id, limit) -> leases.computeIfAbsent(id, i -> new HeldLease(limit, times, startedAt)));
         }
-        failureReports.entrySet()
+        failureReports
+                .entrySet()
                 .removeIf(entry -> !members.containsKey(entry.getKey())
                         || members.get(entry.getKey()).startedAt()
                                 != entry.getValue().report().memberStartedAt());
@@ -442,7 +452,8 @@
             failureReports.remove(health.member());
         }
         // Reports to the grantor at once, but at most four times per period however often health reports arrive.
-        nextReportAt = Math.min(nextReportAt, Math.max(now, lastReportAt + setup.membership().periodMicros() / 4));
+        nextReportAt = Math.min(
+                nextReportAt, Math.max(now, lastReportAt + setup.membership().periodMicros() / 4));
     }
 
     /** Announces that this router leaves the fleet gracefully. */
@@ -457,7 +468,8 @@
     @Override
     public long nextDue() {
         long due = Math.min(Math.min(membership.nextDue(), nextReportAt), ejections.nextEnd(now));
-        return Math.min(due, drains.map(d -> Math.min(nextPlanReportAt, d.nextDue(now))).orElse(Long.MAX_VALUE));
+        return Math.min(
+                due, drains.map(d -> Math.min(nextPlanReportAt, d.nextDue(now))).orElse(Long.MAX_VALUE));
     }
 
     /** Advances to this time and runs the timers that are due. */
@@ -482,7 +494,10 @@
             if (level == Level.UPPER) {
                 reportCell();
             } else if (level == Level.FLAT
-                    || now >= startedAt + CELL_REPORT_DELAY_PERIODS * setup.membership().periodMicros()) {
+                    || now
+                            >= startedAt
+                                    + CELL_REPORT_DELAY_PERIODS
+                                            * setup.membership().periodMicros()) {
                 report();
             }
         }
@@ -514,12 +529,15 @@
             rankedRouters = living;
             topRanked = null;
             for (RouterRecord router : living) {
-                if (topRanked == null || Long.compareUnsigned(rendezvousWeight(router), rendezvousWeight(topRanked)) > 0) {
+                if (topRanked == null
+                        || Long.compareUnsigned(rendezvousWeight(router), rendezvousWeight(topRanked)) > 0) {
                     topRanked = router;
                 }
             }
         }
-        return topRanked != null && Long.compareUnsigned(rendezvousWeight(topRanked), rendezvousWeight(self)) > 0 ? topRanked : self;
+        return topRanked != null && Long.compareUnsigned(rendezvousWeight(topRanked), rendezvousWeight(self)) > 0
+                ? topRanked
+                : self;
     }
 
     private long rendezvousWeight(RouterRecord router) {
@@ -604,7 +622,9 @@
     /** Returns the ejection with the time that it has left according to the other level. */
     private Ejection withTimeLeftAt(Ejection ejection, Fleet other) {
         EjectionTable.KnownDecision held = other.ejections.find(ejection.member());
-        return held != null && held.decision().version() == ejection.version() ? ejection.withTimeLeft(Math.max(0, held.endsAt() - other.now)) : ejection;
+        return held != null && held.decision().version() == ejection.version()
+                ? ejection.withTimeLeft(Math.max(0, held.endsAt() - other.now))
+                : ejection;
     }
 
     /**
@@ -658,7 +678,9 @@
                     batch.add(new Demand(id, grantInForce, demand.demand(), demand.inUse()));
                 }
             }
-            send(to.address(), new Ask(vote, election.lastSeen(to.name(), to.instance()), election.term(), batch, reports));
+            send(
+                    to.address(),
+                    new Ask(vote, election.lastSeen(to.name(), to.instance()), election.term(), batch, reports));
         }
     }
 
@@ -668,7 +690,9 @@
      */
     private boolean mayReportFailures(String to) {
         if (level == Level.CELL && !failureReports.isEmpty()) {
-            if (!to.equals(failureReportsSentTo) && !failureReportsSentTo.isEmpty() && now < failureReportsSentAt + times.shrinkMicros()) {
+            if (!to.equals(failureReportsSentTo)
+                    && !failureReportsSentTo.isEmpty()
+                    && now < failureReportsSentAt + times.shrinkMicros()) {
                 return false;
             }
             failureReportsSentTo = to;
@@ -688,10 +712,12 @@
         RouterRecord to = grantor();
         boolean own = to.name().equals(setup.membership().name());
         boolean vote = election.vote(now, to.name(), to.instance());
-        List<FailureReport> reports =
-                lowerLevel.ejectionPolicy.aggregatedReports(now).stream().limit(PacketCodec.MAX_FAILURE_REPORTS).toList();
-        List<Long> ids =
-                cellShares.keySet().stream().filter(id -> lowerLevel.leaseHolders(id, now) > 0).toList();
+        List<FailureReport> reports = lowerLevel.ejectionPolicy.aggregatedReports(now).stream()
+                .limit(PacketCodec.MAX_FAILURE_REPORTS)
+                .toList();
+        List<Long> ids = cellShares.keySet().stream()
+                .filter(id -> lowerLevel.leaseHolders(id, now) > 0)
+                .toList();
         if (own) {
             ejectionPolicy.recordReport(to.name(), ++lastNumber, now + times.leaseMicros(), reports);
             for (long id : ids) {
@@ -710,10 +736,11 @@
         }
         LeaderElection.Backing backing = lowerLevel.election.backing(now + times.leaseMicros());
         for (int from = 0; from == 0 || from < ids.size(); from += PacketCodec.MAX_CELL_DEMANDS) {
-            List<CellDemand> batch = ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_CELL_DEMANDS)).stream()
-                    .map(id -> cellDemand(id, to, lastNumber + 1))
-                    .filter(d -> d.grantInForce() >= 0)
-                    .toList();
+            List<CellDemand> batch =
+                    ids.subList(from, Math.min(ids.size(), from + PacketCodec.MAX_CELL_DEMANDS)).stream()
+                            .map(id -> cellDemand(id, to, lastNumber + 1))
+                            .filter(d -> d.grantInForce() >= 0)
+                            .toList();
             send(
                     to.address(),
                     new CellAsk(
@@ -765,7 +792,9 @@
     }
 
     private FleetLimit limitOf(long id) {
-        return level == Level.UPPER ? cellShares.get(id).limit() : leases.get(id).limit();
+        return level == Level.UPPER
+                ? cellShares.get(id).limit()
+                : leases.get(id).limit();
     }
 
     private double grantFor(String name, long instance, long number, Demand demand) {
@@ -787,7 +816,8 @@
             return;
         }
         election.observeTerm(ask.term());
-        election.receiveReport(from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.boundRouters());
+        election.receiveReport(
+                from.name(), from.instance(), ask.vote(), ask.lastSeen(), ask.knownTerm(), ask.boundRouters());
         ejectionPolicy.recordReport(from.name(), packet.number(), now + times.leaseMicros(), ask.failureReports());
         List<GrantedShare> granted = new ArrayList<>();
         for (CellDemand demand : ask.demands()) {
@@ -795,7 +825,8 @@
                 drop("unknown-limit");
                 continue;
             }
-            double amount = demand.routers() == 0 ? -1 : grantFor(from.name(), from.instance(), packet.number(), demand);
+            double amount =
+                    demand.routers() == 0 ? -1 : grantFor(from.name(), from.instance(), packet.number(), demand);
             if (amount >= 0) {
                 granted.add(new GrantedShare(demand.limit(), amount));
             } else {
@@ -839,7 +870,10 @@
         } else {
             drains.report(now, to.address(), election.term());
         }
-        nextPlanReportAt = now + (drains.needsPromptReport() ? setup.membership().periodMicros() : times.leaseMicros() / REPORTS_PER_LEASE);
+        nextPlanReportAt = now
+                + (drains.needsPromptReport()
+                        ? setup.membership().periodMicros()
+                        : times.leaseMicros() / REPORTS_PER_LEASE);
     }
 
     /** Renews the grantor's own leases, which are in its own lease table like those of all other routers. */
@@ -849,7 +883,11 @@
             long grantInForce = lease.recordRequest(now, self.name(), self.instance(), number);
             Demand demand = demands.getOrDefault(id, new Demand(id, 0, 0, 0));
             if (grantInForce >= 0) {
-                double amount = grantFor(self.name(), self.instance(), number, new Demand(id, grantInForce, demand.demand(), demand.inUse()));
+                double amount = grantFor(
+                        self.name(),
+                        self.instance(),
+                        number,
+                        new Demand(id, grantInForce, demand.demand(), demand.inUse()));
                 acceptGrant(lease, self.name(), self.instance(), number, amount);
             }
         });
@@ -934,7 +972,10 @@
     /** Updates whether this router is the leader, logs a change, and returns the result. */
     private boolean updateLeadership() {
         boolean leader = level != Level.CELL
-                && election.inOffice(now, routers(), level == Level.FLAT ? LeaderElection.Backing.ONE : lowerLevel.election.backing(now));
+                && election.inOffice(
+                        now,
+                        routers(),
+                        level == Level.FLAT ? LeaderElection.Backing.ONE : lowerLevel.election.backing(now));
         if (leader != isLeader) {
             isLeader = leader;
             addLogEvent(
@@ -952,7 +993,15 @@
         }
         EjectionPolicy.Rules rules = setup.ejectionRules().get();
         boolean mayEject = now >= election.officeSince() + rules.ejectionMicros() + rules.slotGuardMicros();
-        ejectionPolicy.decide(now, election.ownTerm(), setup.membership().name(), mayEject, ejectableTiers, ejections, routers())
+        ejectionPolicy
+                .decide(
+                        now,
+                        election.ownTerm(),
+                        setup.membership().name(),
+                        mayEject,
+                        ejectableTiers,
+                        ejections,
+                        routers())
                 .forEach(this::applyEjection);
     }
 
@@ -970,14 +1019,19 @@
         ejectionGossip.put(Long.toString(ejection.member()), ejection.member());
         ejectionsChanged = true;
         if (wasEjected != ejection.failing()) {
-            addLogEvent(ejection, ejection.failing() ? ejection.reporters() + " routers report it: " + lower(ejection.cause()) : "the failure reports ended");
+            addLogEvent(
+                    ejection,
+                    ejection.failing()
+                            ? ejection.reporters() + " routers report it: " + lower(ejection.cause())
+                            : "the failure reports ended");
         }
     }
 
     private void addLogEvent(Ejection ejection, String cause) {
         addLogEvent(
                 "ejection of " + nameOf(ejection.member())
-                        + (cause.startsWith("ended") ? " " : ejection.failing() ? ": ejected, " : ": withdrawn, ") + cause,
+                        + (cause.startsWith("ended") ? " " : ejection.failing() ? ": ejected, " : ": withdrawn, ")
+                        + cause,
                 Map.of(
                         "member",
                         nameOf(ejection.member()),
@@ -1013,7 +1067,9 @@
         List<EjectedMember> ejected = new ArrayList<>();
         for (EjectionTable.KnownDecision held : active) {
             ListedMember member = members.get(held.decision().member());
-            if (member != null && member.startedAt() == held.decision().memberStartedAt() && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
+            if (member != null
+                    && member.startedAt() == held.decision().memberStartedAt()
+                    && slotsLeft.merge(member.role(), -1, Integer::sum) >= 0) {
                 ejected.add(new EjectedMember(
                         held.decision().member(),
                         Math.max(
@@ -1033,15 +1089,18 @@
      * leader of the plan.
      */
     private FleetSnapshot snapshot() {
-        boolean actsAsLeader =
-                updateLeadership() && now >= startedAt + FULL_COMPARE_PERIODS * setup.membership().periodMicros();
+        boolean actsAsLeader = updateLeadership()
+                && now >= startedAt + FULL_COMPARE_PERIODS * setup.membership().periodMicros();
         Map<Long, FleetSnapshot.Target> targets = new TreeMap<>();
         members.forEach((id, member) -> {
             if (member.role() != Role.ORIGIN) {
                 targets.put(
                         id,
                         new FleetSnapshot.Target(
-                                member.name(), member.role() == Role.CACHE ? MemberKind.CACHE : MemberKind.PARENT, member.ready(), member.startedAt()));
+                                member.name(),
+                                member.role() == Role.CACHE ? MemberKind.CACHE : MemberKind.PARENT,
+                                member.ready(),
+                                member.startedAt()));
             }
         });
         Set<Long> failing =
@@ -1109,7 +1168,8 @@
             }
             // Reports to the leader at once, but at most four times per period however often commands arrive.
             nextPlanReportAt = Math.min(
-                    nextPlanReportAt, Math.max(now, lastPlanReportAt + setup.membership().periodMicros() / 4));
+                    nextPlanReportAt,
+                    Math.max(now, lastPlanReportAt + setup.membership().periodMicros() / 4));
             return "waits " + Long.toUnsignedString(command.id(), 16);
         } catch (DrainCommandParser.InvalidCommandException e) {
             return "refused: " + e.getMessage();
@@ -1137,9 +1197,12 @@
                 .stream()
                 .map(this::currentEjection)
                 .toList();
-        int bytesLeft = gossipBytes - gossiped.stream().mapToInt(PacketCodec::size).sum();
-        int routerBytes = level == Level.FLAT ? bytesLeft : isReportOrGrant(body) ? 0 : Math.min(bytesLeft, CELL_GOSSIP_BYTES);
-        List<RouterRecord> routers = routerGossip.take(routerBytes, membership.gossipTransmissions(), PacketCodec::size);
+        int bytesLeft =
+                gossipBytes - gossiped.stream().mapToInt(PacketCodec::size).sum();
+        int routerBytes =
+                level == Level.FLAT ? bytesLeft : isReportOrGrant(body) ? 0 : Math.min(bytesLeft, CELL_GOSSIP_BYTES);
+        List<RouterRecord> routers =
+                routerGossip.take(routerBytes, membership.gossipTransmissions(), PacketCodec::size);
         enqueue(address, new Packet(self, number, body, routers, gossiped));
         return number;
     }
--- a/src/main/java/pumicemoor/fleet/FleetParticipant.java
+++ b/src/main/java/pumicemoor/fleet/FleetParticipant.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.Optional;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.LimitDemand;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.fleet.drains.Drains;
 
 /**
--- a/src/main/java/pumicemoor/fleet/GossipQueue.java
+++ b/src/main/java/pumicemoor/fleet/GossipQueue.java
@@ -29,8 +29,8 @@
     }
 
     private final Map<String, Entry<T>> bySubject = new HashMap<>();
-    private final TreeSet<Entry<T>> byTransmissions =
-            new TreeSet<>(Comparator.comparingInt((Entry<T> e) -> e.transmissions).thenComparingLong(e -> -e.sequence));
+    private final TreeSet<Entry<T>> byTransmissions = new TreeSet<>(
+            Comparator.comparingInt((Entry<T> e) -> e.transmissions).thenComparingLong(e -> -e.sequence));
     private long nextSequence;
 
     void put(String subject, T update) {
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.membership.RouterRecord;
-import pumicemoor.fleet.verdicts.FailureReport;
 import pumicemoor.fleet.verdicts.Ejection;
+import pumicemoor.fleet.verdicts.FailureReport;
 
 /**
  * A packet from one router to another: its sender, a number that increases with each packet of the sending process, the
@@ -70,13 +70,15 @@
      * A router's report about the drain plan: the stamps of the newest plan it holds and of the one it applies, whether
      * it remembers what was agreed (a restarted process does not), and the highest term that it knows.
      */
-    public record PlanReport(long term, long heldStamp, long appliedStamp, boolean recovered, List<MemberUsage> uses) implements Body {}
+    public record PlanReport(long term, long heldStamp, long appliedStamp, boolean recovered, List<MemberUsage> uses)
+            implements Body {}
 
     /**
      * The answer to a plan report, identified by the report's number and valid for that process only. {@code office} is
      * set if the sender is the leader and so knows which plan is in force.
      */
-    public record PlanGrant(long reportNumber, long instance, long term, boolean fromLeader, long heldStamp, long stampInForce)
+    public record PlanGrant(
+            long reportNumber, long instance, long term, boolean fromLeader, long heldStamp, long stampInForce)
             implements Body {}
 
     /** A piece of an encoded drain plan. */
@@ -132,5 +134,6 @@
      * The answer to a join request, identified by its number, or 0 for the announcement of a cell split: how deep the
      * receiver's cell is split (-1 if unknown), and some addresses of routers in that cell and of delegates.
      */
-    public record Place(long join, int depth, List<String> cellAddresses, List<String> delegateAddresses) implements Body {}
+    public record Place(long join, int depth, List<String> cellAddresses, List<String> delegateAddresses)
+            implements Body {}
 }
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -9,18 +9,18 @@
 import pumicemoor.Hashes;
 import pumicemoor.fleet.BadPacketException.Reason;
 import pumicemoor.fleet.Packet.Body;
+import pumicemoor.fleet.Packet.Demand;
 import pumicemoor.fleet.Packet.GrantedShare;
 import pumicemoor.fleet.Packet.MemberUsage;
-import pumicemoor.fleet.Packet.Demand;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.drains.Drains;
 import pumicemoor.fleet.drains.Plan;
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.RouterStatus;
+import pumicemoor.fleet.verdicts.Ejection;
 import pumicemoor.fleet.verdicts.FailureReport;
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
-import pumicemoor.fleet.verdicts.Ejection;
 
 /**
  * Encodes and decodes packets, and checks them as far as that needs no state. It must never allocate memory for what a
@@ -145,10 +145,12 @@
             out.put((byte) Type.RELAY.ordinal());
             write(out, relay.address());
         } else if (body instanceof Packet.Compare compare) {
-            out.put((byte) Type.COMPARE.ordinal()).putLong(compare.digest()).put((byte) (compare.replyExpected() ? 1 : 0));
+            out.put((byte) Type.COMPARE.ordinal()).putLong(compare.digest()).put((byte)
+                    (compare.replyExpected() ? 1 : 0));
         } else if (body instanceof Packet.Sums sums) {
-            out.put((byte) Type.SUMS.ordinal()).put((byte) (sums.replyExpected() ? 1 : 0)).put((byte)
-                    sums.partDigests().size());
+            out.put((byte) Type.SUMS.ordinal())
+                    .put((byte) (sums.replyExpected() ? 1 : 0))
+                    .put((byte) sums.partDigests().size());
             sums.partDigests().forEach(out::putLong);
         } else if (body instanceof Packet.News) {
             out.put((byte) Type.NEWS.ordinal());
@@ -177,7 +179,8 @@
                     .putLong(report.appliedStamp())
                     .put((byte) (report.recovered() ? 1 : 0))
                     .put((byte) report.uses().size());
-            report.uses().forEach(u -> out.putLong(u.member()).putInt(u.inFlight()).putFloat((float) u.recentHits()));
+            report.uses()
+                    .forEach(u -> out.putLong(u.member()).putInt(u.inFlight()).putFloat((float) u.recentHits()));
         } else if (body instanceof Packet.PlanGrant grant) {
             out.put((byte) Type.PLAN_GRANT.ordinal())
                     .putLong(grant.reportNumber())
@@ -324,7 +327,11 @@
 
     private static RouterRecord readRouter(ByteBuffer in, long lastIncarnation) throws BadPacketException {
         RouterRecord router = new RouterRecord(
-                readText(in, NAME), readAddress(in), in.getLong(), in.getLong(), constantAt(RouterStatus.values(), in.get()));
+                readText(in, NAME),
+                readAddress(in),
+                in.getLong(),
+                in.getLong(),
+                constantAt(RouterStatus.values(), in.get()));
         if (router.incarnation() < 1 || router.incarnation() > lastIncarnation || router.instance() < 1) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
@@ -343,7 +350,10 @@
                 in.getShort(),
                 in.getFloat(),
                 readText(in, NAME));
-        if (ejection.timeLeftMicros() < 0 || ejection.reporters() < 0 || ejection.version() < 1 || !Double.isFinite(ejection.failureRate())) {
+        if (ejection.timeLeftMicros() < 0
+                || ejection.reporters() < 0
+                || ejection.version() < 1
+                || !Double.isFinite(ejection.failureRate())) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return ejection;
@@ -396,7 +406,11 @@
             }
             case DRAIN_ASK -> readDrainAsk(in);
             case CELL_ASK -> readCellAsk(in);
-            case JOIN -> new Packet.Join(readText(in, NAME), checkedCount(in.get(), MAX_CELL_DEPTH), checkedCount(in.get(), MAX_JOIN_HOPS));
+            case JOIN ->
+                new Packet.Join(
+                        readText(in, NAME),
+                        checkedCount(in.get(), MAX_CELL_DEPTH),
+                        checkedCount(in.get(), MAX_JOIN_HOPS));
             case PLACE -> {
                 long join = in.getLong();
                 int depth = in.get();
@@ -520,7 +534,8 @@
         long term = in.getLong();
         List<Demand> demands = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
-            demands.add(new Demand(in.getLong(), in.getLong(), checkedAmount(in.getFloat()), checkedAmount(in.getFloat())));
+            demands.add(
+                    new Demand(in.getLong(), in.getLong(), checkedAmount(in.getFloat()), checkedAmount(in.getFloat())));
         }
         List<FailureReport> failureReports = new ArrayList<>();
         for (int left = in.get() & 0xff; left > 0; left--) {
--- a/src/main/java/pumicemoor/fleet/cells/CellFleet.java
+++ b/src/main/java/pumicemoor/fleet/cells/CellFleet.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 import pumicemoor.Hashes;
 import pumicemoor.RouterApi.Event;
-import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.LimitDemand;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.fleet.BadPacketException;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
@@ -170,7 +170,12 @@
 
     private Fleet newCell() {
         return Fleet.ofCell(
-                levelSetup(setup.cluster() + "/" + cellName(), name, cellSeeds, cellPeriodMicros, 4 * cellSetup.maxRouters() + 64),
+                levelSetup(
+                        setup.cluster() + "/" + cellName(),
+                        name,
+                        cellSeeds,
+                        cellPeriodMicros,
+                        4 * cellSetup.maxRouters() + 64),
                 setup.cluster() + "/" + cellSetup.root(),
                 now,
                 random.nextLong(),
@@ -324,8 +329,8 @@
                 && now - oversizeSince >= OVERSIZE_PERIODS * cellPeriodMicros) {
             targetDepth = Math.min(PacketCodec.MAX_CELL_DEPTH, depth + bitsFor(living.size() + 1));
             log(
-                    "cell " + cellName() + " is being split: it has " + (living.size() + 1) + " routers, over the bound of "
-                            + cellSetup.maxRouters(),
+                    "cell " + cellName() + " is being split: it has " + (living.size() + 1)
+                            + " routers, over the bound of " + cellSetup.maxRouters(),
                     Map.of("cell", cellName(), "routers", living.size() + 1, "depth", targetDepth));
         }
         if (targetDepth <= depth) {
@@ -335,7 +340,9 @@
             moveAt = now + MOVE_DELAY_LEASES * setup.times().leaseMicros();
         }
         for (int i = 0; i < Math.min(SPLIT_MESSAGES_PER_PERIOD, living.size()); i++) {
-            send(living.get(splitMessages++ % living.size()).address(), new Place(0, targetDepth, List.of(), List.of()));
+            send(
+                    living.get(splitMessages++ % living.size()).address(),
+                    new Place(0, targetDepth, List.of(), List.of()));
         }
         if (now >= moveAt || living.isEmpty()) {
             moveToDepth(targetDepth, List.of());
@@ -403,7 +410,8 @@
             return;
         }
         joinAt = now + (long) (joinWaitPeriods * cellPeriodMicros * (0.5 + random.nextDouble()));
-        joinWaitPeriods = isIsolated() ? Math.min(MAX_JOIN_WAIT_PERIODS / 2, 2 * joinWaitPeriods) : MAX_JOIN_WAIT_PERIODS;
+        joinWaitPeriods =
+                isIsolated() ? Math.min(MAX_JOIN_WAIT_PERIODS / 2, 2 * joinWaitPeriods) : MAX_JOIN_WAIT_PERIODS;
         if (!isIsolated() && !cell.isGrantor()) {
             return;
         }
@@ -501,7 +509,9 @@
                     : nearestDelegate(
                             join.root(),
                             label(from.name()),
-                            join.root().equals(cellSetup.root()) ? commonPrefixBits(label(name), label(from.name())) : -1,
+                            join.root().equals(cellSetup.root())
+                                    ? commonPrefixBits(label(name), label(from.name()))
+                                    : -1,
                             List.of());
             next.filter(n -> !n.address().equals(address) && !n.address().equals(from.address()))
                     .ifPresent(recipient -> enqueue(
@@ -519,7 +529,9 @@
     }
 
     private List<String> delegateAddresses() {
-        return cell.topRankedRouters(cellSetup.delegates()).stream().map(RouterRecord::address).toList();
+        return cell.topRankedRouters(cellSetup.delegates()).stream()
+                .map(RouterRecord::address)
+                .toList();
     }
 
     private void receivePlace(RouterRecord from, Place place) {
--- a/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainCommandParser.java
@@ -32,7 +32,8 @@
             throws InvalidCommandException {
         String requestedCluster = fields.getOrDefault("cluster", cluster);
         if (!requestedCluster.equals(cluster)) {
-            throw new InvalidCommandException("cluster", "this is a router of '" + cluster + "', not of '" + requestedCluster + "'");
+            throw new InvalidCommandException(
+                    "cluster", "this is a router of '" + cluster + "', not of '" + requestedCluster + "'");
         }
         DrainCommand.Kind kind =
                 switch (fields.getOrDefault("drain", "")) {
@@ -45,7 +46,13 @@
         long id = parseId(fields.get("id"));
         return switch (kind) {
             case REQUEST ->
-                new DrainCommand(kind, id, parseMaxAtOnce(fields, members, snapshot), parseMinServing(fields, members, snapshot), 0, members);
+                new DrainCommand(
+                        kind,
+                        id,
+                        parseMaxAtOnce(fields, members, snapshot),
+                        parseMinServing(fields, members, snapshot),
+                        0,
+                        members);
             case DONE -> new DrainCommand(kind, id, 0, 0, parseFence(fields, members, plan), members);
             case CANCEL -> new DrainCommand(kind, id, 0, 0, 0, members);
         };
@@ -59,7 +66,8 @@
         }
     }
 
-    private static List<Long> parseMembers(String text, FleetSnapshot snapshot, Plan plan) throws InvalidCommandException {
+    private static List<Long> parseMembers(String text, FleetSnapshot snapshot, Plan plan)
+            throws InvalidCommandException {
         Map<String, Long> byName = new HashMap<>();
         snapshot.peers().forEach(p -> byName.put(p.memberName(), p.id()));
         snapshot.targets().forEach((id, t) -> byName.put(t.name(), id));
@@ -70,7 +78,8 @@
             // a member that is out may be missing from the list of members during the work
             long member = id != null ? id : memberId(name);
             if (id == null && plan.orderFor(member).isEmpty()) {
-                throw new InvalidCommandException("members", name.isEmpty() ? "a name is empty" : "'" + name + "' is not known to this router");
+                throw new InvalidCommandException(
+                        "members", name.isEmpty() ? "a name is empty" : "'" + name + "' is not known to this router");
             }
             if (!members.contains(member)) {
                 members.add(member);
@@ -78,7 +87,9 @@
         }
         if (members.size() > Drains.MAX_MEMBERS_PER_REQUEST) {
             throw new InvalidCommandException(
-                    "members", members.size() + " members exceed the " + Drains.MAX_MEMBERS_PER_REQUEST + " that one request may have");
+                    "members",
+                    members.size() + " members exceed the " + Drains.MAX_MEMBERS_PER_REQUEST
+                            + " that one request may have");
         }
         return members;
     }
@@ -95,7 +106,9 @@
         Map<MemberKind, Integer> sizes = new HashMap<>();
         tiers.forEach(t -> sizes.put(t, (int)
                 (t == MemberKind.ROUTER
-                        ? snapshot.peers().stream().filter(FleetSnapshot.Peer::isAlive).count()
+                        ? snapshot.peers().stream()
+                                .filter(FleetSnapshot.Peer::isAlive)
+                                .count()
                         : snapshot.targets().values().stream()
                                 .filter(target -> target.tier() == t)
                                 .count())));
@@ -110,20 +123,24 @@
         }
     }
 
-    private static int parseMaxAtOnce(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot) throws InvalidCommandException {
+    private static int parseMaxAtOnce(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot)
+            throws InvalidCommandException {
         int maxAtOnce = parseNumber(fields, "max-at-once");
         if (maxAtOnce < 1 || maxAtOnce > Drains.MAX_MEMBERS_OUT) {
-            throw new InvalidCommandException("max-at-once", maxAtOnce + " is out of range: 1 to " + Drains.MAX_MEMBERS_OUT);
+            throw new InvalidCommandException(
+                    "max-at-once", maxAtOnce + " is out of range: 1 to " + Drains.MAX_MEMBERS_OUT);
         }
         for (Map.Entry<MemberKind, Integer> tier : tierSizes(members, snapshot).entrySet()) {
             if (maxAtOnce > tier.getValue()) {
-                throw new InvalidCommandException("max-at-once", maxAtOnce + " exceeds the size of the tier: " + describe(tier));
+                throw new InvalidCommandException(
+                        "max-at-once", maxAtOnce + " exceeds the size of the tier: " + describe(tier));
             }
         }
         return maxAtOnce;
     }
 
-    private static int parseMinServing(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot) throws InvalidCommandException {
+    private static int parseMinServing(Map<String, String> fields, List<Long> members, FleetSnapshot snapshot)
+            throws InvalidCommandException {
         int minServing = parseNumber(fields, "min-serving");
         for (Map.Entry<MemberKind, Integer> tier : tierSizes(members, snapshot).entrySet()) {
             if (minServing < 0 || minServing >= tier.getValue()) {
@@ -144,7 +161,8 @@
         return tier.getValue() + " of kind " + tier.getKey().name().toLowerCase(Locale.ROOT);
     }
 
-    private static long parseFence(Map<String, String> fields, List<Long> members, Plan plan) throws InvalidCommandException {
+    private static long parseFence(Map<String, String> fields, List<Long> members, Plan plan)
+            throws InvalidCommandException {
         if (members.size() != 1) {
             throw new InvalidCommandException("members", "this command takes exactly one member");
         }
@@ -157,7 +175,9 @@
         }
         try {
             if (Long.parseLong(fields.get("fence")) != order.fence()) {
-                throw new InvalidCommandException("fence", fields.get("fence") + " is not the fence of the member's current phase, " + order.fence());
+                throw new InvalidCommandException(
+                        "fence",
+                        fields.get("fence") + " is not the fence of the member's current phase, " + order.fence());
             }
         } catch (NumberFormatException e) {
             throw new InvalidCommandException("fence", "is not a whole number");
--- a/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
+++ b/src/main/java/pumicemoor/fleet/drains/DrainTimes.java
@@ -5,7 +5,13 @@
  * sent to it may take to end; after how long a dead router counts as gone, so that drains proceed without it; after
  * how long a member that is still out is reported as overdue; and how long a cache and a parent take to warm up.
  */
-public record DrainTimes(long minDrainMicros, long drainMicros, long goneMicros, long overdueMicros, long cacheWarmMicros, long parentWarmMicros) {
+public record DrainTimes(
+        long minDrainMicros,
+        long drainMicros,
+        long goneMicros,
+        long overdueMicros,
+        long cacheWarmMicros,
+        long parentWarmMicros) {
 
     /** Returns a copy with these warm-up times. */
     public DrainTimes withWarmTimes(long caches, long parents) {
--- a/src/main/java/pumicemoor/fleet/drains/Drains.java
+++ b/src/main/java/pumicemoor/fleet/drains/Drains.java
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 import pumicemoor.fleet.Packet.Body;
 import pumicemoor.fleet.Packet.DrainAsk;
+import pumicemoor.fleet.Packet.MemberUsage;
 import pumicemoor.fleet.Packet.Piece;
 import pumicemoor.fleet.Packet.PlanGrant;
 import pumicemoor.fleet.Packet.PlanReport;
-import pumicemoor.fleet.Packet.MemberUsage;
 import pumicemoor.fleet.drains.FleetSnapshot.Peer;
 import pumicemoor.fleet.limits.LeaseTimes;
 
@@ -125,13 +125,16 @@
      * or there has been no contact with a leader since the start.
      */
     public boolean needsPromptReport() {
-        return planStore.newest().stamp() > planStore.applied().stamp() || !pendingCommands.isEmpty() || !hadLeaderContact;
+        return planStore.newest().stamp() > planStore.applied().stamp()
+                || !pendingCommands.isEmpty()
+                || !hadLeaderContact;
     }
 
     /** Sends a report, and the commands that are in no plan yet, to the router that is believed to be the leader. */
     public void report(long now, String address, long term) {
-        long number =
-                outlet.send(address, new PlanReport(term, planStore.newest().stamp(), viewStamp, planStore.recovered(), reportedUsage()));
+        long number = outlet.send(
+                address,
+                new PlanReport(term, planStore.newest().stamp(), viewStamp, planStore.recovered(), reportedUsage()));
         reportSentAt.put(number, now);
         if (reportSentAt.size() > MAX_UNANSWERED_REPORTS) {
             reportSentAt.remove(reportSentAt.keySet().iterator().next());
@@ -167,7 +170,8 @@
         if (command.kind() == DrainCommand.Kind.REQUEST) {
             return planStore.applied().containsRequest(command.id());
         }
-        return command.members().stream().allMatch(m -> planStore.applied()
+        return command.members().stream().allMatch(m -> planStore
+                .applied()
                 .orderFor(m)
                 .map(o -> command.kind() == DrainCommand.Kind.DONE
                         ? o.fence() != command.fence()
@@ -255,7 +259,8 @@
                 returnedAt.remove(id);
             }
         });
-        returnedAt.keySet()
+        returnedAt
+                .keySet()
                 .removeIf(id -> !snapshot.targets().containsKey(id)
                         && planStore.applied().orderFor(id).isEmpty());
         viewStamp = planStore.applied().stamp();
@@ -277,12 +282,16 @@
      * has lost contact with the leader, so that it may not learn of the next phase.
      */
     private boolean isAvoided(DrainOrder order, long now) {
-        return order.phase() == Phase.DRAINING || order.phase() == Phase.OUT || order.phase() == Phase.NAMED && now >= leaderContactUntil;
+        return order.phase() == Phase.DRAINING
+                || order.phase() == Phase.OUT
+                || order.phase() == Phase.NAMED && now >= leaderContactUntil;
     }
 
     public long nextDue(long now) {
         long settles = startedAt + leaseTimes.leaseMicros() + leaseTimes.guardMicros();
-        return Math.min(leaderContactUntil > now ? leaderContactUntil : Long.MAX_VALUE, settled(now) ? Long.MAX_VALUE : settles);
+        return Math.min(
+                leaderContactUntil > now ? leaderContactUntil : Long.MAX_VALUE,
+                settled(now) ? Long.MAX_VALUE : settles);
     }
 
     // ---- the leader -----------------------------------------------------------------------------------
@@ -292,7 +301,9 @@
         outlet.observeTerm(report.term());
         outlet.observeTerm(Plan.termOf(report.heldStamp()));
         leader.recordReport(
-                from.name(), new PlanLeader.Report(from.instance(), report.term(), report.heldStamp(), report.appliedStamp(), report.recovered()));
+                from.name(),
+                new PlanLeader.Report(
+                        from.instance(), report.term(), report.heldStamp(), report.appliedStamp(), report.recovered()));
         acknowledgements.recordUsage(from.name(), report.uses());
         runLeader(snapshot);
         boolean isLeader = snapshot.term() > 0 && leader.inForce() > 0;
@@ -352,7 +363,9 @@
     }
 
     private void broadcastPlan(FleetSnapshot snapshot) {
-        snapshot.peers().stream().filter(p -> p.isAlive() && !p.name().equals(localName)).forEach(p -> sendPieces(p.address()));
+        snapshot.peers().stream()
+                .filter(p -> p.isAlive() && !p.name().equals(localName))
+                .forEach(p -> sendPieces(p.address()));
     }
 
     private boolean writeNext(FleetSnapshot snapshot) {
@@ -363,11 +376,13 @@
         snapshot.targets().forEach((id, t) -> tiers.put(id, t.tier()));
         snapshot.peers().forEach(p -> tiers.put(p.id(), MemberKind.ROUTER));
         for (PendingCommand waiting : pendingCommands.values()) {
-            PlanTransitions.Outcome afterCommand = PlanTransitions.afterCommand(plan, waiting.command(), tiers, stamp, snapshot.now());
+            PlanTransitions.Outcome afterCommand =
+                    PlanTransitions.afterCommand(plan, waiting.command(), tiers, stamp, snapshot.now());
             plan = afterCommand.plan();
             steps.addAll(afterCommand.steps());
         }
-        PlanTransitions.Outcome next = PlanTransitions.next(plan, stamp, snapshot.now(), snapshot.majority(), acknowledgements);
+        PlanTransitions.Outcome next =
+                PlanTransitions.next(plan, stamp, snapshot.now(), snapshot.majority(), acknowledgements);
         steps.addAll(next.steps());
         if (next.plan() == planStore.newest()) {
             removeTakenCommands(snapshot.now());
@@ -389,7 +404,11 @@
         for (DrainOrder order : plan.orders()) {
             DrainOrder previous = before.remove(order.member());
             if (previous == null || previous.phase() != order.phase()) {
-                logStep(snapshot, order, previous == null ? "none" : lowerCase(previous.phase()), lowerCase(order.phase()));
+                logStep(
+                        snapshot,
+                        order,
+                        previous == null ? "none" : lowerCase(previous.phase()),
+                        lowerCase(order.phase()));
             }
         }
         before.values().stream()
@@ -470,7 +489,8 @@
             row.put(
                     "held-up",
                     isLeader
-                            ? PlanTransitions.waitReason(planStore.applied(), order, snapshot.now(), snapshot.majority(), acknowledgements)
+                            ? PlanTransitions.waitReason(
+                                    planStore.applied(), order, snapshot.now(), snapshot.majority(), acknowledgements)
                             : "(ask " + leaderName + ")");
             rows.add(row);
         }
@@ -502,7 +522,8 @@
         return rows;
     }
 
-    private static Map<String, Object> requestRow(long id, String state, int maxAtOnce, int minServing, long membersLeft) {
+    private static Map<String, Object> requestRow(
+            long id, String state, int maxAtOnce, int minServing, long membersLeft) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("id", Long.toUnsignedString(id, 16));
         row.put("state", state);
--- a/src/main/java/pumicemoor/fleet/drains/Plan.java
+++ b/src/main/java/pumicemoor/fleet/drains/Plan.java
@@ -90,8 +90,12 @@
         }
         Map<Long, DrainOrder> added = new TreeMap<>();
         command.members().stream().filter(tiers::containsKey).forEach(m -> added.put(m, null));
-        long newMembers = added.keySet().stream().filter(m -> orderFor(m).isEmpty()).count();
-        if (containsRequest(command.id()) || slot == MAX_OPEN_REQUESTS || added.isEmpty() || orders.size() + newMembers > MAX_ORDERS) {
+        long newMembers =
+                added.keySet().stream().filter(m -> orderFor(m).isEmpty()).count();
+        if (containsRequest(command.id())
+                || slot == MAX_OPEN_REQUESTS
+                || added.isEmpty()
+                || orders.size() + newMembers > MAX_ORDERS) {
             return this;
         }
         List<DrainOrder> merged = new ArrayList<>();
@@ -102,7 +106,8 @@
                     !requested
                             ? order
                             : order.phase() == Phase.FINISHED
-                                    ? new DrainOrder(order.member(), order.tier(), 1 << slot, Phase.QUEUED, newStamp, now)
+                                    ? new DrainOrder(
+                                            order.member(), order.tier(), 1 << slot, Phase.QUEUED, newStamp, now)
                                     : new DrainOrder(
                                             order.member(),
                                             order.tier(),
@@ -131,7 +136,8 @@
         }
         int endedSlots = ended.stream().mapToInt(r -> 1 << r.slot()).sum();
         List<DrainOrder> kept = orders.stream()
-                .map(o -> new DrainOrder(o.member(), o.tier(), o.requests() & ~endedSlots, o.phase(), o.fence(), o.since()))
+                .map(o -> new DrainOrder(
+                        o.member(), o.tier(), o.requests() & ~endedSlots, o.phase(), o.fence(), o.since()))
                 .filter(o -> o.requests() != 0)
                 .toList();
         List<Long> closedIds = new ArrayList<>(closed);
--- a/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanCodec.java
@@ -14,7 +14,8 @@
 final class PlanCodec {
 
     /** The largest size of an encoded plan: stamp and counts, then each request, order and closed request id. */
-    static final int MAX_PLAN_BYTES = 24 + Plan.MAX_OPEN_REQUESTS * 17 + Plan.MAX_ORDERS * 30 + Plan.MAX_CLOSED_REQUESTS * 8;
+    static final int MAX_PLAN_BYTES =
+            24 + Plan.MAX_OPEN_REQUESTS * 17 + Plan.MAX_ORDERS * 30 + Plan.MAX_CLOSED_REQUESTS * 8;
 
     private PlanCodec() {}
 
--- a/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanLeader.java
@@ -110,7 +110,8 @@
      * that plan.
      */
     private boolean canFinishReading(int routers, boolean readTimedOut) {
-        long reportedThisTerm = reports.values().stream().filter(r -> r.term() >= term).count();
+        long reportedThisTerm =
+                reports.values().stream().filter(r -> r.term() >= term).count();
         long recoveredRouters = reports.values().stream()
                         .filter(r -> r.term() >= term && r.recovered())
                         .count()
--- a/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
+++ b/src/main/java/pumicemoor/fleet/drains/PlanTransitions.java
@@ -42,8 +42,9 @@
                     tier,
                     conditions.servingCount(tier)
                             - (int) plan.orders().stream()
-                                    .filter(o ->
-                                            o.tier() == tier && o.phase().countsAsOut() && conditions.isServing(o.member()))
+                                    .filter(o -> o.tier() == tier
+                                            && o.phase().countsAsOut()
+                                            && conditions.isServing(o.member()))
                                     .count());
         }
     }
@@ -55,7 +56,8 @@
             return new Outcome(plan, List.of());
         }
         return new Outcome(
-                new Plan(stamp, plan.requests(), List.copyOf(transitions.orders.values()), plan.closed()).withoutEndedRequests(),
+                new Plan(stamp, plan.requests(), List.copyOf(transitions.orders.values()), plan.closed())
+                        .withoutEndedRequests(),
                 transitions.steps);
     }
 
@@ -72,11 +74,15 @@
         // a member that finishes in this step still counts as out here, and as serving from the next plan on
         int out = plan.out();
         for (DrainOrder order : List.copyOf(orders.values())) {
-            if (order.phase() == Phase.NAMED && orders.get(order.member()) == order && blockingReason(order, out) == null) {
+            if (order.phase() == Phase.NAMED
+                    && orders.get(order.member()) == order
+                    && blockingReason(order, out) == null) {
                 transition(
                         order,
                         Phase.DRAINING,
-                        conditions.isFailing(order.member()) ? "it is the member's turn, as it is already failing" : "it is the member's turn");
+                        conditions.isFailing(order.member())
+                                ? "it is the member's turn, as it is already failing"
+                                : "it is the member's turn");
                 out++;
                 serving.merge(order.tier(), conditions.isServing(order.member()) ? -1 : 0, Integer::sum);
             }
@@ -136,7 +142,9 @@
         PlanTransitions transitions = new PlanTransitions(plan, plan.stamp(), now, majority, conditions);
         return switch (order.phase()) {
             case QUEUED -> "others come first";
-            case NAMED -> Optional.ofNullable(transitions.blockingReason(order, plan.out())).orElse("");
+            case NAMED ->
+                Optional.ofNullable(transitions.blockingReason(order, plan.out()))
+                        .orElse("");
             case DRAINING ->
                 Optional.ofNullable(conditions.routerStillUsing(order))
                         .map(r -> "router " + r + " may still use it")
@@ -175,9 +183,12 @@
         for (DrainOrder order : plan.orders()) {
             Phase to = !command.members().contains(order.member())
                     ? null
-                    : command.kind() == DrainCommand.Kind.DONE && order.phase() == Phase.OUT && order.fence() == command.fence()
+                    : command.kind() == DrainCommand.Kind.DONE
+                                    && order.phase() == Phase.OUT
+                                    && order.fence() == command.fence()
                             ? Phase.RETURNING
-                            : command.kind() == DrainCommand.Kind.CANCEL && (order.phase().isWaiting() || order.phase() == Phase.DRAINING)
+                            : command.kind() == DrainCommand.Kind.CANCEL
+                                            && (order.phase().isWaiting() || order.phase() == Phase.DRAINING)
                                     ? Phase.FINISHED
                                     : null;
             orders.add(to == null ? order : order.withPhase(to, stamp, now));
@@ -192,6 +203,8 @@
         }
         return steps.isEmpty()
                 ? new Outcome(plan, List.of())
-                : new Outcome(new Plan(stamp, plan.requests(), List.copyOf(orders), plan.closed()).withoutEndedRequests(), steps);
+                : new Outcome(
+                        new Plan(stamp, plan.requests(), List.copyOf(orders), plan.closed()).withoutEndedRequests(),
+                        steps);
     }
 }
--- a/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
+++ b/src/main/java/pumicemoor/fleet/drains/RouterAcknowledgements.java
@@ -43,7 +43,8 @@
         localAppliedStamp = appliedStamp;
         Set<String> names = new HashSet<>();
         newSnapshot.peers().forEach(p -> names.add(p.name()));
-        List.of(answeredAt, inFlightByRouter, hitsByRouter, phaseAppliedAt).forEach(m -> m.keySet().retainAll(names));
+        List.of(answeredAt, inFlightByRouter, hitsByRouter, phaseAppliedAt)
+                .forEach(m -> m.keySet().retainAll(names));
         leader.retainReports(names);
         Set<Long> members = new HashSet<>();
         Set<Long> orderKeys = new HashSet<>();
@@ -83,7 +84,9 @@
 
     /** Returns when a router begins to avoid the members named to it if it gets no further answer from any leader. */
     private long avoidsNamedMembersFrom(Peer peer) {
-        return Math.max(answeredAt.getOrDefault(peer.name(), 0L), snapshot.leaderSince()) + leaseTimes.leaseMicros() + leaseTimes.guardMicros();
+        return Math.max(answeredAt.getOrDefault(peer.name(), 0L), snapshot.leaderSince())
+                + leaseTimes.leaseMicros()
+                + leaseTimes.guardMicros();
     }
 
     /** Returns the stamp of the plan that the router acts on, or -1 if its current process has not reported. */
@@ -123,8 +126,9 @@
         if (appliedStamp(peer) < order.fence()) {
             return snapshot.now() < avoidsNamedMembersFrom(peer) + times.drainMicros();
         }
-        long appliedAt =
-                phaseAppliedAt.computeIfAbsent(peer.name(), n -> new HashMap<>()).computeIfAbsent(orderKey(order), k -> snapshot.now());
+        long appliedAt = phaseAppliedAt
+                .computeIfAbsent(peer.name(), n -> new HashMap<>())
+                .computeIfAbsent(orderKey(order), k -> snapshot.now());
         return inFlightByRouter.getOrDefault(peer.name(), Map.of()).getOrDefault(order.member(), 0) > 0
                 && snapshot.now() < appliedAt + times.drainMicros();
     }
@@ -133,7 +137,9 @@
     public int servingCount(MemberKind tier) {
         return (int)
                 (tier == MemberKind.ROUTER
-                        ? snapshot.peers().stream().filter(p -> isServing(p.id())).count()
+                        ? snapshot.peers().stream()
+                                .filter(p -> isServing(p.id()))
+                                .count()
                         : snapshot.targets().entrySet().stream()
                                 .filter(t -> t.getValue().tier() == tier && isServing(t.getKey()))
                                 .count());
@@ -149,7 +155,8 @@
 
     @Override
     public boolean isKnown(long member) {
-        return snapshot.targets().containsKey(member) || snapshot.peers().stream().anyMatch(p -> p.id() == member);
+        return snapshot.targets().containsKey(member)
+                || snapshot.peers().stream().anyMatch(p -> p.id() == member);
     }
 
     @Override
@@ -171,6 +178,8 @@
                     .anyMatch(p -> p.id() == order.member() && p.isAlive() && appliedStamp(p) >= order.fence());
         }
         Target target = snapshot.targets().get(order.member());
-        return target != null && target.ready() && snapshot.now() >= Math.max(order.since(), target.startedAt()) + times.warmTime(order.tier());
+        return target != null
+                && target.ready()
+                && snapshot.now() >= Math.max(order.since(), target.startedAt()) + times.warmTime(order.tier());
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -92,7 +92,9 @@
         double evenShare = limit().evenShare(routers);
         double base = now + routerLeaseMicros <= lease.expiresAt()
                 ? amount
-                : now < lease.expiresAt() + upperTimes.shrinkMicros() ? Math.min(amount, grantedRouters * evenShare) : grantedRouters * evenShare;
+                : now < lease.expiresAt() + upperTimes.shrinkMicros()
+                        ? Math.min(amount, grantedRouters * evenShare)
+                        : grantedRouters * evenShare;
         return base + (held - grantedRouters) * evenShare;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/HeldLease.java
+++ b/src/main/java/pumicemoor/fleet/limits/HeldLease.java
@@ -80,7 +80,8 @@
             return -1;
         }
         if (requestSentAt.size() >= MAX_PENDING_REQUESTS) {
-            requestSentAt.remove(requestSentAt.keySet().stream().min(Long::compare).orElseThrow());
+            requestSentAt.remove(
+                    requestSentAt.keySet().stream().min(Long::compare).orElseThrow());
         }
         requestSentAt.put(number, now);
         return sameGrantor && now < expiresAt ? grantNumber : 0;
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -138,7 +138,8 @@
         holder.inUse = inUse;
         holder.routers = asker.routers();
         // a confirmed lease that is not in the table has expired here: its holder may be using its even share by now
-        holder.confirmedGrant = holder.grants.stream().anyMatch(g -> g.number() == asker.grantInForce()) ? asker.grantInForce() : 0;
+        holder.confirmedGrant =
+                holder.grants.stream().anyMatch(g -> g.number() == asker.grantInForce()) ? asker.grantInForce() : 0;
         holder.grants.removeIf(g -> g.number() < holder.confirmedGrant);
         double share = shareOf(holder, routers, Math.min(limit.amount(), pool.forRouters(representedRouters())));
         holder.grants.add(new Grant(asker.number(), asker.routers(), share, now + times.leaseMicros()));
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -28,7 +28,8 @@
      */
     public LeaseTimes forUpperLevel() {
         long upper = UPPER_LEASE_FACTOR * leaseMicros;
-        return new LeaseTimes(upper, UPPER_GUARD_FACTOR * guardMicros, UPPER_GUARD_FACTOR * guardMicros + upper + leaseMicros);
+        return new LeaseTimes(
+                upper, UPPER_GUARD_FACTOR * guardMicros, UPPER_GUARD_FACTOR * guardMicros + upper + leaseMicros);
     }
 
     /**
--- a/src/main/java/pumicemoor/fleet/membership/Membership.java
+++ b/src/main/java/pumicemoor/fleet/membership/Membership.java
@@ -131,7 +131,8 @@
         this.outlet = outlet;
         this.random = new Random(seed);
         this.now = time;
-        this.instance = givenInstance != 0 ? givenInstance : Math.max(1, (time / 1_000 << 20) | random.nextInt(1 << 20));
+        this.instance =
+                givenInstance != 0 ? givenInstance : Math.max(1, (time / 1_000 << 20) | random.nextInt(1 << 20));
         this.incarnation = Math.max(1, time / 1_000);
         this.nextPeriodAt = time + 1;
     }
@@ -218,7 +219,8 @@
     }
 
     private int partCount() {
-        return Math.min(MAX_DIGEST_PARTS, Math.max(1, Integer.highestOneBit(2 * (peers.size() + 1) / MEAN_ROUTERS_PER_PART)));
+        return Math.min(
+                MAX_DIGEST_PARTS, Math.max(1, Integer.highestOneBit(2 * (peers.size() + 1) / MEAN_ROUTERS_PER_PART)));
     }
 
     /**
@@ -237,7 +239,9 @@
         long overdueMicros = now - nextPeriodAt;
         if (overdueMicros > setup.periodMicros()) {
             probeTarget = null;
-            peers.values().stream().filter(p -> p.suspectUntil < Long.MAX_VALUE).forEach(p -> p.suspectUntil += overdueMicros);
+            peers.values().stream()
+                    .filter(p -> p.suspectUntil < Long.MAX_VALUE)
+                    .forEach(p -> p.suspectUntil += overdueMicros);
         }
         nextPeriodAt = now + setup.periodMicros();
         periods++;
@@ -260,7 +264,8 @@
         for (Peer peer : List.copyOf(peers.values())) {
             if (now >= peer.suspectUntil) {
                 merge(peer.entry.withStatus(RouterStatus.DEAD), "the suspicion was not refuted in time");
-            } else if (peer.entry.status().compareTo(RouterStatus.DEAD) >= 0 && now - peer.statusSince > setup.rememberMicros()) {
+            } else if (peer.entry.status().compareTo(RouterStatus.DEAD) >= 0
+                    && now - peer.statusSince > setup.rememberMicros()) {
                 peers.remove(peer.entry.name());
                 replaceEntry(peer, null);
             }
@@ -295,7 +300,8 @@
     private void probeIndirectly() {
         if (probeTarget != null && peers.containsKey(probeTarget)) {
             String address = peers.get(probeTarget).entry.address();
-            randomLiving(setup.indirectProbes(), probeTarget).forEach(n -> probeNumbers.add(outlet.send(n.address(), new Relay(address))));
+            randomLiving(setup.indirectProbes(), probeTarget)
+                    .forEach(n -> probeNumbers.add(outlet.send(n.address(), new Relay(address))));
         }
     }
 
@@ -332,7 +338,9 @@
      */
     private void compare() {
         boolean isolated = living().isEmpty();
-        if (!isolated && periods % COMPARE_INTERVAL_PERIODS != Math.floorMod(Hashes.of(setup.name()), COMPARE_INTERVAL_PERIODS)) {
+        if (!isolated
+                && periods % COMPARE_INTERVAL_PERIODS
+                        != Math.floorMod(Hashes.of(setup.name()), COMPARE_INTERVAL_PERIODS)) {
             return;
         }
         List<String> absentAddresses = new ArrayList<>(setup.seeds());
@@ -368,7 +376,8 @@
         }
         // True if the sender is a successor or a predecessor of the known process.
         boolean otherInstance = sender.entry.instance() != from.instance();
-        if ((otherInstance || sender.entry.status() != RouterStatus.ALIVE) && now - sender.remindedAt > setup.periodMicros() / 2) {
+        if ((otherInstance || sender.entry.status() != RouterStatus.ALIVE)
+                && now - sender.remindedAt > setup.periodMicros() / 2) {
             sender.remindedAt = now; // a router can refute an entry only if it knows of it
             outlet.gossip(sender.entry);
             outlet.send(from.address(), new News());
@@ -393,9 +402,12 @@
                 probeTarget = null;
             }
         } else if (packet.body() instanceof Relay relay && pendingRelays.size() < MAX_PENDING_RELAYS) {
-            pendingRelays.put(outlet.send(relay.address(), new Ping()), new PendingRelay(address, packet.number(), now));
+            pendingRelays.put(
+                    outlet.send(relay.address(), new Ping()), new PendingRelay(address, packet.number(), now));
         } else if (packet.body() instanceof Compare compare && compare.digest() != digest()) {
-            if (compareInParts ? ++digestAnswers > MAX_DIGEST_ANSWERS_PER_PERIOD : ++recordAnswers > MAX_RECORD_ANSWERS_PER_PERIOD) {
+            if (compareInParts
+                    ? ++digestAnswers > MAX_DIGEST_ANSWERS_PER_PERIOD
+                    : ++recordAnswers > MAX_RECORD_ANSWERS_PER_PERIOD) {
                 outlet.dropped("compare-limited");
                 return;
             }
@@ -479,7 +491,9 @@
     /** Refutes a wrong record about this router by raising its incarnation. */
     private void refute(RouterRecord router) {
         boolean sameInstance = router.instance() == instance;
-        if (!leaving && router.incarnation() >= incarnation && (!sameInstance || router.status() != RouterStatus.ALIVE)) {
+        if (!leaving
+                && router.incarnation() >= incarnation
+                && (!sameInstance || router.status() != RouterStatus.ALIVE)) {
             incarnation = router.incarnation() + 1;
             outlet.gossip(self());
             if (sameInstance) {
@@ -501,7 +515,8 @@
                 outlet.statusChanged(
                         self(),
                         RouterStatus.ALIVE,
-                        "an older router of this name is alive at " + from.address() + ": this one stands aside and sends nothing");
+                        "an older router of this name is alive at " + from.address()
+                                + ": this one stands aside and sends nothing");
             }
             silentUntil = now + DUPLICATE_NAME_SILENCE_PERIODS * setup.periodMicros();
         } else if (now >= silentUntil) {
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -36,6 +36,16 @@
 
     /** Returns the same decision with this much time left, in microseconds. */
     public Ejection withTimeLeft(long micros) {
-        return new Ejection(member, memberStartedAt, version, failing, micros, reporters, cause, consecutiveFailures, failureRate, leader);
+        return new Ejection(
+                member,
+                memberStartedAt,
+                version,
+                failing,
+                micros,
+                reporters,
+                cause,
+                consecutiveFailures,
+                failureRate,
+                leader);
     }
 }
--- a/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/EjectionPolicy.java
@@ -80,14 +80,15 @@
         for (EjectionTable.KnownDecision held : table.inForce(now)) {
             Ejection current = held.decision();
             List<FailureReport> evidence = byMember.getOrDefault(current.member(), List.of());
-            boolean stillFailing =
-                    failingMembers.contains(current.member()) && evidence.get(0).memberStartedAt() == current.memberStartedAt();
+            boolean stillFailing = failingMembers.contains(current.member())
+                    && evidence.get(0).memberStartedAt() == current.memberStartedAt();
             if (!stillFailing) {
-                decisions.add(
-                        newDecision(current.member(), current.memberStartedAt(), table, term, false, List.of(), leader));
+                decisions.add(newDecision(
+                        current.member(), current.memberStartedAt(), table, term, false, List.of(), leader));
             } else if (now >= renewAt.getOrDefault(current.member(), 0L)) {
                 decisions.add(takeSlot(
-                        now, newDecision(current.member(), current.memberStartedAt(), table, term, true, evidence, leader)));
+                        now,
+                        newDecision(current.member(), current.memberStartedAt(), table, term, true, evidence, leader)));
             }
         }
         if (mayEject) {
@@ -95,7 +96,8 @@
                     table.inForce(now).stream().map(h -> h.decision().member()).collect(Collectors.toSet());
             byMember.entrySet().stream()
                     .filter(e -> failingMembers.contains(e.getKey()) && !ejected.contains(e.getKey()))
-                    .sorted(Comparator.comparingInt((Map.Entry<Long, List<FailureReport>> e) -> -countReporters(e.getValue())))
+                    .sorted(Comparator.comparingInt(
+                            (Map.Entry<Long, List<FailureReport>> e) -> -countReporters(e.getValue())))
                     .forEach(e -> {
                         if (hasFreeSlot(e.getKey(), tiers)) {
                             decisions.add(takeSlot(
@@ -142,9 +144,13 @@
     }
 
     private static void keepNewestProcess(List<FailureReport> failures) {
-        long started = failures.stream().mapToLong(FailureReport::memberStartedAt).max().orElse(0);
+        long started = failures.stream()
+                .mapToLong(FailureReport::memberStartedAt)
+                .max()
+                .orElse(0);
         failures.removeIf(f -> f.memberStartedAt() != started);
-        failures.sort(Comparator.comparingInt(FailureReport::consecutiveFailures).reversed());
+        failures.sort(
+                Comparator.comparingInt(FailureReport::consecutiveFailures).reversed());
     }
 
     private boolean hasFreeSlot(long member, Map<Long, String> tiers) {
--- a/src/main/java/pumicemoor/fleet/verdicts/FailureReport.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/FailureReport.java
@@ -5,7 +5,8 @@
  * and what was observed. The report of a cell carries the worst evidence of its routers and the number of routers that
  * report the member.
  */
-public record FailureReport(long member, long memberStartedAt, Cause cause, int consecutiveFailures, double failureRate, int reporters) {
+public record FailureReport(
+        long member, long memberStartedAt, Cause cause, int consecutiveFailures, double failureRate, int reporters) {
 
     /** Creates the report of a single router. */
     public FailureReport(long member, long started, Cause cause, int strikes, double failureRate) {
--- a/src/main/java/pumicemoor/hierarchy/FillOrder.java
+++ b/src/main/java/pumicemoor/hierarchy/FillOrder.java
@@ -56,7 +56,9 @@
     void remove(String unit, String parent) {
         Integer unitNumber = numbers.get(unit);
         Integer parentNumber = numbers.get(parent);
-        if (unitNumber != null && parentNumber != null && contains(parents[unitNumber], parentCounts[unitNumber], parentNumber)) {
+        if (unitNumber != null
+                && parentNumber != null
+                && contains(parents[unitNumber], parentCounts[unitNumber], parentNumber)) {
             removeValue(parents[unitNumber], parentCounts[unitNumber]--, parentNumber);
             removeValue(children[parentNumber], childCounts[parentNumber]--, unitNumber);
             removeIfUnlinked(unitNumber);
@@ -67,7 +69,9 @@
     boolean contains(String unit, String parent) {
         Integer unitNumber = numbers.get(unit);
         Integer parentNumber = numbers.get(parent);
-        return unitNumber != null && parentNumber != null && contains(parents[unitNumber], parentCounts[unitNumber], parentNumber);
+        return unitNumber != null
+                && parentNumber != null
+                && contains(parents[unitNumber], parentCounts[unitNumber], parentNumber);
     }
 
     /** Returns the names of the units that fill from this one, sorted. */
--- a/src/main/java/pumicemoor/hierarchy/Hierarchy.java
+++ b/src/main/java/pumicemoor/hierarchy/Hierarchy.java
@@ -14,11 +14,11 @@
 import pumicemoor.RouterApi.FillSource;
 import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
+import pumicemoor.hierarchy.Timeline.Count;
+import pumicemoor.hierarchy.Timeline.UnitState;
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.Topology.Unit;
 import pumicemoor.hierarchy.TopologyValidator.Violation;
-import pumicemoor.hierarchy.Timeline.UnitState;
-import pumicemoor.hierarchy.Timeline.Count;
 
 /**
  * The hierarchy as one router knows it: accepts whole topologies or single updates in any order, and determines the
@@ -154,7 +154,8 @@
     public static Hierarchy start(
             Topology topology, Optional<Topology> before, long number, long now, Setup setup, Consumer<LogEvent> log) {
         if (before.isPresent()) {
-            Hierarchy hierarchy = new Hierarchy(before.get(), number, Math.min(now, topology.announcedMicros()), setup, log);
+            Hierarchy hierarchy =
+                    new Hierarchy(before.get(), number, Math.min(now, topology.announcedMicros()), setup, log);
             updatesBetween(before.get().units(), topology, hierarchy.number + 1).forEach(hierarchy::apply);
             hierarchy.number = number;
             hierarchy.version = topology.version();
@@ -168,7 +169,9 @@
         MigrationTiming timing = setup.timing();
         hierarchy.suspendedUntil = topology.announcedMicros() == 0
                 ? 0
-                : topology.announcedMicros() + timing.leadMicros() + (hubs + 1) * (timing.moveMicros() + timing.gapMicros());
+                : topology.announcedMicros()
+                        + timing.leadMicros()
+                        + (hubs + 1) * (timing.moveMicros() + timing.gapMicros());
         return hierarchy;
     }
 
@@ -192,7 +195,10 @@
         advance(now);
         List<Violation> problems = new ArrayList<>(TopologyValidator.findViolations(topology, members));
         if (setup.updateSource() != UpdateSource.FILE) {
-            problems.add(new Violation(TopologyValidator.ViolationKind.NOT_APPLICABLE, "", "this router receives the topology from the coordinator, not from the file"));
+            problems.add(new Violation(
+                    TopologyValidator.ViolationKind.NOT_APPLICABLE,
+                    "",
+                    "this router receives the topology from the coordinator, not from the file"));
         }
         if (topology.version() <= version && !topology.units().equals(target)) {
             problems.add(new Violation(
@@ -288,14 +294,17 @@
                         || update.updatesInTopology() != partialTopology.get(0).updatesInTopology())) {
             rejectTopology(
                     partialTopology.get(0).version(),
-                    "update " + update.number() + " belongs to another topology, but only " + partialTopology.size() + " of "
-                            + partialTopology.get(0).updatesInTopology() + " updates of this one have arrived");
+                    "update " + update.number() + " belongs to another topology, but only " + partialTopology.size()
+                            + " of " + partialTopology.get(0).updatesInTopology()
+                            + " updates of this one have arrived");
             partialTopology.clear();
         }
         if (update.updatesInTopology() <= 0) {
             applyIndependent(update);
         } else if (update.updatesInTopology() > MAX_UPDATES_PER_TOPOLOGY) {
-            rejectTopology(update.version(), "it has " + update.updatesInTopology() + " updates; the limit is " + MAX_UPDATES_PER_TOPOLOGY);
+            rejectTopology(
+                    update.version(),
+                    "it has " + update.updatesInTopology() + " updates; the limit is " + MAX_UPDATES_PER_TOPOLOGY);
         } else {
             partialTopology.add(update);
             if (partialTopology.size() == update.updatesInTopology()) {
@@ -338,7 +347,8 @@
             Unit parentUnit = target.get(parent.getKey());
             if (!(parent.getValue() > 0 && parent.getValue() <= TopologyValidator.MAX_WEIGHT)
                     || parent.getKey().equals(update.unit())
-                    || parentUnit != null && (parentUnit.kind() == Kind.DEPOT || parentUnit.kind().level < update.kind().level)) {
+                    || parentUnit != null
+                            && (parentUnit.kind() == Kind.DEPOT || parentUnit.kind().level < update.kind().level)) {
                 return "'" + update.unit() + "' may not fill from '" + parent.getKey() + "' with the weight "
                         + parent.getValue();
             }
@@ -359,13 +369,22 @@
             }
         }
         long version = updates.get(0).version();
-        List<Violation> problems = TopologyValidator.findViolations(new Topology(version, announced, skipsAllowed, result), Set.of());
+        List<Violation> problems =
+                TopologyValidator.findViolations(new Topology(version, announced, skipsAllowed, result), Set.of());
         if (!problems.isEmpty()) {
             rejectTopology(version, problems.get(0).text());
             return;
         }
         for (TopologyUpdate update : updates) {
-            apply(new TopologyUpdate(update.number(), announced, version, update.updatesInTopology(), update.unit(), update.kind(), update.parents(), update.removed()));
+            apply(new TopologyUpdate(
+                    update.number(),
+                    announced,
+                    version,
+                    update.updatesInTopology(),
+                    update.unit(),
+                    update.kind(),
+                    update.parents(),
+                    update.removed()));
         }
         this.version = Math.max(this.version, version);
         topologiesAccepted++;
@@ -402,8 +421,9 @@
         }
         timeline.advance(Math.min(now, certainUntil + setup.timing().leadMicros()));
         // the other half of the gap allows for clock skew
-        boolean stale =
-                now < suspendedUntil || now - certainUntil > setup.timing().leadMicros() + setup.timing().gapMicros() / 2;
+        boolean stale = now < suspendedUntil
+                || now - certainUntil
+                        > setup.timing().leadMicros() + setup.timing().gapMicros() / 2;
         if (stale != tooOld) {
             tooOld = stale;
             changed = true;
@@ -418,7 +438,8 @@
 
     /** Returns when {@link #advance} must be called next, or Long.MAX_VALUE if it need not be. */
     public long nextDue() {
-        long next = Math.min(timeline.nextChange(), tooOld && suspendedUntil > certainUntil ? suspendedUntil : Long.MAX_VALUE);
+        long next = Math.min(
+                timeline.nextChange(), tooOld && suspendedUntil > certainUntil ? suspendedUntil : Long.MAX_VALUE);
         if (setup.updateSource() == UpdateSource.FILE) {
             return next;
         }
@@ -469,7 +490,8 @@
         return new FillSourcesUpdate(version, lists);
     }
 
-    private List<FillSource> fillSources(UnitState state, Map<String, Double> parents, ToLongFunction<String> memberId) {
+    private List<FillSource> fillSources(
+            UnitState state, Map<String, Double> parents, ToLongFunction<String> memberId) {
         List<FillSource> sources = new ArrayList<>();
         parents.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(parent -> {
             long startTime = startTimes.getOrDefault(parent.getKey(), 0L);
@@ -477,7 +499,8 @@
                     || startTime > state.moveStart && state.moving();
             long rampStart = restarted ? Math.max(state.moveStart, startTime) : state.moveStart;
             long rampEnd = restarted
-                    ? Math.max(state.moveEnd, startTime + Math.max(setup.timing().moveMicros(), setup.slowStartMicros()))
+                    ? Math.max(
+                            state.moveEnd, startTime + Math.max(setup.timing().moveMicros(), setup.slowStartMicros()))
                     : state.moveEnd;
             sources.add(new FillSource(
                     memberId.applyAsLong(parent.getKey()),
@@ -500,7 +523,9 @@
                 ? Stage.TOO_OLD
                 : !early.isEmpty() || !partialTopology.isEmpty()
                         ? Stage.WAITING_FOR_NEWS
-                        : timeline.blockedLinks() > 0 ? Stage.HELD : timeline.complete() ? Stage.AS_WANTED : Stage.MOVING;
+                        : timeline.blockedLinks() > 0
+                                ? Stage.HELD
+                                : timeline.complete() ? Stage.AS_WANTED : Stage.MOVING;
         return new Snapshot(
                 version,
                 stage,
--- a/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationPlan.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
+import pumicemoor.hierarchy.Timeline.Change;
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.TopologyValidator.Violation;
-import pumicemoor.hierarchy.Timeline.Change;
 
 /**
  * The steps by which one topology replaces another, computed by running the same timeline that routers follow. It
@@ -50,8 +50,15 @@
         List<Change> changes = new ArrayList<>();
         Timeline timeline = new Timeline(old, 0, timing, changes::add);
         for (TopologyUpdate update : Hierarchy.updatesBetween(old.units(), next, 1)) {
-            timeline.add(
-                    new TopologyUpdate(update.number(), 0, update.version(), update.updatesInTopology(), update.unit(), update.kind(), update.parents(), update.removed()));
+            timeline.add(new TopologyUpdate(
+                    update.number(),
+                    0,
+                    update.version(),
+                    update.updatesInTopology(),
+                    update.unit(),
+                    update.kind(),
+                    update.parents(),
+                    update.removed()));
         }
         for (long at = timeline.nextChange(); at < Long.MAX_VALUE; at = timeline.nextChange()) {
             timeline.advance(at);
--- a/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
+++ b/src/main/java/pumicemoor/hierarchy/MigrationTiming.java
@@ -13,8 +13,8 @@
 
     public MigrationTiming {
         if (leadMicros < 0 || moveMicros < 0 || gapMicros <= 0 || rememberMicros < 0) {
-            throw new IllegalArgumentException(
-                    "a topology change needs a positive gap and no negative durations: lead " + leadMicros + ", move " + moveMicros + ", gap " + gapMicros + ", remember " + rememberMicros);
+            throw new IllegalArgumentException("a topology change needs a positive gap and no negative durations: lead "
+                    + leadMicros + ", move " + moveMicros + ", gap " + gapMicros + ", remember " + rememberMicros);
         }
     }
 }
--- a/src/main/java/pumicemoor/hierarchy/Timeline.java
+++ b/src/main/java/pumicemoor/hierarchy/Timeline.java
@@ -114,7 +114,8 @@
             state.current = unit.parents();
             unit.parents().keySet().forEach(parent -> {
                 if (!order.add(unit.name(), parent)) {
-                    throw new IllegalArgumentException("the initial topology has a loop at " + new Link(unit.name(), parent));
+                    throw new IllegalArgumentException(
+                            "the initial topology has a loop at " + new Link(unit.name(), parent));
                 }
             });
         }
@@ -158,7 +159,9 @@
         if (!seedEnds.isEmpty()) {
             at = Math.min(at, seedEnds.peek().at());
         }
-        return pendingUpdates.isEmpty() ? at : Math.min(at, pendingUpdates.peek().at());
+        return pendingUpdates.isEmpty()
+                ? at
+                : Math.min(at, pendingUpdates.peek().at());
     }
 
     private void processDue() {
@@ -233,7 +236,8 @@
         }
         Map<String, Double> target = update.removed() ? Map.of() : update.parents();
         boolean rollback = state.moving() && target.equals(state.previous);
-        if (state.moving() && !rollback && !target.equals(state.target) || update.removed() && hasChildren(state.name)) {
+        if (state.moving() && !rollback && !target.equals(state.target)
+                || update.removed() && hasChildren(state.name)) {
             return;
         }
         if (rollback && waitsForSeeds(state.previous, state.current)) {
@@ -259,8 +263,9 @@
      * them, so that they do not keep it longer than the gap.
      */
     private boolean hasChildren(String unit) {
-        List<Link> links =
-                order.childrenOf(unit).stream().map(child -> new Link(child, unit)).toList();
+        List<Link> links = order.childrenOf(unit).stream()
+                .map(child -> new Link(child, unit))
+                .toList();
         if (seeds.keySet().containsAll(links)) {
             links.forEach(this::endSeed);
         }
@@ -489,9 +494,11 @@
         return state == null
                 ? unit + " is not there"
                 : unit + " target " + state.target + " current " + state.current + " previous "
-                        + state.previous + " moving until " + state.moveEnd + " blocked " + state.blocked + " deferred " + state.deferredUpdate + " removed "
+                        + state.previous + " moving until " + state.moveEnd + " blocked " + state.blocked + " deferred "
+                        + state.deferredUpdate + " removed "
                         + state.removed
-                        + " awaits seed end " + state.awaitsSeedEnd + "; children " + order.childrenOf(unit) + "; now " + now + ", seeds " + seeds
+                        + " awaits seed end " + state.awaitsSeedEnd + "; children " + order.childrenOf(unit) + "; now "
+                        + now + ", seeds " + seeds
                         + ", lingering " + lingering + ", unsettled " + unsettled;
     }
 
--- a/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
@@ -74,7 +74,8 @@
             Set<String> reached = unitsReachingOrigin(units);
             units.keySet().stream()
                     .filter(unit -> !reached.contains(unit))
-                    .forEach(unit -> violations.add(new Violation(ViolationKind.NOT_APPLICABLE, unit, "'" + unit + "' has no fill path to the origin")));
+                    .forEach(unit -> violations.add(new Violation(
+                            ViolationKind.NOT_APPLICABLE, unit, "'" + unit + "' has no fill path to the origin")));
         }
         return violations.size() > MAX_VIOLATIONS
                 ? List.copyOf(violations.subList(0, MAX_VIOLATIONS))
@@ -85,10 +86,12 @@
             Topology topology, Unit unit, Set<String> members, boolean hasHubs, List<Violation> violations) {
         String name = "'" + unit.name() + "'";
         if (unit.kind() != Kind.DEPOT && !members.isEmpty() && !members.contains(unit.name())) {
-            violations.add(new Violation(ViolationKind.UNKNOWN_MEMBER, unit.name(), name + " is not in the list of members"));
+            violations.add(
+                    new Violation(ViolationKind.UNKNOWN_MEMBER, unit.name(), name + " is not in the list of members"));
         }
         if (unit.kind() != Kind.ORIGIN && unit.parents().isEmpty()) {
-            violations.add(new Violation(ViolationKind.ORPHAN, unit.name(), name + " has no parents: it fills from nobody"));
+            violations.add(
+                    new Violation(ViolationKind.ORPHAN, unit.name(), name + " has no parents: it fills from nobody"));
         }
         unit.parents().forEach((parentName, weight) -> {
             Unit parent = topology.units().get(parentName);
@@ -96,8 +99,8 @@
                 violations.add(new Violation(
                         ViolationKind.WEIGHT,
                         unit.name(),
-                        name + " gives '" + parentName + "' the weight " + weight + ": a weight must be greater than 0 and at most "
-                                + (long) MAX_WEIGHT));
+                        name + " gives '" + parentName + "' the weight " + weight
+                                + ": a weight must be greater than 0 and at most " + (long) MAX_WEIGHT));
             }
             if (parent == null) {
                 violations.add(new Violation(
@@ -163,9 +166,9 @@
 
     private static Set<String> unitsReachingOrigin(Map<String, Unit> units) {
         Map<String, List<String>> children = new HashMap<>();
-        units.values()
-                .forEach(unit -> unit.parents().keySet().forEach(p -> children.computeIfAbsent(p, k -> new ArrayList<>())
-                        .add(unit.name())));
+        units.values().forEach(unit -> unit.parents().keySet().forEach(p -> children.computeIfAbsent(
+                        p, k -> new ArrayList<>())
+                .add(unit.name())));
         Set<String> reached = new HashSet<>();
         Deque<String> open = new ArrayDeque<>();
         units.values().stream().filter(unit -> unit.kind() == Kind.ORIGIN).forEach(unit -> open.add(unit.name()));
--- a/src/main/java/pumicemoor/lab/FaultNetwork.java
+++ b/src/main/java/pumicemoor/lab/FaultNetwork.java
@@ -121,7 +121,8 @@
     private void deliver(int to, byte[] bytes) {
         count(4 * to + 2, bytes.length);
         try {
-            ingressSockets.get(to)
+            ingressSockets
+                    .get(to)
                     .send(new DatagramPacket(
                             bytes,
                             bytes.length,
--- a/src/main/java/pumicemoor/lab/LabRun.java
+++ b/src/main/java/pumicemoor/lab/LabRun.java
@@ -90,9 +90,11 @@
         long startNanos = System.nanoTime();
         addMember("origin", Kind.ORIGIN, 1);
         List<String> hubNames = new ArrayList<>(hubs.keySet());
-        scenario.happenings().stream().filter(event -> event.hubs() != null).forEach(event -> event.hubs().keySet().stream()
-                .filter(name -> !hubNames.contains(name))
-                .forEach(hubNames::add));
+        scenario.happenings().stream()
+                .filter(event -> event.hubs() != null)
+                .forEach(event -> event.hubs().keySet().stream()
+                        .filter(name -> !hubNames.contains(name))
+                        .forEach(hubNames::add));
         for (String hub : hubNames) {
             addMember(hub, Kind.HUB, 1_000_000);
         }
@@ -100,8 +102,11 @@
             addMember("box-" + i, Kind.CACHE, scenario.cacheHolds());
         }
         coordinator = new CoordinatorStandIn(executor, scenario.change().jitterMillis(), scenario.seed());
-        coordinator.publish(
-                endpointsJson(true, members.values().stream().map(member -> instanceJson(member, "active")).toList()));
+        coordinator.publish(endpointsJson(
+                true,
+                members.values().stream()
+                        .map(member -> instanceJson(member, "active"))
+                        .toList()));
         announcedAtMillis = System.currentTimeMillis() - 3_600_000;
         for (int i = 0; i < scenario.routers(); i++) {
             RouterProcess router = new RouterProcess("router-" + i, folder, scenario.cpu());
@@ -119,7 +124,9 @@
                 hubNames.size(),
                 (System.nanoTime() - startNanos) / 1e9);
         LoadClients clients = new LoadClients(
-                scenario, requestLog, routers.stream().map(RouterProcess::address).toList());
+                scenario,
+                requestLog,
+                routers.stream().map(RouterProcess::address).toList());
         long loadStartNanos = System.nanoTime();
         List<ScheduledEvent> pendingEvents = new ArrayList<>(scenario.happenings());
         pendingEvents.sort(Comparator.comparingDouble(ScheduledEvent::at));
@@ -128,7 +135,9 @@
         long sentRequests = 0;
         int topologyCompleteCount = 0;
         long warmUpEndMillis = 0;
-        for (double elapsedSeconds = 0; elapsedSeconds < WARM_UP_SECONDS + scenario.seconds(); elapsedSeconds = (System.nanoTime() - loadStartNanos) / 1e9) {
+        for (double elapsedSeconds = 0;
+                elapsedSeconds < WARM_UP_SECONDS + scenario.seconds();
+                elapsedSeconds = (System.nanoTime() - loadStartNanos) / 1e9) {
             while (sentRequests < elapsedSeconds * scenario.rate()) {
                 clients.sendNext();
                 sentRequests++;
@@ -136,7 +145,8 @@
             if (warmUpEndMillis == 0 && elapsedSeconds >= WARM_UP_SECONDS) {
                 warmUpEndMillis = requestLog.nowMillis();
             }
-            if (!pendingEvents.isEmpty() && elapsedSeconds >= WARM_UP_SECONDS + pendingEvents.get(0).at()) {
+            if (!pendingEvents.isEmpty()
+                    && elapsedSeconds >= WARM_UP_SECONDS + pendingEvents.get(0).at()) {
                 applyEvent(pendingEvents.remove(0), elapsedSeconds, repairs, repairSeconds);
             }
             for (int i = 0; i < repairs.size(); i++) {
@@ -172,10 +182,13 @@
     }
 
     private void addMember(String name, Kind kind, int capacity) throws IOException {
-        members.put(name, new MemberStandIn(name, kind, capacity, scenario.fillMillis(), requestLog, members::get, executor));
+        members.put(
+                name,
+                new MemberStandIn(name, kind, capacity, scenario.fillMillis(), requestLog, members::get, executor));
     }
 
-    private void applyEvent(ScheduledEvent event, double elapsedSeconds, List<Runnable> repairs, List<Double> repairSeconds)
+    private void applyEvent(
+            ScheduledEvent event, double elapsedSeconds, List<Runnable> repairs, List<Double> repairSeconds)
             throws IOException, InterruptedException {
         if (event.hubs() != null || event.depot() != null) {
             changeTopology(event);
@@ -297,14 +310,17 @@
 
     private String operatorYaml() {
         Scenario.Change change = scenario.change();
-        return "hierarchy:\n  news: " + (change.by() == ChangeDelivery.FEED ? "feed" : "file") + "\n  lead-ms: " + change.leadMillis()
+        return "hierarchy:\n  news: " + (change.by() == ChangeDelivery.FEED ? "feed" : "file") + "\n  lead-ms: "
+                + change.leadMillis()
                 + "\n  move-ms: " + change.moveMillis() + "\n  gap-ms: " + change.gapMillis() + "\n"
-                + (change.by() == ChangeDelivery.FEED ? "  last-piece: " + updateCount + "\n" : "") + topologyYaml("shape", 2);
+                + (change.by() == ChangeDelivery.FEED ? "  last-piece: " + updateCount + "\n" : "")
+                + topologyYaml("shape", 2);
     }
 
     private String topologyYaml(String key, int indent) {
         String padding = " ".repeat(indent);
-        StringBuilder text = new StringBuilder(padding + key + ":\n" + padding + "  version: " + topologyVersion + "\n");
+        StringBuilder text =
+                new StringBuilder(padding + key + ":\n" + padding + "  version: " + topologyVersion + "\n");
         if (announcedAtMillis > 0) {
             text.append(padding)
                     .append("  announced: ")
--- a/src/main/java/pumicemoor/lab/LoadClients.java
+++ b/src/main/java/pumicemoor/lab/LoadClients.java
@@ -86,7 +86,9 @@
 
     /** Returns the number of open requests on all connections. */
     int openRequests() {
-        return connections.stream().mapToInt(connection -> connection.openRequests.size()).sum();
+        return connections.stream()
+                .mapToInt(connection -> connection.openRequests.size())
+                .sum();
     }
 
     /** Closes all connections and counts the requests that are still open as lost. */
@@ -119,7 +121,8 @@
         }
 
         private synchronized boolean ensureUsable() {
-            if ((socket == null || socket.isClosed() || draining) && System.nanoTime() - lastConnectNanos > RECONNECT_INTERVAL_NANOS) {
+            if ((socket == null || socket.isClosed() || draining)
+                    && System.nanoTime() - lastConnectNanos > RECONNECT_INTERVAL_NANOS) {
                 lastConnectNanos = System.nanoTime();
                 try {
                     Socket newSocket = new Socket();
@@ -197,14 +200,19 @@
 
         private void handleResponse(OpenRequest request, boolean first, int code) {
             if (request == null) {
-                addResult(new RequestResult(requestLog.nowMillis(), first ? RequestOutcome.LATE : RequestOutcome.TWICE, 0));
+                addResult(new RequestResult(
+                        requestLog.nowMillis(), first ? RequestOutcome.LATE : RequestOutcome.TWICE, 0));
                 return;
             }
             long micros = (System.nanoTime() - request.startNanos()) / 1_000;
             boolean late = micros / 1_000 > scenario.deadlineMillis() + LATE_GRACE_MILLIS;
             addResult(new RequestResult(
                     request.sentAtMillis(),
-                    late ? RequestOutcome.LATE : code == 1 ? RequestOutcome.SERVED : code == 0 ? RequestOutcome.REFUSED : RequestOutcome.FAILED,
+                    late
+                            ? RequestOutcome.LATE
+                            : code == 1
+                                    ? RequestOutcome.SERVED
+                                    : code == 0 ? RequestOutcome.REFUSED : RequestOutcome.FAILED,
                     micros));
         }
 
--- a/src/main/java/pumicemoor/lab/MemberStandIn.java
+++ b/src/main/java/pumicemoor/lab/MemberStandIn.java
@@ -242,7 +242,8 @@
             if (fields.containsKey("way")) {
                 fillPath.addAll(Arrays.asList(fields.get("way").split("\\+")));
             }
-            boolean cacheOnly = Set.of(fields.getOrDefault("f", "").split("\\+")).contains("only-if-cached");
+            boolean cacheOnly =
+                    Set.of(fields.getOrDefault("f", "").split("\\+")).contains("only-if-cached");
             LookupResult result = lookUp(object, fillPath, cacheOnly, List.of());
             String answeredFrom =
                     switch (result) {
@@ -255,13 +256,16 @@
             if (answeredFrom != null) {
                 write(
                         out,
-                        id + " data entity=" + object + ",issued=" + System.currentTimeMillis() + ",tell=" + answeredFrom + " "
-                                + BODY.length + "\r\n",
+                        id + " data entity=" + object + ",issued=" + System.currentTimeMillis() + ",tell="
+                                + answeredFrom + " " + BODY.length + "\r\n",
                         BODY);
             } else if (result == LookupResult.ABSENT) {
                 write(out, id + " absent - 0\r\n\r\n", null);
             } else {
-                write(out, id + " failed tell=" + (result == LookupResult.LOOPED ? "denied" : "unreached") + " 0\r\n\r\n", null);
+                write(
+                        out,
+                        id + " failed tell=" + (result == LookupResult.LOOPED ? "denied" : "unreached") + " 0\r\n\r\n",
+                        null);
             }
         } catch (IOException e) {
             // the router has closed the connection
@@ -309,7 +313,8 @@
         }
         LookupResult result = fill(object, fillPath, visited);
         synchronized (store) {
-            if (fillsInProgress.remove(object, ownFill) && (result == LookupResult.FILLED || result == LookupResult.BY_ORIGIN)) {
+            if (fillsInProgress.remove(object, ownFill)
+                    && (result == LookupResult.FILLED || result == LookupResult.BY_ORIGIN)) {
                 store.put(object, System.currentTimeMillis());
             }
         }
@@ -329,10 +334,16 @@
         try {
             sleep(fillMillis);
             // a sibling cache returns what it stores or is filling; a hub continues along the rest of the fill path
-            LookupResult result = source.lookUp(object, fillPath.isEmpty() ? fillPath : fillPath.subList(1, fillPath.size()), false, visitedWithThis);
+            LookupResult result = source.lookUp(
+                    object,
+                    fillPath.isEmpty() ? fillPath : fillPath.subList(1, fillPath.size()),
+                    false,
+                    visitedWithThis);
             return result == LookupResult.BY_ORIGIN
                     ? LookupResult.BY_ORIGIN
-                    : result == LookupResult.HIT || result == LookupResult.JOINED || result == LookupResult.FILLED ? LookupResult.FILLED : result;
+                    : result == LookupResult.HIT || result == LookupResult.JOINED || result == LookupResult.FILLED
+                            ? LookupResult.FILLED
+                            : result;
         } finally {
             requestLog.waitEnded(name, source.name, object);
         }
--- a/src/main/java/pumicemoor/lab/ProcessRun.java
+++ b/src/main/java/pumicemoor/lab/ProcessRun.java
@@ -57,11 +57,13 @@
     }
 
     /** Measures each size in the file, writes NAME-SIZE.json and NAME-SIZE.md to the folder, and returns the tables. */
-    public static String measureToMarkdown(Path file, Path folder, PrintStream progress) throws IOException, InterruptedException {
+    public static String measureToMarkdown(Path file, Path folder, PrintStream progress)
+            throws IOException, InterruptedException {
         ScaleConfig config = ScaleConfig.read(file);
         for (int size : config.routers()) {
             if (size > MAX_PROCESSES) {
-                throw new IOException(file + ": routers: " + size + " is not from 2 to " + MAX_PROCESSES + ", the range for separate processes");
+                throw new IOException(file + ": routers: " + size + " is not from 2 to " + MAX_PROCESSES
+                        + ", the range for separate processes");
             }
         }
         Files.createDirectories(folder);
@@ -84,7 +86,8 @@
         List<Reading> readingsWithoutFleet = measureProcesses(false);
         List<Reading> readingsWithFleet = measureProcesses(true);
         Map<String, Double> meanWithoutFleet = mean(readingsWithoutFleet);
-        Map<String, List<Reading>> readingsByRole = new TreeMap<>(readingsWithFleet.stream().collect(Collectors.groupingBy(Reading::role)));
+        Map<String, List<Reading>> readingsByRole =
+                new TreeMap<>(readingsWithFleet.stream().collect(Collectors.groupingBy(Reading::role)));
         List<Sample> samples = new ArrayList<>();
         readingsByRole.forEach((role, readings) -> {
             Map<String, Double> means = mean(readings);
@@ -187,7 +190,13 @@
                 RouterProcess router = new RouterProcess(routerName(i), logs, null, RouterProcess.SMALL_JVM_OPTIONS);
                 routers.add(router);
                 router.start(
-                        LabConfig.json(routerName(i), i, router.address(), scenario, coordinator.address(), coordinator.eventsAsJson()),
+                        LabConfig.json(
+                                routerName(i),
+                                i,
+                                router.address(),
+                                scenario,
+                                coordinator.address(),
+                                coordinator.eventsAsJson()),
                         "log: {format: json}\n" + (withFleet ? fleetSection(i, network) : ""));
                 if (i % CONCURRENT_STARTS == CONCURRENT_STARTS - 1 || i == size - 1) {
                     for (RouterProcess started : routers.subList(i / CONCURRENT_STARTS * CONCURRENT_STARTS, i + 1)) {
@@ -223,8 +232,8 @@
         long totalKiB = routers.stream().mapToLong(RouterProcess::residentKiB).sum();
         progress.printf(Locale.ROOT, "they hold %.2f GB%n", totalKiB / 1e6 * 1.024);
         if (totalKiB > MAX_TOTAL_MEMORY_KIB) {
-            throw new IOException(
-                    "routers: " + size + " processes hold " + totalKiB / 1_024 + " MiB of memory; the maximum in MiB is " + MAX_TOTAL_MEMORY_KIB / 1_024);
+            throw new IOException("routers: " + size + " processes hold " + totalKiB / 1_024
+                    + " MiB of memory; the maximum in MiB is " + MAX_TOTAL_MEMORY_KIB / 1_024);
         }
     }
 
@@ -234,7 +243,8 @@
                 : "  cells: {root: zone-" + i * zones() / size + ", most: "
                         + config.cells().most() + ", delegates: "
                         + config.cells().delegates() + "}\n";
-        return "fleet:\n  cluster: scale\n  listen: " + network.listenAddress(i) + "\n  advertise: " + network.advertisedAddress(i)
+        return "fleet:\n  cluster: scale\n  listen: " + network.listenAddress(i) + "\n  advertise: "
+                + network.advertisedAddress(i)
                 + "\n  seeds: ["
                 + IntStream.range(0, Math.min(MAX_SEEDS, size))
                         .mapToObj(network::advertisedAddress)
@@ -287,7 +297,8 @@
                 figures.put("packets in/s", (traffic[2] - trafficBefore.get(i)[2]) / seconds);
                 figures.put(
                         "bytes out/s by the router's count",
-                        (statusNumber(status, "fleet-bytes-out") - statusNumber(statusBefore.get(i), "fleet-bytes-out")) / seconds);
+                        (statusNumber(status, "fleet-bytes-out") - statusNumber(statusBefore.get(i), "fleet-bytes-out"))
+                                / seconds);
                 figures.put("living known", statusNumber(status, "fleet-living"));
             }
             readings.add(new Reading(role, figures));
@@ -327,7 +338,8 @@
                 .distinct()
                 .toList();
         text.append("| figure, mean of the role | without a fleet |");
-        result.samples().forEach(sample -> text.append(' ').append(sample.role()).append(" |"));
+        result.samples()
+                .forEach(sample -> text.append(' ').append(sample.role()).append(" |"));
         text.append("\n| --- | --- |")
                 .append(" --- |".repeat(result.samples().size()))
                 .append('\n');
@@ -337,9 +349,9 @@
                     .append(" | ")
                     .append(formatNumber(result.without().get(column.replace(", whole process", ""))))
                     .append(" |");
-            result.samples()
-                    .forEach(sample ->
-                            text.append(' ').append(formatNumber(sample.figures().get(column))).append(" |"));
+            result.samples().forEach(sample -> text.append(' ')
+                    .append(formatNumber(sample.figures().get(column)))
+                    .append(" |"));
             text.append('\n');
         }
         return text.append(
--- a/src/main/java/pumicemoor/lab/ProxyRun.java
+++ b/src/main/java/pumicemoor/lab/ProxyRun.java
@@ -146,7 +146,13 @@
         List<ProxyStandIn> proxies = new ArrayList<>();
         for (int i = 0; i < parameters.count(); i++) {
             proxies.add(new ProxyStandIn(
-                    "proxy-" + i, "127.0.0.1", port, parameters.messageTimeoutMillis(), this::requestRan, parameters.cacheMillis(), executor));
+                    "proxy-" + i,
+                    "127.0.0.1",
+                    port,
+                    parameters.messageTimeoutMillis(),
+                    this::requestRan,
+                    parameters.cacheMillis(),
+                    executor));
         }
         Random random = new Random(scenario.seed());
         TreeMap<Double, String> pendingActions = new TreeMap<>();
@@ -155,7 +161,9 @@
         parameters.reloadAt().forEach(elapsedSeconds -> pendingActions.put(elapsedSeconds, "reload"));
         startNanos = System.nanoTime();
         int sentCalls = 0;
-        for (double elapsedSeconds = 0; elapsedSeconds < scenario.seconds(); elapsedSeconds = (System.nanoTime() - startNanos) / 1e9) {
+        for (double elapsedSeconds = 0;
+                elapsedSeconds < scenario.seconds();
+                elapsedSeconds = (System.nanoTime() - startNanos) / 1e9) {
             while (sentCalls < elapsedSeconds * scenario.rate()) {
                 ProxyStandIn proxy = proxies.get(sentCalls % proxies.size());
                 boolean sideEffect = random.nextDouble() < parameters.effectShare();
@@ -172,12 +180,15 @@
                 String action = pendingActions.pollFirstEntry().getValue();
                 progress.printf(
                         "  %4.1f s: %s with %d calls open%n",
-                        elapsedSeconds, action, proxies.stream().mapToInt(ProxyStandIn::openCalls).sum());
+                        elapsedSeconds,
+                        action,
+                        proxies.stream().mapToInt(ProxyStandIn::openCalls).sum());
                 applyAction(action, router, config, operatorYaml);
             }
             retryUnanswered(proxies, executor);
             maxOpenCalls = Math.max(
-                    maxOpenCalls, proxies.stream().mapToInt(ProxyStandIn::openCalls).sum());
+                    maxOpenCalls,
+                    proxies.stream().mapToInt(ProxyStandIn::openCalls).sum());
             if (++iterations % 200 == 0) {
                 peakMiB = Math.max(peakMiB, router.residentMiB());
             }
@@ -215,7 +226,8 @@
         }
     }
 
-    private synchronized boolean requestRan(String cache, String object, String id, Map<String, String> responseHeaders) {
+    private synchronized boolean requestRan(
+            String cache, String object, String id, Map<String, String> responseHeaders) {
         runs++;
         if (object.startsWith("b")) {
             effectRuns.merge(id, 1, Integer::sum);
@@ -302,7 +314,10 @@
                     scenario.name(),
                     countsByOutcome,
                     (int) (sentCalls / scenario.seconds() * 60),
-                    proxies.stream().mapToInt(ProxyStandIn::maxAnswersPerCall).max().orElse(0),
+                    proxies.stream()
+                            .mapToInt(ProxyStandIn::maxAnswersPerCall)
+                            .max()
+                            .orElse(0),
                     effectRuns.values().stream().mapToInt(i -> i).max().orElse(0),
                     runs,
                     longestMicros / 1_000,
--- a/src/main/java/pumicemoor/lab/ProxyStandIn.java
+++ b/src/main/java/pumicemoor/lab/ProxyStandIn.java
@@ -74,12 +74,16 @@
         this.channel = NettyChannelBuilder.forAddress(host, port).usePlaintext().build();
         Metadata callerHeader = new Metadata();
         callerHeader.put(Metadata.Key.of("x-pumicemoor-caller", Metadata.ASCII_STRING_MARSHALLER), name);
-        this.stub =
-                ExternalProcessorGrpc.newStub(channel).withInterceptors(MetadataUtils.newAttachHeadersInterceptor(callerHeader));
+        this.stub = ExternalProcessorGrpc.newStub(channel)
+                .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(callerHeader));
         this.messageTimeoutMillis = messageTimeoutMillis;
         this.caches = caches;
         this.executor = executor;
-        executor.scheduleAtFixedRate(channel::resetConnectBackoff, RECONNECT_INTERVAL_MILLIS, RECONNECT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        executor.scheduleAtFixedRate(
+                channel::resetConnectBackoff,
+                RECONNECT_INTERVAL_MILLIS,
+                RECONNECT_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Starts a call for one request; its outcome is recorded in every case. */
@@ -193,7 +197,10 @@
                 }
                 case IMMEDIATE_RESPONSE -> {
                     if (countAnswer()) {
-                        end(response.getImmediateResponse().getStatus().getCode() == 503 ? CallOutcome.REFUSED : CallOutcome.FAILED);
+                        end(
+                                response.getImmediateResponse().getStatus().getCode() == 503
+                                        ? CallOutcome.REFUSED
+                                        : CallOutcome.FAILED);
                     }
                 }
                 case RESPONSE_HEADERS -> {
@@ -232,7 +239,10 @@
                                             Map.of(":status", served ? "200" : "503", "x-pumicemoor-note", "mem"))))
                             .build());
                 } catch (IllegalStateException e) {
-                    end(served ? CallOutcome.SERVED : CallOutcome.FAILED); // the processor is gone, but the client has its response
+                    end(
+                            served
+                                    ? CallOutcome.SERVED
+                                    : CallOutcome.FAILED); // the processor is gone, but the client has its response
                 }
             }
         }
@@ -243,7 +253,8 @@
             }
             ended = true;
             synchronized (ProxyStandIn.this) {
-                CompletedCall call = new CompletedCall(id, startNanos, outcome, (System.nanoTime() - startNanos) / 1_000);
+                CompletedCall call =
+                        new CompletedCall(id, startNanos, outcome, (System.nanoTime() - startNanos) / 1_000);
                 completed.add(call);
                 if (outcome == CallOutcome.BROKEN || outcome == CallOutcome.NOT_ANSWERED) {
                     unanswered.add(call);
--- a/src/main/java/pumicemoor/lab/Report.java
+++ b/src/main/java/pumicemoor/lab/Report.java
@@ -35,7 +35,8 @@
     private static final long MAX_RECORDED_MICROS = 60_000_000; // highest value of a histogram
 
     /** Results of the requests that were sent within one part of the run. */
-    public record Phase(String name, long requests, Map<String, Long> countsByOutcome, double medianMillis, double p99Millis) {
+    public record Phase(
+            String name, long requests, Map<String, Long> countsByOutcome, double medianMillis, double p99Millis) {
 
         /** Returns the number of requests with this outcome, given in lower case. */
         public long count(String outcome) {
@@ -60,18 +61,26 @@
         Scenario.Change change = scenario.change();
         long changeDurationMillis = change.leadMillis() + change.moveMillis() + change.gapMillis();
         List<Phase> phases = List.of(
-                phase("warming up", results.stream().filter(result -> result.sentAtMillis() < warmUpEndMillis).toList()),
+                phase(
+                        "warming up",
+                        results.stream()
+                                .filter(result -> result.sentAtMillis() < warmUpEndMillis)
+                                .toList()),
                 phase(
                         "between changes",
                         results.stream()
                                 .filter(result -> result.sentAtMillis() >= warmUpEndMillis
-                                        && changes.stream().noneMatch(atMillis -> result.sentAtMillis() >= atMillis && result.sentAtMillis() < atMillis + changeDurationMillis))
+                                        && changes.stream()
+                                                .noneMatch(atMillis -> result.sentAtMillis() >= atMillis
+                                                        && result.sentAtMillis() < atMillis + changeDurationMillis))
                                 .toList()),
                 phase(
                         "during changes",
                         results.stream()
                                 .filter(result -> result.sentAtMillis() >= warmUpEndMillis
-                                        && changes.stream().anyMatch(atMillis -> result.sentAtMillis() >= atMillis && result.sentAtMillis() < atMillis + changeDurationMillis))
+                                        && changes.stream()
+                                                .anyMatch(atMillis -> result.sentAtMillis() >= atMillis
+                                                        && result.sentAtMillis() < atMillis + changeDurationMillis))
                                 .toList()));
         List<ReceivedRequest> requests = requestLog.requests();
         // by object and interval, where each topology change and each restart of a member starts an interval
@@ -84,20 +93,23 @@
         for (ReceivedRequest request : requests) {
             if (request.member().equals("origin") && request.atMillis() >= warmUpEndMillis) {
                 atOrigin++;
-                long interval = intervalStarts.stream().filter(atMillis -> atMillis <= request.atMillis()).count();
+                long interval = intervalStarts.stream()
+                        .filter(atMillis -> atMillis <= request.atMillis())
+                        .count();
                 if (fillCounts.merge(request.object() + "#" + interval, 1, Integer::sum) == 2 && notes.size() < 20) {
-                    notes.add("filled twice at the origin in interval " + interval + ": " + request.object() + ", again at "
-                            + request.atMillis() + " ms by " + request.sender());
+                    notes.add("filled twice at the origin in interval " + interval + ": " + request.object()
+                            + ", again at " + request.atMillis() + " ms by " + request.sender());
                 }
             }
         }
         requestLog.fillLoops().stream()
                 .limit(20)
-                .forEach(loop ->
-                        notes.add("circle at " + loop.atMillis() + " ms: " + loop.member() + " " + loop.object() + " " + loop.description()));
+                .forEach(loop -> notes.add("circle at " + loop.atMillis() + " ms: " + loop.member() + " "
+                        + loop.object() + " " + loop.description()));
         int afterDrain = (int) requests.stream()
                 .filter(request -> requestLog.drainStartMillis().containsKey(request.member())
-                        && request.atMillis() > requestLog.drainStartMillis().get(request.member()) + DRAIN_GRACE_MILLIS)
+                        && request.atMillis()
+                                > requestLog.drainStartMillis().get(request.member()) + DRAIN_GRACE_MILLIS)
                 .count();
         Report report = new Report(
                 scenario.name(),
@@ -124,7 +136,10 @@
         Files.writeString(folder.resolve("asked.csv"), events);
         TreeMap<String, Long> requestsBySecond = new TreeMap<>();
         requests.forEach(request -> requestsBySecond.merge(
-                String.format(Locale.ROOT, "%05d,%s,%s", request.atMillis() / 1_000, request.member(), request.sender()), 1L, Long::sum));
+                String.format(
+                        Locale.ROOT, "%05d,%s,%s", request.atMillis() / 1_000, request.member(), request.sender()),
+                1L,
+                Long::sum));
         StringBuilder seconds = new StringBuilder("second,member,from,asked\n");
         requestsBySecond.forEach(
                 (key, count) -> seconds.append(key).append(',').append(count).append('\n'));
@@ -144,7 +159,9 @@
                 for (long atMillis = start; atMillis < start + slowStartMillis; atMillis += 250) {
                     long windowStart = atMillis;
                     long sent = requests.stream()
-                            .filter(request -> request.member().equals(entry.getKey()) && request.atMillis() >= windowStart && request.atMillis() < windowStart + 1_000)
+                            .filter(request -> request.member().equals(entry.getKey())
+                                    && request.atMillis() >= windowStart
+                                    && request.atMillis() < windowStart + 1_000)
                             .count();
                     double capacityShare = 0.1 + 0.9 * Math.min(1, (atMillis - start) / (double) slowStartMillis);
                     // a hub is overloaded at more than twice its share
@@ -166,7 +183,11 @@
             }
         }
         return new Phase(
-                name, results.size(), countsByOutcome, served.getValueAtPercentile(50) / 1e3, served.getValueAtPercentile(99) / 1e3);
+                name,
+                results.size(),
+                countsByOutcome,
+                served.getValueAtPercentile(50) / 1e3,
+                served.getValueAtPercentile(99) / 1e3);
     }
 
     /** Returns the number of requests with this outcome in all phases. */
--- a/src/main/java/pumicemoor/lab/RequestLog.java
+++ b/src/main/java/pumicemoor/lab/RequestLog.java
@@ -91,7 +91,8 @@
     /** Returns the times, in milliseconds, at which each member restarted with an empty store. */
     synchronized Map<String, List<Long>> restartMillis() {
         Map<String, List<Long>> timesByMember = new HashMap<>();
-        restartMillis.forEach((member, times) -> timesByMember.put(member, times.stream().map(start -> start[0]).toList()));
+        restartMillis.forEach((member, times) ->
+                timesByMember.put(member, times.stream().map(start -> start[0]).toList()));
         return timesByMember;
     }
 }
--- a/src/main/java/pumicemoor/lab/RouterProcess.java
+++ b/src/main/java/pumicemoor/lab/RouterProcess.java
@@ -124,7 +124,9 @@
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
         while (System.nanoTime() < deadlineNanos && process.isAlive()) {
             try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                if (client.request(READY_REQUEST_FRAME, Map.of(), READY_RESPONSE_FRAME).code() == 1) {
+                if (client.request(READY_REQUEST_FRAME, Map.of(), READY_RESPONSE_FRAME)
+                                .code()
+                        == 1) {
                     return;
                 }
             } catch (IOException e) {
@@ -138,7 +140,8 @@
     /** Returns the counters and state that the router reports; reports list them beside the stand-ins' results. */
     Map<String, String> status() {
         try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-            return client.request(READY_REQUEST_FRAME, Map.of("counters", "1"), READY_RESPONSE_FRAME).fields();
+            return client.request(READY_REQUEST_FRAME, Map.of("counters", "1"), READY_RESPONSE_FRAME)
+                    .fields();
         } catch (IOException e) {
             return Map.of("status", e.toString());
         }
@@ -182,7 +185,9 @@
         Map<String, Long> nanosByThread = new HashMap<>();
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path thread : threads) {
-                threadCpuTime(thread).ifPresent(nanos -> nanosByThread.put(thread.getFileName().toString(), nanos));
+                threadCpuTime(thread)
+                        .ifPresent(
+                                nanos -> nanosByThread.put(thread.getFileName().toString(), nanos));
             }
         } catch (IOException e) {
             // the process has ended
@@ -222,7 +227,8 @@
                 .start();
         String histogram = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         jcmd.waitFor();
-        return histogram.lines()
+        return histogram
+                .lines()
                 .filter(line -> line.startsWith("Total"))
                 .mapToLong(line -> Long.parseLong(line.trim().split("\\s+")[2]))
                 .findFirst()
--- a/src/main/java/pumicemoor/lab/scale/CoordinatorEvents.java
+++ b/src/main/java/pumicemoor/lab/scale/CoordinatorEvents.java
@@ -68,7 +68,8 @@
 
     /** An event with a single changed member, whose process was replaced. */
     String memberChange(long index, long unixMillis) {
-        return endpointsEvent(index, false, List.of(memberEntry(1 + random.nextInt(members - 1), "active", unixMillis)));
+        return endpointsEvent(
+                index, false, List.of(memberEntry(1 + random.nextInt(members - 1), "active", unixMillis)));
     }
 
     static String purge(long index, String object, long unixMillis) {
@@ -96,7 +97,8 @@
         int site = layout == Layout.ONE_SITE && number > parents ? 0 : number % sites;
         return "{\"instanceId\":\"" + kind.charAt(0) + String.format("-%08x", number * 0x9E3779B1)
                 + "\",\"hostPort\":\"10."
-                + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":9090\",\"zone\":\"" + siteName(site)
+                + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":9090\",\"zone\":\""
+                + siteName(site)
                 + "\",\"machineType\":\"" + kind + "\",\"cell\":0,\"lifecycle\":\"" + lifecycle
                 + "\",\"weight\":400,\"startedAtMs\":" + startedAtMillis + "}";
     }
@@ -111,8 +113,9 @@
     }
 
     String config(String router, long lastIndex, String... events) {
-        String zones =
-                IntStream.range(0, sites).mapToObj(i -> "\"" + siteName(i) + "\"").collect(Collectors.joining(","));
+        String zones = IntStream.range(0, sites)
+                .mapToObj(i -> "\"" + siteName(i) + "\"")
+                .collect(Collectors.joining(","));
         String routersBySite = Collections.nCopies(sites, Integer.toString(ROUTERS_PER_SITE)).stream()
                 .collect(Collectors.joining(","));
         return """
--- a/src/main/java/pumicemoor/lab/scale/Fit.java
+++ b/src/main/java/pumicemoor/lab/scale/Fit.java
@@ -132,7 +132,8 @@
                 Point under = sorted.get(i - 1);
                 double fraction = Math.log(budget / under.value()) / Math.log(over.value() / under.value());
                 return Optional.of(new BudgetCrossing(
-                        Math.exp(Math.log(under.size()) + fraction * Math.log((double) over.size() / under.size())), true));
+                        Math.exp(Math.log(under.size()) + fraction * Math.log((double) over.size() / under.size())),
+                        true));
             }
         }
         OptionalDouble size = fit == null || fit.slope() <= 0 || Double.isInfinite(budget)
--- a/src/main/java/pumicemoor/lab/scale/FleetRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/FleetRoles.java
@@ -116,7 +116,8 @@
         Random random = new Random(config.seed());
         if (faults.restartShare() > 0) {
             fleet.beginWindow(RESTART_SECONDS);
-            int restarted = fleet.restart(r -> random.nextDouble() < faults.restartShare(), SimulatedFleet.MICROS_PER_SECOND);
+            int restarted =
+                    fleet.restart(r -> random.nextDouble() < faults.restartShare(), SimulatedFleet.MICROS_PER_SECOND);
             if (!finishWindow(fleet, RESTART_SECONDS, percent(faults.restartShare()) + " restarted")
                     || !simulate(fleet, seconds, "settling")) {
                 return;
@@ -127,7 +128,8 @@
             int zone = fleet.geography.largest(Geography.Location::zone, -1);
             int lostSeconds = (int) Math.ceil(faults.zoneSeconds());
             fleet.beginWindow(lostSeconds);
-            int restarted = fleet.restart(r -> r.location.zone() == zone, lostSeconds * SimulatedFleet.MICROS_PER_SECOND);
+            int restarted =
+                    fleet.restart(r -> r.location.zone() == zone, lostSeconds * SimulatedFleet.MICROS_PER_SECOND);
             if (!finishWindow(fleet, lostSeconds, "zone lost") || !measureWindow(fleet, seconds, "zone back")) {
                 return;
             }
@@ -137,7 +139,8 @@
             int firstRegion = fleet.geography.largest(Geography.Location::region, -1);
             int secondRegion = fleet.geography.largest(Geography.Location::region, firstRegion);
             int cutSeconds = (int) Math.ceil(faults.cutSeconds());
-            fleet.setPartition((a, b) -> a.region() == firstRegion && b.region() == secondRegion || a.region() == secondRegion && b.region() == firstRegion);
+            fleet.setPartition((a, b) -> a.region() == firstRegion && b.region() == secondRegion
+                    || a.region() == secondRegion && b.region() == firstRegion);
             if (firstRegion == secondRegion || !measureWindow(fleet, cutSeconds, "regions cut")) {
                 return;
             }
@@ -163,8 +166,8 @@
         }
         fleet.samples("calm", false)
                 .forEach(s -> samples.add(new Sample(
-                        (s.role().startsWith("member") ? "holder" : s.role().replace(", calm", "")) + " at " + HOLDER_FLEET_ROUTERS
-                                + " routers, by limits",
+                        (s.role().startsWith("member") ? "holder" : s.role().replace(", calm", "")) + " at "
+                                + HOLDER_FLEET_ROUTERS + " routers, by limits",
                         limits,
                         s.figures())));
     }
@@ -215,7 +218,8 @@
             }
             if (elapsedNanos > config.minutes() * 60e9) {
                 aborted = true;
-                report(currentRun + ": broken off in '" + activity + "' after " + config.minutes() + " minutes (key 'minutes')");
+                report(currentRun + ": broken off in '" + activity + "' after " + config.minutes()
+                        + " minutes (key 'minutes')");
             }
             return !aborted;
         };
@@ -253,7 +257,8 @@
             return;
         }
         double heapPerRouter = (double) (fleet.heapBytes() - heapBefore) / size;
-        samples.replaceAll(s -> s.size() != size || !s.role().equals(Kind.MEMBER.role + ", calm") ? s : withHeap(s, heapPerRouter));
+        samples.replaceAll(s ->
+                s.size() != size || !s.role().equals(Kind.MEMBER.role + ", calm") ? s : withHeap(s, heapPerRouter));
     }
 
     private static Sample withHeap(Sample sample, double heapPerRouter) {
--- a/src/main/java/pumicemoor/lab/scale/Geography.java
+++ b/src/main/java/pumicemoor/lab/scale/Geography.java
@@ -28,7 +28,14 @@
      * Draws the locations of all routers. The delay of each pair of regions is drawn once, between the minimum and the
      * maximum given.
      */
-    Geography(int routers, int sites, int zones, int regions, long minRegionDelayMicros, long maxRegionDelayMicros, long seed) {
+    Geography(
+            int routers,
+            int sites,
+            int zones,
+            int regions,
+            long minRegionDelayMicros,
+            long maxRegionDelayMicros,
+            long seed) {
         Random random = new Random(seed);
         int[] regionOf = assign(zones, regions, random);
         int[] zoneOf = assign(sites, zones, random);
@@ -43,7 +50,8 @@
             for (int to = 0; to < from; to++) {
                 // seeded by the pair, so that the delays of two regions are the same at each size
                 double fraction = new Random(seed * 1_000_003 + from * 1_009L + to).nextDouble();
-                regionDelayMicros[from][to] = minRegionDelayMicros + (long) (fraction * (maxRegionDelayMicros - minRegionDelayMicros - jitterMicros));
+                regionDelayMicros[from][to] = minRegionDelayMicros
+                        + (long) (fraction * (maxRegionDelayMicros - minRegionDelayMicros - jitterMicros));
                 regionDelayMicros[to][from] = regionDelayMicros[from][to];
             }
         }
--- a/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
+++ b/src/main/java/pumicemoor/lab/scale/ReaderRoles.java
@@ -143,7 +143,9 @@
     private void warmUp() {
         PrintStream discard = new PrintStream(OutputStream.nullOutputStream());
         ReaderRoles smallList = new ReaderRoles(
-                new Plan(List.of(), List.of(), List.of(), List.of(), WARM_UP_ROUNDS_FACTOR * plan.rounds(), plan.seed()), discard);
+                new Plan(
+                        List.of(), List.of(), List.of(), List.of(), WARM_UP_ROUNDS_FACTOR * plan.rounds(), plan.seed()),
+                discard);
         smallList.measureMemberLists(WARM_UP_MEMBERS);
         smallList.measureMemberChanges(WARM_UP_MEMBERS);
         smallList.measureColdStart(WARM_UP_MEMBERS);
@@ -213,13 +215,13 @@
         for (int i = 0; i < rounds.length; i++) {
             reader.advance(MICROS_PER_SECOND);
             long lostIndex = ++index; // the next event reveals the gap, and the whole list is the response
-            reader.accept(new Input.CoordinatorUpdate(
-                    CoordinatorEvents.purge(lostIndex + 1, CoordinatorEvents.objectName(i), CoordinatorEvents.START_UNIX_MILLIS)));
+            reader.accept(new Input.CoordinatorUpdate(CoordinatorEvents.purge(
+                    lostIndex + 1, CoordinatorEvents.objectName(i), CoordinatorEvents.START_UNIX_MILLIS)));
             String memberList = events.memberList(lostIndex);
             rounds[i] = cpuMicros(() -> reader.accept(new Input.CoordinatorUpdate(memberList))) / MICROS_PER_MILLI;
         }
-        figures.put(
-                "bytes a list", (double) CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(index, events.memberList(index))));
+        figures.put("bytes a list", (double)
+                CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(index, events.memberList(index))));
         figures.put("asked again", (double) reader.streamRequests());
         addRounds(figures, "ms a list", rounds);
         addSample("reader, whole list", members, figures);
@@ -239,7 +241,8 @@
                 updates.add(events.memberChange(++index, reader.now() / MICROS_PER_MILLI));
                 bytes += CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(index, updates.get(k)));
             }
-            rounds[i] = cpuMicros(() -> updates.forEach(t -> reader.accept(new Input.CoordinatorUpdate(t)))) / CHANGES_PER_ROUND;
+            rounds[i] = cpuMicros(() -> updates.forEach(t -> reader.accept(new Input.CoordinatorUpdate(t))))
+                    / CHANGES_PER_ROUND;
             reader.advance(MICROS_PER_SECOND);
         }
         Map<String, Double> figures = new TreeMap<>();
@@ -261,7 +264,8 @@
      */
     private void measureColdStart(int members) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, members, plan.seed());
-        String config = events.config(CoordinatorEvents.INITIAL_INDEX + 1, events.memberList(CoordinatorEvents.INITIAL_INDEX + 1));
+        String config = events.config(
+                CoordinatorEvents.INITIAL_INDEX + 1, events.memberList(CoordinatorEvents.INITIAL_INDEX + 1));
         double[] rounds = new double[plan.rounds()];
         boolean ready = true;
         for (int i = 0; i < rounds.length; i++) {
@@ -318,7 +322,8 @@
         figures.put("served", (double) reader.served());
         addRounds(figures, "us a request", rounds);
         figures.put(
-                "worked out: cpu ms/s at 1,056 requests a second", figures.get("cpu us a request") * REQUESTS_PER_SECOND / MICROS_PER_MILLI);
+                "worked out: cpu ms/s at 1,056 requests a second",
+                figures.get("cpu us a request") * REQUESTS_PER_SECOND / MICROS_PER_MILLI);
         addSample(role, members, figures);
     }
 
@@ -343,7 +348,9 @@
                     "10.0.0." + i + ":7946",
                     new SimulatedRouter(
                             events.config(
-                                    "r-" + i, CoordinatorEvents.INITIAL_INDEX + 1, events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)),
+                                    "r-" + i,
+                                    CoordinatorEvents.INITIAL_INDEX + 1,
+                                    events.memberList(CoordinatorEvents.INITIAL_INDEX + 1)),
                             parseOperatorConfig(FLEET_SETTINGS.formatted(i)))));
         }
         simulate(pair, LEASE_SETTLE_SECONDS);
@@ -364,7 +371,8 @@
             figures.put("bytes in/s", (double) other.bytes / HOLDER_WINDOW_SECONDS);
             figures.put("packets in/s", (double) other.packets / HOLDER_WINDOW_SECONDS);
             figures.put("cpu ms/s", router.nanos / 1e6 / HOLDER_WINDOW_SECONDS);
-            addSample((holder ? "holder" : "grantor of one other holder") + ", a limit at each cache", members, figures);
+            addSample(
+                    (holder ? "holder" : "grantor of one other holder") + ", a limit at each cache", members, figures);
         }
     }
 
@@ -403,7 +411,8 @@
     private static void simulate(List<CountedRouter> pair, int seconds) {
         for (int step = 0; step < seconds * MILLIS_PER_SECOND; step++) {
             for (CountedRouter router : pair) {
-                router.nanos += (long) (NANOS_PER_MICRO * cpuMicros(() -> router.simulatedRouter.advance(MICROS_PER_MILLI)));
+                router.nanos +=
+                        (long) (NANOS_PER_MICRO * cpuMicros(() -> router.simulatedRouter.advance(MICROS_PER_MILLI)));
             }
             for (CountedRouter from : pair) {
                 for (Effect.SendFleetPacket packet : from.simulatedRouter.takePackets()) {
@@ -411,8 +420,9 @@
                     from.packets++;
                     pair.stream()
                             .filter(to -> to.address.equals(packet.address()))
-                            .forEach(to -> to.nanos +=
-                                    (long) (NANOS_PER_MICRO * cpuMicros(() -> to.simulatedRouter.accept(new Input.FleetPacketReceived(packet.bytes())))));
+                            .forEach(to -> to.nanos += (long) (NANOS_PER_MICRO
+                                    * cpuMicros(() ->
+                                            to.simulatedRouter.accept(new Input.FleetPacketReceived(packet.bytes())))));
                 }
             }
         }
@@ -442,10 +452,13 @@
         for (int second = 0; second < fillSeconds + plan.rounds(); second++) {
             List<String> updates = new ArrayList<>();
             for (int k = 0; k < rate; k++) {
-                long unixMillis = CoordinatorEvents.START_UNIX_MILLIS + second * MILLIS_PER_SECOND + k * MILLIS_PER_SECOND / rate;
+                long unixMillis =
+                        CoordinatorEvents.START_UNIX_MILLIS + second * MILLIS_PER_SECOND + k * MILLIS_PER_SECOND / rate;
                 long index = CoordinatorEvents.INITIAL_INDEX + 2 + purgeCount;
                 updates.add(CoordinatorEvents.purge(index, CoordinatorEvents.objectName(purgeCount++), unixMillis));
-                bytes += second < fillSeconds ? 0 : CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(index, updates.get(k)));
+                bytes += second < fillSeconds
+                        ? 0
+                        : CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(index, updates.get(k)));
             }
             bytes += second < fillSeconds ? 0 : CoordinatorEvents.utf8Length(CoordinatorEvents.HEARTBEAT);
             for (SimulatedRouter reader : readers) {
@@ -471,7 +484,9 @@
             List<String> updates = new ArrayList<>();
             for (int k = 0; k < rate; k++) {
                 updates.add(CoordinatorEvents.purge(
-                        CoordinatorEvents.INITIAL_INDEX + 2 + purgeCount, CoordinatorEvents.objectName(purgeCount++), reader.now() / MICROS_PER_MILLI));
+                        CoordinatorEvents.INITIAL_INDEX + 2 + purgeCount,
+                        CoordinatorEvents.objectName(purgeCount++),
+                        reader.now() / MICROS_PER_MILLI));
             }
             microsPerPurge[i] = cpuMicros(() -> updates.forEach(update -> {
                         reader.accept(new Input.CoordinatorUpdate(update));
@@ -510,19 +525,23 @@
                     updates.add(CoordinatorEvents.purge(
                             ++index,
                             CoordinatorEvents.objectName(index),
-                            CoordinatorEvents.START_UNIX_MILLIS + second * MILLIS_PER_SECOND + (long) (k * MILLIS_PER_SECOND / PURGES_PER_SECOND)));
+                            CoordinatorEvents.START_UNIX_MILLIS
+                                    + second * MILLIS_PER_SECOND
+                                    + (long) (k * MILLIS_PER_SECOND / PURGES_PER_SECOND)));
                 }
                 if ((int) ((second + 1) * CONFIG_CHANGES_PER_SECOND) > (int) (second * CONFIG_CHANGES_PER_SECOND)) {
-                    updates.add(events.memberChange(++index, CoordinatorEvents.START_UNIX_MILLIS + second * MILLIS_PER_SECOND));
+                    updates.add(events.memberChange(
+                            ++index, CoordinatorEvents.START_UNIX_MILLIS + second * MILLIS_PER_SECOND));
                 }
             }
             for (int k = 0; k < updates.size(); k++) {
-                bytes +=
-                        CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(CoordinatorEvents.INITIAL_INDEX + 2 + k, updates.get(k)));
+                bytes += CoordinatorEvents.utf8Length(
+                        CoordinatorEvents.streamText(CoordinatorEvents.INITIAL_INDEX + 2 + k, updates.get(k)));
             }
             reader.request(CoordinatorEvents.objectName(index));
             figures.put("bounded while cut off", (double) reader.attemptsWithMaxAge());
-            rounds[i] = cpuMicros(() -> updates.forEach(t -> reader.accept(new Input.CoordinatorUpdate(t)))) / MICROS_PER_MILLI;
+            rounds[i] = cpuMicros(() -> updates.forEach(t -> reader.accept(new Input.CoordinatorUpdate(t))))
+                    / MICROS_PER_MILLI;
             figures.put("events", (double) updates.size());
             figures.put("bytes", (double) bytes);
         }
@@ -549,7 +568,9 @@
         for (int k = 0; k < purges; k++) {
             long index = CoordinatorEvents.INITIAL_INDEX + 2 + k;
             reader.accept(new Input.CoordinatorUpdate(CoordinatorEvents.purge(
-                    index, CoordinatorEvents.objectName(index), CoordinatorEvents.START_UNIX_MILLIS + (long) (k * MILLIS_PER_SECOND / PURGES_PER_SECOND))));
+                    index,
+                    CoordinatorEvents.objectName(index),
+                    CoordinatorEvents.START_UNIX_MILLIS + (long) (k * MILLIS_PER_SECOND / PURGES_PER_SECOND))));
             if (k % purgesPerRead == purgesPerRead - 1 && k < purges - 1) {
                 reader.request(
                         // the last object in the backlog
@@ -566,17 +587,21 @@
         return CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(
                 CoordinatorEvents.INITIAL_INDEX,
                 CoordinatorEvents.purge(
-                        CoordinatorEvents.INITIAL_INDEX, CoordinatorEvents.objectName(1), CoordinatorEvents.START_UNIX_MILLIS)));
+                        CoordinatorEvents.INITIAL_INDEX,
+                        CoordinatorEvents.objectName(1),
+                        CoordinatorEvents.START_UNIX_MILLIS)));
     }
 
     /** Measures the sizes of the encoded events and calculates the traffic at the target's rates from them. */
     private void measureSender(int routers) {
         CoordinatorEvents events = new CoordinatorEvents(Layout.SITES, TARGET_MEMBERS, plan.seed());
         double changeBytes = CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(
-                CoordinatorEvents.INITIAL_INDEX, events.memberChange(CoordinatorEvents.INITIAL_INDEX, CoordinatorEvents.START_UNIX_MILLIS)));
-        double listBytes = CoordinatorEvents.utf8Length(
-                CoordinatorEvents.streamText(CoordinatorEvents.INITIAL_INDEX, events.memberList(CoordinatorEvents.INITIAL_INDEX)));
-        double eventsPerSecond = PURGES_PER_SECOND + CONFIG_CHANGES_PER_SECOND + EVENTS_PER_MACHINE_CHANGE * MACHINE_CHANGES_PER_SECOND;
+                CoordinatorEvents.INITIAL_INDEX,
+                events.memberChange(CoordinatorEvents.INITIAL_INDEX, CoordinatorEvents.START_UNIX_MILLIS)));
+        double listBytes = CoordinatorEvents.utf8Length(CoordinatorEvents.streamText(
+                CoordinatorEvents.INITIAL_INDEX, events.memberList(CoordinatorEvents.INITIAL_INDEX)));
+        double eventsPerSecond =
+                PURGES_PER_SECOND + CONFIG_CHANGES_PER_SECOND + EVENTS_PER_MACHINE_CHANGE * MACHINE_CHANGES_PER_SECOND;
         double routerBytesPerSecond = PURGES_PER_SECOND * purgeBytes()
                 + (CONFIG_CHANGES_PER_SECOND + EVENTS_PER_MACHINE_CHANGE * MACHINE_CHANGES_PER_SECOND) * changeBytes
                 + CoordinatorEvents.utf8Length(CoordinatorEvents.HEARTBEAT);
@@ -591,7 +616,9 @@
         figures.put("worked out: connections a control machine", Math.ceil((double) routers / CONTROL_MACHINES));
         figures.put(
                 "worked out: bytes/s a router, whole lists in place of changes",
-                routerBytesPerSecond + (CONFIG_CHANGES_PER_SECOND + EVENTS_PER_MACHINE_CHANGE * MACHINE_CHANGES_PER_SECOND) * (listBytes - changeBytes));
+                routerBytesPerSecond
+                        + (CONFIG_CHANGES_PER_SECOND + EVENTS_PER_MACHINE_CHANGE * MACHINE_CHANGES_PER_SECOND)
+                                * (listBytes - changeBytes));
         addSample("sender", routers, figures);
     }
 }
--- a/src/main/java/pumicemoor/lab/scale/ScaleConfig.java
+++ b/src/main/java/pumicemoor/lab/scale/ScaleConfig.java
@@ -222,8 +222,8 @@
             throw new IOException(where + ": roles: must list at least one role and no null");
         }
         if (roles.contains(Role.DRAINS) && (cells != null || drains.isEmpty())) {
-            throw new IOException(
-                    where + ": drains: " + (cells != null ? "drains are not supported in a fleet of cells" : "must list at least one size"));
+            throw new IOException(where + ": drains: "
+                    + (cells != null ? "drains are not supported in a fleet of cells" : "must list at least one size"));
         }
     }
 
@@ -234,8 +234,8 @@
             }
             for (Number value : values) {
                 if (value == null || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
-                    throw new IOException(
-                            where + ": " + key + ": " + value + " is not from " + formatNumber(min) + " to " + formatNumber(max));
+                    throw new IOException(where + ": " + key + ": " + value + " is not from " + formatNumber(min)
+                            + " to " + formatNumber(max));
                 }
             }
         }
--- a/src/main/java/pumicemoor/lab/scale/ScaleReport.java
+++ b/src/main/java/pumicemoor/lab/scale/ScaleReport.java
@@ -108,13 +108,15 @@
     /** Adds the sum of bytes in and out to a sample that has one or both of them but no sum. */
     private static Sample withTotalBytes(Sample sample) {
         if (sample.figures().containsKey("bytes/s")
-                || sample.figures().keySet().stream().noneMatch(f -> f.equals("bytes in/s") || f.equals("bytes out/s"))) {
+                || sample.figures().keySet().stream()
+                        .noneMatch(f -> f.equals("bytes in/s") || f.equals("bytes out/s"))) {
             return sample;
         }
         Map<String, Double> figures = new LinkedHashMap<>(sample.figures());
         figures.put(
                 "bytes/s",
-                sample.figures().getOrDefault("bytes in/s", 0.0) + sample.figures().getOrDefault("bytes out/s", 0.0));
+                sample.figures().getOrDefault("bytes in/s", 0.0)
+                        + sample.figures().getOrDefault("bytes out/s", 0.0));
         return new Sample(sample.role(), sample.size(), figures);
     }
 
@@ -166,7 +168,8 @@
         Files.writeString(folder.resolve("scale.json"), json.writeValueAsString(jsonTree(slopes)) + "\n");
         String table = markdown(slopes);
         Files.writeString(folder.resolve("scale.md"), table);
-        for (Budget budget : new LinkedHashSet<>(slopes.stream().map(Slope::budget).toList())) {
+        for (Budget budget :
+                new LinkedHashSet<>(slopes.stream().map(Slope::budget).toList())) {
             for (String scenario :
                     new TreeSet<>(slopes.stream().map(Slope::scenario).toList())) {
                 List<Slope> shown = slopes.stream()
@@ -179,7 +182,8 @@
                             budget,
                             scenario,
                             shown,
-                            folder.resolve(budget.filePrefix() + "-" + scenario.replaceAll("[^A-Za-z0-9]+", "-") + ".svg"));
+                            folder.resolve(
+                                    budget.filePrefix() + "-" + scenario.replaceAll("[^A-Za-z0-9]+", "-") + ".svg"));
                 }
             }
         }
@@ -344,8 +348,8 @@
                     .append(
                             fit == null
                                     ? "too few sizes"
-                                    : format(fit.slope()) + " (" + format(fit.slopeLow()) + " to " + format(fit.slopeHigh())
-                                            + ")")
+                                    : format(fit.slope()) + " (" + format(fit.slopeLow()) + " to "
+                                            + format(fit.slopeHigh()) + ")")
                     .append(" | ")
                     .append(fit == null ? "" : format(fit.maxResidual()))
                     .append(" | ")
@@ -356,7 +360,8 @@
                                     ? ""
                                     : format(fit.predict(config.target()))
                                             + (fit.extrapolationFactor(config.target()) > 1
-                                                    ? ", " + format(fit.extrapolationFactor(config.target())) + " times past"
+                                                    ? ", " + format(fit.extrapolationFactor(config.target()))
+                                                            + " times past"
                                                     : ""))
                     .append(" | ")
                     .append(
@@ -371,7 +376,8 @@
                                             .map(crossing -> format(crossing.size())
                                                     + (crossing.measured()
                                                             ? ", within the measured range"
-                                                            : ", extrapolated " + format(fit.extrapolationFactor(crossing.size()))
+                                                            : ", extrapolated "
+                                                                    + format(fit.extrapolationFactor(crossing.size()))
                                                                     + " times past"))
                                             .orElse(
                                                     fit == null
--- a/src/main/java/pumicemoor/lab/scale/ScaleRun.java
+++ b/src/main/java/pumicemoor/lab/scale/ScaleRun.java
@@ -17,7 +17,8 @@
     public static String run(Path file, Path folder, PrintStream progress) throws IOException {
         ScaleConfig config = ScaleConfig.read(file);
         List<Sample> samples = new ArrayList<>();
-        for (RoleMeasurement measurement : measurements(config, samplesSoFar -> writeReport(config, samplesSoFar, folder))) {
+        for (RoleMeasurement measurement :
+                measurements(config, samplesSoFar -> writeReport(config, samplesSoFar, folder))) {
             samples.addAll(measurement.measure(config, progress));
         }
         return new ScaleReport(config, samples).write(folder);
