--- a/src/main/java/pumicemoor/lab/scale/SimulatedFleet.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedFleet.java
@@ -17,13 +17,13 @@
 import java.util.concurrent.Future;
 import java.util.function.BiPredicate;
 import java.util.function.Predicate;
+import pumicemoor.RouterApi.Event;
+import pumicemoor.RouterApi.LimitDemand;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
-import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.MemberHealthReport;
-import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
 import pumicemoor.fleet.FleetParticipant;
@@ -180,6 +180,7 @@
     private final List<String> seeds = new ArrayList<>();
     /** Seeds by zone, for a fleet of cells: routers of the zone, followed by the seeds of the whole fleet. */
     private final Map<Integer, List<String>> zoneSeeds = new HashMap<>();
+
     private final List<LimitRule> limits;
     private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
     private final List<Shard> shards = new ArrayList<>();
@@ -200,7 +201,8 @@
         this.random = new Random(config.seed() * 31 + parameters.routers);
         int size = parameters.routers;
         int largest = Math.max(
-                size, config.routers().stream().mapToInt(Integer::intValue).max().orElse(size));
+                size,
+                config.routers().stream().mapToInt(Integer::intValue).max().orElse(size));
         this.relativeSize = (double) size / largest;
         int regions = scaled(config.regions(), 1);
         int zones = scaled(config.zones(), regions);
@@ -249,7 +251,8 @@
      * to no less than 2 where the largest size has 2 or more.
      */
     private int scaled(int countOfLargest, int minimum) {
-        return Math.max(Math.max(minimum, Math.min(2, countOfLargest)), (int) Math.round(countOfLargest * relativeSize));
+        return Math.max(
+                Math.max(minimum, Math.min(2, countOfLargest)), (int) Math.round(countOfLargest * relativeSize));
     }
 
     /** Measures the cost of reading the thread's CPU time: the median of many readings. */
@@ -273,16 +276,23 @@
 
     /** Starts all routers at random times within one gossip period, like processes that are launched together. */
     void startAll() {
-        routers.forEach(r -> schedule((long) (random.nextDouble() * config.periodMillis() * MICROS_PER_MILLI), () -> start(r)));
+        routers.forEach(
+                r -> schedule((long) (random.nextDouble() * config.periodMillis() * MICROS_PER_MILLI), () -> start(r)));
     }
 
     /** Starts a new process of a router. */
     void start(Router router) {
-        Optional<EjectionPolicy.Rules> verdicts =
-                config.verdicts() ? Optional.of(new EjectionPolicy.Rules(0.2, 2, 5 * MICROS_PER_SECOND, 2_500 * MICROS_PER_MILLI)) : Optional.empty();
+        Optional<EjectionPolicy.Rules> verdicts = config.verdicts()
+                ? Optional.of(new EjectionPolicy.Rules(0.2, 2, 5 * MICROS_PER_SECOND, 2_500 * MICROS_PER_MILLI))
+                : Optional.empty();
         Optional<DrainTimes> drains = parameters.drains
-                ? Optional.of(
-                        new DrainTimes(2 * MICROS_PER_SECOND, 10 * MICROS_PER_SECOND, 60 * MICROS_PER_SECOND, 600 * MICROS_PER_SECOND, 5 * MICROS_PER_SECOND, 5 * MICROS_PER_SECOND))
+                ? Optional.of(new DrainTimes(
+                        2 * MICROS_PER_SECOND,
+                        10 * MICROS_PER_SECOND,
+                        60 * MICROS_PER_SECOND,
+                        600 * MICROS_PER_SECOND,
+                        5 * MICROS_PER_SECOND,
+                        5 * MICROS_PER_SECOND))
                 : Optional.empty();
         Optional<CellSetup> cells = Optional.ofNullable(config.cells())
                 .map(c -> new CellSetup(
@@ -369,7 +379,9 @@
             boolean failing = now < until;
             if (router.running) {
                 long cpuBefore = cpuNanos();
-                router.participant.reportHealth(now, new MemberHealthReport(FIRST_CACHE_ID, failing, true, 2, 0.5, now + 2 * MICROS_PER_SECOND));
+                router.participant.reportHealth(
+                        now,
+                        new MemberHealthReport(FIRST_CACHE_ID, failing, true, 2, 0.5, now + 2 * MICROS_PER_SECOND));
                 finishEvent(router, cpuBefore, now);
             }
             if (failing) {
@@ -401,7 +413,11 @@
                 while (!tasks.isEmpty() && tasks.peek().at <= now) {
                     tasks.poll().action.run();
                 }
-                runStep(pool, Math.min(Math.min(end, now + Geography.MIN_DELAY_MICROS), tasks.isEmpty() ? end : tasks.peek().at));
+                runStep(
+                        pool,
+                        Math.min(
+                                Math.min(end, now + Geography.MIN_DELAY_MICROS),
+                                tasks.isEmpty() ? end : tasks.peek().at));
                 if (now >= nextSecond) {
                     nextSecond += MICROS_PER_SECOND;
                     maxSpendableShare = Math.max(maxSpendableShare, spendableShare());
@@ -465,7 +481,8 @@
         router.timerAt = Long.MAX_VALUE;
         long cpuBefore = cpuNanos();
         if (router.participant.nextDue() <= at) {
-            router.participant.reportDemand(new LimitDemand(parameters.limits > 1 ? FIRST_CACHE_ID : ORIGIN_ID, LimitMeasure.PER_SECOND, router.demand, 0));
+            router.participant.reportDemand(new LimitDemand(
+                    parameters.limits > 1 ? FIRST_CACHE_ID : ORIGIN_ID, LimitMeasure.PER_SECOND, router.demand, 0));
             router.participant.advance(at);
         }
         finishEvent(router, cpuBefore, at);
@@ -501,7 +518,9 @@
         from.packetsOut++;
         addBytes(from.bytesOut, packet.bytes().length, at);
         Router to = byAddress.get(packet.address());
-        if (to == null || partition.test(from.location, to.location) || from.networkRandom.nextDouble() < config.loss()) {
+        if (to == null
+                || partition.test(from.location, to.location)
+                || from.networkRandom.nextDouble() < config.loss()) {
             return;
         }
         QueuedEvent delivery = new QueuedEvent(
@@ -521,7 +540,9 @@
     private double spendableShare() {
         return routers.stream()
                         .filter(r -> r.running && r.limitShare != null)
-                        .mapToDouble(r -> now < r.limitShare.expiresAt() ? r.limitShare.amount() : r.limitShare.amountAfterExpiry())
+                        .mapToDouble(r -> now < r.limitShare.expiresAt()
+                                ? r.limitShare.amount()
+                                : r.limitShare.amountAfterExpiry())
                         .sum()
                 / LIMIT_PER_SECOND;
     }
@@ -561,7 +582,8 @@
     /** Groups routers by their current kind, as their status fields report it. */
     private static Map<Kind, List<Router>> groupByKind(List<Router> group) {
         Map<Kind, List<Router>> byKind = new EnumMap<>(Kind.class);
-        group.forEach(r -> byKind.computeIfAbsent(kindOf(r), k -> new ArrayList<>()).add(r));
+        group.forEach(
+                r -> byKind.computeIfAbsent(kindOf(r), k -> new ArrayList<>()).add(r));
         return byKind;
     }
 
@@ -590,11 +612,11 @@
                 .filter(r -> r.running && !wholeFleetStarted && r.startedAt >= windowStart)
                 .toList();
         groupByKind(established)
-                .forEach(
-                        (kind, group) -> samples.add(new Sample(kind.role + ", " + scenario, parameters.routers, figures(group))));
-        groupByKind(fresh)
                 .forEach((kind, group) ->
-                        samples.add(new Sample("fresh " + kind.role + ", " + scenario, parameters.routers, figures(group))));
+                        samples.add(new Sample(kind.role + ", " + scenario, parameters.routers, figures(group))));
+        groupByKind(fresh)
+                .forEach((kind, group) -> samples.add(
+                        new Sample("fresh " + kind.role + ", " + scenario, parameters.routers, figures(group))));
         return samples;
     }
 
@@ -619,7 +641,8 @@
                 worst = router;
             }
             for (int i = 0; i < router.bytesIn.length; i++) {
-                if (router.bytesIn[i] + router.bytesOut[i] > worstSecondRouter.bytesIn[worstSecond] + worstSecondRouter.bytesOut[worstSecond]) {
+                if (router.bytesIn[i] + router.bytesOut[i]
+                        > worstSecondRouter.bytesIn[worstSecond] + worstSecondRouter.bytesOut[worstSecond]) {
                     worstSecondRouter = router;
                     worstSecond = i;
                 }
@@ -628,8 +651,12 @@
         figures.put("worst router bytes/s", (sum(worst.bytesIn) + sum(worst.bytesOut)) / seconds);
         figures.put("worst router bytes in/s", sum(worst.bytesIn) / seconds);
         figures.put("worst router bytes out/s", sum(worst.bytesOut) / seconds);
-        figures.put("worst router cpu ms/s", group.stream().mapToLong(r -> r.cpuNanos).max().orElse(0) / seconds / 1e6);
-        figures.put("worst second bytes/s", (double) worstSecondRouter.bytesIn[worstSecond] + worstSecondRouter.bytesOut[worstSecond]);
+        figures.put(
+                "worst router cpu ms/s",
+                group.stream().mapToLong(r -> r.cpuNanos).max().orElse(0) / seconds / 1e6);
+        figures.put(
+                "worst second bytes/s",
+                (double) worstSecondRouter.bytesIn[worstSecond] + worstSecondRouter.bytesOut[worstSecond]);
         figures.put("worst second bytes in/s", (double) worstSecondRouter.bytesIn[worstSecond]);
         figures.put("worst second bytes out/s", (double) worstSecondRouter.bytesOut[worstSecond]);
         if (parameters.limits == 1) {
@@ -674,7 +701,8 @@
         }
         long queuedBytes = shards.stream()
                 .flatMap(s -> s.queue.stream())
-                .mapToLong(event -> QUEUED_EVENT_BYTES + (event.bytes == null ? 0 : ARRAY_HEADER_BYTES + event.bytes.length))
+                .mapToLong(event ->
+                        QUEUED_EVENT_BYTES + (event.bytes == null ? 0 : ARRAY_HEADER_BYTES + event.bytes.length))
                 .sum();
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() - queuedBytes;
     }
--- a/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
+++ b/src/main/java/pumicemoor/lab/scale/SimulatedRouter.java
@@ -106,7 +106,17 @@
     void request(String object) {
         lastRequestId++;
         accept(new Input.Request(
-                1, lastRequestId, Integer.toString(lastRequestId), "file", object, 0, -1, null, DEADLINE_MILLIS, false, Bytes.NONE));
+                1,
+                lastRequestId,
+                Integer.toString(lastRequestId),
+                "file",
+                object,
+                0,
+                -1,
+                null,
+                DEADLINE_MILLIS,
+                false,
+                Bytes.NONE));
     }
 
     /** Advances the virtual time and handles all timers and answers that become due. */
@@ -119,7 +129,8 @@
             } else {
                 Queue<PendingAnswer> first = !hits.isEmpty() && hits.peek().at() <= now ? hits : fills;
                 PendingAnswer answer = first.remove();
-                accept(new Input.AttemptAnswered(answer.attempt(), Input.AnswerStatus.DATA, answer.note(), Map.of(), Bytes.NONE));
+                accept(new Input.AttemptAnswered(
+                        answer.attempt(), Input.AnswerStatus.DATA, answer.note(), Map.of(), Bytes.NONE));
             }
         }
         now = end;
--- a/src/main/java/pumicemoor/lab/scale/SlopePlot.java
+++ b/src/main/java/pumicemoor/lab/scale/SlopePlot.java
@@ -79,7 +79,8 @@
                         slope.role() + ", fit",
                         new double[] {slope.fit().minSize(), slope.fit().maxSize()},
                         new double[] {
-                            slope.fit().predict(slope.fit().minSize()), slope.fit().predict(slope.fit().maxSize())
+                            slope.fit().predict(slope.fit().minSize()),
+                            slope.fit().predict(slope.fit().maxSize())
                         });
                 fitLine.setMarker(SeriesMarkers.NONE).setShowInLegend(false);
                 fitLine.setLineStyle(new BasicStroke(1));
--- a/src/main/java/pumicemoor/net/AnswerDecoder.java
+++ b/src/main/java/pumicemoor/net/AnswerDecoder.java
@@ -58,7 +58,8 @@
                 }
                 return;
             }
-            parseHead(in.readString(end - in.readerIndex(), StandardCharsets.UTF_8).stripTrailing());
+            parseHead(in.readString(end - in.readerIndex(), StandardCharsets.UTF_8)
+                    .stripTrailing());
             in.skipBytes(1);
         }
         if (body == null && !allocateBody(ctx)) {
@@ -117,7 +118,8 @@
             bodyBytesLeft = -1;
         }
         if (bodyBytesLeft < 0 || bodyBytesLeft > maxBodyBytes) {
-            throw new CorruptedFrameException("body length '" + words[3] + "' of an answer is not a number or out of range");
+            throw new CorruptedFrameException(
+                    "body length '" + words[3] + "' of an answer is not a number or out of range");
         }
         fields = fields(words[2]);
         head = words;
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -63,11 +63,15 @@
 
     void send(Effect.SendAttempt request) {
         List<Connection> pool = connectionsByInstance.computeIfAbsent(request.instance(), i -> new ArrayList<>());
-        Connection connection = pool.stream().filter(c -> c.accepts(request)).findFirst().orElse(null);
+        Connection connection =
+                pool.stream().filter(c -> c.accepts(request)).findFirst().orElse(null);
         if (connection == null && pool.size() >= limits.maxConnectionsPerMember()) {
             // at the limit of connections to the member, an answered id may be reused on one of them; an abandoned id
             // may not, as its answer may still arrive
-            connection = pool.stream().filter(c -> c.acceptsReusedId(request)).findFirst().orElse(null);
+            connection = pool.stream()
+                    .filter(c -> c.acceptsReusedId(request))
+                    .findFirst()
+                    .orElse(null);
             if (connection == null) {
                 request.body().release();
                 loop.submit(new Input.NoConnectionAvailable(request.attempt()));
@@ -83,7 +87,9 @@
         }
         if (isNew) {
             connection = new Connection(request.instance(), request.address());
-            connectionsByInstance.computeIfAbsent(request.instance(), i -> new ArrayList<>()).add(connection);
+            connectionsByInstance
+                    .computeIfAbsent(request.instance(), i -> new ArrayList<>())
+                    .add(connection);
         }
         connectionByAttempt.put(request.attempt(), connection);
         connection.queue.add(new QueuedAttempt(request, loop.clock()));
@@ -99,11 +105,13 @@
      * idle one; it returns false where all are in use.
      */
     private boolean ensureCapacityForAnother() {
-        List<Connection> all = connectionsByInstance.values().stream().flatMap(List::stream).toList();
+        List<Connection> all =
+                connectionsByInstance.values().stream().flatMap(List::stream).toList();
         if (all.size() < limits.maxMemberConnections()) {
             return true;
         }
-        Optional<Connection> leastRecentlyUsed = all.stream().filter(Connection::isIdle).min(Comparator.comparingLong(c -> c.lastUsedAt));
+        Optional<Connection> leastRecentlyUsed =
+                all.stream().filter(Connection::isIdle).min(Comparator.comparingLong(c -> c.lastUsedAt));
         leastRecentlyUsed.ifPresent(Connection::close);
         return leastRecentlyUsed.isPresent();
     }
@@ -141,13 +149,19 @@
         for (List<Connection> pool : List.copyOf(connectionsByInstance.values())) {
             List.copyOf(pool).stream()
                     .filter(c -> c.isIdle() && c.retired
-                            || now - c.lastUsedAt > (c.isIdle() ? limits.connectionIdleTimeout() : limits.abandonedConnectionTimeout()))
+                            || now - c.lastUsedAt
+                                    > (c.isIdle()
+                                            ? limits.connectionIdleTimeout()
+                                            : limits.abandonedConnectionTimeout()))
                     .forEach(Connection::close);
         }
     }
 
     void closeAll() {
-        connectionsByInstance.values().stream().flatMap(p -> List.copyOf(p).stream()).toList().forEach(Connection::close);
+        connectionsByInstance.values().stream()
+                .flatMap(p -> List.copyOf(p).stream())
+                .toList()
+                .forEach(Connection::close);
     }
 
     /** An attempt that waits for its connection, and the time at which it was queued (microseconds). */
@@ -183,7 +197,8 @@
         private final Deque<QueuedAttempt> queue = new ArrayDeque<>();
         private final Map<String, AttemptInFlight> inFlight = new LinkedHashMap<>();
         private final Map<String, EndedId> endedIds = new LinkedHashMap<>(); // by id; an answer may still arrive
-        private final AnswerDecoder decoder = new AnswerDecoder(limits.maxAnswerHeaderBytes(), limits.maxAnswerBytes(), budget);
+        private final AnswerDecoder decoder =
+                new AnswerDecoder(limits.maxAnswerHeaderBytes(), limits.maxAnswerBytes(), budget);
         private Effect.SendAttempt beingWritten;
         private Channel channel;
         private boolean connected;
@@ -254,7 +269,8 @@
             while (connected && !closed && beingWritten == null && !queue.isEmpty()) {
                 QueuedAttempt next = queue.poll();
                 Effect.SendAttempt request = next.request();
-                if (loop.clock() - next.queuedAt() > limits.writeTimeout()) { // its decision is based on outdated updates
+                if (loop.clock() - next.queuedAt()
+                        > limits.writeTimeout()) { // its decision is based on outdated updates
                     request.body().release();
                     connectionByAttempt.remove(request.attempt());
                     loop.submit(new Input.AttemptNeverSent(request.attempt()));
@@ -340,8 +356,10 @@
          * sent first.
          */
         void checkLiveness(long now) {
-            long oldestWrittenAt =
-                    inFlight.values().stream().mapToLong(AttemptInFlight::writtenAt).min().orElse(Long.MAX_VALUE);
+            long oldestWrittenAt = inFlight.values().stream()
+                    .mapToLong(AttemptInFlight::writtenAt)
+                    .min()
+                    .orElse(Long.MAX_VALUE);
             if (!connected || closed || oldestWrittenAt == Long.MAX_VALUE || decoder.readPaused()) {
                 probeSentAt = -1;
                 return;
@@ -353,7 +371,10 @@
                 counters.add(Name.LINES_DEAD);
                 loop.reportError("a connection to member " + instance + " was closed: it shows no sign of life");
                 close();
-            } else if (probeSentAt < 0 && !decoder.hasPartialAnswer() && beingWritten == null && silence > limits.livenessProbeDelay()) {
+            } else if (probeSentAt < 0
+                    && !decoder.hasPartialAnswer()
+                    && beingWritten == null
+                    && silence > limits.livenessProbeDelay()) {
                 probeSentAt = now;
                 channel.writeAndFlush(CacheProtocol.noop(channel.alloc()), channel.voidPromise());
             }
@@ -444,7 +465,10 @@
             queue.clear();
             beingWritten = null;
             for (Input endInput : endInputs) {
-                connectionByAttempt.remove(endInput instanceof Input.ConnectionLost lost ? lost.attempt() : ((Input.AttemptNeverSent) endInput).attempt());
+                connectionByAttempt.remove(
+                        endInput instanceof Input.ConnectionLost lost
+                                ? lost.attempt()
+                                : ((Input.AttemptNeverSent) endInput).attempt());
                 loop.submit(endInput);
             }
         }
--- a/src/main/java/pumicemoor/net/CacheProtocol.java
+++ b/src/main/java/pumicemoor/net/CacheProtocol.java
@@ -114,11 +114,15 @@
             return null;
         }
         if (request.cacheable()
-                && !ENTITY_TAG.matcher(answer.fields().getOrDefault("entity", "")).matches()) {
+                && !ENTITY_TAG
+                        .matcher(answer.fields().getOrDefault("entity", ""))
+                        .matches()) {
             return "field 'entity' of an answer is missing or invalid";
         }
         if (request.cacheable()
-                && !ISSUED_TIME.matcher(answer.fields().getOrDefault("issued", "")).matches()) {
+                && !ISSUED_TIME
+                        .matcher(answer.fields().getOrDefault("issued", ""))
+                        .matches()) {
             return "field 'issued' of an answer is missing or invalid";
         }
         return status == AnswerStatus.UNCHANGED && (answer.body().isReadable() || request.clientCopyVersion() == null)
--- a/src/main/java/pumicemoor/net/ClientConnection.java
+++ b/src/main/java/pumicemoor/net/ClientConnection.java
@@ -130,7 +130,8 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         reading = false;
         while (!receivedRequests.isEmpty()) { // one by one: processing one may reveal that the next was cancelled
-            loop.submit(receivedRequests.remove(receivedRequests.keySet().iterator().next()));
+            loop.submit(
+                    receivedRequests.remove(receivedRequests.keySet().iterator().next()));
         }
         ctx.fireChannelReadComplete();
     }
@@ -153,7 +154,9 @@
         FrameDecoder decoder = context.pipeline().get(FrameDecoder.class);
         int readsBefore = -1;
         for (int i = 0;
-                i < MAX_DIRECT_READS && readsBefore != decoder.reads() && context.channel().isActive();
+                i < MAX_DIRECT_READS
+                        && readsBefore != decoder.reads()
+                        && context.channel().isActive();
                 i++) {
             readsBefore = decoder.reads();
             unsafe.read();
@@ -176,7 +179,8 @@
             return;
         }
         if (frame.readableBytes() < 5) {
-            throw new CorruptedFrameException("frame of " + frame.readableBytes() + " bytes is shorter than its header");
+            throw new CorruptedFrameException(
+                    "frame of " + frame.readableBytes() + " bytes is shorter than its header");
         }
         int type = frame.readUnsignedByte();
         int stream = frame.readInt();
@@ -216,7 +220,8 @@
             loop.rows(requested.get("rows")).ifPresent(rows -> ClientFrame.split(rows)
                     .forEach(part -> fields.put("rows-" + fields.size(), part)));
         }
-        context.writeAndFlush(ClientFrame.readiness(context.alloc(), stream, loop.ready(), fields), context.voidPromise());
+        context.writeAndFlush(
+                ClientFrame.readiness(context.alloc(), stream, loop.ready(), fields), context.voidPromise());
     }
 
     /** Accepts operator commands from the router's own machine only: remote clients must not drain members. */
@@ -224,7 +229,8 @@
         if (context.channel().remoteAddress() instanceof InetSocketAddress peer
                 && !peer.getAddress().isLoopbackAddress()) {
             counters.add(Name.BAD_INPUT);
-            writeReply(new Effect.CommandReply(connectionId, stream, "refused: commands are taken from the router's own machine alone"));
+            writeReply(new Effect.CommandReply(
+                    connectionId, stream, "refused: commands are taken from the router's own machine alone"));
         } else {
             loop.submit(new Input.Command(connectionId, stream, fields));
         }
@@ -279,7 +285,8 @@
         if (Integer.compareUnsigned(stream, usedStreamsUpTo) <= 0 || !usedStreams.add(stream)) {
             return false;
         }
-        while (!usedStreams.isEmpty() && (usedStreams.first() == usedStreamsUpTo + 1 || usedStreams.size() > limits.maxTrackedStreams())) {
+        while (!usedStreams.isEmpty()
+                && (usedStreams.first() == usedStreamsUpTo + 1 || usedStreams.size() > limits.maxTrackedStreams())) {
             usedStreamsUpTo = usedStreams.pollFirst();
         }
         return true;
@@ -339,7 +346,8 @@
             context.writeAndFlush(context.alloc().buffer(0)).addListener(done -> {
                 if (done.isSuccess() && context.channel() instanceof DuplexChannel duplex) {
                     duplex.shutdownOutput();
-                    context.executor().schedule(() -> context.close(), limits.clientCloseDelay(), TimeUnit.MICROSECONDS);
+                    context.executor()
+                            .schedule(() -> context.close(), limits.clientCloseDelay(), TimeUnit.MICROSECONDS);
                 } else {
                     context.close();
                 }
@@ -413,7 +421,8 @@
             activeAt = backlog == 0 ? activeAt : now;
         }
         FrameDecoder decoder = context.pipeline().get(FrameDecoder.class);
-        partialFrameSince = decoder == null || !decoder.hasPartialFrame() ? -1 : partialFrameSince < 0 ? now : partialFrameSince;
+        partialFrameSince =
+                decoder == null || !decoder.hasPartialFrame() ? -1 : partialFrameSince < 0 ? now : partialFrameSince;
         if (backlog > 0 && now - activeAt > limits.clientStallTimeout()) {
             closeNow("its answers are not read");
         } else if (partialFrameSince >= 0 && now - partialFrameSince > limits.clientRequestTimeout()) {
--- a/src/main/java/pumicemoor/net/CoordinatorStream.java
+++ b/src/main/java/pumicemoor/net/CoordinatorStream.java
@@ -167,7 +167,8 @@
         }
         if (pendingAttempts.isEmpty()) {
             // a random delay of 0.5 to 1.5 times the retry interval spreads the reconnects of many routers
-            connectAfter(limits.coordinatorRetryDelay() / 2 + ThreadLocalRandom.current().nextLong(limits.coordinatorRetryDelay() + 1));
+            connectAfter(limits.coordinatorRetryDelay() / 2
+                    + ThreadLocalRandom.current().nextLong(limits.coordinatorRetryDelay() + 1));
         }
     }
 
@@ -241,7 +242,9 @@
             if (message instanceof HttpResponse response) {
                 answered = response.status().equals(HttpResponseStatus.OK);
                 if (answered) {
-                    ctx.pipeline().addFirst(new ReadTimeoutHandler(limits.coordinatorSilenceTimeout(), TimeUnit.MICROSECONDS));
+                    ctx.pipeline()
+                            .addFirst(
+                                    new ReadTimeoutHandler(limits.coordinatorSilenceTimeout(), TimeUnit.MICROSECONDS));
                     onAnswer(ctx.channel());
                 } else {
                     LOG.warn("the coordinator answered the stream request with status {}", response.status());
--- a/src/main/java/pumicemoor/net/FleetSocket.java
+++ b/src/main/java/pumicemoor/net/FleetSocket.java
@@ -34,7 +34,9 @@
                 .group(group)
                 .channel(NioDatagramChannel.class)
                 // one byte more than the largest valid packet, so that a longer one is not mistaken for a valid one
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(PacketCodec.MAX_PACKET_BYTES + 1))
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new FixedRecvByteBufAllocator(PacketCodec.MAX_PACKET_BYTES + 1))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -34,7 +34,6 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import pumicemoor.Logic;
-import pumicemoor.node.RateLimitedLog;
 import pumicemoor.node.CallFront;
 import pumicemoor.node.CallLoop;
 import pumicemoor.node.Counters;
@@ -42,6 +41,7 @@
 import pumicemoor.node.Effect;
 import pumicemoor.node.Input;
 import pumicemoor.node.NodeConfig;
+import pumicemoor.node.RateLimitedLog;
 import pumicemoor.node.Reducer;
 import pumicemoor.node.ResourceLimits;
 import pumicemoor.operator.OperatorConfig;
@@ -94,8 +94,11 @@
         this.config = config;
         this.operatorConfig = operatorConfig;
         this.limits = ResourceLimits.of(config.settingsReader().settings(), config.resources());
-        this.reducer =
-                new Reducer(new Logic(config.settingsReader().settings(), config.seed()), config.settingsReader(), limits, counters);
+        this.reducer = new Reducer(
+                new Logic(config.settingsReader().settings(), config.seed()),
+                config.settingsReader(),
+                limits,
+                counters);
         this.errorLog = new RateLimitedLog(LOG, limits.warningsPerSecond());
         Bootstrap bootstrap = new Bootstrap()
                 .group(group)
@@ -134,10 +137,12 @@
             fleetSocket.listen(group, operatorConfig.fleet().get().listen());
         }
         loop.submit(() -> {
-                    reducer.applyOperatorConfig(clock(), operatorConfig, config.location(), config.name(), config.seed());
+                    reducer.applyOperatorConfig(
+                            clock(), operatorConfig, config.location(), config.name(), config.seed());
                     reducer.applyInitialUpdates(clock(), config, effects::add);
                     processInbox();
-                    loop.scheduleAtFixedRate(this::sweep, limits.sweepInterval(), limits.sweepInterval(), TimeUnit.MICROSECONDS);
+                    loop.scheduleAtFixedRate(
+                            this::sweep, limits.sweepInterval(), limits.sweepInterval(), TimeUnit.MICROSECONDS);
                     coordinator.follow(config.coordinator());
                 })
                 .sync();
@@ -206,7 +211,8 @@
      * request, else the one that has been idle for longest, so that unused connections do not keep new clients out.
      */
     private boolean reserveClientSlot() {
-        if (allClients.size() >= limits.maxClients() + limits.maxClients() / 8) { // at most an eighth more, which are closing
+        if (allClients.size()
+                >= limits.maxClients() + limits.maxClients() / 8) { // at most an eighth more, which are closing
             allClients.stream()
                     .filter(c -> c.stage() == ClientConnection.Stage.RELEASING)
                     .findFirst()
@@ -215,8 +221,9 @@
         if (clients.size() < limits.maxClients()) {
             return true;
         }
-        Optional<ClientConnection> silent =
-                clients.values().stream().filter(ClientConnection::hasSentNoRequest).findFirst();
+        Optional<ClientConnection> silent = clients.values().stream()
+                .filter(ClientConnection::hasSentNoRequest)
+                .findFirst();
         silent.ifPresent(c -> c.closeWithError("it sent no valid request, and its slot is needed"));
         return silent.isPresent()
                 || clients.values().stream()
@@ -330,9 +337,13 @@
         if (input instanceof Input.ClientClosed closed) {
             removeRequests(closed, r -> r.connection() == closed.connection());
         } else if (input instanceof Input.RequestCancelled cancelled) {
-            removeRequests(cancelled, r -> r.connection() == cancelled.connection() && r.stream() == cancelled.stream());
+            removeRequests(
+                    cancelled, r -> r.connection() == cancelled.connection() && r.stream() == cancelled.stream());
         } else {
-            inbox.add(input instanceof Input.Request r && clock() < unreadDelayUntil ? r.withUnreadDelay(unreadDelayMicros) : input);
+            inbox.add(
+                    input instanceof Input.Request r && clock() < unreadDelayUntil
+                            ? r.withUnreadDelay(unreadDelayMicros)
+                            : input);
         }
         processInbox();
     }
@@ -382,7 +393,8 @@
     /** Updates sent during the stall may be missing: requests wait until contact is restored, for a limited time. */
     private void holdRequests(long now) {
         counters.add(Name.HOLDS);
-        LOG.warn("contact with the coordinator was lost while this process was stalled; requests are held back until it is restored");
+        LOG.warn(
+                "contact with the coordinator was lost while this process was stalled; requests are held back until it is restored");
         requestsHeldSince = now;
         requestsHeldUntil = now + limits.maxRequestHold();
         inbox.holdRequests();
@@ -499,7 +511,7 @@
         List.copyOf(allClients).forEach(c -> flushed.add(c.closeGracefully()));
         Promise<Void> allFlushed = loop.newPromise();
         flushed.finish(allFlushed);
-        allFlushed.addListener(
-                done -> group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).addListener(end -> terminated.countDown()));
+        allFlushed.addListener(done ->
+                group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).addListener(end -> terminated.countDown()));
     }
 }
--- a/src/main/java/pumicemoor/net/WarmUp.java
+++ b/src/main/java/pumicemoor/net/WarmUp.java
@@ -51,10 +51,15 @@
         BufferBudget budget = new BufferBudget(() -> 0, limits.maxBufferedBytes());
         classes = config.settingsReader().settings().classes();
         clock = now;
-        reducer = new Reducer(new Logic(config.settingsReader().settings(), config.seed()), config.settingsReader(), limits, counters);
+        reducer = new Reducer(
+                new Logic(config.settingsReader().settings(), config.seed()),
+                config.settingsReader(),
+                limits,
+                counters);
         client = new ClientConnection(1, limits, budget, counters, this);
         fromClient = new EmbeddedChannel(new FrameDecoder(limits.maxFrameBytes()), client);
-        fromCache = new EmbeddedChannel(new AnswerDecoder(limits.maxAnswerHeaderBytes(), limits.maxAnswerBytes(), budget));
+        fromCache =
+                new EmbeddedChannel(new AnswerDecoder(limits.maxAnswerHeaderBytes(), limits.maxAnswerBytes(), budget));
         reducer.applyInitialUpdates(clock, config, effects::add);
         executeEffects();
     }
@@ -67,7 +72,9 @@
     /** Runs this number of requests, or fewer if the time is over first; returns the number of answered requests. */
     long run(int requests, long maxMicros, Pause pause) throws InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(maxMicros);
-        for (int i = 1; i <= requests && !classes.isEmpty() && System.nanoTime() < endNanos && fromClient.isOpen(); i++) {
+        for (int i = 1;
+                i <= requests && !classes.isEmpty() && System.nanoTime() < endNanos && fromClient.isOpen();
+                i++) {
             clock += STEP_MICROS;
             if (reducer.nextDue() <= clock) {
                 submit(new Input.TimerFired());
@@ -128,11 +135,14 @@
         boolean miss = number % MISS_INTERVAL_REQUESTS == 0;
         ByteBuf bytes = allocator.ioBuffer(BODY_BYTES + 128);
         bytes.writeCharSequence(
-                attempt.id() + (miss ? " absent - 0" : " data entity=0,issued=1,tell=mem,meter=a:1;b:0.5 " + BODY_BYTES) + "\r\n",
+                attempt.id() + (miss ? " absent - 0" : " data entity=0,issued=1,tell=mem,meter=a:1;b:0.5 " + BODY_BYTES)
+                        + "\r\n",
                 StandardCharsets.US_ASCII);
         bytes.writeZero(miss ? 0 : BODY_BYTES).writeCharSequence("\r\n", StandardCharsets.US_ASCII);
         fromCache.writeInbound(bytes);
-        for (AnswerDecoder.Answer decoded = fromCache.readInbound(); decoded != null; decoded = fromCache.readInbound()) {
+        for (AnswerDecoder.Answer decoded = fromCache.readInbound();
+                decoded != null;
+                decoded = fromCache.readInbound()) {
             submit(new Input.AttemptAnswered(
                     attempt.attempt(),
                     CacheProtocol.status(decoded.status()),
--- a/src/main/java/pumicemoor/node/DrainedMembers.java
+++ b/src/main/java/pumicemoor/node/DrainedMembers.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.State;
 import pumicemoor.fleet.drains.Drains;
@@ -30,7 +30,8 @@
     Optional<MemberListUpdate> applyListUpdate(MemberListUpdate update) {
         version = update.version();
         if (update.kind() == MemberListKind.SNAPSHOT) {
-            reported.keySet().retainAll(update.members().stream().map(Member::id).collect(Collectors.toSet()));
+            reported.keySet()
+                    .retainAll(update.members().stream().map(Member::id).collect(Collectors.toSet()));
             published.keySet().retainAll(reported.keySet());
         }
         List<Member> members = new ArrayList<>();
@@ -61,11 +62,14 @@
         });
         return !view.settled() || changed.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new MemberListUpdate(firstView ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, changed));
+                : Optional.of(new MemberListUpdate(
+                        firstView ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, changed));
     }
 
     private Member withDrains(Member member) {
-        State state = member.state() == State.READY && view.avoidedMembers().contains(member.id()) ? State.DRAINING : member.state();
+        State state = member.state() == State.READY && view.avoidedMembers().contains(member.id())
+                ? State.DRAINING
+                : member.state();
         return new Member(
                 member.id(),
                 member.role(),
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -80,7 +80,8 @@
      * A cache's complete answer. The note says how the cache obtained the copy, or why it could not; null if the cache
      * sends none. The load is the cache's load report, empty if it sends none.
      */
-    record AttemptAnswered(long attempt, AnswerStatus status, String fillNote, Map<String, Double> load, Bytes body) implements Input {}
+    record AttemptAnswered(long attempt, AnswerStatus status, String fillNote, Map<String, Double> load, Bytes body)
+            implements Input {}
 
     /** The last byte of an attempt was written to the connection. */
     record AttemptWritten(long attempt) implements Input {}
--- a/src/main/java/pumicemoor/node/NodeConfig.java
+++ b/src/main/java/pumicemoor/node/NodeConfig.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.Optional;
+import pumicemoor.wire.InvalidInputException;
 import pumicemoor.wire.JsonObject;
 import pumicemoor.wire.SettingsReader;
-import pumicemoor.wire.InvalidInputException;
 
 /**
  * The platform's configuration of a router, parsed from the JSON file that RELAY_CONFIG names. It checks the format
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -23,27 +23,27 @@
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Cancel;
 import pumicemoor.RouterApi.CloseIdle;
+import pumicemoor.RouterApi.DiscoveryHeartbeat;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.MemberHealthReport;
-import pumicemoor.RouterApi.MemberListKind;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.RouterApi.Log;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberHealthReport;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
-import pumicemoor.RouterApi.DiscoveryHeartbeat;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
-import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestAbandoned;
+import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.SetTimer;
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
-import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Fleet;
 import pumicemoor.fleet.FleetParticipant;
 import pumicemoor.fleet.drains.Drains;
@@ -54,11 +54,11 @@
 import pumicemoor.node.Input.AnswerStatus;
 import pumicemoor.operator.HierarchySection;
 import pumicemoor.operator.OperatorConfig;
+import pumicemoor.wire.InvalidInputException;
 import pumicemoor.wire.JsonObject;
 import pumicemoor.wire.JsonRows;
-import pumicemoor.wire.TopologyMessage;
 import pumicemoor.wire.SettingsReader;
-import pumicemoor.wire.InvalidInputException;
+import pumicemoor.wire.TopologyMessage;
 
 /**
  * Holds the mutable state of a router and is the only class that changes it. It owns the open requests, their
@@ -117,7 +117,8 @@
     private final RateLimitedLog warningLog;
     private final Map<Long, Attempt> attemptsByKey = new HashMap<>();
     private final Map<Long, Endpoint> endpointsByMember = new HashMap<>();
-    private final Map<Long, Fleet.ListedMember> fleetMembers = new TreeMap<>(); // listed members, as passed to the fleet
+    private final Map<Long, Fleet.ListedMember> fleetMembers =
+            new TreeMap<>(); // listed members, as passed to the fleet
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final Queue<Event> pendingEvents = new ArrayDeque<>();
     private Consumer<Effect> effectSink;
@@ -175,9 +176,7 @@
     private record Timer(long dueAt, long sequence, TimerKind kind, long subject) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
-            return dueAt != other.dueAt
-                    ? Long.compare(dueAt, other.dueAt)
-                    : Long.compare(sequence, other.sequence);
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -348,7 +347,8 @@
         RequestTrace.arrived(input, input.ttlMillis());
         int requestClass = requestClass(input);
         Request openRequest = unansweredByClientId.putIfAbsent(input.clientRequestId(), request);
-        if (requestClass < 0 || openRequest != null && !openRequest.input.object().equals(input.object())) {
+        if (requestClass < 0
+                || openRequest != null && !openRequest.input.object().equals(input.object())) {
             counters.add(Name.BAD_INPUT);
             warningLog.warn(
                     now,
@@ -367,7 +367,10 @@
         } else {
             request.requestClass = requestClass;
             requestsById.put(request.id, request);
-            addTimer(request.deadline + limits.overdueAnswerMargin(), TimerKind.ANSWER_OVERDUE, Long.parseLong(request.id));
+            addTimer(
+                    request.deadline + limits.overdueAnswerMargin(),
+                    TimerKind.ANSWER_OVERDUE,
+                    Long.parseLong(request.id));
             pendingEvents.add(new RequestArrived(
                     request.id,
                     requestClass,
@@ -409,7 +412,11 @@
                         ? unchanged ? Name.UNCHANGED : Name.SERVED
                         : code == Code.REFUSED ? Name.REFUSED : Name.FAILED);
         RequestTrace.answered(
-                request.input.clientRequestId(), code, retryAfterMillis, request.attemptsStarted, (request.deadline - now) / MICROS_PER_MILLI);
+                request.input.clientRequestId(),
+                code,
+                retryAfterMillis,
+                request.attemptsStarted,
+                (request.deadline - now) / MICROS_PER_MILLI);
         close(request);
         effectSink.accept(new Effect.Answer(
                 request.stream.connection(), request.stream.stream(), code, unchanged, retryAfterMillis, body));
@@ -438,7 +445,17 @@
         } else if (action instanceof Lookup lookup) { // with the member as its own source nothing is filled
             send(
                     requestsById.get(lookup.id()),
-                    new Fetch(lookup.id(), lookup.member(), lookup.member(), 0, 0, false, false, false, false, lookup.timeout()));
+                    new Fetch(
+                            lookup.id(),
+                            lookup.member(),
+                            lookup.member(),
+                            0,
+                            0,
+                            false,
+                            false,
+                            false,
+                            false,
+                            lookup.timeout()));
         } else if (action instanceof Cancel cancel) {
             Request request = requestsById.get(cancel.id());
             Attempt attempt = request == null ? null : request.openAttempts.get(cancel.attempt());
@@ -458,7 +475,8 @@
         } else if (action instanceof SetTimer timer) {
             addTimer(now + Math.max(1, timer.delay()), TimerKind.DECISION_MODULE, timer.token());
         } else if (action instanceof CloseIdle closeIdle && endpointsByMember.containsKey(closeIdle.member())) {
-            effectSink.accept(new Effect.CloseIdleConnections(endpointsByMember.get(closeIdle.member()).instance()));
+            effectSink.accept(new Effect.CloseIdleConnections(
+                    endpointsByMember.get(closeIdle.member()).instance()));
         } else if (action instanceof LimitDemand demand) {
             fleet.ifPresent(f -> f.reportDemand(demand));
         } else if (action instanceof MemberHealthReport report) {
@@ -505,7 +523,12 @@
                 .toList();
         String sourceName = fetch.source() == fetch.member() ? null : source.instance();
         RequestTrace.attemptStarted(
-                input.clientRequestId(), attempt.number, target.instance(), sourceName, lastEventIndex, (timeoutAt - now) / MICROS_PER_MILLI);
+                input.clientRequestId(),
+                attempt.number,
+                target.instance(),
+                sourceName,
+                lastEventIndex,
+                (timeoutAt - now) / MICROS_PER_MILLI);
         long maxAgeMillis = fetch.maxAge() > 0 ? Math.max(1, fetch.maxAge() / MICROS_PER_MILLI) : 0;
         if (request.sentByProxy) {
             attempt.written = true; // the proxy may send it at any time from now on
@@ -553,7 +576,8 @@
         if (attempt.request.sentByProxy) {
             return; // the proxy that sends the attempt receives the next one or the final answer instead
         }
-        effectSink.accept(new Effect.AbandonAttempt(attempt.key, settings.limits().cancel()));
+        effectSink.accept(
+                new Effect.AbandonAttempt(attempt.key, settings.limits().cancel()));
     }
 
     // ---- outcomes -------------------------------------------------------------------------------------
@@ -575,7 +599,9 @@
         endAttempt(
                 attempt,
                 outcome,
-                answer.fillNote() == null ? FillResult.NONE : FILL_RESULT_BY_NOTE.getOrDefault(answer.fillNote(), FillResult.NONE),
+                answer.fillNote() == null
+                        ? FillResult.NONE
+                        : FILL_RESULT_BY_NOTE.getOrDefault(answer.fillNote(), FillResult.NONE),
                 answer.load(),
                 bodyKb);
     }
@@ -584,7 +610,8 @@
         endAttempt(attempt, outcome, FillResult.NONE, Map.of(), 0);
     }
 
-    private void endAttempt(Attempt attempt, Outcome outcome, FillResult fillResult, Map<String, Double> load, double bodyKb) {
+    private void endAttempt(
+            Attempt attempt, Outcome outcome, FillResult fillResult, Map<String, Double> load, double bodyKb) {
         if (attempt == null) {
             return;
         }
@@ -593,7 +620,12 @@
         request.openAttempts.remove(attempt.number);
         counters.add(Name.valueOf(outcome.name()));
         RequestTrace.attemptEnded(
-                request.input.clientRequestId(), attempt.number, outcome, fillResult, attempt.written, now - attempt.startedAt);
+                request.input.clientRequestId(),
+                attempt.number,
+                outcome,
+                fillResult,
+                attempt.written,
+                now - attempt.startedAt);
         if (drainedMembers.isPresent() && fillResult == FillResult.HIT) {
             hitCount.add(now, attempt.member);
         }
@@ -621,7 +653,8 @@
     private boolean isStale(Timer timer) {
         return switch (timer.kind()) {
             case ATTEMPT_TIMEOUT -> !attemptsByKey.containsKey(timer.subject());
-            case WRITE_TIMEOUT -> !attemptsByKey.containsKey(timer.subject()) || attemptsByKey.get(timer.subject()).written;
+            case WRITE_TIMEOUT ->
+                !attemptsByKey.containsKey(timer.subject()) || attemptsByKey.get(timer.subject()).written;
             case ANSWER_OVERDUE -> !requestsById.containsKey(Long.toString(timer.subject()));
             case HIERARCHY -> timer.dueAt() != hierarchyDue;
             case FLEET -> timer.dueAt() != fleetDue;
@@ -756,25 +789,30 @@
     public void applyOperatorConfig(long time, OperatorConfig initial, String location, String name, long seed) {
         operatorConfig = initial;
         initial.fleet().ifPresent(section -> {
-            fleet = Optional.of(FleetFactory.create(section.setup(name, settings.rules()), time, seed, new Drains.Usage() {
-                @Override
-                public int underWay(long member) {
-                    return (int) attemptsByKey.values().stream()
-                            .filter(a -> a.member == member || a.source == member || a.fillPath.contains(member))
-                            .count();
-                }
-
-                @Override
-                public double hits(long member) {
-                    return hitCount.recentHits(now, member);
-                }
-            }));
+            fleet = Optional.of(
+                    FleetFactory.create(section.setup(name, settings.rules()), time, seed, new Drains.Usage() {
+                        @Override
+                        public int underWay(long member) {
+                            return (int) attemptsByKey.values().stream()
+                                    .filter(a ->
+                                            a.member == member || a.source == member || a.fillPath.contains(member))
+                                    .count();
+                        }
+
+                        @Override
+                        public double hits(long member) {
+                            return hitCount.recentHits(now, member);
+                        }
+                    }));
             drainedMembers = fleet.filter(FleetParticipant::coordinatesDrains).map(f -> new DrainedMembers());
         });
         initial.hierarchy().ifPresent(section -> {
             long slowStartMicros = settings.rules().parentSlowStart().rampDuration();
-            Hierarchy.Setup setup =
-                    new Hierarchy.Setup(section.depot().isEmpty() ? location : section.depot(), section.updateSource(), section.timing(), slowStartMicros);
+            Hierarchy.Setup setup = new Hierarchy.Setup(
+                    section.depot().isEmpty() ? location : section.depot(),
+                    section.updateSource(),
+                    section.timing(),
+                    slowStartMicros);
             hierarchy = Optional.of(Hierarchy.start(
                     section.topology(),
                     section.previousTopology(),
@@ -815,10 +853,16 @@
         }
         FleetParticipant participant = fleet.get();
         // apply drains before the decision module can send anything: the router has to act on the drains it reports
-        participant.takeDrainView().flatMap(view -> drainedMembers.get().applyView(view)).ifPresent(pendingEvents::add);
+        participant
+                .takeDrainView()
+                .flatMap(view -> drainedMembers.get().applyView(view))
+                .ifPresent(pendingEvents::add);
         dispatchEvents();
         participant.advance(now);
-        participant.takeDrainView().flatMap(view -> drainedMembers.get().applyView(view)).ifPresent(pendingEvents::add);
+        participant
+                .takeDrainView()
+                .flatMap(view -> drainedMembers.get().applyView(view))
+                .ifPresent(pendingEvents::add);
         pendingEvents.addAll(participant.takeEvents());
         dispatchEvents();
         participant.takePackets().forEach(p -> effectSink.accept(new Effect.SendFleetPacket(p.address(), p.bytes())));
@@ -869,7 +913,10 @@
         }
         if (next.processor().isPresent() != operatorConfig.processor().isPresent()
                 || next.processor().isPresent()
-                        && !next.processor().get().canReplaceWhileRunning(operatorConfig.processor().get())) {
+                        && !next.processor()
+                                .get()
+                                .canReplaceWhileRunning(
+                                        operatorConfig.processor().get())) {
             return "the section 'processor' can't be added, removed or given another 'listen' or 'tls' while running";
         }
         if (!next.fleet().equals(operatorConfig.fleet())) {
@@ -896,7 +943,9 @@
                     .accept(
                             now,
                             proposed.topology(),
-                            endpointsByMember.values().stream().map(Endpoint::instance).collect(Collectors.toSet()));
+                            endpointsByMember.values().stream()
+                                    .map(Endpoint::instance)
+                                    .collect(Collectors.toSet()));
             if (!problems.isEmpty()) {
                 return "the topology of version " + proposed.topology().version() + ": "
                         + problems.get(0).text();
@@ -943,7 +992,9 @@
             gapDetectedAfter = lastEventIndex;
             counters.add(Name.GAPS);
             warningLog.warn(
-                    now, "event " + index + " arrived after event " + lastEventIndex + " with a gap: reopening the coordinator's stream");
+                    now,
+                    "event " + index + " arrived after event " + lastEventIndex
+                            + " with a gap: reopening the coordinator's stream");
             effectSink.accept(new Effect.FollowCoordinator(config.coordinator()));
             return;
         }
@@ -974,7 +1025,9 @@
     private void applyPurge(JsonObject purge) throws InvalidInputException {
         counters.add(Name.PURGES);
         pendingEvents.add(new Purged(
-                purge.text("ref", null), (int) purge.integer("shard", -1), ageOf(purge.integer("unix_ms") * MICROS_PER_MILLI)));
+                purge.text("ref", null),
+                (int) purge.integer("shard", -1),
+                ageOf(purge.integer("unix_ms") * MICROS_PER_MILLI)));
     }
 
     /**
@@ -1018,7 +1071,8 @@
                 state);
         return new ListEntry(
                 member,
-                new Endpoint(instance, NodeConfig.address(entry, "hostPort"), reportedStart, member.startedAt(), state));
+                new Endpoint(
+                        instance, NodeConfig.address(entry, "hostPort"), reportedStart, member.startedAt(), state));
     }
 
     /**
@@ -1053,7 +1107,8 @@
                 fleetMembers.remove(member.id());
             } else {
                 fleetMembers.put(
-                        member.id(), new Fleet.ListedMember(instance, member.role(), member.startedAt(), state == State.READY));
+                        member.id(),
+                        new Fleet.ListedMember(instance, member.role(), member.startedAt(), state == State.READY));
             }
             Endpoint before = endpointsByMember.put(member.id(), entry.endpoint());
             logEndpointChange(before, entry.endpoint());
@@ -1075,7 +1130,8 @@
         fleet.ifPresent(f -> f.updateMembers(now, fleetMembers));
         hierarchy.ifPresent(h -> h.updateStartTimes(endpointsByMember.values().stream()
                 .collect(Collectors.toMap(Endpoint::instance, Endpoint::started, Math::max))));
-        MemberListUpdate memberList = new MemberListUpdate(snapshot ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, members);
+        MemberListUpdate memberList =
+                new MemberListUpdate(snapshot ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, version, members);
         if (drainedMembers.isEmpty()) {
             pendingEvents.add(memberList);
         } else {
@@ -1096,7 +1152,8 @@
     }
 
     private void removeMember(long member) {
-        effectSink.accept(new Effect.RetireConnections(endpointsByMember.remove(member).instance()));
+        effectSink.accept(
+                new Effect.RetireConnections(endpointsByMember.remove(member).instance()));
     }
 
     /** Returns the id of a member: the FNV-1a hash of its name, the same at every router and after every restart. */
--- a/src/main/java/pumicemoor/node/RequestTrace.java
+++ b/src/main/java/pumicemoor/node/RequestTrace.java
@@ -30,7 +30,8 @@
     }
 
     /** Traces the start of an attempt; the source is null if nothing is filled, the event is the last one applied. */
-    static void attemptStarted(String clientRequestId, int number, String target, String source, long lastEventIndex, long millisLeft) {
+    static void attemptStarted(
+            String clientRequestId, int number, String target, String source, long lastEventIndex, long millisLeft) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "request {} attempt {} at {} source {} decided on event {} has {} ms",
@@ -43,7 +44,8 @@
         }
     }
 
-    static void attemptEnded(String clientRequestId, int number, Outcome outcome, FillResult fillResult, boolean written, long micros) {
+    static void attemptEnded(
+            String clientRequestId, int number, Outcome outcome, FillResult fillResult, boolean written, long micros) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "request {} attempt {} ended {} {} written {} after {} us",
@@ -56,7 +58,8 @@
         }
     }
 
-    static void answered(String clientRequestId, Effect.Code code, long retryAfterMillis, int attempts, long millisLeft) {
+    static void answered(
+            String clientRequestId, Effect.Code code, long retryAfterMillis, int attempts, long millisLeft) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "request {} answered {} pushback {} ms after {} attempts, {} ms before its deadline",
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -73,7 +73,8 @@
      * violation of that.
      */
     public static ResourceLimits of(Settings settings, NodeConfig.Resources resources) {
-        long connectTimeout = settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : MICROS_PER_SECOND;
+        long connectTimeout =
+                settings.limits().connectTimeout() > 0 ? settings.limits().connectTimeout() : MICROS_PER_SECOND;
         long writeTimeout = Math.min(
                 connectTimeout,
                 Math.min(
@@ -83,8 +84,10 @@
                 .mapToLong(RequestClass::deadline)
                 .max()
                 .orElse(0);
-        int maxOpenRequests = settings.limits().maxOpenRequests() > 0 ? settings.limits().maxOpenRequests() : 20_000;
-        long retryAfterMillis = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MICROS_PER_MILLI : 0;
+        int maxOpenRequests =
+                settings.limits().maxOpenRequests() > 0 ? settings.limits().maxOpenRequests() : 20_000;
+        long retryAfterMillis =
+                settings.limits().retryAfter() ? settings.limits().maxRetryAfter() / MICROS_PER_MILLI : 0;
         return new ResourceLimits(
                 Math.min(maxOpenRequests, 8_192),
                 32,
--- a/src/main/java/pumicemoor/operator/FleetSection.java
+++ b/src/main/java/pumicemoor/operator/FleetSection.java
@@ -40,13 +40,21 @@
         return new FleetSetup(
                 cluster,
                 new Membership.Setup(
-                        name, advertise, seeds, periodMicros, indirectProbes, gossipFanout, rememberMicros, MAX_TABLE_ROUTERS),
+                        name,
+                        advertise,
+                        seeds,
+                        periodMicros,
+                        indirectProbes,
+                        gossipFanout,
+                        rememberMicros,
+                        MAX_TABLE_ROUTERS),
                 size,
                 leaseTimes,
                 limits,
                 ejectionRules,
-                drainTimes.map(
-                        times -> times.withWarmTimes(rules.cacheSlowStart().rampDuration(), rules.parentSlowStart().rampDuration())),
+                drainTimes.map(times -> times.withWarmTimes(
+                        rules.cacheSlowStart().rampDuration(),
+                        rules.parentSlowStart().rampDuration())),
                 cellSetup);
     }
 }
--- a/src/main/java/pumicemoor/operator/HierarchySection.java
+++ b/src/main/java/pumicemoor/operator/HierarchySection.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import pumicemoor.hierarchy.Hierarchy.UpdateSource;
-import pumicemoor.hierarchy.Topology;
 import pumicemoor.hierarchy.MigrationTiming;
+import pumicemoor.hierarchy.Topology;
 
 /**
  * The section 'hierarchy' of an operator's file: where topology updates come from, the timing of migrations, the
@@ -12,4 +12,9 @@
  * topology has number 1; the topology in the file includes all updates up to the number given by the last component.
  */
 public record HierarchySection(
-        UpdateSource updateSource, String depot, MigrationTiming timing, Topology topology, Optional<Topology> previousTopology, long lastUpdateNumber) {}
+        UpdateSource updateSource,
+        String depot,
+        MigrationTiming timing,
+        Topology topology,
+        Optional<Topology> previousTopology,
+        long lastUpdateNumber) {}
--- a/src/main/java/pumicemoor/operator/OperatorFile.java
+++ b/src/main/java/pumicemoor/operator/OperatorFile.java
@@ -38,12 +38,12 @@
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.verdicts.EjectionPolicy;
 import pumicemoor.hierarchy.Hierarchy.UpdateSource;
+import pumicemoor.hierarchy.MigrationTiming;
 import pumicemoor.hierarchy.Topology;
 import pumicemoor.hierarchy.Topology.Kind;
 import pumicemoor.hierarchy.Topology.Unit;
 import pumicemoor.hierarchy.TopologyValidator;
 import pumicemoor.hierarchy.TopologyValidator.Violation;
-import pumicemoor.hierarchy.MigrationTiming;
 import pumicemoor.operator.OperatorConfig.LogFormat;
 
 /**
@@ -217,9 +217,9 @@
                             : e.getOriginalMessage().lines().findFirst().orElse("");
             throw new OperatorException(fileName + ":" + line + ": " + path + ": " + problem.replace('\n', ' '));
         } catch (JsonProcessingException e) {
-            throw new OperatorException(
-                    fileName + ":" + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": not YAML: "
-                            + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new OperatorException(fileName + ":"
+                    + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": not YAML: "
+                    + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
             throw new OperatorException(fileName + ":1: not YAML: " + e.getMessage());
         }
@@ -263,7 +263,8 @@
 
     private FleetSection fleetSection(FleetForm form) throws OperatorException {
         if (form.cluster() == null || !NAME_PATTERN.matcher(form.cluster()).matches()) {
-            throw invalid("fleet.cluster", "it is missing, or is not 1 to 64 letters, digits, dots, dashes, underscores");
+            throw invalid(
+                    "fleet.cluster", "it is missing, or is not 1 to 64 letters, digits, dots, dashes, underscores");
         }
         String listen = fleetAddress(form.listen(), "fleet.listen");
         String advertise = form.advertise() == null ? listen : fleetAddress(form.advertise(), "fleet.advertise");
@@ -279,7 +280,8 @@
                             + (form.cells() == null ? ", to " + MAX_CELL_FLEET_ROUTERS + " with fleet.cells" : ""));
         }
         if (form.cells() != null && form.drains() != null) {
-            throw invalid("fleet.drains", "cannot be combined with fleet.cells: drains are not supported with cells yet");
+            throw invalid(
+                    "fleet.drains", "cannot be combined with fleet.cells: drains are not supported with cells yet");
         }
         long periodMicros = MICROS_PER_MILLI * millisOrDefault(form.period(), 200, 20, "fleet.period-ms");
         long leaseMicros = MICROS_PER_MILLI * millisOrDefault(form.lease(), 5_000, 500, "fleet.lease-ms");
@@ -295,7 +297,8 @@
             }
             limits.add(rule);
         }
-        Optional<EjectionPolicy.Rules> ejectionRules = form.verdicts() == null ? Optional.empty() : Optional.of(ejectionRules(form));
+        Optional<EjectionPolicy.Rules> ejectionRules =
+                form.verdicts() == null ? Optional.empty() : Optional.of(ejectionRules(form));
         return new FleetSection(
                 form.cluster(),
                 listen,
@@ -314,7 +317,8 @@
                         : Optional.of(drainTimes(
                                 form.drains(),
                                 leaseMicros + guardMicros,
-                                MICROS_PER_MILLI * millisOrDefault(form.remember(), 600_000, 1_000, "fleet.remember-ms"))),
+                                MICROS_PER_MILLI
+                                        * millisOrDefault(form.remember(), 600_000, 1_000, "fleet.remember-ms"))),
                 form.cells() == null ? Optional.empty() : Optional.of(cellSetup(form.cells())));
     }
 
@@ -333,7 +337,8 @@
         return new CellSetup(form.root(), maxCellRouters, delegates);
     }
 
-    private DrainTimes drainTimes(DrainsForm form, long leaseAndGuardMicros, long rememberMicros) throws OperatorException {
+    private DrainTimes drainTimes(DrainsForm form, long leaseAndGuardMicros, long rememberMicros)
+            throws OperatorException {
         long minDrainMicros = MICROS_PER_MILLI * millisOrDefault(form.least(), 1_000, 0, "fleet.drains.least-ms");
         long maxDrainMicros = MICROS_PER_MILLI * millisOrDefault(form.drain(), 10_000, 100, "fleet.drains.drain-ms");
         long goneMicros = MICROS_PER_MILLI * millisOrDefault(form.gone(), 60_000, 1_000, "fleet.drains.gone-ms");
@@ -347,20 +352,28 @@
             throw invalid("fleet.drains.gone-ms", "it is over remember-ms");
         }
         return new DrainTimes(
-                minDrainMicros, maxDrainMicros, goneMicros, MICROS_PER_MILLI * millisOrDefault(form.overdue(), 600_000, 1_000, "fleet.drains.overdue-ms"), 0, 0);
+                minDrainMicros,
+                maxDrainMicros,
+                goneMicros,
+                MICROS_PER_MILLI * millisOrDefault(form.overdue(), 600_000, 1_000, "fleet.drains.overdue-ms"),
+                0,
+                0);
     }
 
     private String fleetAddress(String address, String key) throws OperatorException {
         if (address == null || !PacketCodec.isValidAddress(address)) {
             throw invalid(
-                    key, address == null ? "it is missing" : "'" + address + "' is not an address such as 127.0.0.1:7946");
+                    key,
+                    address == null ? "it is missing" : "'" + address + "' is not an address such as 127.0.0.1:7946");
         }
         return address;
     }
 
     private LimitRule limitRule(LimitForm form, int fleetSize) throws OperatorException {
         if (form.name() == null || !NAME_PATTERN.matcher(form.name()).matches() || form.members() == null) {
-            throw invalid("fleet.limits", "a limit must have members and a name of 1 to 64 letters, digits, dots, dashes, underscores");
+            throw invalid(
+                    "fleet.limits",
+                    "a limit must have members and a name of 1 to 64 letters, digits, dots, dashes, underscores");
         }
         int measures = (form.perSecond() == null ? 0 : 1)
                 + (form.inFlight() == null ? 0 : 1)
@@ -426,7 +439,8 @@
         if (form.tls() == null
                 && !Boolean.TRUE.equals(form.plainAnywhere())
                 && !listen.matches("127\\.\\d+\\.\\d+\\.\\d+:.*|localhost:.*")) {
-            throw invalid("processor.listen", "without tls the address must be on loopback, unless plain-anywhere is true");
+            throw invalid(
+                    "processor.listen", "without tls the address must be on loopback, unless plain-anywhere is true");
         }
         Optional<ProcessorSection.Tls> tls = Optional.empty();
         if (form.tls() != null) {
--- a/src/main/java/pumicemoor/wire/ActionWriter.java
+++ b/src/main/java/pumicemoor/wire/ActionWriter.java
@@ -6,7 +6,6 @@
 import java.io.OutputStream;
 import java.util.Base64;
 import pumicemoor.RouterApi.Action;
-import pumicemoor.RouterApi.RequestMemberList;
 import pumicemoor.RouterApi.Cancel;
 import pumicemoor.RouterApi.CloseIdle;
 import pumicemoor.RouterApi.Fail;
@@ -15,8 +14,9 @@
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Probe;
 import pumicemoor.RouterApi.Refuse;
-import pumicemoor.RouterApi.SetTimer;
+import pumicemoor.RouterApi.RequestMemberList;
 import pumicemoor.RouterApi.SendToPeer;
+import pumicemoor.RouterApi.SetTimer;
 import pumicemoor.RouterApi.WatchMembers;
 
 /**
--- a/src/main/java/pumicemoor/wire/SettingsReader.java
+++ b/src/main/java/pumicemoor/wire/SettingsReader.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import pumicemoor.RouterApi.SlowStart;
-import pumicemoor.RouterApi.Idempotency;
+import pumicemoor.RouterApi.Costs;
+import pumicemoor.RouterApi.DeduplicationScope;
+import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Fills;
+import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Limits;
+import pumicemoor.RouterApi.LoadReportSource;
 import pumicemoor.RouterApi.LoadReports;
 import pumicemoor.RouterApi.Member;
-import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
-import pumicemoor.RouterApi.Costs;
-import pumicemoor.RouterApi.DeduplicationScope;
-import pumicemoor.RouterApi.LoadReportSource;
 import pumicemoor.RouterApi.RequestClass;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.Rules;
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.SiblingScope;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.WeightMeaning;
 
@@ -34,11 +34,19 @@
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
     private static final Map<String, SiblingScope> SIBLING_SCOPES =
             Map.of("none", SiblingScope.NONE, "location", SiblingScope.LOCATION, "any", SiblingScope.ANY);
-    private static final Map<String, FillReporting> FILL_REPORTINGS = Map.of("none", FillReporting.NONE, "hit", FillReporting.HIT_ONLY, "all", FillReporting.ALL);
+    private static final Map<String, FillReporting> FILL_REPORTINGS =
+            Map.of("none", FillReporting.NONE, "hit", FillReporting.HIT_ONLY, "all", FillReporting.ALL);
     private static final Map<String, LoadReportSource> LOAD_REPORT_SOURCES =
             Map.of("none", LoadReportSource.NONE, "probe", LoadReportSource.PROBE, "answers", LoadReportSource.ANSWER);
-    private static final Map<String, WeightMeaning> WEIGHT_MEANINGS =
-            Map.of("none", WeightMeaning.NONE, "nominal", WeightMeaning.NOMINAL, "rough", WeightMeaning.ROUGH, "live", WeightMeaning.LIVE);
+    private static final Map<String, WeightMeaning> WEIGHT_MEANINGS = Map.of(
+            "none",
+            WeightMeaning.NONE,
+            "nominal",
+            WeightMeaning.NOMINAL,
+            "rough",
+            WeightMeaning.ROUGH,
+            "live",
+            WeightMeaning.LIVE);
     private static final Map<String, State> MEMBER_STATES =
             Map.of("in_service", State.READY, "terminating", State.DRAINING, "terminated", State.GONE);
     private static final Map<Long, Outcome> OUTCOMES_BY_CODE = Map.of(
@@ -135,7 +143,9 @@
                         specifics.numbers("feed-kb-per-s").stream()
                                 .map(Number::doubleValue)
                                 .toList()),
-                new LoadReports(constant(LOAD_REPORT_SOURCES, telemetry.text("how", "none"), "how"), telemetry.texts("columns")),
+                new LoadReports(
+                        constant(LOAD_REPORT_SOURCES, telemetry.text("how", "none"), "how"),
+                        telemetry.texts("columns")),
                 info.text("discovery", "push").equals("ask"),
                 constant(WEIGHT_MEANINGS, info.text("weights", "none"), "weights"),
                 info.objectOrEmpty("clients").flag("marks-retry"));
@@ -185,7 +195,8 @@
         return index(zoneNames, name, "zone");
     }
 
-    private static RequestClass requestClass(JsonObject entry, JsonObject specifics, int index) throws InvalidInputException {
+    private static RequestClass requestClass(JsonObject entry, JsonObject specifics, int index)
+            throws InvalidInputException {
         return new RequestClass(
                 entry.text("name"),
                 entry.integer("aim-us"),
--- a/src/main/java/pumicemoor/wire/SimulatorAdapter.java
+++ b/src/main/java/pumicemoor/wire/SimulatorAdapter.java
@@ -19,14 +19,14 @@
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.PeerMessage;
 import pumicemoor.RouterApi.ProbeEnded;
 import pumicemoor.RouterApi.Purged;
-import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestAbandoned;
+import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.TimerDue;
 
@@ -65,7 +65,8 @@
         this(in, out, Logic::new);
     }
 
-    SimulatorAdapter(InputStream in, OutputStream out, BiFunction<Settings, Long, RouterApi> routerFactory) throws IOException {
+    SimulatorAdapter(InputStream in, OutputStream out, BiFunction<Settings, Long, RouterApi> routerFactory)
+            throws IOException {
         this.routerFactory = routerFactory;
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
@@ -122,8 +123,8 @@
             throw new InvalidInputException("batch " + nextRound + " opens within batch " + round);
         }
         if (anyBatchStarted && (nextRound != round + 1 || nextClockMicros < clockMicros)) {
-            throw new InvalidInputException("batch " + nextRound + " at " + nextClockMicros + " is out of order after batch " + round
-                    + " at " + clockMicros);
+            throw new InvalidInputException("batch " + nextRound + " at " + nextClockMicros
+                    + " is out of order after batch " + round + " at " + clockMicros);
         }
         clockMicros = nextClockMicros;
         round = nextRound;
@@ -146,7 +147,8 @@
         int number = (int) message.integer("router");
         Instance instance = instances.get(number);
         if (instance == null) {
-            throw new InvalidInputException("'" + message.text("msg") + "' for router " + number + ", which is not running");
+            throw new InvalidInputException(
+                    "'" + message.text("msg") + "' for router " + number + ", which is not running");
         }
         return instance;
     }
@@ -187,7 +189,11 @@
                         message.integer("time-left-us"),
                         message.flag("again-by-client"));
             case "Opened" ->
-                new AnswerStarted(message.text("id"), (int) message.integer("trial"), message.integer("server"), message.integer("lag-us"));
+                new AnswerStarted(
+                        message.text("id"),
+                        (int) message.integer("trial"),
+                        message.integer("server"),
+                        message.integer("lag-us"));
             case "Verdict" ->
                 new AttemptEnded(
                         message.text("id"),
@@ -208,13 +214,18 @@
                         message.objectOrEmpty("load").numbersByName());
             case "TickDue" -> new TimerDue(message.integer("cookie"));
             case "Invalidated" ->
-                new Purged(message.text("asset", null), (int) message.integer("set-no", -1), message.integer("how-old-us", 0));
-            case "FromPeer" -> new PeerMessage((int) message.integer("origin-peer"), decodeBase64(message.text("bytes", "")));
+                new Purged(
+                        message.text("asset", null),
+                        (int) message.integer("set-no", -1),
+                        message.integer("how-old-us", 0));
+            case "FromPeer" ->
+                new PeerMessage((int) message.integer("origin-peer"), decodeBase64(message.text("bytes", "")));
             default -> throw new InvalidInputException("unknown message '" + messageName + "'");
         };
     }
 
-    private MemberListUpdate memberListUpdate(JsonObject message, SettingsReader settings) throws InvalidInputException {
+    private MemberListUpdate memberListUpdate(JsonObject message, SettingsReader settings)
+            throws InvalidInputException {
         MemberListKind kind = LIST_KINDS.get(message.text("mode"));
         if (kind == null) {
             throw new InvalidInputException("field 'mode' has the unknown value '" + message.text("mode") + "'");
--- a/src/main/java/pumicemoor/wire/TopologyMessage.java
+++ b/src/main/java/pumicemoor/wire/TopologyMessage.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import pumicemoor.hierarchy.TopologyUpdate;
 import pumicemoor.hierarchy.Topology.Kind;
+import pumicemoor.hierarchy.TopologyUpdate;
 
 /**
  * A message about the topology of the hierarchy, which a coordinator that streams topology updates sends in the field
--- a/src/test/java/pumicemoor/DeparturesTest.java
+++ b/src/test/java/pumicemoor/DeparturesTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static pumicemoor.RouterHarness.MICROS_PER_MILLI;
 import static pumicemoor.RouterHarness.MICROS_PER_SECOND;
-import static pumicemoor.RouterHarness.onlyFetch;
 import static pumicemoor.RouterHarness.ofType;
+import static pumicemoor.RouterHarness.onlyFetch;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -24,8 +24,8 @@
 import pumicemoor.RouterApi.PeerMessage;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.RequestAbandoned;
-import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.SendToPeer;
+import pumicemoor.RouterApi.State;
 
 /** Tests each departure from the ordinary path: it happens under its condition and not otherwise. */
 class DeparturesTest {
@@ -75,7 +75,8 @@
         for (Fetch fetch : sent.subList(0, 8)) {
             next.addAll(router.endAttempt(fetch, 0, Outcome.OK, FillResult.FILLED));
         }
-        assertTrue(ofType(Fetch.class, next).stream().anyMatch(fetch -> fetch.id().equals(lookup.id())));
+        assertTrue(
+                ofType(Fetch.class, next).stream().anyMatch(fetch -> fetch.id().equals(lookup.id())));
     }
 
     @Test
@@ -84,8 +85,10 @@
         for (int i = 0; i < 30; i++) { // more than the largest requests may use of the initial limit of 48
             router.request("o" + i, RouterHarness.PAGE, 1_000);
         }
-        assertTrue(ofType(Fetch.class, router.request("large", RouterHarness.PAGE, 40_000)).isEmpty());
-        assertFalse(ofType(Fetch.class, router.request("small", RouterHarness.PAGE, 10)).isEmpty());
+        assertTrue(ofType(Fetch.class, router.request("large", RouterHarness.PAGE, 40_000))
+                .isEmpty());
+        assertFalse(ofType(Fetch.class, router.request("small", RouterHarness.PAGE, 10))
+                .isEmpty());
     }
 
     @Test
@@ -110,7 +113,15 @@
             List<Cancel> cancels = ofType(Cancel.class, router.handle(new RequestAbandoned(sent.id())));
             assertEquals(1, cancels.size());
             router.handle(new AttemptEnded(
-                    sent.id(), 0, sent.member(), Outcome.CANCELLED, 30 * MICROS_PER_MILLI, true, FillResult.NONE, 0, Map.of()));
+                    sent.id(),
+                    0,
+                    sent.member(),
+                    Outcome.CANCELLED,
+                    30 * MICROS_PER_MILLI,
+                    true,
+                    FillResult.NONE,
+                    0,
+                    Map.of()));
         }
         assertEquals(before, requestMany(router, 40).size());
     }
@@ -120,7 +131,15 @@
         RouterHarness router = new RouterHarness().addFleet(3, 2).start();
         Fetch sent = onlyFetch(router.request("a"));
         Fetch retry = onlyFetch(router.handle(new AttemptEnded(
-                sent.id(), 0, sent.member(), Outcome.ERROR, 2 * MICROS_PER_MILLI, false, FillResult.NONE, 0, Map.of())));
+                sent.id(),
+                0,
+                sent.member(),
+                Outcome.ERROR,
+                2 * MICROS_PER_MILLI,
+                false,
+                FillResult.NONE,
+                0,
+                Map.of())));
         assertEquals(sent.member(), retry.member());
     }
 
@@ -144,7 +163,15 @@
                 assertTrue(attempt < 4, "sent a fifth time");
                 Fetch sent = onlyFetch(actions);
                 actions = router.handle(new AttemptEnded(
-                        sent.id(), attempt, sent.member(), Outcome.ERROR, MICROS_PER_MILLI, false, FillResult.NONE, 0, Map.of()));
+                        sent.id(),
+                        attempt,
+                        sent.member(),
+                        Outcome.ERROR,
+                        MICROS_PER_MILLI,
+                        false,
+                        FillResult.NONE,
+                        0,
+                        Map.of()));
                 assertEquals(List.of(), ofType(Log.class, actions));
             }
             assertEquals(1, ofType(Refuse.class, actions).size());
@@ -166,7 +193,10 @@
         Fetch next = onlyFetch(router.request("a"));
         router.now += 100 * MICROS_PER_MILLI;
         assertEquals(
-                1, ofType(Log.class, router.endAttempt(next, 0, Outcome.RESET, FillResult.NONE)).size(), "ejected after another one");
+                1,
+                ofType(Log.class, router.endAttempt(next, 0, Outcome.RESET, FillResult.NONE))
+                        .size(),
+                "ejected after another one");
     }
 
     @Test
@@ -183,7 +213,10 @@
         assertNotEquals(home, onlyFetch(router.request("a")).member(), "ejected");
         router.now += 2 * MICROS_PER_SECOND;
         for (int i = 0; i < 4; i++) {
-            assertEquals(home, router.requestAndServe("a", FillResult.HIT).member(), "does not wait for a slow-start budget");
+            assertEquals(
+                    home,
+                    router.requestAndServe("a", FillResult.HIT).member(),
+                    "does not wait for a slow-start budget");
         }
     }
 
@@ -344,13 +377,18 @@
                         .router());
         router.handle(new PeerMessage(
                 7,
-                ofType(SendToPeer.class, router.endAttempt(onlyFetch(router.request("b")), 0, Outcome.OK, FillResult.FILLED))
+                ofType(
+                                SendToPeer.class,
+                                router.endAttempt(onlyFetch(router.request("b")), 0, Outcome.OK, FillResult.FILLED))
                         .get(0)
                         .payload()));
-        List<SendToPeer> sent = ofType(SendToPeer.class, router.endAttempt(onlyFetch(router.request("c")), 0, Outcome.OK, FillResult.FILLED));
+        List<SendToPeer> sent = ofType(
+                SendToPeer.class, router.endAttempt(onlyFetch(router.request("c")), 0, Outcome.OK, FillResult.FILLED));
         assertEquals(List.of(7), sent.stream().map(SendToPeer::router).toList());
         RouterHarness alone = withPeerMessages(1);
-        assertTrue(ofType(SendToPeer.class, alone.endAttempt(onlyFetch(alone.request("a")), 0, Outcome.OK, FillResult.FILLED))
+        assertTrue(ofType(
+                        SendToPeer.class,
+                        alone.endAttempt(onlyFetch(alone.request("a")), 0, Outcome.OK, FillResult.FILLED))
                 .isEmpty());
     }
 
@@ -378,11 +416,21 @@
             Fetch fetch = onlyFetch(router.request("o" + i, RouterHarness.PAGE, 0));
             router.advance(1_200 * MICROS_PER_MILLI);
             router.handle(new AttemptEnded(
-                    fetch.id(), 0, fetch.member(), Outcome.OK, 1_200 * MICROS_PER_MILLI, true, FillResult.HIT, 0, Map.of()));
+                    fetch.id(),
+                    0,
+                    fetch.member(),
+                    Outcome.OK,
+                    1_200 * MICROS_PER_MILLI,
+                    true,
+                    FillResult.HIT,
+                    0,
+                    Map.of()));
         }
         for (int i = 0; i < 6; i++) {
             assertEquals(
-                    1, ofType(Fetch.class, router.request("o" + i, RouterHarness.PAGE, 0)).size());
+                    1,
+                    ofType(Fetch.class, router.request("o" + i, RouterHarness.PAGE, 0))
+                            .size());
         }
     }
 
@@ -394,12 +442,13 @@
         for (int i = 0; i < 40; i++) {
             Fetch fetch = onlyFetch(router.request("o" + i));
             router.advance(fetch.source() == slow ? 4 * MICROS_PER_SECOND : 100 * MICROS_PER_MILLI);
-            router.endAttempt(fetch, 0, Outcome.OK, fetch.source() == slow ? FillResult.FILLED : FillResult.FILLED_BY_ORIGIN);
+            router.endAttempt(
+                    fetch, 0, Outcome.OK, fetch.source() == slow ? FillResult.FILLED : FillResult.FILLED_BY_ORIGIN);
         }
         int bypassed = 0;
         for (int i = 0; i < 30; i++) {
-            long home =
-                    onlyFetch(new RouterHarness().addFleet(1, 2).start().request("p" + i)).source();
+            long home = onlyFetch(new RouterHarness().addFleet(1, 2).start().request("p" + i))
+                    .source();
             for (Fetch fetch : ofType(Fetch.class, router.request("p" + i))) {
                 bypassed += home == slow && fetch.source() == 102 ? 1 : 0;
             }
--- a/src/test/java/pumicemoor/FleetDecisionsTest.java
+++ b/src/test/java/pumicemoor/FleetDecisionsTest.java
@@ -10,19 +10,19 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.Action;
-import pumicemoor.RouterApi.LimitShare;
-import pumicemoor.RouterApi.LimitSharesUpdate;
+import pumicemoor.RouterApi.EjectedMember;
+import pumicemoor.RouterApi.EjectionsUpdate;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.MemberHealthReport;
-import pumicemoor.RouterApi.Lookup;
+import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.RouterApi.LimitMeasure;
-import pumicemoor.RouterApi.EjectedMember;
+import pumicemoor.RouterApi.LimitShare;
+import pumicemoor.RouterApi.LimitSharesUpdate;
+import pumicemoor.RouterApi.Lookup;
+import pumicemoor.RouterApi.MemberHealthReport;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.State;
-import pumicemoor.RouterApi.EjectionsUpdate;
-import pumicemoor.RouterApi.LimitDemand;
 
 /** Tests how the decisions follow the fleet's limits and ejections. */
 class FleetDecisionsTest {
@@ -37,7 +37,8 @@
                                 .filter(fetch -> fetch.member() == member
                                         || fetch.source() == member
                                         || member == 900 && fetch.source() > 100 && !fetch.onlyIfCached()),
-                        RouterHarness.ofType(Lookup.class, actions).stream().filter(lookup -> lookup.member() == member))
+                        RouterHarness.ofType(Lookup.class, actions).stream()
+                                .filter(lookup -> lookup.member() == member))
                 .count();
     }
 
@@ -52,7 +53,8 @@
                     actions.addAll(router.endAttempt(
                             fetch,
                             (int) actions.subList(0, j).stream()
-                                    .filter(a -> a instanceof Fetch earlier && earlier.id().equals(fetch.id()))
+                                    .filter(a -> a instanceof Fetch earlier
+                                            && earlier.id().equals(fetch.id()))
                                     .count(),
                             Outcome.OK,
                             FillResult.FILLED));
@@ -91,13 +93,17 @@
         allActions.addAll(router.advance(4 * MICROS_PER_SECOND));
         long reaching = countReaching(allActions, 900);
         assertTrue(reaching <= 10 * 7.1 + 1 && reaching >= 25, () -> "reached " + reaching);
-        assertEquals(300, reaching + RouterHarness.ofType(Refuse.class, allActions).size(), "each request has exactly one end");
+        assertEquals(
+                300,
+                reaching + RouterHarness.ofType(Refuse.class, allActions).size(),
+                "each request has exactly one end");
     }
 
     @Test
     void afterItsExpiryALimitShareHasTheAmountForAfterwards() {
         RouterHarness router = withLimits();
-        router.handle(new LimitSharesUpdate(List.of(new LimitShare(900, LimitMeasure.PER_SECOND, 50, router.now + 2 * MICROS_PER_SECOND, 5))));
+        router.handle(new LimitSharesUpdate(
+                List.of(new LimitShare(900, LimitMeasure.PER_SECOND, 50, router.now + 2 * MICROS_PER_SECOND, 5))));
         long first = countReaching(simulateLoad(router, 200, RouterHarness.PAGE), 900);
         long afterExpiry = countReaching(simulateLoad(router, 400, RouterHarness.PAGE), 900);
         assertTrue(first > 60, () -> "first " + first);
@@ -113,7 +119,10 @@
         }
         assertEquals(2, countReaching(allActions, 900));
         Lookup first = RouterHarness.ofType(Lookup.class, allActions).get(0);
-        assertEquals(1, countReaching(router.endAttempt(first.id(), 0, 900, Outcome.OK, FillResult.NONE), 900), "the next is sent when one ends");
+        assertEquals(
+                1,
+                countReaching(router.endAttempt(first.id(), 0, 900, Outcome.OK, FillResult.NONE), 900),
+                "the next is sent when one ends");
         RouterHarness coldLimited = withLimits(new LimitShare(900, LimitMeasure.COLD_IN_FLIGHT, 2, Long.MAX_VALUE, 2));
         List<Action> coldActions = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -124,8 +133,8 @@
 
     @Test
     void trafficBetweenZonesStaysWithinItsLimitOfKilobytes() {
-        RouterHarness router =
-                withLimits(new LimitShare(LimitShare.ACROSS_ZONES, LimitMeasure.KB_PER_SECOND, 200, Long.MAX_VALUE, 200));
+        RouterHarness router = withLimits(
+                new LimitShare(LimitShare.ACROSS_ZONES, LimitMeasure.KB_PER_SECOND, 200, Long.MAX_VALUE, 200));
         java.util.Map<String, Integer> attempts = new java.util.HashMap<>();
         double crossedSoFar = 0;
         int sentLocally = 0;
@@ -161,7 +170,8 @@
     @Test
     void theReportedDemandIncludesRequestsThatTheLimitDenies() {
         RouterHarness router = withLimits(new LimitShare(900, LimitMeasure.PER_SECOND, 5, Long.MAX_VALUE, 5));
-        List<LimitDemand> demands = RouterHarness.ofType(LimitDemand.class, simulateLoad(router, 400, RouterHarness.WRITE));
+        List<LimitDemand> demands =
+                RouterHarness.ofType(LimitDemand.class, simulateLoad(router, 400, RouterHarness.WRITE));
         assertTrue(demands.size() >= 3);
         assertTrue(demands.get(2).demand() > 80, demands::toString);
         assertTrue(RouterHarness.ofType(LimitDemand.class, simulateLoad(withLimits(), 200, RouterHarness.WRITE))
--- a/src/test/java/pumicemoor/FleetTest.java
+++ b/src/test/java/pumicemoor/FleetTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
-import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Rules;
 import pumicemoor.RouterApi.SetTimer;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
 
@@ -40,8 +40,8 @@
 
     private record ScheduledTask(long at, long sequence, Runnable task) {}
 
-    private final PriorityQueue<ScheduledTask> tasks =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
     private final RouterHarness harness = new RouterHarness();
     private final List<Logic> routers = new ArrayList<>();
     private final Deque<Long> recentSends = new ArrayDeque<>();
@@ -106,7 +106,13 @@
                                 MemberListKind.DELTA,
                                 2,
                                 List.of(new Member(
-                                        draining.id(), draining.role(), draining.zone(), 0, 1, draining.startedAt(), State.DRAINING)))));
+                                        draining.id(),
+                                        draining.role(),
+                                        draining.zone(),
+                                        0,
+                                        1,
+                                        draining.startedAt(),
+                                        State.DRAINING)))));
             });
         }
         schedule(10 * MICROS_PER_SECOND, () -> {
@@ -118,7 +124,8 @@
                         .orElseThrow();
                 Member restartedMember = new Member(id, previous.role(), previous.zone(), 0, 1, now, State.READY);
                 harness.members.set(harness.members.indexOf(previous), restartedMember);
-                routers.forEach(r -> handle(r, new MemberListUpdate(MemberListKind.DELTA, 2, List.of(restartedMember))));
+                routers.forEach(
+                        r -> handle(r, new MemberListUpdate(MemberListKind.DELTA, 2, List.of(restartedMember))));
             }
         });
         while (!tasks.isEmpty() && tasks.peek().at < 1_020 * MICROS_PER_SECOND) {
@@ -141,8 +148,11 @@
     }
 
     private void handleFetch(Logic router, Fetch fetch) {
-        boolean timesOut = (fetch.member() != observedMember || now < restartedAt) && random.nextDouble() < timeoutShare;
-        if ((fetch.member() == observedMember || fetch.source() == observedMember) && now >= drainedAt && now < restartedAt) {
+        boolean timesOut =
+                (fetch.member() != observedMember || now < restartedAt) && random.nextDouble() < timeoutShare;
+        if ((fetch.member() == observedMember || fetch.source() == observedMember)
+                && now >= drainedAt
+                && now < restartedAt) {
             sentWhileDraining++;
         }
         if ((fetch.member() == observedMember || fetch.source() == observedMember) && now >= restartedAt) {
@@ -164,7 +174,9 @@
                                 timesOut ? Outcome.TIMEOUT : Outcome.OK,
                                 timesOut ? 2 * MICROS_PER_SECOND : TRANSFER_MICROS,
                                 true,
-                                timesOut ? FillResult.NONE : observedMember == RESTARTED_CACHE ? FillResult.HIT : FillResult.FILLED,
+                                timesOut
+                                        ? FillResult.NONE
+                                        : observedMember == RESTARTED_CACHE ? FillResult.HIT : FillResult.FILLED,
                                 0,
                                 Map.of())));
     }
@@ -176,7 +188,8 @@
         while (recentSends.peekFirst() <= now - rules.overloadWindow()) {
             recentSends.removeFirst();
         }
-        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * (now - restartedAt) / slowStart.rampDuration();
+        double share = slowStart.initialShare()
+                + (1 - slowStart.initialShare()) * (now - restartedAt) / slowStart.rampDuration();
         double budget = slowStart.overloadFactor() * share * observedTransfers * rules.overloadWindow();
         maxBudgetUse = Math.max(maxBudgetUse, recentSends.size() * TRANSFER_MICROS / budget);
     }
@@ -230,7 +243,9 @@
     void theRoutersOfALocationTogetherKeepToTheLimitsOfItsCaches(int localRouters) {
         // four caches of unknown capacity, each with an initial limit of 48 attempts
         simulate(localRouters, 3, 1, List.of());
-        assertTrue(maxOpenAttempts <= 400, maxOpenAttempts + " attempts were open at four caches that answer nothing in time");
+        assertTrue(
+                maxOpenAttempts <= 400,
+                maxOpenAttempts + " attempts were open at four caches that answer nothing in time");
     }
 
     /** A parent is sent fills by the routers of all locations, so its budget is divided among very many of them. */
--- a/src/test/java/pumicemoor/MixedConfigurationsTest.java
+++ b/src/test/java/pumicemoor/MixedConfigurationsTest.java
@@ -14,22 +14,22 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
-import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.PeerMessage;
 import pumicemoor.RouterApi.Refuse;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Rules;
+import pumicemoor.RouterApi.SendToPeer;
 import pumicemoor.RouterApi.SetTimer;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.State;
-import pumicemoor.RouterApi.SendToPeer;
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.WeightMeaning;
 
@@ -55,8 +55,8 @@
 
     private record Router(Logic logic, int configuration, int index) {}
 
-    private final PriorityQueue<ScheduledTask> tasks =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
     private final List<Router> routers = new ArrayList<>();
     private final Map<Long, Integer> activeTransfers = new HashMap<>();
     private final Map<String, Integer> finalAnswers = new HashMap<>();
@@ -96,7 +96,8 @@
         }
         for (long at = 0;
                 at < 22 * MICROS_PER_SECOND;
-                at += (long) (-Math.log(1 - random.nextDouble()) * TRANSFER_MICROS / (4 * CACHE_TRANSFERS * loadFactor))) {
+                at += (long)
+                        (-Math.log(1 - random.nextDouble()) * TRANSFER_MICROS / (4 * CACHE_TRANSFERS * loadFactor))) {
             schedule(at, () -> {
                 Router router = routers.get(random.nextInt(routers.size()));
                 String id = "r" + (requested[0] + requested[1]);
@@ -150,7 +151,9 @@
             } else if (action instanceof SendToPeer message) {
                 routers.stream()
                         .filter(r -> r != router && (message.router() < 0 || r.index == message.router()))
-                        .forEach(r -> schedule(5 * MICROS_PER_MILLI, () -> handle(r, new PeerMessage(router.index, message.payload()))));
+                        .forEach(r -> schedule(
+                                5 * MICROS_PER_MILLI,
+                                () -> handle(r, new PeerMessage(router.index, message.payload()))));
             }
         }
     }
@@ -165,7 +168,8 @@
         boolean pastGrace = drainedAt > 0 && now > drainedAt + 2 * MICROS_PER_SECOND;
         sentAfterDrainGrace += (member == DRAINING_CACHE || source == DRAINING_CACHE) && pastGrace ? 1 : 0;
         // the rule doesn't apply after the slow start
-        long slowStartEnd = restartedAt + oldConfiguration.settings().rules().cacheSlowStart().rampDuration();
+        long slowStartEnd = restartedAt
+                + oldConfiguration.settings().rules().cacheSlowStart().rampDuration();
         if ((member == RESTARTED_CACHE || source == RESTARTED_CACHE) && now >= restartedAt && now < slowStartEnd) {
             recordBudgetUse();
         }
@@ -175,7 +179,15 @@
                     () -> handle(
                             router,
                             new AttemptEnded(
-                                    id, attempt, member, Outcome.FULL, MICROS_PER_MILLI, false, FillResult.NONE, 0, Map.of())));
+                                    id,
+                                    attempt,
+                                    member,
+                                    Outcome.FULL,
+                                    MICROS_PER_MILLI,
+                                    false,
+                                    FillResult.NONE,
+                                    0,
+                                    Map.of())));
             return;
         }
         activeTransfers.merge(member, 1, Integer::sum);
@@ -183,7 +195,10 @@
             activeTransfers.merge(member, -1, Integer::sum);
             served[router.configuration]++;
             recordFinalAnswer(id);
-            handle(router, new AttemptEnded(id, attempt, member, Outcome.OK, TRANSFER_MICROS, true, FillResult.HIT, 0, Map.of()));
+            handle(
+                    router,
+                    new AttemptEnded(
+                            id, attempt, member, Outcome.OK, TRANSFER_MICROS, true, FillResult.HIT, 0, Map.of()));
         });
     }
 
@@ -194,9 +209,13 @@
         while (recentSends.peekFirst() <= now - rules.overloadWindow()) {
             recentSends.removeFirst();
         }
-        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * (now - restartedAt) / slowStart.rampDuration();
-        maxBudgetUse =
-                Math.max(maxBudgetUse, recentSends.size() * TRANSFER_MICROS / (slowStart.overloadFactor() * share * CACHE_TRANSFERS * rules.overloadWindow()));
+        double share = slowStart.initialShare()
+                + (1 - slowStart.initialShare()) * (now - restartedAt) / slowStart.rampDuration();
+        maxBudgetUse = Math.max(
+                maxBudgetUse,
+                recentSends.size()
+                        * TRANSFER_MICROS
+                        / (slowStart.overloadFactor() * share * CACHE_TRANSFERS * rules.overloadWindow()));
     }
 
     @Test
--- a/src/test/java/pumicemoor/RandomDaysTest.java
+++ b/src/test/java/pumicemoor/RandomDaysTest.java
@@ -15,26 +15,26 @@
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Cancel;
-import pumicemoor.RouterApi.SlowStart;
-import pumicemoor.RouterApi.Idempotency;
+import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
+import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.MemberListKind;
+import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
-import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
-import pumicemoor.RouterApi.DeduplicationScope;
-import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestAbandoned;
+import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.SetTimer;
 import pumicemoor.RouterApi.Settings;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.WeightMeaning;
@@ -62,8 +62,8 @@
 
     private record ScheduledTask(long at, long sequence, Runnable task) {}
 
-    private final PriorityQueue<ScheduledTask> tasks =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
     private final Map<String, TrackedRequest> requests = new HashMap<>();
     private final Map<Long, Long> leftAt = new HashMap<>();
     private final Map<Long, List<Long>> slowStartSends = new HashMap<>();
@@ -101,7 +101,8 @@
             harness.members.add(new Member(50 + i, Role.CACHE, RouterHarness.HUB, i, CACHE_WEIGHT, 0, State.READY));
         }
         for (int i = 1; i <= 3; i++) {
-            harness.members.add(new Member(100 + i, Role.PARENT, RouterHarness.HUB, 0, 4 * CACHE_WEIGHT, 0, State.READY));
+            harness.members.add(
+                    new Member(100 + i, Role.PARENT, RouterHarness.HUB, 0, 4 * CACHE_WEIGHT, 0, State.READY));
         }
         harness.members.add(new Member(900, Role.ORIGIN, RouterHarness.HUB, 0, CACHE_WEIGHT, 0, State.READY));
         start();
@@ -155,7 +156,9 @@
     private void sendRequest() {
         TrackedRequest request = new TrackedRequest();
         int requestClass = random.nextInt(10) == 0 ? RouterHarness.WRITE : RouterHarness.PAGE;
-        long timeLeft = random.nextInt(20) == 0 ? 10 * MICROS_PER_MILLI : (long) ((0.5 + random.nextDouble() / 2) * 5 * MICROS_PER_SECOND);
+        long timeLeft = random.nextInt(20) == 0
+                ? 10 * MICROS_PER_MILLI
+                : (long) ((0.5 + random.nextDouble() / 2) * 5 * MICROS_PER_SECOND);
         request.arrival = new RequestArrived(
                 "r" + requestCount++,
                 requestClass,
@@ -172,7 +175,9 @@
         handle(request.arrival);
         schedule(
                 timeLeft + settings.rules().answerSlack(),
-                () -> assertTrue(request.closed || requests.get(request.arrival.id()) != request, "not answered in time: " + request.arrival));
+                () -> assertTrue(
+                        request.closed || requests.get(request.arrival.id()) != request,
+                        "not answered in time: " + request.arrival));
         if (random.nextInt(30) == 0) {
             schedule((long) (random.nextDouble() * timeLeft), () -> abandon(request));
         }
@@ -193,7 +198,8 @@
         }
         State state = previous.state() == State.READY ? State.values()[1 + random.nextInt(2)] : State.READY;
         long started = state == State.READY && random.nextBoolean() ? now : previous.startedAt();
-        Member changed = new Member(previous.id(), previous.role(), previous.zone(), previous.cell(), previous.weight(), started, state);
+        Member changed = new Member(
+                previous.id(), previous.role(), previous.zone(), previous.cell(), previous.weight(), started, state);
         harness.members.set(index, changed);
         boolean snapshot = random.nextInt(4) == 0;
         leftAt.remove(previous.id());
@@ -204,7 +210,9 @@
             slowStartSends.put(previous.id(), new ArrayList<>());
         }
         handle(new MemberListUpdate(
-                snapshot ? MemberListKind.SNAPSHOT : MemberListKind.DELTA, 2, snapshot ? List.copyOf(harness.members) : List.of(changed)));
+                snapshot ? MemberListKind.SNAPSHOT : MemberListKind.DELTA,
+                2,
+                snapshot ? List.copyOf(harness.members) : List.of(changed)));
     }
 
     private void purgeObjectOrGroup() {
@@ -234,14 +242,17 @@
             assertTrue(
                     !request.mayHaveRun && request.open.isEmpty()
                             || request.idempotency == Idempotency.SAFE
-                            || request.idempotency == Idempotency.KEYED && request.deduplicationScope == DeduplicationScope.ALL,
+                            || request.idempotency == Idempotency.KEYED
+                                    && request.deduplicationScope == DeduplicationScope.ALL,
                     "refused a request that may have run: " + request.arrival);
         } else if (action instanceof Fail fail) {
             recordFinalAnswer(fail.id());
         } else if (action instanceof Cancel cancel) {
             assertTrue(harness.cancel);
             TrackedRequest request = requests.get(cancel.id());
-            schedule(2 * MICROS_PER_MILLI, () -> endAttempt(request, cancel.attempt(), Outcome.CANCELLED, FillResult.NONE, incarnation));
+            schedule(
+                    2 * MICROS_PER_MILLI,
+                    () -> endAttempt(request, cancel.attempt(), Outcome.CANCELLED, FillResult.NONE, incarnation));
         } else if (action instanceof SetTimer timer) {
             int incarnationThen = incarnation;
             schedule(timer.delay(), () -> {
@@ -266,14 +277,20 @@
     private void checkAttempt(String id, long target, long source) {
         TrackedRequest request = requests.get(id);
         assertTrue(request != null && !request.closed, "sent for a request that is closed");
-        assertTrue(request.idempotency == Idempotency.SAFE || !request.mayHaveRun && request.open.isEmpty(), "may run twice: " + request.arrival);
+        assertTrue(
+                request.idempotency == Idempotency.SAFE || !request.mayHaveRun && request.open.isEmpty(),
+                "may run twice: " + request.arrival);
         assertTrue(harness.hedging || request.open.isEmpty(), "two attempts at once");
         assertTrue(request.attempts < settings.limits().maxAttempts());
         Member member = member(target);
-        assertTrue(member.role() == Role.CACHE ? member.zone() == RouterHarness.HOME : harness.bypassCaches, "not allowed to send to " + member);
+        assertTrue(
+                member.role() == Role.CACHE ? member.zone() == RouterHarness.HOME : harness.bypassCaches,
+                "not allowed to send to " + member);
         for (long memberId : new long[] {target, source}) {
             Long leftSince = leftAt.get(memberId);
-            assertTrue(leftSince == null || now - leftSince <= settings.rules().drainGrace(), "sent to a member that has left: " + memberId);
+            assertTrue(
+                    leftSince == null || now - leftSince <= settings.rules().drainGrace(),
+                    "sent to a member that has left: " + memberId);
         }
         checkSlowStart(member(target));
         if (source != target && member(source).role() == Role.PARENT) {
@@ -286,8 +303,11 @@
         Outcome[] outcomes = Outcome.values();
         Outcome outcome = draw < 0.8 ? Outcome.OK : outcomes[1 + random.nextInt(outcomes.length - 3)];
         FillResult[] fillResults = FillResult.values();
-        FillResult fillResult = outcome == Outcome.OK ? fillResults[random.nextInt(6)] : fillResults[6 + random.nextInt(5)];
-        long duration = draw > 0.97 ? 10 * MICROS_PER_SECOND : (long) (random.nextDouble() * random.nextDouble() * 900 * MICROS_PER_MILLI);
+        FillResult fillResult =
+                outcome == Outcome.OK ? fillResults[random.nextInt(6)] : fillResults[6 + random.nextInt(5)];
+        long duration = draw > 0.97
+                ? 10 * MICROS_PER_SECOND
+                : (long) (random.nextDouble() * random.nextDouble() * 900 * MICROS_PER_MILLI);
         schedule(
                 Math.min(duration, request.deadline - now),
                 () -> endAttempt(
@@ -298,7 +318,8 @@
                         incarnationThen));
     }
 
-    private void endAttempt(TrackedRequest request, int attempt, Outcome outcome, FillResult fillResult, int incarnationThen) {
+    private void endAttempt(
+            TrackedRequest request, int attempt, Outcome outcome, FillResult fillResult, int incarnationThen) {
         if (incarnationThen != incarnation || !request.open.remove(attempt)) {
             return;
         }
@@ -313,15 +334,27 @@
                                 && fillResult.ordinal() < FillResult.SOURCE_REFUSED.ordinal()
                 ? fillResult
                 : FillResult.NONE;
-        handle(new AttemptEnded(request.arrival.id(), attempt, 1, outcome, 50 * MICROS_PER_MILLI, request.closed, reported, 0, Map.of()));
+        handle(new AttemptEnded(
+                request.arrival.id(),
+                attempt,
+                1,
+                outcome,
+                50 * MICROS_PER_MILLI,
+                request.closed,
+                reported,
+                0,
+                Map.of()));
     }
 
     private void checkPurges(Fetch fetch) {
         RequestArrived request = requests.get(fetch.id()).arrival;
         for (String key : List.of(request.object(), "group " + request.group())) {
             long[] at = purges.get(key);
-            if (at != null && now - at[0] < settings.rules().purgeSettleTime() && request.requestClass() == RouterHarness.PAGE) {
-                long maxAge = fetch.maxAge() > 0 ? fetch.maxAge() : harness.freshFor > 0 ? harness.freshFor : Long.MAX_VALUE;
+            if (at != null
+                    && now - at[0] < settings.rules().purgeSettleTime()
+                    && request.requestClass() == RouterHarness.PAGE) {
+                long maxAge =
+                        fetch.maxAge() > 0 ? fetch.maxAge() : harness.freshFor > 0 ? harness.freshFor : Long.MAX_VALUE;
                 assertTrue(maxAge <= Math.max(1, now - at[0]), "may be answered from before the purge of " + key);
             }
         }
@@ -331,15 +364,22 @@
     private void checkSlowStart(Member member) {
         List<Long> sent = slowStartSends.get(member.id());
         boolean parent = member.role() == Role.PARENT;
-        SlowStart slowStart = parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
+        SlowStart slowStart =
+                parent ? settings.rules().parentSlowStart() : settings.rules().cacheSlowStart();
         if (sent == null || member.role() == Role.ORIGIN || now - member.startedAt() > slowStart.rampDuration()) {
             return;
         }
         long window = settings.rules().overloadWindow();
         sent.removeIf(at -> at <= now - window);
         sent.add(now);
-        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * (now - member.startedAt()) / slowStart.rampDuration();
-        double budget = slowStart.overloadFactor() * share * member.weight() * window / (parent ? settings.routers() : harness.localRouters);
-        assertTrue(sent.size() * TRANSFER_MICROS <= budget + TRANSFER_MICROS, "overloaded " + member + ": " + sent.size());
+        double share = slowStart.initialShare()
+                + (1 - slowStart.initialShare()) * (now - member.startedAt()) / slowStart.rampDuration();
+        double budget = slowStart.overloadFactor()
+                * share
+                * member.weight()
+                * window
+                / (parent ? settings.routers() : harness.localRouters);
+        assertTrue(
+                sent.size() * TRANSFER_MICROS <= budget + TRANSFER_MICROS, "overloaded " + member + ": " + sent.size());
     }
 }
--- a/src/test/java/pumicemoor/RecordedChoicesTest.java
+++ b/src/test/java/pumicemoor/RecordedChoicesTest.java
@@ -15,12 +15,12 @@
 import pumicemoor.RouterApi.Cancel;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fetch;
+import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
-import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.RequestArrived;
@@ -71,7 +71,8 @@
         long[] now = {1_000_000_000L};
         java.util.function.Consumer<Event> handle = event -> logic.handle(now[0], event, action -> {
             lines.add(now[0] + " " + text(action) + "\n");
-            String id = action instanceof Fetch fetch ? fetch.id() : action instanceof Lookup lookup ? lookup.id() : null;
+            String id =
+                    action instanceof Fetch fetch ? fetch.id() : action instanceof Lookup lookup ? lookup.id() : null;
             if (id != null) {
                 open.add(new OpenAttempt(
                         id,
@@ -83,7 +84,9 @@
                 open.stream()
                         .filter(attempt -> attempt.id().equals(cancel.id()) && attempt.attempt() == cancel.attempt())
                         .toList()
-                        .forEach(attempt -> open.set(open.indexOf(attempt), new OpenAttempt(attempt.id(), attempt.attempt(), attempt.member(), -1)));
+                        .forEach(attempt -> open.set(
+                                open.indexOf(attempt),
+                                new OpenAttempt(attempt.id(), attempt.attempt(), attempt.member(), -1)));
             }
         });
         handle.accept(new MemberListUpdate(MemberListKind.SNAPSHOT, 1, List.copyOf(harness.members)));
--- a/src/test/java/pumicemoor/RouterHarness.java
+++ b/src/test/java/pumicemoor/RouterHarness.java
@@ -5,29 +5,29 @@
 import java.util.Map;
 import pumicemoor.RouterApi.Action;
 import pumicemoor.RouterApi.AttemptEnded;
-import pumicemoor.RouterApi.SlowStart;
-import pumicemoor.RouterApi.Idempotency;
+import pumicemoor.RouterApi.Costs;
+import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.Fetch;
+import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.FillResult;
 import pumicemoor.RouterApi.Fills;
+import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Limits;
-import pumicemoor.RouterApi.MemberListKind;
+import pumicemoor.RouterApi.LoadReportSource;
 import pumicemoor.RouterApi.LoadReports;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
-import pumicemoor.RouterApi.FillReporting;
 import pumicemoor.RouterApi.Outcome;
-import pumicemoor.RouterApi.Costs;
-import pumicemoor.RouterApi.DeduplicationScope;
-import pumicemoor.RouterApi.LoadReportSource;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestClass;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.Rules;
 import pumicemoor.RouterApi.Settings;
 import pumicemoor.RouterApi.SiblingScope;
+import pumicemoor.RouterApi.SlowStart;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.RouterApi.WeightMeaning;
@@ -109,7 +109,15 @@
                 List.of(HUB, HUB),
                 classes,
                 new Limits(
-                        maxAttempts, 1000, probes, peerMessages, cancel, hedging, retryAfter, 500 * MICROS_PER_MILLI, 400 * MICROS_PER_MILLI),
+                        maxAttempts,
+                        1000,
+                        probes,
+                        peerMessages,
+                        cancel,
+                        hedging,
+                        retryAfter,
+                        500 * MICROS_PER_MILLI,
+                        400 * MICROS_PER_MILLI),
                 new Rules(
                         8 * MICROS_PER_MILLI,
                         2 * MICROS_PER_SECOND,
@@ -152,7 +160,8 @@
 
     List<Action> changeMember(long id, State state, long started) {
         Member previous = members.stream().filter(m -> m.id() == id).findFirst().orElseThrow();
-        Member changed = new Member(id, previous.role(), previous.zone(), previous.cell(), previous.weight(), started, state);
+        Member changed =
+                new Member(id, previous.role(), previous.zone(), previous.cell(), previous.weight(), started, state);
         members.set(members.indexOf(previous), changed);
         return handle(new MemberListUpdate(MemberListKind.DELTA, 2, List.of(changed)));
     }
@@ -193,8 +202,8 @@
     }
 
     List<Action> endAttempt(String id, int attempt, long member, Outcome outcome, FillResult fillResult) {
-        return handle(
-                new AttemptEnded(id, attempt, member, outcome, 100 * MICROS_PER_MILLI, outcome == Outcome.OK, fillResult, 0, Map.of()));
+        return handle(new AttemptEnded(
+                id, attempt, member, outcome, 100 * MICROS_PER_MILLI, outcome == Outcome.OK, fillResult, 0, Map.of()));
     }
 
     /** Requests an object, answers the attempt after 100 ms, and returns the fetch. */
--- a/src/test/java/pumicemoor/RulesTest.java
+++ b/src/test/java/pumicemoor/RulesTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static pumicemoor.RouterHarness.MICROS_PER_MILLI;
 import static pumicemoor.RouterHarness.MICROS_PER_SECOND;
+import static pumicemoor.RouterHarness.ofType;
 import static pumicemoor.RouterHarness.onlyFetch;
 import static pumicemoor.RouterHarness.onlyLookup;
-import static pumicemoor.RouterHarness.ofType;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,16 +15,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import pumicemoor.RouterApi.Action;
-import pumicemoor.RouterApi.Idempotency;
+import pumicemoor.RouterApi.DeduplicationScope;
+import pumicemoor.RouterApi.DiscoveryHeartbeat;
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
+import pumicemoor.RouterApi.Idempotency;
 import pumicemoor.RouterApi.Lookup;
-import pumicemoor.RouterApi.DiscoveryHeartbeat;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
-import pumicemoor.RouterApi.DeduplicationScope;
 import pumicemoor.RouterApi.RequestAbandoned;
 import pumicemoor.RouterApi.State;
 
@@ -32,7 +32,8 @@
 class RulesTest {
 
     private static int finalAnswers(List<Action> actions) {
-        return ofType(Refuse.class, actions).size() + ofType(Fail.class, actions).size();
+        return ofType(Refuse.class, actions).size()
+                + ofType(Fail.class, actions).size();
     }
 
     @Test
@@ -86,7 +87,9 @@
             assertEquals(0, ofType(Fail.class, next).size());
         } else {
             assertEquals(
-                    0, ofType(Lookup.class, next).size() + ofType(Fetch.class, next).size());
+                    0,
+                    ofType(Lookup.class, next).size()
+                            + ofType(Fetch.class, next).size());
             assertEquals(0, ofType(Refuse.class, next).size());
             assertEquals(1, ofType(Fail.class, next).size());
         }
@@ -101,8 +104,12 @@
         router.addFleet(3, 2).start();
         List<Action> next = router.endAttempt(onlyFetch(router.request("a")), 0, Outcome.RESET, FillResult.NONE);
         assertEquals(0, ofType(Fetch.class, next).size());
-        assertEquals(scope == DeduplicationScope.ALL ? 1 : 0, ofType(Refuse.class, next).size());
-        assertEquals(scope == DeduplicationScope.ALL ? 0 : 1, ofType(Fail.class, next).size());
+        assertEquals(
+                scope == DeduplicationScope.ALL ? 1 : 0,
+                ofType(Refuse.class, next).size());
+        assertEquals(
+                scope == DeduplicationScope.ALL ? 0 : 1,
+                ofType(Fail.class, next).size());
     }
 
     @Test
@@ -176,7 +183,9 @@
         assertEquals(0, onlyFetch(router.request("a")).maxAge(), "a copy is fresh until it is purged");
         router.now += 4 * MICROS_PER_SECOND;
         assertEquals(
-                7 * MICROS_PER_SECOND, onlyFetch(router.request("b")).maxAge(), "a purge of 8.5 s ago counts as delivered, one of 6 s ago does not");
+                7 * MICROS_PER_SECOND,
+                onlyFetch(router.request("b")).maxAge(),
+                "a purge of 8.5 s ago counts as delivered, one of 6 s ago does not");
         router.handle(new Purged("c", 4, 2 * MICROS_PER_SECOND));
         assertEquals(2 * MICROS_PER_SECOND, onlyFetch(router.request("c")).maxAge());
         router.handle(new DiscoveryHeartbeat());
--- a/src/test/java/pumicemoor/ShrunkenFleetTest.java
+++ b/src/test/java/pumicemoor/ShrunkenFleetTest.java
@@ -28,7 +28,8 @@
         for (int step = 0; step < 60; step++) {
             for (Fetch fetch : ofType(Fetch.class, seen)
                     .subList(attempts, ofType(Fetch.class, seen).size())) {
-                seen.addAll(router.endAttempt(fetch.id(), attempts++, fetch.member(), Outcome.MISS, FillResult.SOURCE_MISS));
+                seen.addAll(router.endAttempt(
+                        fetch.id(), attempts++, fetch.member(), Outcome.MISS, FillResult.SOURCE_MISS));
             }
             seen.addAll(router.advance(100 * MICROS_PER_MILLI));
         }
--- a/src/test/java/pumicemoor/SourcesBenchmark.java
+++ b/src/test/java/pumicemoor/SourcesBenchmark.java
@@ -20,14 +20,14 @@
 import pumicemoor.RouterApi.AttemptEnded;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
+import pumicemoor.RouterApi.FillSource;
+import pumicemoor.RouterApi.FillSources;
+import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.FillSource;
-import pumicemoor.RouterApi.FillSources;
-import pumicemoor.RouterApi.FillSourcesUpdate;
 
 /**
  * Measures the time that the decision module takes for one request, from its arrival to its end, with a given number of
@@ -76,7 +76,9 @@
         if (!given.equals("none")) {
             Map<Long, FillSources> lists = new HashMap<>();
             List<FillSource> previous = given.equals("moving") ? sources(1_004, 0) : List.of();
-            lists.put(FillSourcesUpdate.LOCATION, new FillSources(sources(1_000, now), previous, previous, false, List.of()));
+            lists.put(
+                    FillSourcesUpdate.LOCATION,
+                    new FillSources(sources(1_000, now), previous, previous, false, List.of()));
             for (int i = 0; i < hubs; i++) {
                 lists.put(
                         1_000L + i,
@@ -96,11 +98,12 @@
         now += 1_000;
         String id = Long.toString(++requestCount);
         lastFetch = null;
-        logic.handle(now, new RequestArrived(id, 0, "o" + requestCount % 5_000, 0, 4, 1_000, 5_000_000, false), action -> {
-            if (action instanceof Fetch fetch) {
-                lastFetch = fetch;
-            }
-        });
+        logic.handle(
+                now, new RequestArrived(id, 0, "o" + requestCount % 5_000, 0, 4, 1_000, 5_000_000, false), action -> {
+                    if (action instanceof Fetch fetch) {
+                        lastFetch = fetch;
+                    }
+                });
         if (lastFetch != null) {
             logic.handle(
                     now + 500,
--- a/src/test/java/pumicemoor/SourcesTest.java
+++ b/src/test/java/pumicemoor/SourcesTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
-import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.FillSource;
 import pumicemoor.RouterApi.FillSources;
 import pumicemoor.RouterApi.FillSourcesUpdate;
+import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.State;
 
 /** Tests how the decisions use configured fill sources in place of the listed parents. */
@@ -73,9 +73,13 @@
     private static List<Set<Integer>> migrate(boolean reverting, double initialShare) {
         RouterHarness router = new RouterHarness().addFleet(4, 4).start();
         long start = router.now;
-        List<FillSource> current = List.of(new FillSource(101, 1, initialShare, start, start + 100 * MICROS_PER_SECOND));
+        List<FillSource> current =
+                List.of(new FillSource(101, 1, initialShare, start, start + 100 * MICROS_PER_SECOND));
         router.handle(new FillSourcesUpdate(
-                1, Map.of(FillSourcesUpdate.LOCATION, new FillSources(current, equalSources(102), equalSources(102), reverting, List.of()))));
+                1,
+                Map.of(
+                        FillSourcesUpdate.LOCATION,
+                        new FillSources(current, equalSources(102), equalSources(102), reverting, List.of()))));
         List<Set<Integer>> migrated = new java.util.ArrayList<>();
         for (int tenth = 0; tenth <= 10; tenth++) {
             Set<Integer> atNewParent = new HashSet<>();
@@ -115,7 +119,8 @@
                 notMigrated.add(i);
             }
         }
-        assertEquals(notMigrated, migratedAtReversal, "the reversal keeps the objects that had not migrated where they are");
+        assertEquals(
+                notMigrated, migratedAtReversal, "the reversal keeps the objects that had not migrated where they are");
     }
 
     @Test
@@ -132,7 +137,9 @@
     @Test
     void aMigratedObjectIsFilledFromItsOldHomeThroughTheNewOne() {
         Map<Long, FillSources> lists = new HashMap<>();
-        lists.put(FillSourcesUpdate.LOCATION, new FillSources(equalSources(101), List.of(), equalSources(102), false, List.of()));
+        lists.put(
+                FillSourcesUpdate.LOCATION,
+                new FillSources(equalSources(101), List.of(), equalSources(102), false, List.of()));
         lists.put(101L, new FillSources(equalSources(900), List.of(), List.of(), false, List.of(102L)));
         lists.put(102L, sources(900));
         RouterHarness router = withSources(lists);
--- a/src/test/java/pumicemoor/calls/AdmissionTest.java
+++ b/src/test/java/pumicemoor/calls/AdmissionTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import pumicemoor.calls.CallRules.RequestAttributes;
 import pumicemoor.calls.CallRules.NoRule;
+import pumicemoor.calls.CallRules.RequestAttributes;
 import pumicemoor.calls.CallRules.Rule;
-import pumicemoor.calls.FairAdmission.Limits;
 import pumicemoor.calls.FairAdmission.Decision;
+import pumicemoor.calls.FairAdmission.Limits;
 
 /** Tests the rules that classify calls, their admission, and the registry of calls that must not run twice. */
 class AdmissionTest {
@@ -101,11 +101,18 @@
         assertEquals(
                 Optional.of(new RequestAttributes("film", "a", 2, 9)),
                 rules.match("GET", "/v/a/2?q", Map.of("x-kind", "film", "x-lot", "9")));
-        assertEquals(Optional.of(new RequestAttributes("video", "a", 2, -1)), rules.match("GET", "/v/a/2", Map.of("x-lot", "9")));
-        assertEquals(Optional.of(new RequestAttributes("page", "/any/x", 0, -1)), rules.match("PUT", "/any/x", Map.of()));
+        assertEquals(
+                Optional.of(new RequestAttributes("video", "a", 2, -1)),
+                rules.match("GET", "/v/a/2", Map.of("x-lot", "9")));
+        assertEquals(
+                Optional.of(new RequestAttributes("page", "/any/x", 0, -1)), rules.match("PUT", "/any/x", Map.of()));
         assertEquals(Optional.empty(), rules.match("PUT", "/v/a/2", Map.of()));
-        assertEquals(Optional.empty(), rules.match("GET", "/v/a/99999999999", Map.of()), "a part that does not fit an int");
-        assertEquals(Optional.empty(), rules.match("GET", "/v/" + "a".repeat(300) + "/1", Map.of()), "an object name over the maximum length");
+        assertEquals(
+                Optional.empty(), rules.match("GET", "/v/a/99999999999", Map.of()), "a part that does not fit an int");
+        assertEquals(
+                Optional.empty(),
+                rules.match("GET", "/v/" + "a".repeat(300) + "/1", Map.of()),
+                "an object name over the maximum length");
         assertEquals(Optional.empty(), rules.match("GET", "/v/a/2", Map.of("x-kind", "film", "x-lot", "300")));
     }
 
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -11,9 +11,9 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import pumicemoor.calls.CallState.StreamAction;
 import pumicemoor.calls.CallState.Code;
 import pumicemoor.calls.CallState.Phase;
+import pumicemoor.calls.CallState.StreamAction;
 import pumicemoor.calls.CallState.Style;
 
 /**
@@ -52,13 +52,19 @@
                 } else if (act instanceof StreamAction.AnnounceAttempt) {
                     announcements++;
                     assertEquals(0, finalAnswers);
-                    assertTrue(style == Style.REPORTER || announcements == 1, "a proxy receives one attempt at most: " + acts);
+                    assertTrue(
+                            style == Style.REPORTER || announcements == 1,
+                            "a proxy receives one attempt at most: " + acts);
                 } else if (act instanceof StreamAction.SendFinalAnswer) {
                     finalAnswers++;
                     assertEquals(1, finalAnswers, acts.toString());
-                    assertTrue(style == Style.REPORTER || announcements == 0, "a proxy receives either an attempt or a final answer: " + acts);
+                    assertTrue(
+                            style == Style.REPORTER || announcements == 0,
+                            "a proxy receives either an attempt or a final answer: " + acts);
                 } else if (act instanceof StreamAction.ReportAttemptEnd end) {
-                    assertTrue(requestOpen && attemptOpen && end.attempt() == attempts - 1, "one end for each attempt: " + acts);
+                    assertTrue(
+                            requestOpen && attemptOpen && end.attempt() == attempts - 1,
+                            "one end for each attempt: " + acts);
                     attemptOpen = false;
                 } else if (act instanceof StreamAction.Withdraw) {
                     assertTrue(requestOpen, "withdrawn once, while the request is open: " + acts);
@@ -131,7 +137,9 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(List.of(), state.halfClosed());
-        assertEquals(List.of(new StreamAction.AnnounceAttempt(0), new StreamAction.Withdraw(), new StreamAction.Complete()), state.attemptAnnounced(0));
+        assertEquals(
+                List.of(new StreamAction.AnnounceAttempt(0), new StreamAction.Withdraw(), new StreamAction.Complete()),
+                state.attemptAnnounced(0));
     }
 
     @Test
@@ -139,7 +147,10 @@
         CallState state = new CallState(Style.PROXY);
         state.request();
         assertEquals(
-                List.of(new StreamAction.SendFinalAnswer(Code.REFUSED, 9), new StreamAction.Withdraw(), new StreamAction.Complete()),
+                List.of(
+                        new StreamAction.SendFinalAnswer(Code.REFUSED, 9),
+                        new StreamAction.Withdraw(),
+                        new StreamAction.Complete()),
                 state.messageTimeUp(9));
         assertEquals(List.of(), state.attemptAnnounced(0));
         assertFalse(state.mayHaveRun());
@@ -152,6 +163,8 @@
         state.attemptAnnounced(0);
         assertEquals(List.of(), state.finalAnswer(Code.FAILED, 0));
         assertEquals(
-                List.of(new StreamAction.PassThrough()), state.response(-1, false), "the response is passed through, the request is closed already");
+                List.of(new StreamAction.PassThrough()),
+                state.response(-1, false),
+                "the response is passed through, the request is closed already");
     }
 }
--- a/src/test/java/pumicemoor/cli/MainTest.java
+++ b/src/test/java/pumicemoor/cli/MainTest.java
@@ -118,7 +118,9 @@
         while (!count.equals(expectedCount)) {
             assertTrue(router.isAlive(), "SIGHUP ended the router");
             try (FrameClient client = new FrameClient("127.0.0.1", port)) {
-                count = client.request(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE).fields().get(counter);
+                count = client.request(READY_REQUEST_TYPE, Map.of("counters", "1"), READY_ANSWER_TYPE)
+                        .fields()
+                        .get(counter);
             }
         }
     }
@@ -161,7 +163,10 @@
                         config, NodeTestConfig.json("127.0.0.1:" + port, "127.0.0.1:" + newCoordinator.getLocalPort()));
                 reload(router, port, "reloads", "1");
                 newCoordinator.setSoTimeout(20_000);
-                assertEquals('G', newCoordinator.accept().getInputStream().read(), "the router connects to the new coordinator");
+                assertEquals(
+                        'G',
+                        newCoordinator.accept().getInputStream().read(),
+                        "the router connects to the new coordinator");
             } finally {
                 router.destroy();
             }
@@ -236,7 +241,10 @@
             for (String command : new String[] {"check-config", "serve"}) {
                 Result result = run(configAndField[0], command);
                 assertEquals(1, result.code(), configAndField[1]);
-                assertTrue(result.err().contains(configAndField[1]) && result.err().lines().count() == 1, result.err());
+                assertTrue(
+                        result.err().contains(configAndField[1])
+                                && result.err().lines().count() == 1,
+                        result.err());
             }
         }
         assertEquals(1, run(null, "serve").code());
--- a/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
+++ b/src/test/java/pumicemoor/extproc/ProcessorFrontTest.java
@@ -156,8 +156,8 @@
 
     private static HttpHeaders http(Map<String, String> headers) {
         HeaderMap.Builder map = HeaderMap.newBuilder();
-        headers.forEach(
-                (name, value) -> map.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value))));
+        headers.forEach((name, value) ->
+                map.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value))));
         return HttpHeaders.newBuilder().setHeaders(map).build();
     }
 
@@ -170,7 +170,8 @@
                 .getHeaderMutation()
                 .getSetHeadersList()
                 .forEach(header -> headers.put(
-                        header.getHeader().getKey(), header.getHeader().getRawValue().toStringUtf8()));
+                        header.getHeader().getKey(),
+                        header.getHeader().getRawValue().toStringUtf8()));
         return headers;
     }
 
@@ -203,7 +204,8 @@
         awaitNoOpenCalls();
         assertEquals(0, server.counters().get(pumicemoor.node.Counters.Name.FAULTS));
         Call again = new Call().request("GET", "/video/00af/3", "r-2", 1);
-        assertEquals(headers.get("x-pumicemoor-cache"), attemptHeaders(again.next()).get("x-pumicemoor-cache"));
+        assertEquals(
+                headers.get("x-pumicemoor-cache"), attemptHeaders(again.next()).get("x-pumicemoor-cache"));
         again.out.onCompleted();
         assertEquals(Status.Code.OK, again.endCode());
     }
@@ -275,7 +277,10 @@
         first.out.onCompleted();
         first.endCode();
         Call second = new Call().request("GET", "/video/aa/0", "r-1", 2);
-        assertEquals("1", attemptHeaders(second.next()).get("x-pumicemoor-attempt"), "the retry belongs to the same request");
+        assertEquals(
+                "1",
+                attemptHeaders(second.next()).get("x-pumicemoor-attempt"),
+                "the retry belongs to the same request");
         second.response("200");
         second.next();
         second.out.onCompleted();
@@ -299,7 +304,10 @@
             Thread.sleep(5);
         }
         Call later = new Call().request("POST", "/book/1", "b-1", 2);
-        assertEquals("0", attemptHeaders(later.next()).get("x-pumicemoor-attempt"), "the first request never ran, so this is a new one");
+        assertEquals(
+                "0",
+                attemptHeaders(later.next()).get("x-pumicemoor-attempt"),
+                "the first request never ran, so this is a new one");
         assertEquals(1, state("ids-kept"));
     }
 
--- a/src/test/java/pumicemoor/extproc/TlsTest.java
+++ b/src/test/java/pumicemoor/extproc/TlsTest.java
@@ -57,7 +57,11 @@
         X500Name issuer = new X500Name("CN="
                 + (issuerKey == null
                         ? name
-                        : issuerKey.certificate().getSubjectX500Principal().getName().substring(3)));
+                        : issuerKey
+                                .certificate()
+                                .getSubjectX500Principal()
+                                .getName()
+                                .substring(3)));
         JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(
                 issuer,
                 BigInteger.valueOf(serial++),
@@ -170,7 +174,8 @@
             assertEquals("s-1", ask(first).getNamed().getCache(), "the open connection stays in use");
             ManagedChannel second = channel(front.port(), "other", "proxy");
             try {
-                assertEquals("s-1", ask(second).getNamed().getCache(), "new handshakes use the certificates loaded last");
+                assertEquals(
+                        "s-1", ask(second).getNamed().getCache(), "new handshakes use the certificates loaded last");
             } finally {
                 second.shutdownNow();
             }
--- a/src/test/java/pumicemoor/fleet/CellVotesTest.java
+++ b/src/test/java/pumicemoor/fleet/CellVotesTest.java
@@ -19,8 +19,10 @@
 class CellVotesTest {
 
     private static final long LEASE_MICROS = 1_000;
-    private static final long CELL_VOTE_MICROS = 3 * LEASE_MICROS; // how long a vote binds a router to its cell's grantor
-    private static final long UPPER_VOTE_MICROS = 2 * LEASE_MICROS; // how long a vote binds a cell's grantor to the leader
+    private static final long CELL_VOTE_MICROS =
+            3 * LEASE_MICROS; // how long a vote binds a router to its cell's grantor
+    private static final long UPPER_VOTE_MICROS =
+            2 * LEASE_MICROS; // how long a vote binds a cell's grantor to the leader
 
     @Test
     void votesCountWithTheirWeightAndTheOwnVoteWithItsBacking() {
@@ -30,11 +32,16 @@
         leader.receiveReport("a", 1, true, 1, 0, 4);
         assertFalse(leader.inOffice(2_100, 10, new LeaderElection.Backing(1, 9)), "five of ten are not more than half");
         assertTrue(
-                leader.inOffice(2_100, 9, LeaderElection.Backing.ONE) || leader.ownTerm() == 1, "five of nine are, so a term begins");
+                leader.inOffice(2_100, 9, LeaderElection.Backing.ONE) || leader.ownTerm() == 1,
+                "five of nine are, so a term begins");
         assertEquals(1, leader.ownTerm());
         leader.receiveReport("a", 1, true, 1, 1, 4);
-        assertTrue(leader.inOffice(2_100, 9, new LeaderElection.Backing(1, 1)), "now more than half of the routers know the term");
-        assertFalse(leader.inOffice(2_100, 9, new LeaderElection.Backing(1, 0)), "four of nine routers that know the term are not enough");
+        assertTrue(
+                leader.inOffice(2_100, 9, new LeaderElection.Backing(1, 1)),
+                "now more than half of the routers know the term");
+        assertFalse(
+                leader.inOffice(2_100, 9, new LeaderElection.Backing(1, 0)),
+                "four of nine routers that know the term are not enough");
         assertFalse(leader.inOffice(4_000, 9, new LeaderElection.Backing(1, 1)), "a vote expires, whatever its weight");
     }
 
@@ -46,7 +53,8 @@
         leader.recordSent(3_000, "a", 2);
         leader.receiveReport("a", 1, true, 2, 0, 3);
         leader.receiveReport("a", 1, true, 1, 0, 9); // an older report for more routers that arrives late
-        assertFalse(leader.inOffice(3_100, 10, LeaderElection.Backing.ONE), "at most three are bound until the later end");
+        assertFalse(
+                leader.inOffice(3_100, 10, LeaderElection.Backing.ONE), "at most three are bound until the later end");
         leader.receiveReport("a", 1, true, 1, 0, 2);
         leader.inOffice(3_100, 6, LeaderElection.Backing.ONE);
         assertEquals(0, leader.ownTerm(), "two votes and its own are not more than half of six");
@@ -189,7 +197,18 @@
             Process to = all.get(process.grantorIndex);
             boolean vote = process.cellElection.vote(now, to.name, to.instance);
             if (to != process) {
-                send(inFlight, random, now, ++number, process, process.cellElection, to, to.cellElection, vote, process.cellElection.term(), 1);
+                send(
+                        inFlight,
+                        random,
+                        now,
+                        ++number,
+                        process,
+                        process.cellElection,
+                        to,
+                        to.cellElection,
+                        vote,
+                        process.cellElection.term(),
+                        1);
             } else {
                 to = all.get(process.leaderIndex);
                 vote = process.upperElection.vote(now, to.name, to.instance);
@@ -233,8 +252,10 @@
 
     /** Chooses a router of its cell as the grantor, mostly the first one. */
     private static void chooseGrantor(Process process, List<Process> all, Random random) {
-        List<Process> cellMembers = all.stream().filter(m -> m.cell == process.cell).toList();
-        process.grantorIndex = all.indexOf(cellMembers.get(random.nextInt(4) == 0 ? random.nextInt(cellMembers.size()) : 0));
+        List<Process> cellMembers =
+                all.stream().filter(m -> m.cell == process.cell).toList();
+        process.grantorIndex =
+                all.indexOf(cellMembers.get(random.nextInt(4) == 0 ? random.nextInt(cellMembers.size()) : 0));
     }
 
     private static void send(
--- a/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/DrainFaultsTest.java
@@ -57,7 +57,12 @@
         assertTrue(run.everOut.isEmpty());
         assertEquals(
                 "not-taken",
-                minority.get(0).fleet.rows("drain-requests").orElseThrow().get(0).get("state"));
+                minority.get(0)
+                        .fleet
+                        .rows("drain-requests")
+                        .orElseThrow()
+                        .get(0)
+                        .get("state"));
         run.fleet.cut = (a, b) -> false;
         run.runToEnd(200 * SECOND);
         assertEquals(8, run.everOut.size(), "the command was kept and reported again");
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -12,8 +12,8 @@
 import java.util.stream.Collectors;
 import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.fleet.VirtualFleet.Router;
-import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.drains.DrainOrder;
+import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.drains.Phase;
 import pumicemoor.fleet.drains.Plan;
 
@@ -51,7 +51,8 @@
         this.minServing = minServing;
         this.random = new Random(seed);
         fleet = new VirtualFleet(routers, routers, caches, LimitMeasure.PER_SECOND, 1_000, seed);
-        fleet.drains = Optional.of(new DrainTimes(200 * MILLI, MAX_ATTEMPT_MICROS, goneMicros, 60 * SECOND, WARM_UP_MICROS, WARM_UP_MICROS));
+        fleet.drains = Optional.of(new DrainTimes(
+                200 * MILLI, MAX_ATTEMPT_MICROS, goneMicros, 60 * SECOND, WARM_UP_MICROS, WARM_UP_MICROS));
         fleet.startAll();
     }
 
@@ -86,9 +87,9 @@
                 ended(),
                 () -> "not ended after " + timeout / SECOND + " s: "
                         + fleet.routers.stream()
-                                .map(router ->
-                                        router.running + " " + router.fleet.rows("drains").orElseThrow()
-                                                + router.fleet.rows("drain-requests").orElseThrow())
+                                .map(router -> router.running + " "
+                                        + router.fleet.rows("drains").orElseThrow()
+                                        + router.fleet.rows("drain-requests").orElseThrow())
                                 .toList());
         return fleet.now - from;
     }
@@ -98,7 +99,11 @@
                 && everOut.size() > 0
                 && fleet.routers.stream()
                         .filter(r -> r.running)
-                        .allMatch(router -> router.fleet.plan().orElseThrow().requests().isEmpty()
+                        .allMatch(router -> router.fleet
+                                        .plan()
+                                        .orElseThrow()
+                                        .requests()
+                                        .isEmpty()
                                 && !router.fleet.plan().orElseThrow().closed().isEmpty());
     }
 
@@ -124,8 +129,9 @@
             down.keySet()
                     .forEach(member -> assertTrue(
                             !router.running || !hasPlan || router.attemptsInFlight(member) == 0,
-                            () -> router.name + " has " + router.attemptsInFlight(member) + " attempts in flight at " + member + ", which is out; " + plan + " "
-                                    + router.fleet.rows("members") + router.fleet.fields()));
+                            () -> router.name + " has " + router.attemptsInFlight(member) + " attempts in flight at "
+                                    + member + ", which is out; " + plan + " " + router.fleet.rows("members")
+                                    + router.fleet.fields()));
         }
         maxOutAtOnce = Math.max(maxOutAtOnce, down.size());
         assertTrue(down.size() <= maxOut, () -> "members down at once: " + down);
@@ -159,10 +165,13 @@
             }
             Router router = active.get(random.nextInt(active.size()));
             Plan plan = router.fleet.plan().orElseThrow();
-            // The operator relies on what this router shows, and repeats the command until it no longer shows the member
+            // The operator relies on what this router shows, and repeats the command until it no longer shows the
+            // member
             // as out under that fence.
             if (plan.stamp() > entry.getValue()
-                    && plan.orderFor(entry.getKey()).map(o -> o.fence() > entry.getValue()).orElse(true)) {
+                    && plan.orderFor(entry.getKey())
+                            .map(o -> o.fence() > entry.getValue())
+                            .orElse(true)) {
                 finishedWork.remove(entry.getKey());
             } else {
                 String answer = router.fleet.handleCommand(
--- a/src/test/java/pumicemoor/fleet/DrainSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/DrainSchedulesTest.java
@@ -44,7 +44,8 @@
     private static void play(long seed, int routerCount, int caches, int changeCount) {
         Random random = new Random(seed);
         int maxOut = 1 + random.nextInt(3);
-        DrainRun run = new DrainRun(routerCount, caches, maxOut, caches - maxOut - random.nextInt(2), 600 * SECOND, seed);
+        DrainRun run =
+                new DrainRun(routerCount, caches, maxOut, caches - maxOut - random.nextInt(2), 600 * SECOND, seed);
         VirtualFleet fleet = run.fleet;
         run.run(8 * SECOND);
         fleet.lossRate = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0;
--- a/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
@@ -49,12 +49,15 @@
         fleet.maxDelayMicros = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
         Map<Router, Long> restarted = new HashMap<>();
         Runnable checkBounds = () -> {
-            // A process that was just restarted may not yet be in the lease table of its grantor as its predecessor was.
+            // A process that was just restarted may not yet be in the lease table of its grantor as its predecessor
+            // was.
             long recentRestarts = restarted.values().stream()
                     .filter(at -> fleet.now - at < 2 * TIMES.shrinkMicros())
                     .count();
             double bound = LIMIT + recentRestarts * LIMIT / routerCount;
-            assertTrue(fleet.totalLimitShares() <= bound * (1 + 1e-9), () -> "the routers together may use " + fleet.totalLimitShares() + " of " + LIMIT);
+            assertTrue(
+                    fleet.totalLimitShares() <= bound * (1 + 1e-9),
+                    () -> "the routers together may use " + fleet.totalLimitShares() + " of " + LIMIT);
             assertTrue(fleet.ejectedAnywhere().size() <= 2, () -> "ejected: " + fleet.ejectedAnywhere());
             fleet.routers.stream()
                     .filter(r -> r.running)
@@ -77,7 +80,9 @@
         fleet.maxDelayMicros = 5 * MILLI;
         fleet.run(45 * SECOND, checkBounds);
         assertTrue(fleet.membershipAgrees(), () -> "seed " + seed + ": the routers do not agree on the membership");
-        assertTrue(fleet.totalLimitShares() > 0.85 * LIMIT, () -> "seed " + seed + ": the routers together may use only " + fleet.totalLimitShares());
+        assertTrue(
+                fleet.totalLimitShares() > 0.85 * LIMIT,
+                () -> "seed " + seed + ": the routers together may use only " + fleet.totalLimitShares());
     }
 
     private static void change(VirtualFleet fleet, Random random, Map<Router, Long> restarted) {
@@ -119,7 +124,8 @@
      * lost.
      */
     @Property(tries = 30, seed = "4714")
-    void ejectionsSpreadWithinTheBoundUnderLoss(@ForAll long seed, @ForAll @IntRange(min = 3, max = 60) int routerCount) {
+    void ejectionsSpreadWithinTheBoundUnderLoss(
+            @ForAll long seed, @ForAll @IntRange(min = 3, max = 60) int routerCount) {
         VirtualFleet fleet = new VirtualFleet(routerCount, routerCount, 10, LimitMeasure.PER_SECOND, LIMIT, seed);
         fleet.startAll();
         fleet.run(15 * SECOND, () -> {});
@@ -140,6 +146,7 @@
                 .orElse(0);
         assertTrue(
                 lastEjectedAt - ejectedAt[0] <= Bounds.spreadPeriods(routerCount) * PERIOD,
-                () -> routerCount + " routers, " + (lastEjectedAt - ejectedAt[0]) / MILLI + " ms until the ejection reached all");
+                () -> routerCount + " routers, " + (lastEjectedAt - ejectedAt[0]) / MILLI
+                        + " ms until the ejection reached all");
     }
 }
--- a/src/test/java/pumicemoor/fleet/FleetTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetTest.java
@@ -22,9 +22,15 @@
     void allRoutersFindEachOtherAndShareTheLimit(int routerCount) {
         VirtualFleet fleet = new VirtualFleet(routerCount, routerCount, 10, LimitMeasure.PER_SECOND, LIMIT, 7);
         fleet.startAll();
-        fleet.run(10 * SECOND, () -> assertTrue(fleet.totalLimitShares() <= LIMIT * (1 + 1e-9), () -> "the routers together may use " + fleet.totalLimitShares()));
+        fleet.run(
+                10 * SECOND,
+                () -> assertTrue(
+                        fleet.totalLimitShares() <= LIMIT * (1 + 1e-9),
+                        () -> "the routers together may use " + fleet.totalLimitShares()));
         assertTrue(fleet.membershipAgrees());
-        assertTrue(fleet.totalLimitShares() > 0.95 * LIMIT, () -> "the routers together may use only " + fleet.totalLimitShares());
+        assertTrue(
+                fleet.totalLimitShares() > 0.95 * LIMIT,
+                () -> "the routers together may use only " + fleet.totalLimitShares());
     }
 
     @Test
@@ -52,17 +58,23 @@
         fleet.run(8 * SECOND, () -> {});
         fleet.cut = (a, b) -> (fleet.routers.indexOf(a) < 3) != (fleet.routers.indexOf(b) < 3);
         fleet.run(20 * SECOND, () -> {
-            assertTrue(fleet.totalLimitShares() <= LIMIT * (1 + 1e-9), () -> "the routers together may use " + fleet.totalLimitShares());
+            assertTrue(
+                    fleet.totalLimitShares() <= LIMIT * (1 + 1e-9),
+                    () -> "the routers together may use " + fleet.totalLimitShares());
             fleet.routers.forEach(r -> assertTrue(r.limitShare() > 0, r.name));
         });
         double minorityShares = fleet.routers.subList(0, 3).stream()
                 .mapToDouble(VirtualFleet.Router::limitShare)
                 .sum();
-        assertTrue(minorityShares <= LIMIT * 3 / 8 * (1 + 1e-9) && minorityShares > LIMIT * 3 / 8 * 0.9, () -> "shares of the minority: " + minorityShares);
+        assertTrue(
+                minorityShares <= LIMIT * 3 / 8 * (1 + 1e-9) && minorityShares > LIMIT * 3 / 8 * 0.9,
+                () -> "shares of the minority: " + minorityShares);
         fleet.cut = (a, b) -> false;
         fleet.run(20 * SECOND, () -> assertTrue(fleet.totalLimitShares() <= LIMIT * (1 + 1e-9)));
         assertTrue(fleet.membershipAgrees());
-        assertTrue(fleet.totalLimitShares() > 0.95 * LIMIT, () -> "the routers together may use only " + fleet.totalLimitShares());
+        assertTrue(
+                fleet.totalLimitShares() > 0.95 * LIMIT,
+                () -> "the routers together may use only " + fleet.totalLimitShares());
     }
 
     @Test
@@ -114,7 +126,8 @@
                 fleet.reportHealth(fleet.routers.get((round + m) % 9), 1_000 + m, true);
             }
             fleet.run(
-                    500 * MILLI, () -> assertTrue(fleet.ejectedAnywhere().size() <= 2, () -> "ejected: " + fleet.ejectedAnywhere()));
+                    500 * MILLI,
+                    () -> assertTrue(fleet.ejectedAnywhere().size() <= 2, () -> "ejected: " + fleet.ejectedAnywhere()));
         }
         assertEquals(2, fleet.ejectedAnywhere().size(), "two of ten may be ejected, and six are reported");
     }
@@ -126,8 +139,10 @@
         fleet.run(5 * SECOND, () -> {});
         fleet.start(fleet.routers.get(4), "router-1", fleet.routers.get(4).address);
         fleet.run(10 * SECOND, () -> {});
-        assertTrue(fleet.routers.get(4).logEvents.stream().anyMatch(event -> event.text().contains("stands aside")));
-        assertTrue(fleet.routers.get(1).logEvents.stream().noneMatch(event -> event.text().contains("stands aside")));
+        assertTrue(fleet.routers.get(4).logEvents.stream()
+                .anyMatch(event -> event.text().contains("stands aside")));
+        assertTrue(fleet.routers.get(1).logEvents.stream()
+                .noneMatch(event -> event.text().contains("stands aside")));
         assertTrue(fleet.routers.get(0).fleet.rows("members").orElseThrow().stream()
                 .anyMatch(row -> row.get("name").equals("router-1")
                         && row.get("address").equals(fleet.routers.get(1).address)
--- a/src/test/java/pumicemoor/fleet/PacketCodecTest.java
+++ b/src/test/java/pumicemoor/fleet/PacketCodecTest.java
@@ -18,16 +18,16 @@
 import pumicemoor.RouterApi.Role;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.FleetSetup.Scope;
-import pumicemoor.fleet.Packet.GrantedShare;
 import pumicemoor.fleet.Packet.Demand;
+import pumicemoor.fleet.Packet.GrantedShare;
 import pumicemoor.fleet.drains.DrainCommand;
 import pumicemoor.fleet.limits.LeaseTimes;
 import pumicemoor.fleet.membership.Membership;
 import pumicemoor.fleet.membership.RouterRecord;
 import pumicemoor.fleet.membership.RouterStatus;
+import pumicemoor.fleet.verdicts.Ejection;
 import pumicemoor.fleet.verdicts.FailureReport;
 import pumicemoor.fleet.verdicts.FailureReport.Cause;
-import pumicemoor.fleet.verdicts.Ejection;
 
 /** Encoded packets decode to equal packets; anything else is rejected, counted and changes no state. */
 class PacketCodecTest {
@@ -49,14 +49,20 @@
                     case 5 -> {
                         List<Demand> demands = new ArrayList<>();
                         for (int i = random.nextInt(PacketCodec.MAX_DEMANDS + 1); i > 0; i--) {
-                            demands.add(new Demand(random.nextLong(), random.nextLong(), random.nextInt(1_000), random.nextInt(50)));
+                            demands.add(new Demand(
+                                    random.nextLong(), random.nextLong(), random.nextInt(1_000), random.nextInt(50)));
                         }
                         List<FailureReport> failureReports = new ArrayList<>();
                         for (int i = random.nextInt(PacketCodec.MAX_FAILURE_REPORTS + 1); i > 0; i--) {
                             failureReports.add(new FailureReport(
-                                    random.nextLong(), random.nextLong(), Cause.values()[random.nextInt(2)], random.nextInt(100), 0.5));
+                                    random.nextLong(),
+                                    random.nextLong(),
+                                    Cause.values()[random.nextInt(2)],
+                                    random.nextInt(100),
+                                    0.5));
                         }
-                        yield new Packet.Ask(random.nextBoolean(), random.nextLong(), random.nextLong(), demands, failureReports);
+                        yield new Packet.Ask(
+                                random.nextBoolean(), random.nextLong(), random.nextLong(), demands, failureReports);
                     }
                     case 6 ->
                         new Packet.PlanReport(
@@ -65,11 +71,17 @@
                                 random.nextInt(700),
                                 random.nextBoolean(),
                                 random.longs(random.nextInt(20))
-                                        .mapToObj(m -> new Packet.MemberUsage(m, random.nextInt(90), random.nextInt(90)))
+                                        .mapToObj(
+                                                m -> new Packet.MemberUsage(m, random.nextInt(90), random.nextInt(90)))
                                         .toList());
                     case 7 ->
                         new Packet.PlanGrant(
-                                random.nextLong(), random.nextLong(), random.nextInt(900), random.nextBoolean(), random.nextInt(99), 5);
+                                random.nextLong(),
+                                random.nextLong(),
+                                random.nextInt(900),
+                                random.nextBoolean(),
+                                random.nextInt(99),
+                                5);
                     case 8 -> {
                         byte[] fragment = new byte[random.nextInt(300)];
                         random.nextBytes(fragment);
@@ -124,9 +136,13 @@
                                 addresses(random),
                                 addresses(random));
                     case 13 ->
-                        new Packet.Sums(random.longs(1L << random.nextInt(7)).boxed().toList(), random.nextBoolean());
+                        new Packet.Sums(
+                                random.longs(1L << random.nextInt(7)).boxed().toList(), random.nextBoolean());
                     default ->
-                        new Packet.Grant(random.nextLong(), random.nextLong(), List.of(new GrantedShare(random.nextLong(), random.nextInt(500))));
+                        new Packet.Grant(
+                                random.nextLong(),
+                                random.nextLong(),
+                                List.of(new GrantedShare(random.nextLong(), random.nextInt(500))));
                 };
         List<RouterRecord> routers = new ArrayList<>();
         for (int i = random.nextInt(4); i > 0; i--) {
@@ -171,7 +187,10 @@
                 new Packet.Sums(List.of(1L, 2L, 3L), true),
                 new Packet.Sums(java.util.Collections.nCopies(2 * Membership.MAX_DIGEST_PARTS, 1L), true),
                 new Packet.Place(
-                        1, 0, java.util.Collections.nCopies(PacketCodec.MAX_ADDRESSES + 1, "127.0.0.1:7000"), List.of()),
+                        1,
+                        0,
+                        java.util.Collections.nCopies(PacketCodec.MAX_ADDRESSES + 1, "127.0.0.1:7000"),
+                        List.of()),
                 new Packet.CellAsk(true, 1, 1, -1, 1, List.of(), List.of()),
                 new Packet.CellAsk(
                         true,
@@ -201,8 +220,11 @@
     void truncatedOrOverlongPacketsAreRejected(@ForAll long seed) {
         Random random = new Random(seed);
         byte[] bytes = codec.write(randomPacket(random));
-        assertThrows(BadPacketException.class, () -> codec.read(Arrays.copyOf(bytes, random.nextInt(bytes.length)), LAST_INCARNATION));
-        assertThrows(BadPacketException.class, () -> codec.read(Arrays.copyOf(bytes, bytes.length + 1), LAST_INCARNATION));
+        assertThrows(
+                BadPacketException.class,
+                () -> codec.read(Arrays.copyOf(bytes, random.nextInt(bytes.length)), LAST_INCARNATION));
+        assertThrows(
+                BadPacketException.class, () -> codec.read(Arrays.copyOf(bytes, bytes.length + 1), LAST_INCARNATION));
     }
 
     @Property(tries = 300, seed = "83")
@@ -254,7 +276,8 @@
         Fleet fleet = fleet();
         String before = members(fleet);
         for (long incarnation : new long[] {0, -1, Long.MAX_VALUE, LAST_INCARNATION + 1}) {
-            RouterRecord impossible = new RouterRecord("router-2", "127.0.0.1:7002", 9, incarnation, RouterStatus.ALIVE);
+            RouterRecord impossible =
+                    new RouterRecord("router-2", "127.0.0.1:7002", 9, incarnation, RouterStatus.ALIVE);
             fleet.receive(NOW, codec.write(new Packet(impossible, 1, new Packet.Ping(), List.of(), List.of())));
             fleet.receive(NOW, codec.write(new Packet(FROM, 1, new Packet.Ping(), List.of(impossible), List.of())));
         }
@@ -369,8 +392,8 @@
     /** With the longest name and address, the largest bodies still fit into a packet. */
     @Test
     void theLargestBodiesFitIntoAPacket() {
-        RouterRecord longest =
-                new RouterRecord("r".repeat(PacketCodec.MAX_NAME_LENGTH), "127.255.255.255:65535", 1, 1, RouterStatus.ALIVE);
+        RouterRecord longest = new RouterRecord(
+                "r".repeat(PacketCodec.MAX_NAME_LENGTH), "127.255.255.255:65535", 1, 1, RouterStatus.ALIVE);
         Random random = new Random(4);
         for (Packet.Body body : List.of(
                 new Packet.PlanReport(
@@ -378,7 +401,9 @@
                         1,
                         1,
                         true,
-                        random.longs(60).mapToObj(m -> new Packet.MemberUsage(m, 1, 1)).toList()),
+                        random.longs(60)
+                                .mapToObj(m -> new Packet.MemberUsage(m, 1, 1))
+                                .toList()),
                 new Packet.Piece(1, 0, 1, new byte[900]),
                 new Packet.DrainAsk(new DrainCommand(
                         DrainCommand.Kind.REQUEST,
@@ -387,9 +412,11 @@
                         1,
                         0,
                         random.longs(120).boxed().toList())),
-                new Packet.Sums(random.longs(Membership.MAX_DIGEST_PARTS).boxed().toList(), true))) {
+                new Packet.Sums(
+                        random.longs(Membership.MAX_DIGEST_PARTS).boxed().toList(), true))) {
             assertTrue(codec.bytesForGossip(longest, body) >= 0, body.getClass()::getSimpleName);
-            assertTrue(codec.write(new Packet(longest, 1, body, List.of(), List.of())).length <= PacketCodec.MAX_PACKET_BYTES);
+            assertTrue(codec.write(new Packet(longest, 1, body, List.of(), List.of())).length
+                    <= PacketCodec.MAX_PACKET_BYTES);
         }
     }
 }
--- a/src/test/java/pumicemoor/fleet/VirtualFleet.java
+++ b/src/test/java/pumicemoor/fleet/VirtualFleet.java
@@ -12,15 +12,15 @@
 import java.util.function.BiConsumer;
 import java.util.function.BiPredicate;
 import java.util.stream.IntStream;
+import pumicemoor.RouterApi.EjectedMember;
+import pumicemoor.RouterApi.EjectionsUpdate;
+import pumicemoor.RouterApi.Event;
+import pumicemoor.RouterApi.LimitDemand;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
-import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.MemberHealthReport;
-import pumicemoor.RouterApi.LimitMeasure;
-import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.EjectionsUpdate;
-import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.FleetSetup.LimitRule;
 import pumicemoor.fleet.drains.DrainTimes;
 import pumicemoor.fleet.drains.Drains;
@@ -115,10 +115,13 @@
         }
     }
 
-    private record PacketInFlight(long arrivesAt, long sequence, Router to, byte[] bytes) implements Comparable<PacketInFlight> {
+    private record PacketInFlight(long arrivesAt, long sequence, Router to, byte[] bytes)
+            implements Comparable<PacketInFlight> {
         @Override
         public int compareTo(PacketInFlight other) {
-            return arrivesAt != other.arrivesAt ? Long.compare(arrivesAt, other.arrivesAt) : Long.compare(sequence, other.sequence);
+            return arrivesAt != other.arrivesAt
+                    ? Long.compare(arrivesAt, other.arrivesAt)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellBackingTest.java
@@ -108,6 +108,8 @@
             CellSchedulesTest.change(fleet, random, seed % 2 == 0);
             fleet.run((long) (random.nextDouble() * 4 * SECOND));
         }
-        assertTrue(checker.upperVotes > 100 && checker.maxBacking > 2, () -> checker.upperVotes + " votes, backed by " + checker.maxBacking + " at most");
+        assertTrue(
+                checker.upperVotes > 100 && checker.maxBacking > 2,
+                () -> checker.upperVotes + " votes, backed by " + checker.maxBacking + " at most");
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/CellEjectionsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellEjectionsTest.java
@@ -69,7 +69,8 @@
     }
 
     private static long spreadBoundMicros(VirtualCells fleet) {
-        int delegates = (int) fleet.running().stream().filter(Router::isDelegate).count();
+        int delegates =
+                (int) fleet.running().stream().filter(Router::isDelegate).count();
         return Bounds.spreadInCellsMicros(delegates, fleet.largestCell(), PERIOD);
     }
 
@@ -82,14 +83,16 @@
             long member = FIRST_CACHE + (lossRate == 0 ? 3 : 4);
             fleet.lossRate = lossRate;
             fleet.run(3 * SECOND);
-            List<Router> reporters =
-                    List.of(fleet.inRoot("a").get(random.nextInt(10)), fleet.inRoot("c").get(random.nextInt(9)));
+            List<Router> reporters = List.of(
+                    fleet.inRoot("a").get(random.nextInt(10)), fleet.inRoot("c").get(random.nextInt(9)));
             for (int i = 0; i < 30; i++) {
                 reportFailing(fleet, reporters, member);
                 fleet.run(SECOND);
             }
             long tookMicros = spreadMicros(fleet, member);
-            assertTrue(tookMicros <= boundMicros, () -> tookMicros / MILLI + " ms of " + boundMicros / MILLI + " with " + lossRate + " lost");
+            assertTrue(
+                    tookMicros <= boundMicros,
+                    () -> tookMicros / MILLI + " ms of " + boundMicros / MILLI + " with " + lossRate + " lost");
         }
     }
 
@@ -113,7 +116,10 @@
                 "every running router must eject it");
         fleet.reportHealth(router, FIRST_CACHE + 3, false);
         fleet.run(spreadBoundMicros(fleet) + 6 * SECOND);
-        assertEquals(Set.of(), fleet.ejectedAnywhere(), "one reporter withdrew: a single one is not enough to renew the ejection");
+        assertEquals(
+                Set.of(),
+                fleet.ejectedAnywhere(),
+                "one reporter withdrew: a single one is not enough to renew the ejection");
     }
 
     /** During a split the router's report could be in the sums of two cells and count twice. */
@@ -161,7 +167,8 @@
             fleet.running().stream()
                     .filter(fleet::isActive)
                     .filter(r -> random.nextInt(3) > 0)
-                    .forEach(r -> fleet.reportHealth(r, FIRST_CACHE + (round / 4 + random.nextInt(6)) % 10, random.nextInt(5) > 0));
+                    .forEach(r -> fleet.reportHealth(
+                            r, FIRST_CACHE + (round / 4 + random.nextInt(6)) % 10, random.nextInt(5) > 0));
             if (i % 6 == 5) {
                 Router leader = fleet.leaders().isEmpty()
                         ? fleet.upperGrantor()
@@ -203,20 +210,25 @@
         fleet.run(30 * SECOND);
         for (int i = 0; i < 30; i++) {
             reportFailing(fleet, fleet.inRoot("c"), FIRST_CACHE + 7);
-            fleet.run(SECOND, () -> assertEquals(Set.of(), fleet.ejectedAnywhere(), "nine of 24 routers must not eject"));
+            fleet.run(
+                    SECOND, () -> assertEquals(Set.of(), fleet.ejectedAnywhere(), "nine of 24 routers must not eject"));
         }
         for (int i = 0; i < 20; i++) {
             reportFailing(fleet, fleet.inRoot("a").subList(0, 2), FIRST_CACHE + 3);
             fleet.run(SECOND);
         }
         List<Router> near = fleet.running().stream().filter(r -> r.region == 0).toList();
-        assertTrue(near.stream().allMatch(r -> r.firstEjectedAt.containsKey(FIRST_CACHE + 3)), "fifteen of 24 routers must eject");
+        assertTrue(
+                near.stream().allMatch(r -> r.firstEjectedAt.containsKey(FIRST_CACHE + 3)),
+                "fifteen of 24 routers must eject");
         assertTrue(fleet.inRoot("c").stream().allMatch(r -> r.firstEjectedAt.isEmpty()));
         fleet.cut = (a, b) -> false;
         for (int i = 0; i < 40; i++) {
             reportFailing(fleet, fleet.inRoot("a").subList(0, 2), FIRST_CACHE + 3);
             fleet.run(SECOND);
         }
-        assertTrue(fleet.inRoot("c").stream().allMatch(r -> r.firstEjectedAt.containsKey(FIRST_CACHE + 3)), "the ejection must arrive after the partition ends");
+        assertTrue(
+                fleet.inRoot("c").stream().allMatch(r -> r.firstEjectedAt.containsKey(FIRST_CACHE + 3)),
+                "the ejection must arrive after the partition ends");
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellFaultsTest.java
@@ -43,8 +43,8 @@
 
     /** Moves all demand to one root. */
     private static void setDemand(VirtualCells fleet, String root) {
-        fleet.routers.forEach(r ->
-                fleet.setDemand(r, r.root.equals(root) ? 2 * LIMIT / fleet.inRoot(root).size() : 0));
+        fleet.routers.forEach(r -> fleet.setDemand(
+                r, r.root.equals(root) ? 2 * LIMIT / fleet.inRoot(root).size() : 0));
     }
 
     private static String root(long seed) {
@@ -53,7 +53,9 @@
 
     private static void assertSpendable(VirtualCells fleet, String root, double share) {
         double spendable = fleet.spendable(fleet.inRoot(root));
-        assertTrue(spendable > share * LIMIT, () -> root + " demands the whole limit and may spend " + spendable + " of " + LIMIT);
+        assertTrue(
+                spendable > share * LIMIT,
+                () -> root + " demands the whole limit and may spend " + spendable + " of " + LIMIT);
     }
 
     private static void assertSettledAfter(VirtualCells fleet, long time) {
@@ -99,8 +101,10 @@
         VirtualCells fleet = newFleet(seed, LimitMeasure.PER_SECOND, root(seed));
         for (int i = 0; i < 5; i++) {
             String root = i == 0 ? root(seed) : root(random.nextInt(3));
-            fleet.kill(fleet.grantorOf(
-                    fleet.inRoot(root).stream().filter(r -> r.running).findFirst().orElseThrow()));
+            fleet.kill(fleet.grantorOf(fleet.inRoot(root).stream()
+                    .filter(r -> r.running)
+                    .findFirst()
+                    .orElseThrow()));
             if (i == 2) {
                 setDemand(fleet, root(random.nextInt(3)));
             }
@@ -158,7 +162,8 @@
     void cellIsSplitWhileItsShareIsFarFromItsEvenShare(@ForAll long seed) {
         Random random = new Random(seed);
         boolean aboveEven = seed % 2 == 0;
-        VirtualCells fleet = new VirtualCells(SIZE, MAX_CELL_ROUTERS, 1 + random.nextInt(3), LimitMeasure.PER_SECOND, LIMIT, seed);
+        VirtualCells fleet =
+                new VirtualCells(SIZE, MAX_CELL_ROUTERS, 1 + random.nextInt(3), LimitMeasure.PER_SECOND, LIMIT, seed);
         fleet.add("a", 0, 6);
         fleet.add("b", 0, 5);
         fleet.add("c", 1, 9);
@@ -192,7 +197,9 @@
             fleet.run(30 * SECOND);
             double far = fleet.spendable(fleet.inRoot("c"));
             double near = fleet.spendable() - far;
-            assertTrue(far <= LIMIT * 9 / SIZE * (1 + 1e-9) && far > 0.85 * LIMIT * 9 / SIZE, () -> "region that is cut off: " + far);
+            assertTrue(
+                    far <= LIMIT * 9 / SIZE * (1 + 1e-9) && far > 0.85 * LIMIT * 9 / SIZE,
+                    () -> "region that is cut off: " + far);
             assertTrue(
                     near <= LIMIT * 15 / SIZE * (1 + 1e-9) && near > 0.85 * LIMIT * 15 / SIZE,
                     () -> "remaining routers: " + near);
@@ -230,7 +237,8 @@
         setDemand(fleet, "b");
         fleet.run(90 * SECOND);
         assertSettled(fleet);
-        assertTrue(fleet.spendable() <= LIMIT * 15 / SIZE * (1 + 1e-9), () -> "the fleet may spend " + fleet.spendable());
+        assertTrue(
+                fleet.spendable() <= LIMIT * 15 / SIZE * (1 + 1e-9), () -> "the fleet may spend " + fleet.spendable());
         assertSpendable(fleet, "b", 0.4);
     }
 
--- a/src/test/java/pumicemoor/fleet/cells/CellSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/CellSchedulesTest.java
@@ -114,7 +114,8 @@
             default -> {
                 for (Router reporter : routers) {
                     if (fleet.isActive(reporter) && random.nextInt(3) > 0) {
-                        fleet.reportHealth(reporter, VirtualCells.FIRST_CACHE + random.nextInt(5), random.nextInt(4) > 0);
+                        fleet.reportHealth(
+                                reporter, VirtualCells.FIRST_CACHE + random.nextInt(5), random.nextInt(4) > 0);
                     }
                 }
             }
@@ -147,7 +148,9 @@
     static void assertSettled(VirtualCells fleet) {
         assertEquals(List.of(), fleet.disagreements());
         double runningShare = fleet.limit * fleet.running().size() / fleet.size;
-        assertTrue(fleet.spendable() > 0.85 * runningShare, () -> "the running routers may spend only " + fleet.spendable() + " of " + runningShare);
+        assertTrue(
+                fleet.spendable() > 0.85 * runningShare,
+                () -> "the running routers may spend only " + fleet.spendable() + " of " + runningShare);
         assertEquals(
                 2 * fleet.running().size() > fleet.size ? 1 : 0, fleet.leaders().size(), "leaders");
     }
--- a/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/DiscoveryTest.java
@@ -28,7 +28,8 @@
 class DiscoveryTest {
 
     private static final PacketCodec JOINS = new PacketCodec(CLUSTER + "/join");
-    private static final RouterRecord STRANGER = new RouterRecord("stranger", "127.9.9.9:7000", 5, 5, RouterStatus.ALIVE);
+    private static final RouterRecord STRANGER =
+            new RouterRecord("stranger", "127.9.9.9:7000", 5, 5, RouterStatus.ALIVE);
 
     private VirtualCells fleet;
 
@@ -53,8 +54,10 @@
 
     @Test
     void seedInAnotherRootThatIsNoDelegateLeadsToTheCell() {
-        Router seed =
-                fleet.inRoot("b").stream().filter(r -> !r.isDelegate()).findFirst().orElseThrow();
+        Router seed = fleet.inRoot("b").stream()
+                .filter(r -> !r.isDelegate())
+                .findFirst()
+                .orElseThrow();
         fleet.seeds = List.of(seed.address);
         for (String root : List.of("c", "a")) {
             Router router = fleet.add(root, root.equals("c") ? 1 : 0);
@@ -121,8 +124,10 @@
 
     @Test
     void joinIsForwardedUpToTheMaximumNumberOfHops() {
-        Router router =
-                fleet.inRoot("b").stream().filter(r -> !r.isDelegate()).findFirst().orElseThrow();
+        Router router = fleet.inRoot("b").stream()
+                .filter(r -> !r.isDelegate())
+                .findFirst()
+                .orElseThrow();
         List<Packet> sent = new ArrayList<>();
         fleet.sendObserver = (from, datagram) -> {
             if (from == router && PacketCodec.cluster(datagram.bytes()) == JOINS.cluster()) {
@@ -132,7 +137,8 @@
         fleet.deliver(router, JOINS.write(packet(9, new Join("c", 0, 0))));
         assertEquals(1, sent.size());
         assertEquals(new Join("c", 0, 1), sent.get(0).body());
-        assertEquals(STRANGER, sent.get(0).from(), "the sender stays the joining router, so that the answer goes there");
+        assertEquals(
+                STRANGER, sent.get(0).from(), "the sender stays the joining router, so that the answer goes there");
         assertEquals(9, sent.get(0).number());
         sent.clear();
         fleet.deliver(router, JOINS.write(packet(10, new Join("c", 0, PacketCodec.MAX_JOIN_HOPS))));
@@ -152,10 +158,16 @@
         Place place = (Place) sent.get(0).body();
         assertEquals(11, place.join());
         assertEquals(0, place.depth());
-        assertTrue(place.cellAddresses().contains(router.address) && place.cellAddresses().size() == 5, place::toString);
         assertTrue(
-                place.cellAddresses().containsAll(place.delegateAddresses()) && place.delegateAddresses().size() == 2, place::toString);
-        assertTrue(fleet.inRoot("b").stream().allMatch(r -> place.cellAddresses().contains(r.address)));
+                place.cellAddresses().contains(router.address)
+                        && place.cellAddresses().size() == 5,
+                place::toString);
+        assertTrue(
+                place.cellAddresses().containsAll(place.delegateAddresses())
+                        && place.delegateAddresses().size() == 2,
+                place::toString);
+        assertTrue(
+                fleet.inRoot("b").stream().allMatch(r -> place.cellAddresses().contains(r.address)));
     }
 
     @Test
@@ -191,8 +203,10 @@
         fleet.start(router);
         fleet.run(10 * SECOND);
         fleet.sendObserver = (from, datagram) -> {};
-        Router victim =
-                fleet.inRoot("a").stream().filter(Router::isDelegate).findFirst().orElseThrow();
+        Router victim = fleet.inRoot("a").stream()
+                .filter(Router::isDelegate)
+                .findFirst()
+                .orElseThrow();
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = recorded.get(random.nextInt(recorded.size())).clone();
             if (random.nextInt(4) == 0) {
@@ -204,6 +218,8 @@
             victim.participant.receive(fleet.now, bytes);
         }
         victim.participant.takePackets();
-        assertTrue(droppedPackets(victim, "unreadable") + droppedPackets(victim, "impossible") > 100, victim.participant.fields()::toString);
+        assertTrue(
+                droppedPackets(victim, "unreadable") + droppedPackets(victim, "impossible") > 100,
+                victim.participant.fields()::toString);
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/MixedFleetTest.java
+++ b/src/test/java/pumicemoor/fleet/cells/MixedFleetTest.java
@@ -54,8 +54,11 @@
             fleet.inRoot("a").forEach(r -> fleet.reportHealth(r, FIRST_CACHE + 2, true));
             fleet.run(SECOND);
         }
-        assertTrue(fleet.inRoot("flat").stream().allMatch(r -> r.firstEjectedAt.isEmpty()), "eight of 24 routers are no majority");
-        assertTrue(fleet.inRoot("b").stream().allMatch(r -> r.firstEjectedAt.keySet().equals(Set.of(FIRST_CACHE + 2))));
+        assertTrue(
+                fleet.inRoot("flat").stream().allMatch(r -> r.firstEjectedAt.isEmpty()),
+                "eight of 24 routers are no majority");
+        assertTrue(fleet.inRoot("b").stream()
+                .allMatch(r -> r.firstEjectedAt.keySet().equals(Set.of(FIRST_CACHE + 2))));
         long foreign = fleet.inRoot("flat").stream()
                 .map(r -> r.participant.fields().get("fleet-dropped-foreign"))
                 .filter(n -> n != null)
@@ -79,6 +82,8 @@
         fleet.routers.forEach(r -> fleet.setDemand(r, r.root.equals("flat") ? LIMIT : 0));
         fleet.run(80 * SECOND);
         CellSchedulesTest.assertSettled(fleet);
-        assertTrue(fleet.spendable(fleet.inRoot("flat")) > 0.7 * LIMIT, () -> "migrated routers may spend " + fleet.spendable(fleet.inRoot("flat")));
+        assertTrue(
+                fleet.spendable(fleet.inRoot("flat")) > 0.7 * LIMIT,
+                () -> "migrated routers may spend " + fleet.spendable(fleet.inRoot("flat")));
     }
 }
--- a/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
+++ b/src/test/java/pumicemoor/fleet/cells/VirtualCells.java
@@ -19,15 +19,15 @@
 import java.util.function.BiPredicate;
 import java.util.stream.Collectors;
 import pumicemoor.Hashes;
+import pumicemoor.RouterApi.EjectedMember;
+import pumicemoor.RouterApi.EjectionsUpdate;
+import pumicemoor.RouterApi.Event;
+import pumicemoor.RouterApi.LimitDemand;
+import pumicemoor.RouterApi.LimitMeasure;
 import pumicemoor.RouterApi.LimitShare;
 import pumicemoor.RouterApi.LimitSharesUpdate;
-import pumicemoor.RouterApi.Event;
 import pumicemoor.RouterApi.MemberHealthReport;
-import pumicemoor.RouterApi.LimitMeasure;
-import pumicemoor.RouterApi.EjectedMember;
 import pumicemoor.RouterApi.Role;
-import pumicemoor.RouterApi.EjectionsUpdate;
-import pumicemoor.RouterApi.LimitDemand;
 import pumicemoor.fleet.Datagram;
 import pumicemoor.fleet.Fleet;
 import pumicemoor.fleet.FleetParticipant;
@@ -143,7 +143,8 @@
         WAKE
     }
 
-    private record Scheduled(long at, long order, Kind kind, Router router, byte[] bytes) implements Comparable<Scheduled> {
+    private record Scheduled(long at, long order, Kind kind, Router router, byte[] bytes)
+            implements Comparable<Scheduled> {
         @Override
         public int compareTo(Scheduled other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -236,7 +237,8 @@
                 Optional.of(EJECTION_RULES),
                 Optional.empty(),
                 router.flat ? Optional.empty() : Optional.of(new CellSetup(router.root, maxCellRouters, delegates)));
-        router.participant = router.flat ? new Fleet(setup, now, random.nextLong()) : new CellFleet(setup, now, random.nextLong());
+        router.participant =
+                router.flat ? new Fleet(setup, now, random.nextLong()) : new CellFleet(setup, now, random.nextLong());
         router.running = true;
         router.startedAt = now;
         router.pausedUntil = 0;
@@ -279,10 +281,12 @@
 
     /** Ends all pauses. */
     void endPauses() {
-        routers.stream().filter(router -> router.running && router.pausedUntil > now).forEach(router -> {
-            router.pausedUntil = now;
-            scheduleWake(router, now + 1);
-        });
+        routers.stream()
+                .filter(router -> router.running && router.pausedUntil > now)
+                .forEach(router -> {
+                    router.pausedUntil = now;
+                    scheduleWake(router, now + 1);
+                });
     }
 
     boolean isActive(Router router) {
@@ -488,7 +492,9 @@
         Map<String, Long> votes = running().stream()
                 .filter(router -> !router.flat && router.isDelegate())
                 .collect(Collectors.groupingBy(
-                        router -> router.participant.fields().get("fleet-upper-grantor"), TreeMap::new, Collectors.counting()));
+                        router -> router.participant.fields().get("fleet-upper-grantor"),
+                        TreeMap::new,
+                        Collectors.counting()));
         String mostNamed = votes.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .orElseThrow()
@@ -531,7 +537,8 @@
         }
         highestTotal = Math.max(highestTotal, totalShare);
         if (totalShare > totalBound() * (1 + ROUNDING)) {
-            throw new AssertionError("the fleet may spend " + totalShare + " of " + totalBound() + " at " + timestamp());
+            throw new AssertionError(
+                    "the fleet may spend " + totalShare + " of " + totalBound() + " at " + timestamp());
         }
         if (ejectionCounts.size() > MAX_EJECTED) {
             throw new AssertionError("too many members are ejected: " + ejectionCounts.keySet() + " at " + timestamp());
@@ -588,8 +595,8 @@
             }
             all.stream()
                     .filter(router -> !router.cellPeers().equals(names))
-                    .forEach(
-                            router -> wrong.add(router.name + " sees " + router.cellPeers() + " in " + cell + ", which has " + names));
+                    .forEach(router -> wrong.add(
+                            router.name + " sees " + router.cellPeers() + " in " + cell + ", which has " + names));
             long delegateCount = all.stream().filter(Router::isDelegate).count();
             if (delegateCount != Math.min(delegates, all.size())) {
                 wrong.add(cell + " has " + delegateCount + " delegates of " + delegates);
@@ -600,8 +607,11 @@
                 .map(router -> router.name)
                 .collect(Collectors.toCollection(TreeSet::new));
         running().stream()
-                .filter(router -> !router.flat && router.isDelegate() && !router.upperPeers().equals(upper))
-                .forEach(router -> wrong.add(router.name + " sees " + router.upperPeers() + " on the upper level, which has " + upper));
+                .filter(router -> !router.flat
+                        && router.isDelegate()
+                        && !router.upperPeers().equals(upper))
+                .forEach(router -> wrong.add(
+                        router.name + " sees " + router.upperPeers() + " on the upper level, which has " + upper));
         return wrong;
     }
 }
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -182,7 +182,8 @@
                 .findFirst()
                 .orElseThrow()
                 .member();
-        assertTrue(PlanTransitions.waitReason(plan, plan.orderFor(waitingMember).orElseThrow(), 0, 3, conditions).contains("would serve, 8 must"));
+        assertTrue(PlanTransitions.waitReason(plan, plan.orderFor(waitingMember).orElseThrow(), 0, 3, conditions)
+                .contains("would serve, 8 must"));
         conditions.failing.add(waitingMember);
         runUntilStable();
         assertEquals(2, plan.out(), "a failing member is out of use already");
@@ -348,7 +349,8 @@
                 List.of(new DrainOrder(command.members().get(0), MemberKind.ROUTER, 1, Phase.OUT, 8, 0)),
                 List.of());
         Map<String, String> done = new HashMap<>(Map.of("drain", "done", "id", "2", "members", "router/r1"));
-        assertEquals(8, DrainCommandParser.command(done, "west", snapshot(), out).fence());
+        assertEquals(
+                8, DrainCommandParser.command(done, "west", snapshot(), out).fence());
         done.put("fence", "7");
         String message = "";
         try {
@@ -378,7 +380,9 @@
                 1_000 + random.nextInt(1_000),
                 requests,
                 orders,
-                random.longs(random.nextInt(Plan.MAX_CLOSED_REQUESTS + 1)).boxed().toList());
+                random.longs(random.nextInt(Plan.MAX_CLOSED_REQUESTS + 1))
+                        .boxed()
+                        .toList());
     }
 
     @Property(tries = 300, seed = "21")
@@ -401,8 +405,11 @@
                 java.util.stream.IntStream.range(0, pieces.size()).boxed().toList());
         java.util.Collections.shuffle(order, random);
         for (int i : order) {
-            assertFalse(receiver.addPiece(plan.stamp(), i, pieces.size() + 20, pieces.get(i)), "no plan has so many pieces");
-            assertEquals(i == order.get(order.size() - 1), receiver.addPiece(plan.stamp(), i, pieces.size(), pieces.get(i)));
+            assertFalse(
+                    receiver.addPiece(plan.stamp(), i, pieces.size() + 20, pieces.get(i)),
+                    "no plan has so many pieces");
+            assertEquals(
+                    i == order.get(order.size() - 1), receiver.addPiece(plan.stamp(), i, pieces.size(), pieces.get(i)));
         }
         assertEquals(plan, receiver.newest());
         assertArrayEquals(bytes, PlanCodec.write(receiver.newest()));
@@ -413,7 +420,8 @@
         Plan agreed = new Plan(Plan.firstStamp(3), List.of(), List.of(), List.of(4L));
         PlanStore restarted = new PlanStore();
         PlanLeader leader = new PlanLeader(restarted);
-        // of five routers, two have not recovered and one has: a plan that three held may be held by the two missing ones
+        // of five routers, two have not recovered and one has: a plan that three held may be held by the two missing
+        // ones
         leader.recordReport("b", new PlanLeader.Report(1, 4, 0, 0, false));
         leader.recordReport("c", new PlanLeader.Report(1, 4, 0, 0, true));
         leader.advance(4, 5, false);
--- a/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainsTest.java
@@ -74,7 +74,11 @@
                 0,
                 3,
                 List.of(),
-                Map.of(1L, new Target("box-1", MemberKind.CACHE, true, 0), 2L, new Target("box-2", MemberKind.CACHE, true, 0)),
+                Map.of(
+                        1L,
+                        new Target("box-1", MemberKind.CACHE, true, 0),
+                        2L,
+                        new Target("box-2", MemberKind.CACHE, true, 0)),
                 Set.of());
     }
 
@@ -82,7 +86,9 @@
         return new Plan(
                 stamp,
                 List.of(new DrainRequest(5, 0, 1, 1)),
-                List.of(new DrainOrder(1, MemberKind.CACHE, 1, firstPhase, stamp, 40), new DrainOrder(2, MemberKind.CACHE, 1, secondPhase, stamp, 40)),
+                List.of(
+                        new DrainOrder(1, MemberKind.CACHE, 1, firstPhase, stamp, 40),
+                        new DrainOrder(2, MemberKind.CACHE, 1, secondPhase, stamp, 40)),
                 List.of());
     }
 
@@ -154,7 +160,8 @@
     void aReportHasTheStampOfTheViewAndACommandIsSentUntilAPlanContainsIt() {
         deliver(plan(11, Phase.DRAINING, Phase.QUEUED));
         reportAndAnswer(100, 110, INSTANCE, true, 11);
-        assertEquals(0, ((PlanReport) sendReport(120)).appliedStamp(), "routing decisions have not received the plan yet");
+        assertEquals(
+                0, ((PlanReport) sendReport(120)).appliedStamp(), "routing decisions have not received the plan yet");
         drains.takeView(130, snapshot(130));
         PlanReport report = (PlanReport) sendReport(140);
         assertEquals(11, report.appliedStamp());
