--- a/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/PlanModelTest.java
@@ -194,8 +194,9 @@
                 case "cut" -> { // a lease and the guard time have passed since its last answer
                     routers[index].hasLeaderContact = false;
                     routers[index].mayHaveLeaderContact = false;
-                    inFlight.replaceAll(f ->
-                            f.to() != index ? f : new DelayedPacket(index, f.instance(), f.fromLeader(), f.inForce(), f.plan(), false));
+                    inFlight.replaceAll(f -> f.to() != index
+                            ? f
+                            : new DelayedPacket(index, f.instance(), f.fromLeader(), f.inForce(), f.plan(), false));
                 }
                 case "kill" -> {
                     routers[index].alive = false;
@@ -304,7 +305,8 @@
                                     0)
                             .plan();
                 }
-                next = PlanTransitions.next(next, leader.nextStamp(), 0, 2, this).plan();
+                next = PlanTransitions.next(next, leader.nextStamp(), 0, 2, this)
+                        .plan();
                 if (next == held) {
                     return;
                 }
@@ -328,13 +330,21 @@
             assertTrue(outMembers.size() <= 1, () -> "out at the same time: " + outMembers + " after " + path);
             for (Router router : routers) {
                 assertTrue(
-                        router.planStore.applied().out() <= 1, () -> "more members out than allowed: " + router.planStore.applied() + " after " + path);
+                        router.planStore.applied().out() <= 1,
+                        () -> "more members out than allowed: " + router.planStore.applied() + " after " + path);
                 for (long member : outMembers.keySet()) {
-                    Phase phase = router.planStore.applied().orderFor(member).map(DrainOrder::phase).orElse(Phase.FINISHED);
-                    boolean avoided = phase == Phase.DRAINING || phase == Phase.OUT || phase == Phase.NAMED && !router.hasLeaderContact;
+                    Phase phase = router.planStore
+                            .applied()
+                            .orderFor(member)
+                            .map(DrainOrder::phase)
+                            .orElse(Phase.FINISHED);
+                    boolean avoided = phase == Phase.DRAINING
+                            || phase == Phase.OUT
+                            || phase == Phase.NAMED && !router.hasLeaderContact;
                     assertTrue(
                             !router.alive || !router.hadLeaderContact || avoided,
-                            () -> "member " + member + " is out but still used: " + router.planStore.applied() + " after " + path);
+                            () -> "member " + member + " is out but still used: " + router.planStore.applied()
+                                    + " after " + path);
                 }
             }
         }
@@ -427,7 +437,11 @@
             path.add("talk " + (1 + i % 2));
         }
         path.addAll(List.of(
-                "late 2", "leave", "done " + replay(path).outMembers.keySet().iterator().next(), "elect 1", "talk 0"));
+                "late 2",
+                "leave",
+                "done " + replay(path).outMembers.keySet().iterator().next(),
+                "elect 1",
+                "talk 0"));
         explore(path, false);
     }
 }
--- a/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/CellShareTest.java
@@ -25,16 +25,30 @@
     private static final FleetLimit WHOLE_NUMBER_LIMIT = new FleetLimit("origin", 1, LimitMeasure.IN_FLIGHT, 100);
 
     private static double ask(
-            LeaseTable table, long now, String holder, long number, long holds, int routers, double demand, double inUse) {
+            LeaseTable table,
+            long now,
+            String holder,
+            long number,
+            long holds,
+            int routers,
+            double demand,
+            double inUse) {
         return table.ask(
-                now, new LeaseTable.Requester(holder, 1, number, holds, routers), demand, inUse, 10, held -> held * 10.0);
+                now,
+                new LeaseTable.Requester(holder, 1, number, holds, routers),
+                demand,
+                inUse,
+                10,
+                held -> held * 10.0);
     }
 
     @Test
     void upperAndCellTimesFollowFromTheRouterLeaseTimes() {
         assertEquals(6 * SECOND, UPPER_TIMES.leaseMicros());
         assertEquals(1_200_000, UPPER_TIMES.guardMicros());
-        assertEquals(UPPER_TIMES.guardMicros() + UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(), UPPER_TIMES.shrinkMicros());
+        assertEquals(
+                UPPER_TIMES.guardMicros() + UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(),
+                UPPER_TIMES.shrinkMicros());
         assertEquals(
                 TIMES.guardMicros() + UPPER_TIMES.guardMicros() + 2 * UPPER_TIMES.leaseMicros() + TIMES.leaseMicros(),
                 TIMES.forCellRouters().shrinkMicros());
@@ -103,11 +117,19 @@
     @Test
     void shareFollowsTheRoutersInTheTableAndBacksNoRouterLeaseThatWouldOutlastIt() {
         CellShare share = new CellShare(LIMIT, UPPER_TIMES, TIMES.leaseMicros(), 0);
-        assertEquals(40, share.grantableAmount(SECOND, 4, 10), 1e-9, "without a lease, the even shares of the routers in the table");
+        assertEquals(
+                40,
+                share.grantableAmount(SECOND, 4, 10),
+                1e-9,
+                "without a lease, the even shares of the routers in the table");
         assertEquals(0, share.recordRequest(SECOND, "k", 1, 7, 4));
         assertTrue(share.applyGrant(SECOND, "k", 1, 7, 70));
         assertEquals(70, share.grantableAmount(SECOND, 4, 10), 1e-9);
-        assertEquals(60, share.grantableAmount(SECOND, 3, 10), 1e-9, "a router that left the table takes its even share away");
+        assertEquals(
+                60,
+                share.grantableAmount(SECOND, 3, 10),
+                1e-9,
+                "a router that left the table takes its even share away");
         assertEquals(80, share.grantableAmount(SECOND, 5, 10), 1e-9, "a router that entered adds its even share");
         long until = SECOND + UPPER_TIMES.leaseMicros();
         assertEquals(until, share.expiresAt());
@@ -130,7 +152,10 @@
         assertEquals(4, share.grantableAmount(until, 4, 10), 1e-9);
         assertEquals(4, share.grantableAmount(until + UPPER_TIMES.shrinkMicros() - 1, 4, 10), 1e-9);
         assertEquals(40, share.grantableAmount(until + UPPER_TIMES.shrinkMicros(), 4, 10), 1e-9);
-        assertEquals(-1, share.recordRequest(until + UPPER_TIMES.shrinkMicros() - 1, "other", 1, 8, 4), "another grantor is asked only after the shrink time");
+        assertEquals(
+                -1,
+                share.recordRequest(until + UPPER_TIMES.shrinkMicros() - 1, "other", 1, 8, 4),
+                "another grantor is asked only after the shrink time");
         assertEquals(0, share.recordRequest(until + UPPER_TIMES.shrinkMicros(), "other", 1, 9, 4));
     }
 
@@ -261,7 +286,8 @@
                             held -> held * LIMIT.evenShare(allRouters));
                     if (share >= 0 && random.nextInt(4) > 0) {
                         long grantArrivesAt = receivedAt + random.nextInt(900_000);
-                        inFlight.add(new InFlight(grantArrivesAt, () -> cell.share.applyGrant(clock[0], grantor, 1, number, share)));
+                        inFlight.add(new InFlight(
+                                grantArrivesAt, () -> cell.share.applyGrant(clock[0], grantor, 1, number, share)));
                     }
                 };
                 inFlight.add(new InFlight(now + random.nextInt(900_000), request));
--- a/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
+++ b/src/test/java/pumicemoor/fleet/limits/LeaseTest.java
@@ -46,7 +46,9 @@
         assertEquals(7, held.currentShare(4 * SECOND + TIMES.shrinkMicros() - 1, 4));
         assertEquals(25, held.currentShare(4 * SECOND + TIMES.shrinkMicros(), 4));
         assertEquals(
-                -1, held.recordRequest(5 * SECOND, "other", 1, 20), "another grantor is asked only once the first no longer counts on the lease");
+                -1,
+                held.recordRequest(5 * SECOND, "other", 1, 20),
+                "another grantor is asked only once the first no longer counts on the lease");
         assertEquals(0, held.recordRequest(4 * SECOND + TIMES.shrinkMicros(), "other", 1, 21));
     }
 
--- a/src/test/java/pumicemoor/fleet/membership/ComparedInPartsTest.java
+++ b/src/test/java/pumicemoor/fleet/membership/ComparedInPartsTest.java
@@ -57,7 +57,8 @@
 
         @Override
         public void sendAll(String address, Predicate<RouterRecord> filter) {
-            List<RouterRecord> all = membership.allRouters().stream().filter(filter).toList();
+            List<RouterRecord> all =
+                    membership.allRouters().stream().filter(filter).toList();
             recordsSent += all.size();
             outbox.add(new Packet(membership.self(), ++number, new News(), all, List.of()));
         }
--- a/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
+++ b/src/test/java/pumicemoor/hierarchy/ManyRoutersTest.java
@@ -16,8 +16,8 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import pumicemoor.hierarchy.Hierarchy.UpdateSource;
 import pumicemoor.hierarchy.Hierarchy.Setup;
+import pumicemoor.hierarchy.Hierarchy.UpdateSource;
 import pumicemoor.hierarchy.Topology.Link;
 import pumicemoor.hierarchy.Topology.Unit;
 
@@ -29,7 +29,8 @@
 class ManyRoutersTest {
 
     private static final long SECOND_MICROS = 1_000_000;
-    private static final MigrationTiming TIMING = new MigrationTiming(4 * SECOND_MICROS, 6 * SECOND_MICROS, 4 * SECOND_MICROS, 5 * SECOND_MICROS);
+    private static final MigrationTiming TIMING =
+            new MigrationTiming(4 * SECOND_MICROS, 6 * SECOND_MICROS, 4 * SECOND_MICROS, 5 * SECOND_MICROS);
     private static final int ROUTERS = 5;
     private static final int HUBS = 5;
     private static final long STEP_MICROS = SECOND_MICROS / 2;
@@ -79,7 +80,8 @@
                 lines.add(order.get(i) + ":" + (parents.isEmpty() ? "o" : parents));
             }
             for (int d = 0; d < 2; d++) {
-                String hubs = order.stream().filter(hub -> random.nextInt(3) == 0).collect(Collectors.joining(","));
+                String hubs =
+                        order.stream().filter(hub -> random.nextInt(3) == 0).collect(Collectors.joining(","));
                 lines.add("d" + d + ":" + (hubs.isEmpty() ? "o" : hubs));
             }
             return Topologies.topology(version, announced, lines.toArray(String[]::new));
@@ -105,7 +107,8 @@
                 if (!removed && parents.isEmpty()) {
                     parents.put("o", 1.0);
                 }
-                updates.add(new TopologyUpdate(number + 1, now, ++version, 0, unit, Topologies.kind(unit), parents, removed));
+                updates.add(new TopologyUpdate(
+                        number + 1, now, ++version, 0, unit, Topologies.kind(unit), parents, removed));
                 if (removed) {
                     target.remove(unit);
                 } else {
@@ -124,8 +127,11 @@
         }
 
         void deliverLater(int router, long now, TopologyUpdate update) {
-            long delay = random.nextInt(10) == 0 ? random.nextInt((int) (20 * SECOND_MICROS)) : random.nextInt((int) SECOND_MICROS);
-            inbox.get(router).add(new Delivery(now + delay, () -> routers.get(router).accept(localTime(router, now + delay), update)));
+            long delay = random.nextInt(10) == 0
+                    ? random.nextInt((int) (20 * SECOND_MICROS))
+                    : random.nextInt((int) SECOND_MICROS);
+            inbox.get(router).add(new Delivery(now + delay, () -> routers.get(router)
+                    .accept(localTime(router, now + delay), update)));
         }
 
         void heartbeat(long now) {
@@ -160,7 +166,9 @@
             Set<Link> union = new HashSet<>();
             for (Hierarchy hierarchy : routers) {
                 boolean noSources = hierarchy.snapshot().stage() == Hierarchy.Stage.TOO_OLD;
-                assertEquals(noSources, hierarchy.sources(String::hashCode).sourcesByMember().isEmpty() && noSources);
+                assertEquals(
+                        noSources,
+                        hierarchy.sources(String::hashCode).sourcesByMember().isEmpty() && noSources);
                 Set<Link> links = hierarchy.timeline().linksInUse();
                 if (!noSources) {
                     union.addAll(links);
@@ -185,7 +193,9 @@
             run.deliver(now);
             run.check(now);
         }
-        long end = now + 40 * SECOND_MICROS + (HUBS + 2) * 3 * (TIMING.moveMicros() + 2 * TIMING.gapMicros() + TIMING.rememberMicros());
+        long end = now
+                + 40 * SECOND_MICROS
+                + (HUBS + 2) * 3 * (TIMING.moveMicros() + 2 * TIMING.gapMicros() + TIMING.rememberMicros());
         for (; now < end; now += 4 * STEP_MICROS) {
             run.heartbeat(now);
             run.deliver(now);
--- a/src/test/java/pumicemoor/hierarchy/Topologies.java
+++ b/src/test/java/pumicemoor/hierarchy/Topologies.java
@@ -45,7 +45,8 @@
 
     static boolean hasLoop(Collection<Link> links) {
         Map<String, Set<String>> parentsOf = new HashMap<>();
-        links.forEach(l -> parentsOf.computeIfAbsent(l.unit(), k -> new HashSet<>()).add(l.parent()));
+        links.forEach(
+                l -> parentsOf.computeIfAbsent(l.unit(), k -> new HashSet<>()).add(l.parent()));
         // removes the units without a remaining parent until none are left or only loops are
         while (!parentsOf.isEmpty()) {
             List<String> resolved = parentsOf.entrySet().stream()
--- a/src/test/java/pumicemoor/lab/CellProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/CellProcessesTest.java
@@ -93,15 +93,20 @@
                         .filter(restart -> restart <= endMillis && restart + RESTARTED_MILLIS >= beginMillis)
                         .count();
                 double restartAllowance = restartMillis.stream()
-                                .mapToLong(restart -> Math.max(0, Math.min(endMillis, restart + RESTARTED_MILLIS) - Math.max(beginMillis, restart)))
+                                .mapToLong(restart -> Math.max(
+                                        0,
+                                        Math.min(endMillis, restart + RESTARTED_MILLIS)
+                                                - Math.max(beginMillis, restart)))
                                 .sum()
                         / 1e3
                         * (Bounds.maxTotalShares(limit, ROUTERS, 1) - limit);
-                double bound = Bounds.maxRequests(limit, (spanMillis + SLACK_MILLIS) * 1_000, BUCKET_MICROS, (int) (ROUTERS + restarted)) + restartAllowance;
+                double bound = Bounds.maxRequests(
+                                limit, (spanMillis + SLACK_MILLIS) * 1_000, BUCKET_MICROS, (int) (ROUTERS + restarted))
+                        + restartAllowance;
                 if (to - from + 1 - bound > maxExcess) {
                     maxExcess = to - from + 1 - bound;
-                    description = member + ": " + (to - from + 1) + " requests in " + spanMillis + " ms until " + endMillis + ", bound "
-                            + bound;
+                    description = member + ": " + (to - from + 1) + " requests in " + spanMillis + " ms until "
+                            + endMillis + ", bound " + bound;
                 }
             }
             assertTrue(maxExcess <= 0, description);
@@ -162,8 +167,8 @@
                         600,
                         router -> FLEET.replace("ROOT", root(router)),
                         List.of(0, ROUTERS_PER_CELL, 2 * ROUTERS_PER_CELL));
-                LoadClients west =
-                        rig.clientsOf(routersOf("west").stream().map(rig.routers::get).toList())) {
+                LoadClients west = rig.clientsOf(
+                        routersOf("west").stream().map(rig.routers::get).toList())) {
             awaitConverged(rig, INITIAL_ROUTERS);
             assertEquals(3, cells(rig).size(), () -> "cells are " + cells(rig));
 
@@ -194,7 +199,8 @@
             awaitConverged(rig, ROUTERS);
             Map<String, Set<Integer>> cellsAfterSplit = cells(rig);
             assertTrue(
-                    cellsAfterSplit.size() >= 4 && cellsAfterSplit.values().stream().allMatch(c -> c.size() <= MAX_CELL_SIZE),
+                    cellsAfterSplit.size() >= 4
+                            && cellsAfterSplit.values().stream().allMatch(c -> c.size() <= MAX_CELL_SIZE),
                     () -> "cells " + cellsAfterSplit);
 
             // all routers of the second cell are restarted
--- a/src/test/java/pumicemoor/lab/ClockStepProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/ClockStepProcessesTest.java
@@ -48,13 +48,19 @@
             List<RequestResult> resultsAfterStep = rig.clients.completed().stream()
                     .filter(result -> result.sentAtMillis() > stepMillis - 500)
                     .toList();
-            assertTrue(resultsAfterStep.size() > 4 * REQUESTS_PER_SECOND, () -> "only " + resultsAfterStep.size() + " requests were sent");
+            assertTrue(
+                    resultsAfterStep.size() > 4 * REQUESTS_PER_SECOND,
+                    () -> "only " + resultsAfterStep.size() + " requests were sent");
             assertEquals(
-                    List.of(), resultsAfterStep.stream().filter(result -> result.outcome() != RequestOutcome.SERVED).toList());
+                    List.of(),
+                    resultsAfterStep.stream()
+                            .filter(result -> result.outcome() != RequestOutcome.SERVED)
+                            .toList());
             assertEquals(
                     List.of(),
                     rig.requestLog.requests().stream()
-                            .filter(request -> request.member().equals(DRAINED) && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
+                            .filter(request -> request.member().equals(DRAINED)
+                                    && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                             .toList());
         }
     }
--- a/src/test/java/pumicemoor/lab/DrainProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/DrainProcessesTest.java
@@ -71,7 +71,9 @@
                     if (row.get("phase").equals("out")
                             && (Boolean) row.get("confirmed")
                             && seenOutages.add(member + row.get("fence"))) {
-                        assertTrue(maintenanceStartMillis.put(member, rig.requestLog.nowMillis()) == null, "the member is out already");
+                        assertTrue(
+                                maintenanceStartMillis.put(member, rig.requestLog.nowMillis()) == null,
+                                "the member is out already");
                         fences.put(member, row.get("fence"));
                     }
                     if (!row.get("phase").equals("out")
@@ -134,7 +136,8 @@
     private static boolean hasEnded(FleetRig rig, String id) {
         for (int router = 0; router < ROUTERS; router++) {
             if (rig.rows(router, "drain-requests").stream()
-                    .noneMatch(row -> row.get("id").equals(id) && row.get("state").equals("ended"))) {
+                    .noneMatch(
+                            row -> row.get("id").equals(id) && row.get("state").equals("ended"))) {
                 return false;
             }
         }
@@ -156,7 +159,9 @@
                 fields.putAll(invalidFields);
                 String response = rig.command(1, fields);
                 assertTrue(
-                        response.startsWith("refused: " + invalidFields.keySet().iterator().next() + ": "), response);
+                        response.startsWith(
+                                "refused: " + invalidFields.keySet().iterator().next() + ": "),
+                        response);
             }
             assertTrue(rig.command(3, request("a1")).startsWith("waits"));
             operator.runLoad(2);
@@ -178,7 +183,9 @@
             rig.network.setImpairments(0, 0, 0);
             operator.runLoad(3);
             rig.unreachable.clear();
-            for (int attempt = 0; attempt < 300 && !(hasEnded(rig, "a1") && operator.doneToReport.isEmpty()); attempt++) {
+            for (int attempt = 0;
+                    attempt < 300 && !(hasEnded(rig, "a1") && operator.doneToReport.isEmpty());
+                    attempt++) {
                 operator.runLoad(STEP_SECONDS); // a slow machine takes longer, so the duration is not checked
             }
             assertTrue(hasEnded(rig, "a1"), () -> rig.rows(1, "drains") + " " + rig.rows(1, "drain-requests"));
@@ -206,24 +213,31 @@
                 + "<text x='20' y='54'>6</text><text x='20' y='94'>4</text><text x='20' y='174'>0</text></svg>\n";
     }
 
-    private static void assertDrainRulesKept(FleetRig rig, Operator operator, long pausedMillis, long resumedMillis) throws Exception {
-        Files.writeString(Path.of("target", "drain-serving.svg"), plot(operator.servingSamples, pausedMillis, resumedMillis));
+    private static void assertDrainRulesKept(FleetRig rig, Operator operator, long pausedMillis, long resumedMillis)
+            throws Exception {
+        Files.writeString(
+                Path.of("target", "drain-serving.svg"), plot(operator.servingSamples, pausedMillis, resumedMillis));
         assertEquals(CACHES, operator.outages.size(), () -> "each cache is out exactly once: " + operator.outages);
-        assertEquals(CACHES, operator.outages.stream().map(Outage::member).distinct().count());
+        assertEquals(
+                CACHES, operator.outages.stream().map(Outage::member).distinct().count());
         assertTrue(operator.maxOut <= MAX_AT_ONCE, () -> operator.maxOut + " caches were out at once");
         for (Outage outage : operator.outages) {
             List<ReceivedRequest> requests = rig.requestLog.requests().stream()
-                    .filter(request -> request.member().equals(outage.member()) && request.atMillis() >= outage.startMillis() && request.atMillis() < outage.endMillis())
+                    .filter(request -> request.member().equals(outage.member())
+                            && request.atMillis() >= outage.startMillis()
+                            && request.atMillis() < outage.endMillis())
                     .toList();
             assertEquals(List.of(), requests, () -> "a cache received requests while it was out: " + outage);
         }
         // after the last maintenance, all caches serve again
-        long lastOutageEnd = operator.outages.stream().mapToLong(Outage::endMillis).max().orElseThrow();
+        long lastOutageEnd =
+                operator.outages.stream().mapToLong(Outage::endMillis).max().orElseThrow();
         rig.runLoad(4);
         assertEquals(
                 CACHES,
                 rig.requestLog.requests().stream()
-                        .filter(request -> request.atMillis() > lastOutageEnd && request.member().startsWith("box-"))
+                        .filter(request -> request.atMillis() > lastOutageEnd
+                                && request.member().startsWith("box-"))
                         .map(ReceivedRequest::member)
                         .distinct()
                         .count(),
@@ -238,11 +252,15 @@
                 0,
                 countsByOutcome.getOrDefault(RequestOutcome.TWICE, 0L)
                         + results.stream()
-                                .filter(result -> result.outcome() == RequestOutcome.LATE && (result.sentAtMillis() < pausedMillis - 1_500 || result.sentAtMillis() > resumedMillis))
+                                .filter(result -> result.outcome() == RequestOutcome.LATE
+                                        && (result.sentAtMillis() < pausedMillis - 1_500
+                                                || result.sentAtMillis() > resumedMillis))
                                 .count(),
                 countsByOutcome::toString);
         Files.writeString(Path.of("target", "drain-ends.txt"), countsByOutcome + "\n" + operator.outages + "\n");
         // open requests of a killed or paused router may be lost: a fifth of all requests for a short time
-        assertTrue(countsByOutcome.getOrDefault(RequestOutcome.SERVED, 0L) > 0.95 * results.size(), countsByOutcome::toString);
+        assertTrue(
+                countsByOutcome.getOrDefault(RequestOutcome.SERVED, 0L) > 0.95 * results.size(),
+                countsByOutcome::toString);
     }
 }
--- a/src/test/java/pumicemoor/lab/FleetProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/FleetProcessesTest.java
@@ -47,9 +47,14 @@
         long[] receivedMillis = rig.receivedAtMillis(member);
         for (long windowMillis : new long[] {3_000, 10_000, 100_000}) {
             double bound = Bounds.maxRequests(
-                    limit, (Math.min(windowMillis, receivedMillis[receivedMillis.length - 1] - receivedMillis[0]) + 500) * 1_000, BUCKET_MICROS, ROUTERS);
+                    limit,
+                    (Math.min(windowMillis, receivedMillis[receivedMillis.length - 1] - receivedMillis[0]) + 500)
+                            * 1_000,
+                    BUCKET_MICROS,
+                    ROUTERS);
             int max = FleetRig.maxInWindow(receivedMillis, windowMillis);
-            assertTrue(max <= bound, () -> member + ": " + max + " requests in " + windowMillis + " ms, bound " + bound);
+            assertTrue(
+                    max <= bound, () -> member + ": " + max + " requests in " + windowMillis + " ms, bound " + bound);
         }
     }
 
@@ -75,11 +80,14 @@
             rig.runLoad(5);
             int countBefore = rig.receivedAtMillis("box-0").length;
             rig.runLoad(4);
-            assertTrue(rig.receivedAtMillis("box-0").length - countBefore > 0.3 * 4 * CACHE_LIMIT, "the limit is hardly used");
+            assertTrue(
+                    rig.receivedAtMillis("box-0").length - countBefore > 0.3 * 4 * CACHE_LIMIT,
+                    "the limit is hardly used");
             rig.network.cutLinks((from, to) -> from < 2 != to < 2);
             rig.runLoad(6);
             for (int i = 0; i < ROUTERS; i++) {
-                assertTrue(rig.rows(i, "limits").stream().allMatch(limit -> ((Number) limit.get("part")).doubleValue() > 0));
+                assertTrue(rig.rows(i, "limits").stream()
+                        .allMatch(limit -> ((Number) limit.get("part")).doubleValue() > 0));
             }
             rig.network.cutLinks((from, to) -> false);
             rig.network.setImpairments(0.3, 0.2, 120);
@@ -114,14 +122,19 @@
     private static int assertSpread(FleetRig rig) {
         Map<Object, List<Long>> receivedMillisByVersion = new HashMap<>();
         for (int router = 0; router < ROUTERS; router++) {
-            rig.rows(router, "verdicts").stream().filter(row -> (Boolean) row.get("out")).forEach(row -> receivedMillisByVersion.computeIfAbsent(
-                            row.get("version"), k -> new ArrayList<>())
-                    .add(((Number) row.get("heard-at-ms")).longValue()));
+            rig.rows(router, "verdicts").stream()
+                    .filter(row -> (Boolean) row.get("out"))
+                    .forEach(row -> receivedMillisByVersion
+                            .computeIfAbsent(row.get("version"), k -> new ArrayList<>())
+                            .add(((Number) row.get("heard-at-ms")).longValue()));
         }
-        List<List<Long>> all =
-                receivedMillisByVersion.values().stream().filter(receivedMillis -> receivedMillis.size() == ROUTERS).toList();
+        List<List<Long>> all = receivedMillisByVersion.values().stream()
+                .filter(receivedMillis -> receivedMillis.size() == ROUTERS)
+                .toList();
         all.forEach(receivedMillis -> assertTrue(
-                Collections.max(receivedMillis) - Collections.min(receivedMillis) <= Bounds.spreadPeriods(ROUTERS) * 100 + 500, receivedMillis::toString));
+                Collections.max(receivedMillis) - Collections.min(receivedMillis)
+                        <= Bounds.spreadPeriods(ROUTERS) * 100 + 500,
+                receivedMillis::toString));
         return all.size();
     }
 
@@ -165,7 +178,8 @@
                 rig.runLoad(0.5);
             }
             assertTrue(
-                    rig.rows(0, "verdicts").stream().noneMatch(row -> (Boolean) row.get("out")), "a member is still ejected after its fault has ended");
+                    rig.rows(0, "verdicts").stream().noneMatch(row -> (Boolean) row.get("out")),
+                    "a member is still ejected after its fault has ended");
         }
     }
 }
--- a/src/test/java/pumicemoor/lab/FleetRig.java
+++ b/src/test/java/pumicemoor/lab/FleetRig.java
@@ -91,7 +91,16 @@
             List<Integer> seeds)
             throws Exception {
         return new FleetRig(
-                folder, routerCount, startedCount, caches, rate, 1, fleetSections, seeds, RouterProcess.SMALL_JVM_OPTIONS, NO_CONFIG_EDITS);
+                folder,
+                routerCount,
+                startedCount,
+                caches,
+                rate,
+                1,
+                fleetSections,
+                seeds,
+                RouterProcess.SMALL_JVM_OPTIONS,
+                NO_CONFIG_EDITS);
     }
 
     private FleetRig(
@@ -145,7 +154,9 @@
             router.awaitReady();
         }
         clients = new LoadClients(
-                scenario, requestLog, routers.stream().map(RouterProcess::address).toList());
+                scenario,
+                requestLog,
+                routers.stream().map(RouterProcess::address).toList());
     }
 
     @SafeVarargs
@@ -160,7 +171,10 @@
                 scenario.cacheHolds(),
                 scenario.fillMillis(),
                 requestLog,
-                n -> members.stream().filter(member -> member.name.equals(n)).findFirst().orElse(null),
+                n -> members.stream()
+                        .filter(member -> member.name.equals(n))
+                        .findFirst()
+                        .orElse(null),
                 executor));
     }
 
@@ -176,15 +190,16 @@
         loggedBeforeStart.put(i, Files.exists(log) ? Files.size(log) : 0L);
         String fleet = fleetSections.apply(i);
         String seedAddresses = seeds.stream().map(network::advertisedAddress).collect(Collectors.joining(", "));
-        String config =
-                LabConfig.json(i, routers.get(i).address(), scenario, coordinator.address(), coordinator.eventsAsJson());
+        String config = LabConfig.json(
+                i, routers.get(i).address(), scenario, coordinator.address(), coordinator.eventsAsJson());
         routers.get(i)
                 .start(
                         configEdits.length == 0 ? config : configEdits[i % configEdits.length].apply(config),
                         fleet.isEmpty()
                                 ? "log: {format: json}\n"
                                 : "log: {format: json}\nfleet:\n  cluster: rig\n  listen: " + network.listenAddress(i)
-                                        + "\n  advertise: " + network.advertisedAddress(i) + "\n  seeds: [" + seedAddresses
+                                        + "\n  advertise: " + network.advertisedAddress(i) + "\n  seeds: ["
+                                        + seedAddresses
                                         + "]\n  size: "
                                         + scenario.routers() + "\n" + fleet);
     }
@@ -255,7 +270,9 @@
     /** Creates clients that send to some of the routers only. */
     LoadClients clientsOf(List<RouterProcess> selected) {
         return new LoadClients(
-                scenario, requestLog, selected.stream().map(RouterProcess::address).toList());
+                scenario,
+                requestLog,
+                selected.stream().map(RouterProcess::address).toList());
     }
 
     /** Sends requests at the scenario's rate for the given time in seconds. */
@@ -269,7 +286,9 @@
         loadEndSeconds = Math.max(loadEndSeconds, (System.nanoTime() - startNanos) / 1e9);
         double startSeconds = loadEndSeconds;
         long sentBefore = sentRequests;
-        for (double elapsedSeconds = startSeconds; elapsedSeconds < endSeconds; elapsedSeconds = (System.nanoTime() - startNanos) / 1e9) {
+        for (double elapsedSeconds = startSeconds;
+                elapsedSeconds < endSeconds;
+                elapsedSeconds = (System.nanoTime() - startNanos) / 1e9) {
             while (sentRequests - sentBefore < (elapsedSeconds - startSeconds) * scenario.rate()) {
                 groups.get((int) (sentRequests % groups.size())).sendNext();
                 sentRequests++;
--- a/src/test/java/pumicemoor/lab/IgnoredHangUpProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/IgnoredHangUpProcessesTest.java
@@ -43,7 +43,8 @@
             assertEquals(
                     List.of(),
                     rig.requestLog.requests().stream()
-                            .filter(request -> request.member().equals(DRAINED) && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
+                            .filter(request -> request.member().equals(DRAINED)
+                                    && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                             .toList());
             assertEquals("1", router.status().get("reloads"));
         } finally {
--- a/src/test/java/pumicemoor/lab/MixedConfigurationsProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/MixedConfigurationsProcessesTest.java
@@ -34,7 +34,8 @@
     void oldAndNewConfigurationsKeepTheRulesAndNeitherStarvesTheOther() throws Exception {
         try (FleetRig rig = new FleetRig(folder, 4, 4, 300, "", OLD_CONFIGURATION, NEW_CONFIGURATION)) {
             List<LoadClients> clientsByConfiguration = IntStream.range(0, 2)
-                    .mapToObj(configuration -> rig.clientsOf(List.of(rig.routers.get(configuration), rig.routers.get(configuration + 2))))
+                    .mapToObj(configuration ->
+                            rig.clientsOf(List.of(rig.routers.get(configuration), rig.routers.get(configuration + 2))))
                     .toList();
             rig.runLoad(4, clientsByConfiguration);
             rig.drain("box-1");
@@ -45,25 +46,33 @@
             Thread.sleep(2_000);
             clientsByConfiguration.forEach(LoadClients::finish);
             double[] servedShares = clientsByConfiguration.stream()
-                    .mapToDouble(clients ->
-                            clients.completed().stream().filter(result -> result.outcome() == RequestOutcome.SERVED).count()
-                                    / (double) clients.completed().size())
+                    .mapToDouble(clients -> clients.completed().stream()
+                                    .filter(result -> result.outcome() == RequestOutcome.SERVED)
+                                    .count()
+                            / (double) clients.completed().size())
                     .toArray();
             for (RequestResult result : clientsByConfiguration.get(0).completed()) {
-                assertTrue(result.outcome() == RequestOutcome.SERVED || result.outcome() == RequestOutcome.REFUSED || result.outcome() == RequestOutcome.FAILED, result::toString);
+                assertTrue(
+                        result.outcome() == RequestOutcome.SERVED
+                                || result.outcome() == RequestOutcome.REFUSED
+                                || result.outcome() == RequestOutcome.FAILED,
+                        result::toString);
             }
             assertEquals(
                     0,
                     clientsByConfiguration.get(1).completed().stream()
-                            .filter(result -> result.outcome() == RequestOutcome.TWICE || result.outcome() == RequestOutcome.LATE)
+                            .filter(result ->
+                                    result.outcome() == RequestOutcome.TWICE || result.outcome() == RequestOutcome.LATE)
                             .count());
             assertTrue(
-                    servedShares[0] > 0.9 && servedShares[1] > 0.9 * servedShares[0], () -> "served " + servedShares[0] + " and " + servedShares[1]);
+                    servedShares[0] > 0.9 && servedShares[1] > 0.9 * servedShares[0],
+                    () -> "served " + servedShares[0] + " and " + servedShares[1]);
             long drainStartMillis = rig.requestLog.drainStartMillis().get("box-1");
             assertEquals(
                     0,
                     rig.requestLog.requests().stream()
-                            .filter(request -> request.member().equals("box-1") && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
+                            .filter(request -> request.member().equals("box-1")
+                                    && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                             .count(),
                     "requests to the cache after its drain");
         }
--- a/src/test/java/pumicemoor/lab/PausedRouterProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/PausedRouterProcessesTest.java
@@ -41,12 +41,15 @@
             assertEquals(
                     List.of(),
                     rig.requestLog.requests().stream()
-                            .filter(request -> request.member().equals(DRAINED) && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
+                            .filter(request -> request.member().equals(DRAINED)
+                                    && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                             .toList());
             assertEquals(
                     List.of(),
                     rig.clients.completed().stream()
-                            .filter(result -> result.sentAtMillis() > drainStartMillis && result.outcome() != RequestOutcome.SERVED && result.outcome() != RequestOutcome.REFUSED)
+                            .filter(result -> result.sentAtMillis() > drainStartMillis
+                                    && result.outcome() != RequestOutcome.SERVED
+                                    && result.outcome() != RequestOutcome.REFUSED)
                             .toList());
         }
     }
--- a/src/test/java/pumicemoor/lab/ProcessRunTest.java
+++ b/src/test/java/pumicemoor/lab/ProcessRunTest.java
@@ -28,7 +28,8 @@
     private final PrintStream progress = new PrintStream(new ByteArrayOutputStream());
 
     private String run(String yaml) throws Exception {
-        return ProcessRun.measureToMarkdown(Files.writeString(folder.resolve("run.yaml"), yaml), folder.resolve("out"), progress);
+        return ProcessRun.measureToMarkdown(
+                Files.writeString(folder.resolve("run.yaml"), yaml), folder.resolve("out"), progress);
     }
 
     @Test
@@ -66,7 +67,9 @@
     void tooManyProcessesAreRejectedBeforeAnyStarts() {
         String message = assertThrows(IOException.class, () -> run("{routers: [3, 201]}"))
                 .getMessage();
-        assertTrue(message.endsWith("run.yaml: routers: 201 is not from 2 to 200, the range for separate processes"), message);
+        assertTrue(
+                message.endsWith("run.yaml: routers: 201 is not from 2 to 200, the range for separate processes"),
+                message);
         assertTrue(assertThrows(IOException.class, () -> run("{sizes: [3]}"))
                 .getMessage()
                 .contains("sizes"));
--- a/src/test/java/pumicemoor/lab/SoakChecker.java
+++ b/src/test/java/pumicemoor/lab/SoakChecker.java
@@ -53,7 +53,9 @@
             }
         }
         for (RequestResult result : results) {
-            if (result.outcome() == RequestOutcome.TWICE || result.outcome() == RequestOutcome.LATE && tooLate(result) || result.outcome() == RequestOutcome.LOST && !mayBeLost(result)) {
+            if (result.outcome() == RequestOutcome.TWICE
+                    || result.outcome() == RequestOutcome.LATE && tooLate(result)
+                    || result.outcome() == RequestOutcome.LOST && !mayBeLost(result)) {
                 violations.add("answers: " + result);
             }
         }
@@ -67,6 +69,8 @@
 
     /** Requests that were open at a killed process may be lost. */
     private boolean mayBeLost(RequestResult result) {
-        return killMillis.stream().anyMatch(kill -> kill >= result.sentAtMillis() - SLACK_MILLIS && kill <= result.sentAtMillis() + maxResponseMillis);
+        return killMillis.stream()
+                .anyMatch(kill -> kill >= result.sentAtMillis() - SLACK_MILLIS
+                        && kill <= result.sentAtMillis() + maxResponseMillis);
     }
 }
--- a/src/test/java/pumicemoor/lab/SoakCheckerTest.java
+++ b/src/test/java/pumicemoor/lab/SoakCheckerTest.java
@@ -43,7 +43,13 @@
         assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.LATE, 0))));
         assertEquals(1, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.LATE, 2_051_000))));
         assertEquals(0, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.LATE, 2_050_000))));
-        assertEquals(0, violations(List.of(), List.of(new RequestResult(1_000, RequestOutcome.SERVED, 0), new RequestResult(1_000, RequestOutcome.REFUSED, 0))));
+        assertEquals(
+                0,
+                violations(
+                        List.of(),
+                        List.of(
+                                new RequestResult(1_000, RequestOutcome.SERVED, 0),
+                                new RequestResult(1_000, RequestOutcome.REFUSED, 0))));
     }
 
     @Test
--- a/src/test/java/pumicemoor/lab/StaleStartProcessesTest.java
+++ b/src/test/java/pumicemoor/lab/StaleStartProcessesTest.java
@@ -78,15 +78,21 @@
         rig.runLoad(9);
         Thread.sleep(1_000);
         long endMillis = rig.requestLog.nowMillis();
-        List<RequestResult> lastResults =
-                rig.clients.completed().stream().filter(result -> result.sentAtMillis() > endMillis - 3_000).toList();
-        assertTrue(lastResults.size() > REQUESTS_PER_SECOND, () -> "requests of the last 3 seconds: " + lastResults.size());
-        assertTrue(lastResults.stream().allMatch(result -> result.outcome() == RequestOutcome.SERVED), "not all requests are served after the restart: " + lastResults);
+        List<RequestResult> lastResults = rig.clients.completed().stream()
+                .filter(result -> result.sentAtMillis() > endMillis - 3_000)
+                .toList();
+        assertTrue(
+                lastResults.size() > REQUESTS_PER_SECOND,
+                () -> "requests of the last 3 seconds: " + lastResults.size());
+        assertTrue(
+                lastResults.stream().allMatch(result -> result.outcome() == RequestOutcome.SERVED),
+                "not all requests are served after the restart: " + lastResults);
         long drainStartMillis = rig.requestLog.drainStartMillis().get(DRAINED);
         assertEquals(
                 List.of(),
                 rig.requestLog.requests().stream()
-                        .filter(request -> request.member().equals(DRAINED) && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
+                        .filter(request -> request.member().equals(DRAINED)
+                                && request.atMillis() > drainStartMillis + DRAIN_GRACE_MILLIS)
                         .toList());
     }
 }
--- a/src/test/java/pumicemoor/lab/TopologyChangesTest.java
+++ b/src/test/java/pumicemoor/lab/TopologyChangesTest.java
@@ -26,7 +26,8 @@
     @TempDir
     Path folder;
 
-    private static ScheduledEvent topologyChange(double atSeconds, Map<String, Map<String, Double>> hubs, Map<String, Double> depot) {
+    private static ScheduledEvent topologyChange(
+            double atSeconds, Map<String, Map<String, Double>> hubs, Map<String, Double> depot) {
         return new ScheduledEvent(atSeconds, hubs, depot, null, null, null, null, null);
     }
 
--- a/src/test/java/pumicemoor/lab/scale/ReaderRolesTest.java
+++ b/src/test/java/pumicemoor/lab/scale/ReaderRolesTest.java
@@ -94,7 +94,10 @@
     void disconnectedRouterAcceptsNoOldCopies() {
         assertEquals(0, figure("reader, seconds cut off", 3, "bounded while cut off"));
         assertEquals(1, figure("reader, seconds cut off", 15, "bounded while cut off"));
-        assertEquals(0, figure("reader, seconds cut off", 15, "unbounded while behind"), "events from the backlog must not be taken as proof of being up to date");
+        assertEquals(
+                0,
+                figure("reader, seconds cut off", 15, "unbounded while behind"),
+                "events from the backlog must not be taken as proof of being up to date");
     }
 
     @Test
--- a/src/test/java/pumicemoor/lab/scale/ScaleTest.java
+++ b/src/test/java/pumicemoor/lab/scale/ScaleTest.java
@@ -34,7 +34,8 @@
  */
 class ScaleTest {
 
-    private static final PrintStream DISCARD_PROGRESS = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
+    private static final PrintStream DISCARD_PROGRESS =
+            new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
     private static final String SMALL_CONFIG =
             """
             seed: 7
@@ -66,10 +67,12 @@
     @ValueSource(strings = {"", "cells: {most: 8, delegates: 2}\n"})
     void countsDependOnTheSeedAndNotOnTheNumberOfThreads(String extraSettings) throws IOException {
         Map<String, Map<String, Double>> first = machineIndependentFigures(SMALL_CONFIG + extraSettings);
-        Map<String, Map<String, Double>> second = machineIndependentFigures(SMALL_CONFIG + extraSettings + "threads: 3\n");
+        Map<String, Map<String, Double>> second =
+                machineIndependentFigures(SMALL_CONFIG + extraSettings + "threads: 3\n");
         assertEquals(first.keySet(), second.keySet());
         first.forEach((sample, figures) -> assertEquals(figures, second.get(sample), sample));
-        assertFalse(first.equals(machineIndependentFigures(SMALL_CONFIG.replace("seed: 7", "seed: 8") + extraSettings)));
+        assertFalse(
+                first.equals(machineIndependentFigures(SMALL_CONFIG.replace("seed: 7", "seed: 8") + extraSettings)));
         for (int size : new int[] {10, 30}) {
             for (String scenario : List.of(
                     "start", "calm", "20 % restarted", "zone lost", "zone back", "regions cut", "regions joined")) {
@@ -111,7 +114,8 @@
 
     @Test
     void partitionDropsAllPacketsAndKilledRouterLeavesTheFleet() throws IOException {
-        SimulatedFleet fleet = new SimulatedFleet(ScaleConfig.parse(SMALL_CONFIG, "test"), new FleetParameters(30, 1, false));
+        SimulatedFleet fleet =
+                new SimulatedFleet(ScaleConfig.parse(SMALL_CONFIG, "test"), new FleetParameters(30, 1, false));
         fleet.startAll();
         fleet.run(10 * SimulatedFleet.MICROS_PER_SECOND, f -> true);
         fleet.setPartition((a, b) -> a.zone() != b.zone());
@@ -120,7 +124,8 @@
             long routersInZone = fleet.routers.stream()
                     .filter(o -> o.location.zone() == router.location.zone())
                     .count();
-            assertEquals(Long.toString(routersInZone), router.participant.fields().get("fleet-living"), router.name);
+            assertEquals(
+                    Long.toString(routersInZone), router.participant.fields().get("fleet-living"), router.name);
         }
         fleet.setPartition((a, b) -> true);
         fleet.run(SimulatedFleet.MICROS_PER_SECOND, f -> true); // lets the packets in flight arrive
@@ -221,10 +226,15 @@
         assertEquals(1, fit.maxResidual(), 1e-9);
         assertEquals(3e8, fit.predict(10_000), 1);
         assertEquals(10, fit.extrapolationFactor(10_000), 1e-9);
-        BudgetCrossing crossingInRange = Fit.budgetCrossing(square, fit, 30_000 * 1.0001).orElseThrow();
-        assertTrue(crossingInRange.measured() && Math.abs(crossingInRange.size() - 100) < 0.1, crossingInRange.toString());
-        BudgetCrossing crossingBeyondRange = Fit.budgetCrossing(square, fit, 3e8).orElseThrow();
-        assertTrue(!crossingBeyondRange.measured() && Math.abs(crossingBeyondRange.size() - 10_000) < 1, crossingBeyondRange.toString());
+        BudgetCrossing crossingInRange =
+                Fit.budgetCrossing(square, fit, 30_000 * 1.0001).orElseThrow();
+        assertTrue(
+                crossingInRange.measured() && Math.abs(crossingInRange.size() - 100) < 0.1, crossingInRange.toString());
+        BudgetCrossing crossingBeyondRange =
+                Fit.budgetCrossing(square, fit, 3e8).orElseThrow();
+        assertTrue(
+                !crossingBeyondRange.measured() && Math.abs(crossingBeyondRange.size() - 10_000) < 1,
+                crossingBeyondRange.toString());
         // no extrapolation beyond a thousand times the range
         assertTrue(Fit.budgetCrossing(square, fit, 3e20).isEmpty());
         assertEquals(10, Fit.budgetCrossing(square, fit, 1).orElseThrow().size(), 0);
--- a/src/test/java/pumicemoor/net/CacheConnectionsTest.java
+++ b/src/test/java/pumicemoor/net/CacheConnectionsTest.java
@@ -175,14 +175,16 @@
     void answerThatCrossesAQuitIsNotMatchedToTheNextAttempt() throws Exception {
         ReceivedLine first = sendAndReceive(1, "a");
         abandon(1);
-        assertEquals("QUIT a", received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
+        assertEquals(
+                "QUIT a", received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
         ReceivedLine second = sendAndReceive(2, "a");
         assertEquals(false, sameConnection(first, second));
         answer(first, "a", "data");
         ReceivedLine third = sendAndReceive(3, "b");
         assertEquals(true, sameConnection(first, third));
         answer(third, "b", "failed");
-        assertEquals(new Input.AttemptAnswered(3, Input.AnswerStatus.FAILED, null, java.util.Map.of(), Bytes.NONE), next());
+        assertEquals(
+                new Input.AttemptAnswered(3, Input.AnswerStatus.FAILED, null, java.util.Map.of(), Bytes.NONE), next());
         answer(second, "a", "absent");
         assertEquals(2, ((Input.AttemptAnswered) next()).attempt());
     }
@@ -318,7 +320,9 @@
             sendAndReceive(2, "b");
             write(first, text);
             assertEquals(
-                    java.util.Set.of(new Input.ConnectionLost(1), new Input.ConnectionLost(2)), java.util.Set.of(next(), next()), text);
+                    java.util.Set.of(new Input.ConnectionLost(1), new Input.ConnectionLost(2)),
+                    java.util.Set.of(next(), next()),
+                    text);
         }
     }
 
@@ -375,7 +379,9 @@
         ReceivedLine first = sendAndReceive(1, "a");
         loop.time += limits.livenessProbeDelay() + 1;
         onLoop(() -> connections.sweep(loop.time));
-        assertEquals("NOOP life", received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
+        assertEquals(
+                "NOOP life",
+                received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
         write(first, "life well - 0\r\n\r\n");
         ReceivedLine second = sendAndReceive(2, "b");
         write(first, "b absent - 0\r\n\r\n");
@@ -384,7 +390,9 @@
         onLoop(() -> {}); // all received input is processed
         loop.time += limits.livenessProbeDelay() + 1;
         onLoop(() -> connections.sweep(loop.time));
-        assertEquals("NOOP life", received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
+        assertEquals(
+                "NOOP life",
+                received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).line());
         loop.time += limits.livenessProbeTimeout();
         onLoop(() -> connections.sweep(loop.time));
         loop.time += 1;
--- a/src/test/java/pumicemoor/net/ClientConnectionTest.java
+++ b/src/test/java/pumicemoor/net/ClientConnectionTest.java
@@ -65,7 +65,8 @@
 
     private void open() {
         loop.inputs.clear();
-        connection = new ClientConnection(1, limits, new BufferBudget(() -> usedBytes, 1_000_000), new Counters(), loop);
+        connection =
+                new ClientConnection(1, limits, new BufferBudget(() -> usedBytes, 1_000_000), new Counters(), loop);
         channel = new EmbeddedChannel(new FrameDecoder(limits.maxFrameBytes()), connection);
     }
 
@@ -397,7 +398,8 @@
         assertEquals(List.of(new Input.RequestCancelled(1, 5)), inputs().subList(1, loop.inputs.size()));
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, true);
         channel.runPendingTasks();
-        assertEquals("00000015" + "08" + "00000006" + "0001" + PUSHBACK, written(), "refused, without any other answer");
+        assertEquals(
+                "00000015" + "08" + "00000006" + "0001" + PUSHBACK, written(), "refused, without any other answer");
         write(request(8));
         assertEquals(3, loop.inputs.size());
         ((Input.Request) inputs().get(2)).body().release();
@@ -418,7 +420,8 @@
 
     @Test
     void clientThatDoesNotReadIsDisconnectedAfterItsTimeout() {
-        connection = new ClientConnection(1, limits, new BufferBudget(() -> usedBytes, 1_000_000), new Counters(), loop);
+        connection =
+                new ClientConnection(1, limits, new BufferBudget(() -> usedBytes, 1_000_000), new Counters(), loop);
         channel = new EmbeddedChannel(connection) {
             @Override
             protected void doWrite(ChannelOutboundBuffer in) {
@@ -448,7 +451,8 @@
         connection.answer(new Effect.Answer(1, 5, Code.FAILED, false, 0, Bytes.NONE));
         written();
         connection.sweep(loop.time);
-        assertEquals("00000005" + "03" + "00000000", written(), "a drain comes first, so that no request crosses the close");
+        assertEquals(
+                "00000005" + "03" + "00000000", written(), "a drain comes first, so that no request crosses the close");
         assertTrue(channel.isOpen());
         loop.time += limits.clientDrainTime();
         connection.sweep(loop.time);
--- a/src/test/java/pumicemoor/net/CoordinatorMoveTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorMoveTest.java
@@ -38,7 +38,8 @@
         Cache otherCache = new Cache("data");
         Coordinator oldCoordinator = new Coordinator();
         SilentCoordinator newCoordinator = new SilentCoordinator();
-        String initialMembers = NodeTestConfig.list(1, true, member("s-1", drainingCache, "box"), member("s-2", otherCache, "box"));
+        String initialMembers =
+                NodeTestConfig.list(1, true, member("s-1", drainingCache, "box"), member("s-2", otherCache, "box"));
         start(oldCoordinator.address(), initialMembers);
         server.reload(
                 NodeTestConfig.parse(NodeTestConfig.json("127.0.0.1:0", newCoordinator.address(), initialMembers)),
@@ -46,7 +47,8 @@
                 null);
         assertTrue(newCoordinator.requested.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         oldCoordinator.events.add("id: 2\ndata: "
-                + NodeTestConfig.list(2, false, NodeTestConfig.member("s-1", drainingCache.address(), "box", "leaving", 0)));
+                + NodeTestConfig.list(
+                        2, false, NodeTestConfig.member("s-1", drainingCache.address(), "box", "leaving", 0)));
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(2);
         while (server.counters().get(Name.UPDATES) < 2 && System.nanoTime() < deadlineNanos) {
             Thread.sleep(5);
--- a/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
+++ b/src/test/java/pumicemoor/net/CoordinatorStreamTest.java
@@ -117,7 +117,9 @@
         assertTrue(channel.isOpen(), "a comment is sent each second");
         advanceTime(800_000);
         assertFalse(channel.isOpen(), "two seconds of silence are enough");
-        assertTrue(limits.coordinatorSilenceTimeout() + limits.coordinatorRetryDelay() + limits.coordinatorConnectTimeout() < 4_000_000);
+        assertTrue(
+                limits.coordinatorSilenceTimeout() + limits.coordinatorRetryDelay() + limits.coordinatorConnectTimeout()
+                        < 4_000_000);
     }
 
     @Test
--- a/src/test/java/pumicemoor/node/DrainedMembersTest.java
+++ b/src/test/java/pumicemoor/node/DrainedMembersTest.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.Member;
+import pumicemoor.RouterApi.MemberListKind;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Role;
 import pumicemoor.RouterApi.State;
@@ -31,29 +31,42 @@
     @Test
     void theListIsHeldBackUntilDrainsAreKnownAndThenFollowsThem() {
         DrainedMembers drainedMembers = new DrainedMembers();
-        assertTrue(drainedMembers.applyListUpdate(update(MemberListKind.SNAPSHOT, cache(1, 5, State.READY), cache(2, 5, State.READY)))
+        assertTrue(drainedMembers
+                .applyListUpdate(update(MemberListKind.SNAPSHOT, cache(1, 5, State.READY), cache(2, 5, State.READY)))
                 .isEmpty());
-        assertTrue(drainedMembers.applyView(new View(false, Set.of(2L), Map.of())).isEmpty());
+        assertTrue(
+                drainedMembers.applyView(new View(false, Set.of(2L), Map.of())).isEmpty());
         assertEquals(
                 update(MemberListKind.SNAPSHOT, cache(1, 5, State.READY), cache(2, 5, State.DRAINING)),
                 drainedMembers.applyView(new View(true, Set.of(2L), Map.of())).orElseThrow());
-        assertTrue(drainedMembers.applyView(new View(true, Set.of(2L), Map.of())).isEmpty());
+        assertTrue(
+                drainedMembers.applyView(new View(true, Set.of(2L), Map.of())).isEmpty());
         // the member counts as started at its return, until the list reports a later start
         assertEquals(
                 update(MemberListKind.DELTA, cache(2, 90, State.READY)),
-                drainedMembers.applyView(new View(true, Set.of(), Map.of(2L, 90L))).orElseThrow());
+                drainedMembers
+                        .applyView(new View(true, Set.of(), Map.of(2L, 90L)))
+                        .orElseThrow());
         assertEquals(
                 update(MemberListKind.DELTA, cache(2, 95, State.READY), cache(1, 5, State.DRAINING)),
-                drainedMembers.applyListUpdate(update(MemberListKind.DELTA, cache(2, 95, State.READY), cache(1, 5, State.DRAINING)))
+                drainedMembers
+                        .applyListUpdate(
+                                update(MemberListKind.DELTA, cache(2, 95, State.READY), cache(1, 5, State.DRAINING)))
                         .orElseThrow());
         assertEquals(
                 update(MemberListKind.DELTA, cache(2, 0, State.GONE)),
-                drainedMembers.applyListUpdate(update(MemberListKind.DELTA, cache(2, 0, State.GONE))).orElseThrow());
+                drainedMembers
+                        .applyListUpdate(update(MemberListKind.DELTA, cache(2, 0, State.GONE)))
+                        .orElseThrow());
         assertTrue(
-                drainedMembers.applyView(new View(true, Set.of(1L, 2L), Map.of())).isEmpty(),
+                drainedMembers
+                        .applyView(new View(true, Set.of(1L, 2L), Map.of()))
+                        .isEmpty(),
                 "members that are gone, or that the list itself reports as draining");
         assertEquals(
                 update(MemberListKind.SNAPSHOT, cache(2, 99, State.DRAINING)),
-                drainedMembers.applyListUpdate(update(MemberListKind.SNAPSHOT, cache(2, 99, State.READY))).orElseThrow());
+                drainedMembers
+                        .applyListUpdate(update(MemberListKind.SNAPSHOT, cache(2, 99, State.READY)))
+                        .orElseThrow());
     }
 }
--- a/src/test/java/pumicemoor/node/LongDayTest.java
+++ b/src/test/java/pumicemoor/node/LongDayTest.java
@@ -36,7 +36,8 @@
             if (effect instanceof Effect.SendAttempt attempt) {
                 attempt.body().release();
                 accept(new Input.AttemptWritten(attempt.attempt()));
-                accept(new Input.AttemptAnswered(attempt.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
+                accept(new Input.AttemptAnswered(
+                        attempt.attempt(), AnswerStatus.DATA, "parent", Map.of("inflight", 1.0), Bytes.NONE));
             } else if (effect instanceof Effect.Answer answer && answer.code() == Effect.Code.SERVED) {
                 served++;
             }
@@ -81,7 +82,10 @@
                         NodeTestConfig.member("p-1", "127.0.0.1:12", "shield", "active", 0))));
         RouterApi logic = new Logic(config.settingsReader().settings(), 1);
         reducer = new Reducer(
-                logic, config.settingsReader(), ResourceLimits.of(config.settingsReader().settings(), config.resources()), new Counters());
+                logic,
+                config.settingsReader(),
+                ResourceLimits.of(config.settingsReader().settings(), config.resources()),
+                new Counters());
         reducer.applyInitialUpdates(now, config, effects::add);
         long index = 1;
         for (int i = 1; i <= ROUNDS; i++) {
@@ -91,8 +95,8 @@
                     false,
                     NodeTestConfig.member("s-" + i, "127.0.0.1:11", "box", "active", 0),
                     NodeTestConfig.member("s-" + (i - 1), "127.0.0.1:11", "box", "left", 0))));
-            accept(new Input.CoordinatorUpdate("{\"index\":" + ++index + ",\"evict\":{\"ref\":\"" + id(i) + "\",\"unix_ms\":"
-                    + now / MICROS_PER_MILLI + "}}"));
+            accept(new Input.CoordinatorUpdate("{\"index\":" + ++index + ",\"evict\":{\"ref\":\"" + id(i)
+                    + "\",\"unix_ms\":" + now / MICROS_PER_MILLI + "}}"));
             accept(new Input.Request(i, 1, id(i), "segment", id(i), 0, i % 256, null, 2_000, false, Bytes.NONE));
             accept(new Input.ClientClosed(i));
         }
--- a/src/test/java/pumicemoor/node/NodeTestConfig.java
+++ b/src/test/java/pumicemoor/node/NodeTestConfig.java
@@ -1,7 +1,7 @@
 package pumicemoor.node;
 
-import pumicemoor.wire.JsonObject;
 import pumicemoor.wire.InvalidInputException;
+import pumicemoor.wire.JsonObject;
 
 /**
  * Router configurations for tests: a location with caches, a parent and an origin, a cacheable class and one that is
@@ -15,7 +15,8 @@
     public static String member(String instance, String address, String kind, String lifecycle, long startedMillis) {
         return "{\"instanceId\":\"" + instance + "\",\"hostPort\":\"" + address + "\",\"zone\":\""
                 + (kind.equals("box") ? "here" : "hub") + "\",\"machineType\":\"" + kind
-                + "\",\"cell\":0,\"lifecycle\":\"" + lifecycle + "\",\"weight\":4,\"startedAtMs\":" + startedMillis + "}";
+                + "\",\"cell\":0,\"lifecycle\":\"" + lifecycle + "\",\"weight\":4,\"startedAtMs\":" + startedMillis
+                + "}";
     }
 
     /** Returns a coordinator event with a member list; a snapshot, or only the changes. */
--- a/src/test/java/pumicemoor/node/ReducerDayTest.java
+++ b/src/test/java/pumicemoor/node/ReducerDayTest.java
@@ -86,7 +86,8 @@
             answerCounts.merge(answer.stream(), 1, Integer::sum);
             Long deadline = deadlineOfOpenRequest.remove(answer.stream());
             assertTrue(deadline != null, "an answer to a request that is not open");
-            assertTrue(now <= deadline + 58 * MICROS_PER_MILLI, "an answer " + (now - deadline) + " us past the deadline");
+            assertTrue(
+                    now <= deadline + 58 * MICROS_PER_MILLI, "an answer " + (now - deadline) + " us past the deadline");
             assertTrue(
                     answer.code() != Effect.Code.REFUSED
                             || classOfRequest.get(answer.stream()).equals("segment")
@@ -99,7 +100,9 @@
         attempt.body().release();
         int stream = Integer.parseInt(attempt.id());
         assertTrue(deadlineOfOpenRequest.containsKey(stream), "an attempt for a closed request");
-        assertTrue(attempt.requestClass().equals("segment") || !mayHaveRun.contains(stream), "a request with a side effect may run twice");
+        assertTrue(
+                attempt.requestClass().equals("segment") || !mayHaveRun.contains(stream),
+                "a request with a side effect may run twice");
         for (String name : new String[] {attempt.instance(), attempt.source()}) {
             Long drained = drainedAt.get(name);
             assertTrue(drained == null || now <= drained + MICROS_PER_SECOND, name + " was used past its drain");
@@ -108,7 +111,9 @@
         mayHaveRun.add(stream);
         int behaviour = random.nextInt(30);
         if (behaviour == 0) {
-            schedule(random.nextInt(400_000), () -> endAttempt(attempt, new Input.AttemptNeverSent(attempt.attempt()), true));
+            schedule(
+                    random.nextInt(400_000),
+                    () -> endAttempt(attempt, new Input.AttemptNeverSent(attempt.attempt()), true));
             return;
         }
         schedule(0, () -> accept(new Input.AttemptWritten(attempt.attempt())));
@@ -127,7 +132,9 @@
                                     status == AnswerStatus.DATA ? "mem" : null,
                                     Map.of(),
                                     status == AnswerStatus.DATA ? new CountedBody() : Bytes.NONE),
-                            status == AnswerStatus.ABSENT || status == AnswerStatus.FULL || status == AnswerStatus.MOOT));
+                            status == AnswerStatus.ABSENT
+                                    || status == AnswerStatus.FULL
+                                    || status == AnswerStatus.MOOT));
         }
     }
 
@@ -170,11 +177,12 @@
             });
             schedule(
                     at + 700 * MICROS_PER_MILLI,
-                    () -> accept(new Input.CoordinatorUpdate("{\"index\":" + (index + 1) + ",\"evict\":{\"shard\":3,\"unix_ms\":"
-                            + (now / MICROS_PER_MILLI - 100) + "}}")));
+                    () -> accept(new Input.CoordinatorUpdate("{\"index\":" + (index + 1)
+                            + ",\"evict\":{\"shard\":3,\"unix_ms\":" + (now / MICROS_PER_MILLI - 100) + "}}")));
             schedule(at + 1_500 * MICROS_PER_MILLI, () -> {
                 drainedAt.remove(member);
-                accept(new Input.CoordinatorUpdate(NodeTestConfig.list(index + 2, false, listEntry(member, "active", now / MICROS_PER_MILLI))));
+                accept(new Input.CoordinatorUpdate(
+                        NodeTestConfig.list(index + 2, false, listEntry(member, "active", now / MICROS_PER_MILLI))));
             });
         }
         long end = START_MICROS + 30 * MICROS_PER_SECOND;
--- a/src/test/java/pumicemoor/node/ReducerTest.java
+++ b/src/test/java/pumicemoor/node/ReducerTest.java
@@ -22,15 +22,15 @@
 import pumicemoor.RouterApi.Fail;
 import pumicemoor.RouterApi.Fetch;
 import pumicemoor.RouterApi.FillResult;
+import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.RouterApi.Lookup;
 import pumicemoor.RouterApi.MemberListUpdate;
 import pumicemoor.RouterApi.Outcome;
 import pumicemoor.RouterApi.Purged;
 import pumicemoor.RouterApi.Refuse;
-import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.RequestAbandoned;
+import pumicemoor.RouterApi.RequestArrived;
 import pumicemoor.RouterApi.SetTimer;
-import pumicemoor.RouterApi.FillSourcesUpdate;
 import pumicemoor.RouterApi.State;
 import pumicemoor.RouterApi.TimerDue;
 import pumicemoor.node.Effect.Code;
@@ -153,7 +153,8 @@
     }
 
     private void fetchOnArrivedRequest(long maxAge, long timeout) {
-        onArrivedRequest(r -> actions.accept(new Fetch(r.id(), CACHE, PARENT, 2, maxAge, true, false, false, false, timeout)));
+        onArrivedRequest(
+                r -> actions.accept(new Fetch(r.id(), CACHE, PARENT, 2, maxAge, true, false, false, false, timeout)));
     }
 
     private static Input.AttemptAnswered answer(long attempt, AnswerStatus status, Bytes body) {
@@ -211,7 +212,8 @@
 
     @Test
     void maxAgeRoundsDownToMillisecondsButNeverToUnbounded() {
-        for (long[] pair : new long[][] {{0, 0}, {1, 1}, {999, 1}, {1_999, 1}, {2_000, 2}, {6 * MICROS_PER_SECOND, 6_000}}) {
+        for (long[] pair :
+                new long[][] {{0, 0}, {1, 1}, {999, 1}, {1_999, 1}, {2_000, 2}, {6 * MICROS_PER_SECOND, 6_000}}) {
             fetchOnArrivedRequest(pair[0], 0);
             sendRequest(5, "segment", Bytes.NONE);
             assertEquals(pair[1], lastSent().maxAgeMillis(), "for " + pair[0]);
@@ -262,11 +264,15 @@
         sendRequest(1, "segment", Bytes.NONE);
         long attempt = lastSent().attempt();
         advance(limits.writeTimeout());
-        assertEquals(attempt, ofType(effects, Effect.AbandonAttempt.class).get(0).attempt());
         assertEquals(
-                Outcome.CONNECT_FAILED, ofType(events, AttemptEnded.class).get(0).outcome());
-        assertTrue(limits.writeTimeout() < config.settingsReader().settings().rules().purgeGrace());
-        assertTrue(limits.writeTimeout() < config.settingsReader().settings().rules().drainGrace());
+                attempt, ofType(effects, Effect.AbandonAttempt.class).get(0).attempt());
+        assertEquals(
+                Outcome.CONNECT_FAILED,
+                ofType(events, AttemptEnded.class).get(0).outcome());
+        assertTrue(limits.writeTimeout()
+                < config.settingsReader().settings().rules().purgeGrace());
+        assertTrue(limits.writeTimeout()
+                < config.settingsReader().settings().rules().drainGrace());
     }
 
     @Test
@@ -386,8 +392,11 @@
         actions.accept(new SetTimer(10 * MICROS_PER_MILLI, 77));
         accept(new Input.AttemptWritten(lastSent().attempt()));
         advance(11 * MICROS_PER_MILLI);
-        assertEquals(List.of(new Effect.AbandonAttempt(lastSent().attempt(), true)), ofType(effects, Effect.AbandonAttempt.class));
-        assertEquals(Outcome.CANCELLED, ofType(events, AttemptEnded.class).get(0).outcome());
+        assertEquals(
+                List.of(new Effect.AbandonAttempt(lastSent().attempt(), true)),
+                ofType(effects, Effect.AbandonAttempt.class));
+        assertEquals(
+                Outcome.CANCELLED, ofType(events, AttemptEnded.class).get(0).outcome());
         assertEquals(new TimerDue(77), ofType(events, TimerDue.class).get(0));
     }
 
@@ -445,10 +454,12 @@
 
     @Test
     void eventsOfTheCoordinatorAreAppliedOnceAndInOrder() {
-        String purge = "{\"index\":2,\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (START_MICROS / MICROS_PER_MILLI - 250) + "}}";
+        String purge = "{\"index\":2,\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (START_MICROS / MICROS_PER_MILLI - 250)
+                + "}}";
         accept(new Input.CoordinatorUpdate(purge));
         accept(new Input.CoordinatorUpdate(purge));
-        accept(new Input.CoordinatorUpdate("{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START_MICROS / MICROS_PER_MILLI + "}}"));
+        accept(new Input.CoordinatorUpdate(
+                "{\"index\":3,\"evict\":{\"shard\":17,\"unix_ms\":" + START_MICROS / MICROS_PER_MILLI + "}}"));
         assertEquals(List.of(new Purged("7f3a", -1, 250 * MICROS_PER_MILLI), new Purged(null, 17, 0)), events);
         assertEquals(3, reducer.lastEventIndex());
     }
@@ -478,11 +489,12 @@
             events.clear();
             effects.clear();
             String list = NodeTestConfig.list(index, true, entry, s1);
-            accept(new Input.CoordinatorUpdate(list.substring(0, list.length() - 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
-                    + START_MICROS / MICROS_PER_MILLI + "}}"));
+            accept(new Input.CoordinatorUpdate(list.substring(0, list.length() - 1)
+                    + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + START_MICROS / MICROS_PER_MILLI + "}}"));
             assertEquals(index++, reducer.lastEventIndex());
             assertEquals(1, ofType(events, MemberListUpdate.class).size(), entry);
-            assertEquals(1, ofType(events, MemberListUpdate.class).get(0).members().size(), entry);
+            assertEquals(
+                    1, ofType(events, MemberListUpdate.class).get(0).members().size(), entry);
             assertEquals(1, ofType(events, Purged.class).size(), entry);
             boolean namesTheMember = entry.contains("p-1");
             assertEquals(
@@ -510,13 +522,16 @@
     @Test
     void aMemberThatLeavesOrRestartsLosesItsOldConnections() {
         accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
-                2, false, NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", START_MICROS / MICROS_PER_MILLI))));
+                2,
+                false,
+                NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "active", START_MICROS / MICROS_PER_MILLI))));
         accept(new Input.CoordinatorUpdate(NodeTestConfig.list(
                 3,
                 false,
                 NodeTestConfig.member("s-1", "127.0.0.1:11", "box", "left", START_MICROS / MICROS_PER_MILLI),
                 NodeTestConfig.member("s-2", "127.0.0.1:11", "box", "active", START_MICROS / MICROS_PER_MILLI))));
-        assertEquals(List.of(new Effect.DropConnections("s-1", START_MICROS), new Effect.RetireConnections("s-1")), effects);
+        assertEquals(
+                List.of(new Effect.DropConnections("s-1", START_MICROS), new Effect.RetireConnections("s-1")), effects);
         MemberListUpdate last = ofType(events, MemberListUpdate.class).get(1);
         assertEquals(State.GONE, last.members().get(0).state());
         assertFalse(last.members().get(0).id() == last.members().get(1).id());
@@ -637,30 +652,41 @@
 
     @Test
     void aPurgeGetsTheSmallerAgeIfTheWallClockWasStepped() {
-        for (long step : new long[] {-3_600 * MICROS_PER_SECOND, -5 * MICROS_PER_SECOND, 5 * MICROS_PER_SECOND, 3_600 * MICROS_PER_SECOND}) {
+        for (long step : new long[] {
+            -3_600 * MICROS_PER_SECOND, -5 * MICROS_PER_SECOND, 5 * MICROS_PER_SECOND, 3_600 * MICROS_PER_SECOND
+        }) {
             events.clear();
             reducer.accept(
                     now,
                     now + step,
-                    new Input.CoordinatorUpdate("{\"index\":" + (reducer.lastEventIndex() + 1)
-                            + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":" + (now - MICROS_PER_SECOND) / MICROS_PER_MILLI + "}}"),
+                    new Input.CoordinatorUpdate(
+                            "{\"index\":" + (reducer.lastEventIndex() + 1) + ",\"evict\":{\"ref\":\"7f3a\",\"unix_ms\":"
+                                    + (now - MICROS_PER_SECOND) / MICROS_PER_MILLI + "}}"),
                     effects::add);
-            assertEquals(step < 0 ? 0 : MICROS_PER_SECOND, ofType(events, Purged.class).get(0).age(), "a step of " + step);
+            assertEquals(
+                    step < 0 ? 0 : MICROS_PER_SECOND,
+                    ofType(events, Purged.class).get(0).age(),
+                    "a step of " + step);
         }
     }
 
     @Test
     void aStartTimeIsTheLaterOneIfTheWallClockWasSteppedAndStaysWhenReportedAgain() {
         String list = NodeTestConfig.list(
-                2, false, NodeTestConfig.member("s-2", "127.0.0.1:13", "box", "active", (now - MICROS_PER_SECOND) / MICROS_PER_MILLI));
+                2,
+                false,
+                NodeTestConfig.member(
+                        "s-2", "127.0.0.1:13", "box", "active", (now - MICROS_PER_SECOND) / MICROS_PER_MILLI));
         reducer.accept(now, now - 3_600 * MICROS_PER_SECOND, new Input.CoordinatorUpdate(list), effects::add);
         assertEquals(
-                now, ofType(events, MemberListUpdate.class).get(0).members().get(0).startedAt());
+                now,
+                ofType(events, MemberListUpdate.class).get(0).members().get(0).startedAt());
         long firstReportAt = now;
         now += 3 * MICROS_PER_SECOND;
         accept(new Input.CoordinatorUpdate(list.replace("\"index\":2", "\"index\":3")));
         assertEquals(
-                firstReportAt, ofType(events, MemberListUpdate.class).get(1).members().get(0).startedAt());
+                firstReportAt,
+                ofType(events, MemberListUpdate.class).get(1).members().get(0).startedAt());
     }
 
     @Test
@@ -695,7 +721,8 @@
         accept(new Input.Request(
                 2, 1, "9b1f03aa5c7e2d41", "segment", "00000000000000ff", 0, 1, null, 1500, false, Bytes.NONE));
         assertEquals(
-                List.of(new Effect.Answer(2, 1, Code.FAILED, false, 0, Bytes.NONE), new Effect.ReportProtocolError(2)), effects);
+                List.of(new Effect.Answer(2, 1, Code.FAILED, false, 0, Bytes.NONE), new Effect.ReportProtocolError(2)),
+                effects);
         accept(new Input.RequestCancelled(1, 1));
         effects.clear();
         accept(new Input.Request(
@@ -718,7 +745,8 @@
         String ninth = NodeTestConfig.list(9, false);
         accept(new Input.CoordinatorUpdate(ninth));
         accept(new Input.CoordinatorUpdate(ninth));
-        assertEquals(9, reducer.lastEventIndex(), "the router does not wait for events that the coordinator no longer has");
+        assertEquals(
+                9, reducer.lastEventIndex(), "the router does not wait for events that the coordinator no longer has");
     }
 
     @Test
@@ -758,7 +786,8 @@
             """;
 
     private OperatorConfig operatorConfig(String updateSource, int version, String hub) throws Exception {
-        Path file = Files.writeString(folder.resolve("operator.yaml"), OPERATOR_YAML.formatted(updateSource, version, hub));
+        Path file =
+                Files.writeString(folder.resolve("operator.yaml"), OPERATOR_YAML.formatted(updateSource, version, hub));
         return OperatorFile.read(file);
     }
 
@@ -786,7 +815,11 @@
                 .get(ofType(events, FillSourcesUpdate.class).size() - 1);
         return last.sourcesByMember().isEmpty()
                 ? 0
-                : last.sourcesByMember().get(FillSourcesUpdate.LOCATION).current().get(0).member();
+                : last.sourcesByMember()
+                        .get(FillSourcesUpdate.LOCATION)
+                        .current()
+                        .get(0)
+                        .member();
     }
 
     @Test
@@ -796,7 +829,10 @@
         assertEquals(PARENT, currentParent());
         OperatorConfig next = operatorConfig("file", 2, "p-2");
         accept(new Input.Reload(config, next, null));
-        assertEquals(Reducer.memberId("p-2"), currentParent(), "the announcement is long ago, so that it takes effect at once");
+        assertEquals(
+                Reducer.memberId("p-2"),
+                currentParent(),
+                "the announcement is long ago, so that it takes effect at once");
         assertEquals("2", reducer.statusFields().get("hierarchy-version"));
         assertEquals("moving", reducer.statusFields().get("hierarchy-stage"));
         now += 10 * MICROS_PER_SECOND;
@@ -815,18 +851,22 @@
         now = START_MICROS + 1_000 * MICROS_PER_SECOND;
         startWithOperatorConfig(operatorConfig("feed", 1, "p-1"));
         long millis = now / MICROS_PER_MILLI;
-        accept(new Input.CoordinatorUpdate("{\"index\":3,\"shape\":{\"piece\":1,\"version\":2,\"announced_ms\":" + millis
-                + ",\"unit\":\"here\",\"kind\":\"depot\",\"parents\":{\"p-2\":1}}}"));
+        accept(new Input.CoordinatorUpdate("{\"index\":3,\"shape\":{\"piece\":1,\"version\":2,\"announced_ms\":"
+                + millis + ",\"unit\":\"here\",\"kind\":\"depot\",\"parents\":{\"p-2\":1}}}"));
         assertEquals(PARENT, currentParent());
         now += 500 * MICROS_PER_MILLI;
-        accept(new Input.CoordinatorUpdate("{\"index\":4,\"shape\":{\"certain_ms\":" + (millis + 500) + ",\"piece\":1}}"));
-        assertTrue(reducer.nextDue() <= now + 500 * MICROS_PER_MILLI, "a timer is due when the topology update takes effect");
+        accept(new Input.CoordinatorUpdate(
+                "{\"index\":4,\"shape\":{\"certain_ms\":" + (millis + 500) + ",\"piece\":1}}"));
+        assertTrue(
+                reducer.nextDue() <= now + 500 * MICROS_PER_MILLI,
+                "a timer is due when the topology update takes effect");
         now += 500 * MICROS_PER_MILLI;
         accept(new Input.TimerFired());
         assertEquals(Reducer.memberId("p-2"), currentParent());
         now += 10 * MICROS_PER_SECOND;
         accept(new Input.TimerFired());
-        assertEquals(0, currentParent(), "no confirmation for long: the decision module falls back to the listed parents");
+        assertEquals(
+                0, currentParent(), "no confirmation for long: the decision module falls back to the listed parents");
         accept(new Input.CoordinatorUpdate("{\"index\":5,\"shape\":{\"piece\":2,\"unit\":\"here\"}}"));
         assertEquals(1, counters.get(Counters.Name.BAD_INPUT));
     }
@@ -841,9 +881,10 @@
 
     @Test
     void theFillPathIsSentByMemberName() {
-        onArrivedRequest(
-                r -> actions.accept(new Fetch(r.id(), CACHE, PARENT, 2, 0, true, false, false, false, 0, List.of(PARENT))));
+        onArrivedRequest(r ->
+                actions.accept(new Fetch(r.id(), CACHE, PARENT, 2, 0, true, false, false, false, 0, List.of(PARENT))));
         sendRequest(1, "segment", new CountedBody());
-        assertEquals(List.of("p-1"), ofType(effects, Effect.SendAttempt.class).get(0).fillPath());
+        assertEquals(
+                List.of("p-1"), ofType(effects, Effect.SendAttempt.class).get(0).fillPath());
     }
 }
--- a/src/test/java/pumicemoor/node/SameChoicesTest.java
+++ b/src/test/java/pumicemoor/node/SameChoicesTest.java
@@ -100,7 +100,9 @@
                                         ? new Input.ConnectionLost(key)
                                         : new Input.AttemptAnswered(
                                                 key,
-                                                outcome == 2 ? AnswerStatus.FAILED : outcome == 3 ? AnswerStatus.FULL : AnswerStatus.DATA,
+                                                outcome == 2
+                                                        ? AnswerStatus.FAILED
+                                                        : outcome == 3 ? AnswerStatus.FULL : AnswerStatus.DATA,
                                                 outcome % 2 == 0 ? "mem" : "parent",
                                                 Map.of(),
                                                 Bytes.NONE),
@@ -136,7 +138,8 @@
                 platform.request(now, step, requestClass, object);
                 calls.request(now, step, requestClass, object);
             } else if (!platform.openAttemptKeys.isEmpty()) {
-                int choice = List.copyOf(platform.openAttemptKeys.keySet()).get(random.nextInt(platform.openAttemptKeys.size()));
+                int choice = List.copyOf(platform.openAttemptKeys.keySet())
+                        .get(random.nextInt(platform.openAttemptKeys.size()));
                 // requests of the platform are abandoned if not written in time; here all are written at once
                 int outcome = random.nextInt(12);
                 platform.endAttempt(now, choice, outcome);
--- a/src/test/java/pumicemoor/operator/FleetSectionTest.java
+++ b/src/test/java/pumicemoor/operator/FleetSectionTest.java
@@ -97,7 +97,9 @@
         assertEquals(new CellSetup("zone-a", 64, 3), section.cellSetup().orElseThrow());
         assertEquals(
                 new CellSetup("site_7", 96, 2),
-                OperatorFile.parse("f", VALID_WITH_CELLS.replace("{root: zone-a, most: 64, delegates: 3}", "{root: site_7}"))
+                OperatorFile.parse(
+                                "f",
+                                VALID_WITH_CELLS.replace("{root: zone-a, most: 64, delegates: 3}", "{root: site_7}"))
                         .fleet()
                         .orElseThrow()
                         .cellSetup()
@@ -108,7 +110,9 @@
                         .fleet()
                         .orElseThrow()
                         .size());
-        assertTrue(OperatorFile.parse("f", VALID).fleet().orElseThrow().cellSetup().isEmpty(), "cells are off if the section is absent");
+        assertTrue(
+                OperatorFile.parse("f", VALID).fleet().orElseThrow().cellSetup().isEmpty(),
+                "cells are off if the section is absent");
     }
 
     /** The fleet setup of a router includes the cells of the section, and no cells if the section has none. */
@@ -118,7 +122,8 @@
                 .settingsReader()
                 .settings()
                 .rules();
-        FleetSetup setup = OperatorFile.parse("f", VALID_WITH_CELLS).fleet().orElseThrow().setup("r", rules);
+        FleetSetup setup =
+                OperatorFile.parse("f", VALID_WITH_CELLS).fleet().orElseThrow().setup("r", rules);
         assertEquals("zone-a", setup.cells().orElseThrow().root());
         assertEquals(18_000, setup.size());
         assertTrue(OperatorFile.parse("f", VALID)
@@ -152,7 +157,8 @@
     void errorInCellsNamesItsLineAndKey(String from, String to, int line, String words) {
         assertTrue(VALID_WITH_CELLS.contains(from));
         OperatorException e = assertThrows(
-                OperatorException.class, () -> OperatorFile.parse("f", VALID_WITH_CELLS.replace(from, to == null ? "" : to)));
+                OperatorException.class,
+                () -> OperatorFile.parse("f", VALID_WITH_CELLS.replace(from, to == null ? "" : to)));
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
         assertTrue(
                 e.getMessage().startsWith("f:" + line + ":") && e.getMessage().contains(words), e.getMessage());
@@ -177,7 +183,9 @@
     void drainsWithCellsAreRefusedWithALineAndAKey() {
         assertEquals(
                 "f:13: fleet.drains: cannot be combined with fleet.cells: drains are not supported with cells yet",
-                assertThrows(OperatorException.class, () -> OperatorFile.parse("f", VALID_WITH_CELLS + "  drains: {}\n"))
+                assertThrows(
+                                OperatorException.class,
+                                () -> OperatorFile.parse("f", VALID_WITH_CELLS + "  drains: {}\n"))
                         .getMessage());
     }
 }
--- a/src/test/java/pumicemoor/wire/SimulatorAdapterTest.java
+++ b/src/test/java/pumicemoor/wire/SimulatorAdapterTest.java
@@ -44,7 +44,8 @@
     private static String run(String input, BiFunction<Settings, Long, RouterApi> routerFactory)
             throws IOException, InvalidInputException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, routerFactory).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, routerFactory)
+                .run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -117,14 +118,14 @@
 
     @Test
     void missingAndInvalidFieldsAreNamedInTheError() {
-        InvalidInputException missing =
-                assertThrows(InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"grade\":\"page\",", "")));
+        InvalidInputException missing = assertThrows(
+                InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"grade\":\"page\",", "")));
         assertEquals("line 3: field 'grade' is missing", missing.getMessage());
-        InvalidInputException wrongType =
-                assertThrows(InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("800000", "\"soon\"")));
+        InvalidInputException wrongType = assertThrows(
+                InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("800000", "\"soon\"")));
         assertEquals("line 3: field 'time-left-us' has a value of the wrong type", wrongType.getMessage());
-        InvalidInputException unknownClass =
-                assertThrows(InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"page\"", "\"film\"")));
+        InvalidInputException unknownClass = assertThrows(
+                InvalidInputException.class, () -> run(SYNC + BORN + ARRIVAL.replace("\"page\"", "\"film\"")));
         assertEquals("line 3: unknown class 'film'", unknownClass.getMessage());
         InvalidInputException nested =
                 assertThrows(InvalidInputException.class, () -> run(SYNC + BORN.replace("\"aim-us\":100000,", "")));
