--- a/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
+++ b/src/main/java/pumicemoor/hierarchy/TopologyValidator.java
@@ -115,7 +115,7 @@
                         ViolationKind.DOWNWARD,
                         unit.name(),
                         name + " may not fill from '" + parentName + "': a "
-                                + parent.kind().name().toLowerCase(java.util.Locale.ROOT) + " is not upstream of it"));
+                                + parent.kind().name().toLowerCase(java.util.Locale.ROOT) + " is not above it"));
             } else if (hasHubs && !topology.skipsAllowed() && parent.kind().level > unit.kind().level + 1) {
                 violations.add(new Violation(
                         ViolationKind.LEVEL_SKIPPED,
