--- a/src/main/java/pumicemoor/fleet/Fleet.java
+++ b/src/main/java/pumicemoor/fleet/Fleet.java
@@ -81,8 +81,8 @@
     public record ListedMember(String name, Role role, long startedAt, boolean ready) {
 
         /** A member that is ready. */
-        public ListedMember(String name, Role role, long started) {
-            this(name, role, started, true);
+        public ListedMember(String name, Role role, long startedAt) {
+            this(name, role, startedAt, true);
         }
     }
 
--- a/src/main/java/pumicemoor/fleet/Packet.java
+++ b/src/main/java/pumicemoor/fleet/Packet.java
@@ -74,8 +74,8 @@
             implements Body {}
 
     /**
-     * The answer to a plan report, identified by the report's number and valid for that process only. {@code office} is
-     * set if the sender is the leader and so knows which plan is in force.
+     * The answer to a plan report, identified by the report's number and valid for that process only.
+     * {@code fromLeader} is set if the sender is the leader and so knows which plan is in force.
      */
     public record PlanGrant(
             long reportNumber, long instance, long term, boolean fromLeader, long heldStamp, long stampInForce)
@@ -111,8 +111,8 @@
 
     /**
      * A cell's report from its grantor to the router that it considers the grantor of the upper level. Vote, last seen
-     * and term are as in an {@link RequestDecision}. {@code backing} is the number of routers that stay bound to the sender for at
-     * least one more lease, {@code knownTerm} a term that all of them know.
+     * and term are as in an {@link Ask}. {@code boundRouters} is the number of routers that stay bound to the sender
+     * for at least one more lease, {@code knownTerm} a term that all of them know.
      */
     public record CellAsk(
             boolean vote,
--- a/src/main/java/pumicemoor/fleet/PacketCodec.java
+++ b/src/main/java/pumicemoor/fleet/PacketCodec.java
@@ -248,8 +248,8 @@
         texts.forEach(t -> write(out, t));
     }
 
-    /** Decodes and checks a whole packet. Incarnations above {@code lastIncarnation} are rejected as impossible. */
-    public Packet read(byte[] bytes, long lastIncarnation) throws BadPacketException {
+    /** Decodes and checks a whole packet. Incarnations above {@code maxIncarnation} are rejected as impossible. */
+    public Packet read(byte[] bytes, long maxIncarnation) throws BadPacketException {
         if (bytes.length > MAX_PACKET_BYTES) {
             throw new BadPacketException(Reason.UNREADABLE);
         }
@@ -261,12 +261,12 @@
             if (in.getLong() != cluster) {
                 throw new BadPacketException(Reason.FOREIGN);
             }
-            RouterRecord from = readRouter(in, lastIncarnation);
+            RouterRecord from = readRouter(in, maxIncarnation);
             long number = in.getLong();
             Body body = readBody(in);
             List<RouterRecord> routers = new ArrayList<>();
             for (int left = in.get() & 0xff; left > 0; left--) {
-                routers.add(readRouter(in, lastIncarnation));
+                routers.add(readRouter(in, maxIncarnation));
             }
             List<Ejection> ejections = new ArrayList<>();
             for (int left = in.get() & 0xff; left > 0; left--) {
@@ -325,14 +325,14 @@
         return port > 0 && port < 65_536;
     }
 
-    private static RouterRecord readRouter(ByteBuffer in, long lastIncarnation) throws BadPacketException {
+    private static RouterRecord readRouter(ByteBuffer in, long maxIncarnation) throws BadPacketException {
         RouterRecord router = new RouterRecord(
                 readText(in, NAME),
                 readAddress(in),
                 in.getLong(),
                 in.getLong(),
                 constantAt(RouterStatus.values(), in.get()));
-        if (router.incarnation() < 1 || router.incarnation() > lastIncarnation || router.instance() < 1) {
+        if (router.incarnation() < 1 || router.incarnation() > maxIncarnation || router.instance() < 1) {
             throw new BadPacketException(Reason.IMPOSSIBLE);
         }
         return router;
--- a/src/main/java/pumicemoor/fleet/limits/CellShare.java
+++ b/src/main/java/pumicemoor/fleet/limits/CellShare.java
@@ -85,16 +85,16 @@
     /**
      * Returns what the cell's routers may spend together throughout a lease that is granted now.
      *
-     * @param held the number of routers in the lease table of the cell's grantor
+     * @param representedRouters the number of routers in the lease table of the cell's grantor
      * @param routers the number of routers in the fleet
      */
-    public double grantableAmount(long now, int held, int routers) {
+    public double grantableAmount(long now, int representedRouters, int routers) {
         double evenShare = limit().evenShare(routers);
         double base = now + routerLeaseMicros <= lease.expiresAt()
                 ? amount
                 : now < lease.expiresAt() + upperTimes.shrinkMicros()
                         ? Math.min(amount, grantedRouters * evenShare)
                         : grantedRouters * evenShare;
-        return base + (held - grantedRouters) * evenShare;
+        return base + (representedRouters - grantedRouters) * evenShare;
     }
 }
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTable.java
@@ -105,14 +105,21 @@
 
     /**
      * Answers a request with a share of the limit, or with -1 if a newer request of that router was answered before.
-     * {@code holds} is the number of the request whose grant is in force at the router. If it is 0, for none, the
-     * router counts with its even share until a request confirms a lease.
+     * {@code grantInForce} is the number of the request whose grant is in force at the router. If it is 0, for none,
+     * the router counts with its even share until a request confirms a lease.
      */
     public double ask(
-            long now, String router, long instance, long number, long holds, double demand, double inUse, int routers) {
+            long now,
+            String router,
+            long instance,
+            long number,
+            long grantInForce,
+            double demand,
+            double inUse,
+            int routers) {
         return ask(
                 now,
-                new Requester(router, instance, number, holds, 1),
+                new Requester(router, instance, number, grantInForce, 1),
                 demand,
                 limit.measure().wholeNumbers ? inUse : 0,
                 routers,
@@ -120,36 +127,38 @@
     }
 
     /** Answers a request of a holder that may represent several routers and counts with at least {@code inUse}. */
-    public double ask(long now, Requester asker, double demand, double inUse, int routers, PoolSize pool) {
+    public double ask(long now, Requester requester, double demand, double inUse, int routers, PoolSize pool) {
         expire(now);
-        Holder holder = holders.computeIfAbsent(asker.name(), name -> new Holder());
-        if (holder.instance != asker.instance()) {
-            if (asker.instance() < holder.instance) {
+        Holder holder = holders.computeIfAbsent(requester.name(), name -> new Holder());
+        if (holder.instance != requester.instance()) {
+            if (requester.instance() < holder.instance) {
                 return -1;
             }
-            holder.instance = asker.instance(); // leases of its previous process count until they expire
+            holder.instance = requester.instance(); // leases of its previous process count until they expire
             holder.lastRequest = 0;
         }
-        if (asker.number() <= holder.lastRequest) {
+        if (requester.number() <= holder.lastRequest) {
             return -1;
         }
-        holder.lastRequest = asker.number();
+        holder.lastRequest = requester.number();
         holder.demand = Math.min(limit.amount(), demand);
         holder.inUse = inUse;
-        holder.routers = asker.routers();
+        holder.routers = requester.routers();
         // a confirmed lease that is not in the table has expired here: its holder may be using its even share by now
-        holder.confirmedGrant =
-                holder.grants.stream().anyMatch(g -> g.number() == asker.grantInForce()) ? asker.grantInForce() : 0;
+        holder.confirmedGrant = holder.grants.stream().anyMatch(g -> g.number() == requester.grantInForce())
+                ? requester.grantInForce()
+                : 0;
         holder.grants.removeIf(g -> g.number() < holder.confirmedGrant);
         double share = shareOf(holder, routers, Math.min(limit.amount(), pool.forRouters(representedRouters())));
-        holder.grants.add(new Grant(asker.number(), asker.routers(), share, now + times.leaseMicros()));
+        holder.grants.add(new Grant(requester.number(), requester.routers(), share, now + times.leaseMicros()));
         return share;
     }
 
-    private double shareOf(Holder asker, int routers, double pool) {
-        double left = pool - countedExcept(asker, routers);
-        double share = Math.max(limit.minShare(routers) * asker.routers, Math.min(fairShare(asker, pool), left));
-        return limit.measure().wholeNumbers ? Math.max(asker.routers, Math.floor(share + 1e-9)) : share;
+    private double shareOf(Holder requester, int routers, double pool) {
+        double left = pool - countedExcept(requester, routers);
+        double share =
+                Math.max(limit.minShare(routers) * requester.routers, Math.min(fairShare(requester, pool), left));
+        return limit.measure().wholeNumbers ? Math.max(requester.routers, Math.floor(share + 1e-9)) : share;
     }
 
     /**
@@ -157,7 +166,7 @@
      * holder whose demand is below the fair level gets its whole demand, and the others divide the rest evenly by
      * router. If the pool covers every demand, the remainder is divided evenly too.
      */
-    private double fairShare(Holder asker, double pool) {
+    private double fairShare(Holder requester, double pool) {
         List<Holder> byDemand = new ArrayList<>(holders.values());
         byDemand.sort(Comparator.comparingDouble(h -> demandWithHeadroom(h) / h.routers));
         double left = Math.max(0, pool);
@@ -174,8 +183,8 @@
             level = Double.MAX_VALUE;
         }
         return level == Double.MAX_VALUE
-                ? demandWithHeadroom(asker) + left * asker.routers / totalRouters
-                : Math.min(level * asker.routers, demandWithHeadroom(asker));
+                ? demandWithHeadroom(requester) + left * requester.routers / totalRouters
+                : Math.min(level * requester.routers, demandWithHeadroom(requester));
     }
 
     private double demandWithHeadroom(Holder h) {
--- a/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
+++ b/src/main/java/pumicemoor/fleet/limits/LeaseTimes.java
@@ -17,8 +17,8 @@
      * Creates the times of a fleet with a single level. After a lease has ended, the grantor's table drops it one guard
      * later, and the leases that were granted to others before end within one lease.
      */
-    public LeaseTimes(long lease, long guard) {
-        this(lease, guard, lease + guard);
+    public LeaseTimes(long leaseMicros, long guardMicros) {
+        this(leaseMicros, guardMicros, leaseMicros + guardMicros);
     }
 
     /**
--- a/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/Ejection.java
@@ -7,7 +7,7 @@
  * withdrawn (failing is false). Versions order decisions, whichever leader made them and whenever they arrive: the
  * leader's term in the high bits, then a count within the term. An ejection lasts for the time that is left
  * (microseconds) unless a newer decision replaces it. The evidence is that of the failure report with the most
- * consecutive failures; accusers is the number of routers that reported the member.
+ * consecutive failures; reporters is the number of routers that reported the member.
  */
 public record Ejection(
         long member,
--- a/src/main/java/pumicemoor/fleet/verdicts/FailureReport.java
+++ b/src/main/java/pumicemoor/fleet/verdicts/FailureReport.java
@@ -9,8 +9,8 @@
         long member, long memberStartedAt, Cause cause, int consecutiveFailures, double failureRate, int reporters) {
 
     /** Creates the report of a single router. */
-    public FailureReport(long member, long started, Cause cause, int strikes, double failureRate) {
-        this(member, started, cause, strikes, failureRate, 1);
+    public FailureReport(long member, long memberStartedAt, Cause cause, int consecutiveFailures, double failureRate) {
+        this(member, memberStartedAt, cause, consecutiveFailures, failureRate, 1);
     }
 
     /** The kind of failure observed: no answers, or answers that were failures. */
--- a/src/main/java/pumicemoor/lab/ProxyStandIn.java
+++ b/src/main/java/pumicemoor/lab/ProxyStandIn.java
@@ -239,10 +239,8 @@
                                             Map.of(":status", served ? "200" : "503", "x-pumicemoor-note", "mem"))))
                             .build());
                 } catch (IllegalStateException e) {
-                    end(
-                            served
-                                    ? CallOutcome.SERVED
-                                    : CallOutcome.FAILED); // the processor is gone, but the client has its response
+                    // the processor is gone, but a served client has its response
+                    end(served ? CallOutcome.SERVED : CallOutcome.FAILED);
                 }
             }
         }
--- a/src/main/java/pumicemoor/net/CacheConnections.java
+++ b/src/main/java/pumicemoor/net/CacheConnections.java
@@ -269,8 +269,8 @@
             while (connected && !closed && beingWritten == null && !queue.isEmpty()) {
                 QueuedAttempt next = queue.poll();
                 Effect.SendAttempt request = next.request();
-                if (loop.clock() - next.queuedAt()
-                        > limits.writeTimeout()) { // its decision is based on outdated updates
+                if (loop.clock() - next.queuedAt() > limits.writeTimeout()) {
+                    // its decision is based on outdated updates
                     request.body().release();
                     connectionByAttempt.remove(request.attempt());
                     loop.submit(new Input.AttemptNeverSent(request.attempt()));
--- a/src/main/java/pumicemoor/net/NodeServer.java
+++ b/src/main/java/pumicemoor/net/NodeServer.java
@@ -211,8 +211,8 @@
      * request, else the one that has been idle for longest, so that unused connections do not keep new clients out.
      */
     private boolean reserveClientSlot() {
-        if (allClients.size()
-                >= limits.maxClients() + limits.maxClients() / 8) { // at most an eighth more, which are closing
+        // at most an eighth more, which are closing
+        if (allClients.size() >= limits.maxClients() + limits.maxClients() / 8) {
             allClients.stream()
                     .filter(c -> c.stage() == ClientConnection.Stage.RELEASING)
                     .findFirst()
--- a/src/main/java/pumicemoor/node/Input.java
+++ b/src/main/java/pumicemoor/node/Input.java
@@ -11,8 +11,8 @@
 public sealed interface Input {
 
     /**
-     * A client's request. The call is the id that the client gave the request; the tag is the version of the copy that
-     * the client holds. If the client does not send them, the part is 0, the group -1 and the tag null.
+     * A client's request, with the id that the client gave it and the version of the copy that the client holds. If the
+     * client does not send them, the part is 0, the group -1 and the version null.
      */
     record Request(
             long connection,
@@ -77,8 +77,8 @@
     }
 
     /**
-     * A cache's complete answer. The note says how the cache obtained the copy, or why it could not; null if the cache
-     * sends none. The load is the cache's load report, empty if it sends none.
+     * A cache's complete answer. The fill note says how the cache obtained the copy, or why it could not; null if the
+     * cache sends none. The load is the cache's load report, empty if it sends none.
      */
     record AttemptAnswered(long attempt, AnswerStatus status, String fillNote, Map<String, Double> load, Bytes body)
             implements Input {}
--- a/src/main/java/pumicemoor/node/Reducer.java
+++ b/src/main/java/pumicemoor/node/Reducer.java
@@ -117,8 +117,8 @@
     private final RateLimitedLog warningLog;
     private final Map<Long, Attempt> attemptsByKey = new HashMap<>();
     private final Map<Long, Endpoint> endpointsByMember = new HashMap<>();
-    private final Map<Long, Fleet.ListedMember> fleetMembers =
-            new TreeMap<>(); // listed members, as passed to the fleet
+    // listed members, as passed to the fleet
+    private final Map<Long, Fleet.ListedMember> fleetMembers = new TreeMap<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final Queue<Event> pendingEvents = new ArrayDeque<>();
     private Consumer<Effect> effectSink;
@@ -885,8 +885,8 @@
         }
         if (message instanceof TopologyMessage.Update update) {
             hierarchy.get().accept(now, update.update());
-        } else if (message instanceof TopologyMessage.Watermark certain) {
-            hierarchy.get().confirmUpdates(now, certain.asOfMicros(), certain.lastUpdateNumber());
+        } else if (message instanceof TopologyMessage.Watermark watermark) {
+            hierarchy.get().confirmUpdates(now, watermark.asOfMicros(), watermark.lastUpdateNumber());
         }
     }
 
--- a/src/main/java/pumicemoor/node/ResourceLimits.java
+++ b/src/main/java/pumicemoor/node/ResourceLimits.java
@@ -49,8 +49,8 @@
         long overdueAnswerMargin, // from its deadline until an unanswered request is failed
         long minTimeBeforeExit, // shortest time from SIGTERM to the exit, even if no request is open
         long exitDeadline, // from SIGTERM until all requests still open are failed
-        int warmUpRequests, // requests of the rehearsal before the start
-        long maxWarmUpTime, // longest duration of the rehearsal
+        int warmUpRequests, // warm-up requests before the start
+        long maxWarmUpTime, // longest duration of the warm-up
         int fleetLogLinesPerSecond // lines a second of the fleet's log, and of the log of endpoint changes
         ) {
 
--- a/src/test/java/pumicemoor/calls/CallStateTest.java
+++ b/src/test/java/pumicemoor/calls/CallStateTest.java
@@ -22,13 +22,13 @@
 class CallStateTest {
 
     /**
-     * A model of the decision module, at which a request is open from its Ask until its final answer or Withdraw; it
-     * checks each action.
+     * A model of the decision module, at which a request is open from its RequestDecision until its final answer or
+     * Withdraw; it checks each action.
      */
     private static final class DecisionModel {
         final CallState state;
         final Style style;
-        final List<StreamAction> acts = new ArrayList<>();
+        final List<StreamAction> actions = new ArrayList<>();
         boolean requestOpen;
         boolean attemptOpen; // an attempt is open at the decision module
         int attempts;
@@ -42,35 +42,35 @@
             this.state = new CallState(style);
         }
 
-        void check(List<StreamAction> newActs) {
-            for (StreamAction act : newActs) {
-                acts.add(act);
-                assertEquals(0, streamEnds, "no action after the end of the stream: " + acts);
-                if (act instanceof StreamAction.RequestDecision) {
+        void check(List<StreamAction> newActions) {
+            for (StreamAction action : newActions) {
+                actions.add(action);
+                assertEquals(0, streamEnds, "no action after the end of the stream: " + actions);
+                if (action instanceof StreamAction.RequestDecision) {
                     assertFalse(requestOpen);
                     requestOpen = true;
-                } else if (act instanceof StreamAction.AnnounceAttempt) {
+                } else if (action instanceof StreamAction.AnnounceAttempt) {
                     announcements++;
                     assertEquals(0, finalAnswers);
                     assertTrue(
                             style == Style.REPORTER || announcements == 1,
-                            "a proxy receives one attempt at most: " + acts);
-                } else if (act instanceof StreamAction.SendFinalAnswer) {
+                            "a proxy receives one attempt at most: " + actions);
+                } else if (action instanceof StreamAction.SendFinalAnswer) {
                     finalAnswers++;
-                    assertEquals(1, finalAnswers, acts.toString());
+                    assertEquals(1, finalAnswers, actions.toString());
                     assertTrue(
                             style == Style.REPORTER || announcements == 0,
-                            "a proxy receives either an attempt or a final answer: " + acts);
-                } else if (act instanceof StreamAction.ReportAttemptEnd end) {
+                            "a proxy receives either an attempt or a final answer: " + actions);
+                } else if (action instanceof StreamAction.ReportAttemptEnd end) {
                     assertTrue(
                             requestOpen && attemptOpen && end.attempt() == attempts - 1,
-                            "one end for each attempt: " + acts);
+                            "one end for each attempt: " + actions);
                     attemptOpen = false;
-                } else if (act instanceof StreamAction.Withdraw) {
-                    assertTrue(requestOpen, "withdrawn once, while the request is open: " + acts);
+                } else if (action instanceof StreamAction.Withdraw) {
+                    assertTrue(requestOpen, "withdrawn once, while the request is open: " + actions);
                     requestOpen = false;
                     attemptOpen = false;
-                } else if (act instanceof StreamAction.Complete || act instanceof StreamAction.Abort) {
+                } else if (action instanceof StreamAction.Complete || action instanceof StreamAction.Abort) {
                     streamEnds++;
                 }
             }
@@ -114,10 +114,10 @@
             @ForAll boolean reporter, @ForAll @Size(max = 14) List<@IntRange(max = 15) Integer> steps) {
         DecisionModel model = new DecisionModel(reporter ? Style.REPORTER : Style.PROXY);
         steps.forEach(model::step);
-        assertEquals(model.requestOpen, model.state.requestOpen(), () -> model.acts.toString());
+        assertEquals(model.requestOpen, model.state.requestOpen(), () -> model.actions.toString());
         model.check(model.state.callerGone());
         assertEquals(Phase.ENDED, model.state.phase());
-        assertFalse(model.requestOpen, () -> "the request is still open at the decision module: " + model.acts);
+        assertFalse(model.requestOpen, () -> "the request is still open at the decision module: " + model.actions);
         model.check(model.state.callerGone());
         model.check(model.state.halfClosed());
         model.check(model.state.bodyOrTrailers());
--- a/src/test/java/pumicemoor/fleet/CellVotesTest.java
+++ b/src/test/java/pumicemoor/fleet/CellVotesTest.java
@@ -19,10 +19,10 @@
 class CellVotesTest {
 
     private static final long LEASE_MICROS = 1_000;
-    private static final long CELL_VOTE_MICROS =
-            3 * LEASE_MICROS; // how long a vote binds a router to its cell's grantor
-    private static final long UPPER_VOTE_MICROS =
-            2 * LEASE_MICROS; // how long a vote binds a cell's grantor to the leader
+    // how long a vote binds a router to its cell's grantor
+    private static final long CELL_VOTE_MICROS = 3 * LEASE_MICROS;
+    // how long a vote binds a cell's grantor to the leader
+    private static final long UPPER_VOTE_MICROS = 2 * LEASE_MICROS;
 
     @Test
     void votesCountWithTheirWeightAndTheOwnVoteWithItsBacking() {
--- a/src/test/java/pumicemoor/fleet/DrainRun.java
+++ b/src/test/java/pumicemoor/fleet/DrainRun.java
@@ -166,8 +166,7 @@
             Router router = active.get(random.nextInt(active.size()));
             Plan plan = router.fleet.plan().orElseThrow();
             // The operator relies on what this router shows, and repeats the command until it no longer shows the
-            // member
-            // as out under that fence.
+            // member as out under that fence.
             if (plan.stamp() > entry.getValue()
                     && plan.orderFor(entry.getKey())
                             .map(o -> o.fence() > entry.getValue())
--- a/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
+++ b/src/test/java/pumicemoor/fleet/FleetSchedulesTest.java
@@ -49,8 +49,7 @@
         fleet.maxDelayMicros = random.nextInt(3) == 0 ? 400 * MILLI : 5 * MILLI;
         Map<Router, Long> restarted = new HashMap<>();
         Runnable checkBounds = () -> {
-            // A process that was just restarted may not yet be in the lease table of its grantor as its predecessor
-            // was.
+            // A process that was just restarted may not yet be in its grantor's lease table as its predecessor was.
             long recentRestarts = restarted.values().stream()
                     .filter(at -> fleet.now - at < 2 * TIMES.shrinkMicros())
                     .count();
--- a/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
+++ b/src/test/java/pumicemoor/fleet/drains/DrainRulesTest.java
@@ -420,8 +420,8 @@
         Plan agreed = new Plan(Plan.firstStamp(3), List.of(), List.of(), List.of(4L));
         PlanStore restarted = new PlanStore();
         PlanLeader leader = new PlanLeader(restarted);
-        // of five routers, two have not recovered and one has: a plan that three held may be held by the two missing
-        // ones
+        // of five routers, two have not recovered and one has: a plan that three held may be held by the two
+        // missing ones
         leader.recordReport("b", new PlanLeader.Report(1, 4, 0, 0, false));
         leader.recordReport("c", new PlanLeader.Report(1, 4, 0, 0, true));
         leader.advance(4, 5, false);
--- a/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
+++ b/src/test/java/pumicemoor/hierarchy/HierarchyTest.java
@@ -172,8 +172,8 @@
     @Test
     void aRemovedHubStaysUntilNoUnitFillsThroughIt() {
         Hierarchy hierarchy = hierarchy(UpdateSource.FILE, "d:h1", "h1:o");
-        hierarchy.accept(
-                START_MICROS, Topologies.topology(2, START_MICROS, "d:o"), Set.of()); // nothing else filled from h1
+        // nothing else filled from h1
+        hierarchy.accept(START_MICROS, Topologies.topology(2, START_MICROS, "d:o"), Set.of());
         hierarchy.advance(START_MICROS + 8 * SECOND_MICROS);
         assertTrue(hierarchy.timeline().linksInUse().contains(new Topology.Link("h1", "o")));
         assertEquals(Set.of(id("o")), currentMembers(localSources(hierarchy, START_MICROS + 8 * SECOND_MICROS)));
